--- a/src/directory/call_name.cpp
+++ b/src/directory/call_name.cpp
@@ -9,7 +9,7 @@
 CallName nameOfTyped(const ReadConfiguration& /*request*/) {
   return {"read_configuration", {}, false};
 }
-CallName nameOfTyped(const InstanceBeat& request) {
+CallName nameOfTyped(const InstanceHeartbeat& request) {
   return {request.record.leaving ? "drain" : "heartbeat", request.record.id, false};
 }
 CallName nameOfTyped(const InstanceLeaves& request) { return {"leave", request.id, false}; }
@@ -26,7 +26,7 @@
 
 CallName nameOfTyped(const TellOpenWork& /*request*/) { return {"tell_open_work", {}, false}; }
 
-CallName nameOfTyped(const RelayBeats& /*request*/) { return {"relay_heartbeats", {}, false}; }
+CallName nameOfTyped(const RelayHeartbeats& /*request*/) { return {"relay_heartbeats", {}, false}; }
 
 CallName nameOfTyped(const duties::ReadCapacity& /*request*/) {
   return {"read_capacity", {}, false};
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -104,7 +104,7 @@
 };
 
 /// An instance's heartbeat.
-struct InstanceBeat {
+struct InstanceHeartbeat {
   InstanceRecord record;
   std::uint64_t sequence = 0;  ///< rises with each; a lower one came late
   std::map<std::string, std::uint64_t> versions;
@@ -189,7 +189,7 @@
 };
 
 /// A heartbeat that only confirms a registration.
-struct RelayedBeat {
+struct RelayedHeartbeat {
   std::string id;
   std::uint64_t sequence = 0;
   /// Nothing: they are those that were told last.
@@ -201,11 +201,11 @@
 };
 
 /// Heartbeats that another controller has answered.
-struct RelayBeats {
-  std::vector<RelayedBeat> beats;
+struct RelayHeartbeats {
+  std::vector<RelayedHeartbeat> heartbeats;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(beats);
+    archive(heartbeats);
   }
 };
 
@@ -219,8 +219,8 @@
 };
 
 using DirectoryRequest =
-    std::variant<ReplaceConfiguration, ReadConfiguration, InstanceBeat, InstanceLeaves,
-                 PublishVersion, Watch, RetireNode, ReadRetirement, TellUsage, RelayBeats,
+    std::variant<ReplaceConfiguration, ReadConfiguration, InstanceHeartbeat, InstanceLeaves,
+                 PublishVersion, Watch, RetireNode, ReadRetirement, TellUsage, RelayHeartbeats,
                  quarantine::ReportCrashes, quarantine::AskTrial, quarantine::ReadQuarantine,
                  quarantine::ReleaseRequest, TellOpenWork, duties::ReadCapacity, ReadWeights>;
 
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -42,15 +42,15 @@
   reply(caller, DirectoryStatus::kDone, state_.configuration().document);
 }
 
-void DirectoryRole::onRequest(const Caller& caller, const InstanceBeat& request,
+void DirectoryRole::onRequest(const Caller& caller, const InstanceHeartbeat& request,
                               base::TimePoint now) {
   const std::string& id = request.record.id;
   if (state_.hasLeft(id)) {
     reply(caller, DirectoryStatus::kDone);
     return;
   }
-  const auto sequence = beat_sequences_.find(id);
-  const bool late = sequence != beat_sequences_.end() && request.sequence <= sequence->second;
+  const auto sequence = m_heartbeatSequences.find(id);
+  const bool late = sequence != m_heartbeatSequences.end() && request.sequence <= sequence->second;
   const auto known = state_.instances().find(id);
   const bool registered =
       known != state_.instances().end() && confirmsRegistration(known->second, request.record);
@@ -64,19 +64,19 @@
   proposeFor(caller, RegisterInstance{request.record}, {}, now);
 }
 
-void DirectoryRole::onRequest(const Caller& caller, const RelayBeats& request,
+void DirectoryRole::onRequest(const Caller& caller, const RelayHeartbeats& request,
                               base::TimePoint now) {
-  for (const RelayedBeat& beat : request.beats) {
-    std::uint64_t& sequence = beat_sequences_[beat.id];
-    if (beat.sequence <= sequence || !state_.instances().contains(beat.id)) {
+  for (const RelayedHeartbeat& heartbeat : request.heartbeats) {
+    std::uint64_t& sequence = m_heartbeatSequences[heartbeat.id];
+    if (heartbeat.sequence <= sequence || !state_.instances().contains(heartbeat.id)) {
       continue;
     }
-    sequence = beat.sequence;
-    const auto [report, added] = reports_.try_emplace(beat.id);
+    sequence = heartbeat.sequence;
+    const auto [report, added] = reports_.try_emplace(heartbeat.id);
     report->second.heardAt = now;
-    if (beat.versions) {
-      report->second.versions = *beat.versions;
-    } else if (const auto held = state_.heldVersions().find(beat.id);
+    if (heartbeat.versions) {
+      report->second.versions = *heartbeat.versions;
+    } else if (const auto held = state_.heldVersions().find(heartbeat.id);
                added && held != state_.heldVersions().end()) {
       report->second.versions = held->second;
     }
@@ -84,11 +84,11 @@
   reply(caller, DirectoryStatus::kDone);
 }
 
-void DirectoryRole::observeReport(const InstanceBeat& beat, base::TimePoint now) {
-  beat_sequences_[beat.record.id] = beat.sequence;
-  ReportedEngine& report = reports_[beat.record.id];
+void DirectoryRole::observeReport(const InstanceHeartbeat& heartbeat, base::TimePoint now) {
+  m_heartbeatSequences[heartbeat.record.id] = heartbeat.sequence;
+  ReportedEngine& report = reports_[heartbeat.record.id];
   report.heardAt = now;
-  report.versions = beat.versions;
+  report.versions = heartbeat.versions;
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const InstanceLeaves& request,
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -363,7 +363,7 @@
     service_.endTerm();
     reports_.clear();
     begun_ = false;
-    beat_sequences_.clear();
+    m_heartbeatSequences.clear();
     nodes_.clear();
     ledger_voters_.clear();
     clock_.reset();
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -118,7 +118,7 @@
   [[nodiscard]] bool leads(base::TimePoint now) const { return replica_.canRead(now); }
   void onRequest(const Caller& caller, const ReplaceConfiguration& request, base::TimePoint now);
   void onRequest(const Caller& caller, const ReadConfiguration& request, base::TimePoint now);
-  void onRequest(const Caller& caller, const InstanceBeat& request, base::TimePoint now);
+  void onRequest(const Caller& caller, const InstanceHeartbeat& request, base::TimePoint now);
   void onRequest(const Caller& caller, const InstanceLeaves& request, base::TimePoint now);
   void onRequest(const Caller& caller, const PublishVersion& request, base::TimePoint now);
   void onRequest(const Caller& caller, const Watch& request, base::TimePoint now);
@@ -126,7 +126,7 @@
   void onRequest(const Caller& caller, const ReadRetirement& request, base::TimePoint now);
   void onRequest(const Caller& caller, const TellUsage& request, base::TimePoint now);
   void onRequest(const Caller& caller, const TellOpenWork& request, base::TimePoint now);
-  void onRequest(const Caller& caller, const RelayBeats& request, base::TimePoint now);
+  void onRequest(const Caller& caller, const RelayHeartbeats& request, base::TimePoint now);
   void onRequest(const Caller& caller, const duties::ReadCapacity& request, base::TimePoint now);
   void onRequest(const Caller& caller, const ReadWeights& request, base::TimePoint now);
   void onRequest(const Caller& caller, const quarantine::ReportCrashes& request,
@@ -137,7 +137,7 @@
   void onRequest(const Caller& caller, const quarantine::ReleaseRequest& request,
                  base::TimePoint now);
   void completeRetirements(const consensus::Membership& ledgers, base::TimePoint now);
-  void observeReport(const InstanceBeat& beat, base::TimePoint now);
+  void observeReport(const InstanceHeartbeat& heartbeat, base::TimePoint now);
 
   void reply(const Caller& caller, DirectoryStatus status, std::string text = {});
   void replyWith(const Caller& caller, const DirectoryReply& reply);
@@ -193,7 +193,7 @@
   consensus::Term observed_term_ = 0;
   base::TimePoint leader_since_{};
   std::map<std::string, ReportedEngine> reports_;
-  std::map<std::string, std::uint64_t> beat_sequences_;
+  std::map<std::string, std::uint64_t> m_heartbeatSequences;
   bool recording_versions_ = false;  ///< an entry with weights of instances is on its way
   bool m_recordingHomes = false;     ///< an entry with models that engines follow is on its way
   bool forgetting_ = false;          ///< an entry with silent instances is on its way
--- a/src/directory/beat_relay.h
+++ b/src/directory/heartbeat_relay.h
@@ -11,8 +11,8 @@
 
 namespace tackpick::directory {
 
-/// Knobs of a BeatRelay.
-struct BeatRelaySettings {
+/// Knobs of a HeartbeatRelay.
+struct HeartbeatRelaySettings {
   /// What was heard is told this often. Gateways look at silences of seconds.
   base::Duration interval = base::milliseconds(200);
   /// A controller that has not heard the leader for longer takes no heartbeats itself.
@@ -27,9 +27,9 @@
 /// A controller that hears no leader refuses what only confirms: to hold such heartbeats and send
 /// them to one controller after the other until a leader is there would be, with 10,000 instances,
 /// some 10,000 messages a second at each controller while an election is under way.
-class BeatRelay {
+class HeartbeatRelay {
  public:
-  explicit BeatRelay(BeatRelaySettings settings) : m_settings(settings) {}
+  explicit HeartbeatRelay(HeartbeatRelaySettings settings) : m_settings(settings) {}
 
   enum class Verdict : std::uint8_t {
     kTaken,    ///< this controller answers
@@ -37,10 +37,10 @@
     kPassOn,   ///< it changes a registration: the leader decides
   };
   /// `heardAt`: when this controller last heard the leader.
-  [[nodiscard]] Verdict take(const DirectoryState& state, const InstanceBeat& beat,
+  [[nodiscard]] Verdict take(const DirectoryState& state, const InstanceHeartbeat& heartbeat,
                              std::optional<base::TimePoint> heardAt, base::TimePoint now);
   /// What is to be told now; nothing while nothing was heard or a call is under way.
-  [[nodiscard]] std::optional<RelayBeats> due(base::TimePoint now);
+  [[nodiscard]] std::optional<RelayHeartbeats> due(base::TimePoint now);
   /// The call ended; `known`: the leader has it.
   void onTold(bool known);
 
@@ -48,8 +48,8 @@
   /// Instances whose versions are remembered.
   static constexpr std::size_t kMostKnown = 20'000;
 
-  const BeatRelaySettings m_settings;
-  std::map<std::string, RelayedBeat> m_heard;
+  const HeartbeatRelaySettings m_settings;
+  std::map<std::string, RelayedHeartbeat> m_heard;
   std::map<std::string, std::map<std::string, std::uint64_t>> m_told;  ///< versions, by instance
   bool m_telling = false;
   base::TimePoint m_toldAt{};
--- a/src/node/control_front.cpp
+++ b/src/node/control_front.cpp
@@ -75,8 +75,8 @@
   }
   const auto directoryCall =
       std::make_shared<directory::DirectoryRequest>(std::get<directory::DirectoryRequest>(call));
-  const auto* beat = std::get_if<directory::InstanceBeat>(directoryCall.get());
-  if (beat != nullptr && answerHeartbeat(*beat, exchange)) {
+  const auto* heartbeat = std::get_if<directory::InstanceHeartbeat>(directoryCall.get());
+  if (heartbeat != nullptr && answerHeartbeat(*heartbeat, exchange)) {
     return;
   }
   node_.member().call(
@@ -122,17 +122,17 @@
   }
 }
 
-bool ControlFront::answerHeartbeat(const directory::InstanceBeat& beat,
+bool ControlFront::answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
                                    const std::shared_ptr<http::Exchange>& exchange) {
-  using Verdict = directory::BeatRelay::Verdict;
+  using Verdict = directory::HeartbeatRelay::Verdict;
   const Verdict verdict =
-      relay_.take(node_.directory().state(), beat, node_.member().heardAt(), node_.now());
+      relay_.take(node_.directory().state(), heartbeat, node_.member().heardAt(), node_.now());
   if (verdict == Verdict::kPassOn) {
     return false;
   }
   const bool taken = verdict == Verdict::kTaken;
   const edge::Answer answer =
-      taken ? answerFor(directory::DirectoryRequest{beat}, {}) : edge::unansweredControlCall();
+      taken ? answerFor(directory::DirectoryRequest{heartbeat}, {}) : edge::unansweredControlCall();
   exchange->respond(answer.status, answer.headers, answer.body);
   node_.metrics().count(telemetry::CounterId::kControlCalls,
                         taken ? "heartbeat_relayed" : "heartbeat_without_leader");
@@ -147,7 +147,7 @@
   if (const auto own = edge::capacityAnswer(request, reply)) {
     return *own;
   }
-  if (std::holds_alternative<directory::InstanceBeat>(request)) {
+  if (std::holds_alternative<directory::InstanceHeartbeat>(request)) {
     // Later heartbeats come here too, so that each controller takes a part of them.
     const transport::Endpoint& own = node_.settings().control;
     reply.text = own.host + ":" + std::to_string(own.port);
--- a/src/node/control_front.h
+++ b/src/node/control_front.h
@@ -4,8 +4,8 @@
 
 #include <memory>
 
-#include "directory/beat_relay.h"
 #include "directory/directory_messages.h"
+#include "directory/heartbeat_relay.h"
 #include "edge/dialect.h"
 #include "edge/work_call.h"
 #include "http/exchange_server.h"
@@ -34,14 +34,14 @@
   void answerWork(const std::shared_ptr<http::Exchange>& exchange);
   void onWorkRead(const edge::WorkAnswers& answers, int status, base::Duration took);
   /// False when the leader must decide.
-  bool answerHeartbeat(const directory::InstanceBeat& beat,
+  bool answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
                        const std::shared_ptr<http::Exchange>& exchange);
   /// An answer of the directory as the caller gets it.
   [[nodiscard]] edge::Answer answerFor(const directory::DirectoryRequest& request,
                                        directory::DirectoryReply reply) const;
 
   Node& node_;
-  directory::BeatRelay relay_;
+  directory::HeartbeatRelay relay_;
   http::ExchangeServer server_;
   telemetry::LogLimiter m_unreadable{base::seconds(1)};
 };
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -86,12 +86,12 @@
   std::uint64_t calls = 0;
 };
 
-directory::InstanceBeat engineBeat(std::uint64_t sequence, std::uint64_t version) {
-  directory::InstanceBeat beat;
-  beat.record = {"e0", "s", "10.0.0.9", 1, "z", 4, false};
-  beat.sequence = sequence;
-  beat.versions = {{"m", version}};
-  return beat;
+directory::InstanceHeartbeat engineHeartbeat(std::uint64_t sequence, std::uint64_t version) {
+  directory::InstanceHeartbeat heartbeat;
+  heartbeat.record = {"e0", "s", "10.0.0.9", 1, "z", 4, false};
+  heartbeat.sequence = sequence;
+  heartbeat.versions = {{"m", version}};
+  return heartbeat;
 }
 
 directory::Configuration configuration() {
@@ -106,9 +106,9 @@
 Test(directory_role, weights_of_engines_outlive_the_leader) {
   LoneController controller;
   controller.run(base::seconds(3));
-  controller.ask(engineBeat(1, 5));
+  controller.ask(engineHeartbeat(1, 5));
   controller.run(base::seconds(1));
-  controller.ask(engineBeat(2, 6));
+  controller.ask(engineHeartbeat(2, 6));
   controller.run(base::seconds(1));
   controller.start();
   controller.run(base::seconds(3));
@@ -121,7 +121,7 @@
   LoneController controller;
   controller.run(base::seconds(3));
   controller.ask(directory::ReplaceConfiguration{configuration()});
-  controller.ask(engineBeat(1, 1));
+  controller.ask(engineHeartbeat(1, 1));
   controller.ask(directory::PublishVersion{"m", 2});
   controller.run(base::seconds(2));
   cr_assert_geq(controller.orders.size(), 1U);
@@ -137,11 +137,11 @@
   two.services[0].models = {"m", "n"};
   controller.ask(directory::ReplaceConfiguration{two});
   for (int i = 0; i < 4; ++i) {
-    directory::InstanceBeat beat = engineBeat(1, 1);
-    beat.record.id = "e" + std::to_string(i);
-    beat.record.port = static_cast<std::uint16_t>(1 + i);
-    beat.versions["n"] = 1;
-    controller.ask(beat);
+    directory::InstanceHeartbeat heartbeat = engineHeartbeat(1, 1);
+    heartbeat.record.id = "e" + std::to_string(i);
+    heartbeat.record.port = static_cast<std::uint16_t>(1 + i);
+    heartbeat.versions["n"] = 1;
+    controller.ask(heartbeat);
   }
   controller.run(base::seconds(1));
   const auto homes = controller.role->state().homes();
@@ -234,12 +234,12 @@
   return made;
 }
 
-/// The engine of engineBeat and another; the other is about to leave.
+/// The engine of engineHeartbeat and another; the other is about to leave.
 void announceLeave(LoneController& controller) {
-  directory::InstanceBeat other = engineBeat(1, 1);
+  directory::InstanceHeartbeat other = engineHeartbeat(1, 1);
   other.record.id = "e1";
   other.record.host = "10.0.0.8";
-  controller.ask(engineBeat(1, 1));
+  controller.ask(engineHeartbeat(1, 1));
   controller.ask(other);
   controller.run(base::milliseconds(500));
   other.sequence = 2;
@@ -275,19 +275,19 @@
 Test(directory_role, kind_and_end_of_an_instance_stay_as_first_told) {
   LoneController controller;
   controller.run(base::seconds(3));
-  directory::InstanceBeat beat = engineBeat(1, 1);
-  beat.record.withdrawable = true;
-  controller.ask(beat);
+  directory::InstanceHeartbeat heartbeat = engineHeartbeat(1, 1);
+  heartbeat.record.withdrawable = true;
+  controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
-  beat.sequence = 2;
-  beat.record.withdrawable = false;
-  beat.record.leaving = true;
-  beat.record.leavesAfter = base::milliseconds(2000);
-  controller.ask(beat);
+  heartbeat.sequence = 2;
+  heartbeat.record.withdrawable = false;
+  heartbeat.record.leaving = true;
+  heartbeat.record.leavesAfter = base::milliseconds(2000);
+  controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
-  beat.sequence = 3;
-  beat.record.leavesAfter = base::milliseconds(800);
-  controller.ask(beat);
+  heartbeat.sequence = 3;
+  heartbeat.record.leavesAfter = base::milliseconds(800);
+  controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
   const directory::InstanceRecord& record = controller.role->state().instances().at("e0");
   cr_assert(record.withdrawable && record.leaving);
@@ -326,13 +326,13 @@
 Test(directory_role, late_heartbeat_of_a_displaced_instance_does_not_bring_it_back) {
   LoneController controller;
   controller.run(base::seconds(3));
-  controller.ask(engineBeat(1, 1));
+  controller.ask(engineHeartbeat(1, 1));
   controller.run(base::milliseconds(200));
-  directory::InstanceBeat successor = engineBeat(1, 1);
+  directory::InstanceHeartbeat successor = engineHeartbeat(1, 1);
   successor.record.id = "e1";
   controller.ask(successor);
   controller.run(base::milliseconds(200));
-  controller.ask(engineBeat(2, 1));
+  controller.ask(engineHeartbeat(2, 1));
   controller.run(base::milliseconds(200));
   const directory::DirectoryView view = controller.view();
   cr_assert_eq(view.instances.size(), 1U);
@@ -342,9 +342,10 @@
 Test(directory_role, relayed_heartbeats_count_as_heard) {
   LoneController controller;
   controller.run(base::seconds(3));
-  controller.ask(engineBeat(1, 1));
+  controller.ask(engineHeartbeat(1, 1));
   controller.run(base::seconds(5));
-  controller.ask(directory::RelayBeats{{{"e0", 2, std::nullopt}, {"unknown", 1, std::nullopt}}});
+  controller.ask(
+      directory::RelayHeartbeats{{{"e0", 2, std::nullopt}, {"unknown", 1, std::nullopt}}});
   controller.run(base::milliseconds(50));
   const directory::DirectoryView view = controller.view();
   cr_assert_eq(view.instances.size(), 1U);
@@ -357,7 +358,7 @@
   controller.settings.instanceSilence = base::seconds(8);
   controller.start();
   controller.run(base::seconds(3));
-  controller.ask(engineBeat(1, 1));
+  controller.ask(engineHeartbeat(1, 1));
   controller.run(base::seconds(7));
   cr_assert_not(controller.view().instances.at(0).silent);
   controller.run(base::seconds(2));
@@ -368,10 +369,10 @@
   LoneController controller;
   controller.run(base::seconds(3));
   for (int i = 0; i < 50; ++i) {
-    directory::InstanceBeat beat = engineBeat(1, 1);
-    beat.record.id = "e" + std::to_string(i);
-    beat.record.port = static_cast<std::uint16_t>(i + 1);
-    controller.ask(beat);
+    directory::InstanceHeartbeat heartbeat = engineHeartbeat(1, 1);
+    heartbeat.record.id = "e" + std::to_string(i);
+    heartbeat.record.port = static_cast<std::uint16_t>(i + 1);
+    controller.ask(heartbeat);
   }
   controller.run(base::seconds(39));
   cr_assert_eq(controller.role->state().instances().size(), 50U);
@@ -382,9 +383,9 @@
 Test(directory_role, weights_are_written_once_while_the_log_is_slow) {
   LoneController controller;
   controller.run(base::seconds(3));
-  controller.ask(engineBeat(1, 5));
+  controller.ask(engineHeartbeat(1, 5));
   controller.run(base::seconds(1));
-  controller.ask(engineBeat(2, 6));
+  controller.ask(engineHeartbeat(2, 6));
   const auto before = controller.log->lastIndex();
   // Nothing is committed while no turn ends.
   for (int ticks = 0; ticks < 10; ++ticks) {
@@ -457,7 +458,7 @@
   LoneController controller;
   controller.run(base::seconds(3));
   controller.ask(directory::ReplaceConfiguration{configuration()});
-  controller.ask(engineBeat(1, 1));
+  controller.ask(engineHeartbeat(1, 1));
   controller.run(base::seconds(1));
   controller.ask(directory::PublishVersion{"m", 2});
   controller.run(base::milliseconds(100));
--- a/test/directory/unsent_calls_test.cpp
+++ b/test/directory/unsent_calls_test.cpp
@@ -121,10 +121,10 @@
     made.tenants = {{"a", {}}};
     ask(directory::ReplaceConfiguration{made});
     run(base::milliseconds(200));
-    directory::InstanceBeat beat;
-    beat.record = {"e0", "s", "10.0.0.9", 1, "z", 4, false};
-    beat.sequence = 1;
-    ask(beat);
+    directory::InstanceHeartbeat heartbeat;
+    heartbeat.record = {"e0", "s", "10.0.0.9", 1, "z", 4, false};
+    heartbeat.sequence = 1;
+    ask(heartbeat);
     run(base::seconds(6));
   }
 
--- a/test/integration/work_test.cpp
+++ b/test/integration/work_test.cpp
@@ -90,15 +90,15 @@
   cr_assert_eq(cluster.control("POST", "/Configuration.Replace", batchConfiguration(1)).status,
                kOk);
   const StandInEngine older("i-1");
-  std::uint64_t beats = 0;
-  report(cluster, older, ++beats);
+  std::uint64_t heartbeats = 0;
+  report(cluster, older, ++heartbeats);
   waitUntil(
       [&] { return cluster.gateway("POST", "/b/x", batchOfVersion(2), "job").status == kAccepted; },
       "a batch is accepted");
   Json told;
   waitUntil(
       [&] {
-        report(cluster, older, ++beats);
+        report(cluster, older, ++heartbeats);
         told = readWork(cluster);
         return told["ledgers"].is_object() && told["ledgers"]["total_engines"] == 1 &&
                told["ledgers"]["total_jobs"] == 1 && told["ledgers"]["total_gateways"] == 1;
@@ -115,7 +115,7 @@
                kOk);
   waitUntil(
       [&] {
-        report(cluster, older, ++beats);
+        report(cluster, older, ++heartbeats);
         const Json models = readWork(cluster)["controllers"]["models"];
         return models.size() == 1 && models[0]["published"] == 2 && models[0]["places_ready"] == 0;
       },
@@ -133,7 +133,7 @@
   const StandInEngine newer("i-2", {.versions = {{"m", 2}}});
   waitUntil(
       [&] {
-        report(cluster, newer, ++beats);
+        report(cluster, newer, ++heartbeats);
         return readWork(cluster)["ledgers"]["total_jobs"] == 0;
       },
       "the job ran where its version is");
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -84,7 +84,7 @@
       bad[random.below(bad.size())] = static_cast<char>(random.below(256));
       (void)platform::parseConfiguration(bad);
       (void)platform::parseJob("j", "h", {}, bad);
-      (void)platform::parseBeat("i", bad);
+      (void)platform::parseHeartbeat("i", bad);
       (void)platform::parseVersion(bad);
       (void)platform::parseReport(bad);
     }
@@ -92,18 +92,18 @@
 }
 
 Test(platform_json, heartbeat_and_report) {
-  const auto parsed = platform::parseBeat(
+  const auto parsed = platform::parseHeartbeat(
       "i-1", R"({"service":"e","address":"10.0.0.9:8080","zone":"z","version":"v1","slots":12,
       "state":"draining","coldRemainingMs":0,"models":[{"name":"m","version":3}],"sequence":4})");
-  const auto* beat = std::get_if<directory::InstanceBeat>(&parsed);
-  cr_assert_not_null(beat);
-  cr_assert_eq(beat->record.host, "10.0.0.9");
-  cr_assert_eq(beat->record.port, 8080);
-  cr_assert(beat->record.leaving);
-  cr_assert_eq(beat->versions.at("m"), 3U);
-  cr_assert_eq(beat->sequence, 4U);
-  cr_assert(
-      std::holds_alternative<edge::MalformedCall>(platform::parseBeat("i", R"({"service":"e"})")));
+  const auto* heartbeat = std::get_if<directory::InstanceHeartbeat>(&parsed);
+  cr_assert_not_null(heartbeat);
+  cr_assert_eq(heartbeat->record.host, "10.0.0.9");
+  cr_assert_eq(heartbeat->record.port, 8080);
+  cr_assert(heartbeat->record.leaving);
+  cr_assert_eq(heartbeat->versions.at("m"), 3U);
+  cr_assert_eq(heartbeat->sequence, 4U);
+  cr_assert(std::holds_alternative<edge::MalformedCall>(
+      platform::parseHeartbeat("i", R"({"service":"e"})")));
   cr_assert_eq(platform::parseReport(R"({"models":[{"name":"m","version":5}]})")->at("m"), 5U);
 }
 
@@ -151,9 +151,9 @@
 
 Test(platform_json, withdrawable_instance_tells_when_it_ends) {
   const auto read = [](const std::string& fields) {
-    const auto parsed = platform::parseBeat(
+    const auto parsed = platform::parseHeartbeat(
         "i-1", R"({"service":"e","address":"10.0.0.9:8080","zone":"z","slots":8)" + fields + "}");
-    return std::get<directory::InstanceBeat>(parsed).record;
+    return std::get<directory::InstanceHeartbeat>(parsed).record;
   };
   cr_assert_not(read("").withdrawable);
   const auto leaving = read(R"(,"state":"draining","spot":true,"leaves_ms":2400)");
@@ -162,8 +162,8 @@
   cr_assert_gt(read(R"(,"state":"draining","leaves_ms":0)").leavesAfter.count(), 0);
   cr_assert_eq(read(R"(,"state":"draining")").leavesAfter.count(), 0);
   cr_assert_eq(read(R"(,"state":"ready","leaves_ms":9)").leavesAfter.count(), 0);
-  cr_assert(std::holds_alternative<edge::MalformedCall>(
-      platform::parseBeat("i-1", R"({"service":"e","address":"10.0.0.9:8080","spot":"perhaps"})")));
+  cr_assert(std::holds_alternative<edge::MalformedCall>(platform::parseHeartbeat(
+      "i-1", R"({"service":"e","address":"10.0.0.9:8080","spot":"perhaps"})")));
 }
 
 Test(platform_json, job_and_its_results) {
@@ -361,31 +361,33 @@
 
 namespace {
 
-constexpr const char* kBeatPath = "/Instances.Heartbeat/i-1";
-const std::string kBeat = R"({"service":"e","address":"10.1.0.9:8080","zone":"a","version":"v1",
+constexpr const char* kHeartbeatPath = "/Instances.Heartbeat/i-1";
+const std::string kHeartbeat =
+    R"({"service":"e","address":"10.1.0.9:8080","zone":"a","version":"v1",
  "slots":12,"state":"ready","coldRemainingMs":0,"stage":"both","models":[{"name":"m","version":3,
  "adapters":[]}],"sequence":4,"born":1764720000123})";
 
-edge::ControlCall beatCall(const std::string& body, const std::string& path = kBeatPath) {
+edge::ControlCall heartbeatCall(const std::string& body, const std::string& path = kHeartbeatPath) {
   return platform::PlatformDialect().controlCall(request("POST", path, body));
 }
 
-std::optional<directory::InstanceBeat> beatOf(const edge::ControlCall& call) {
+std::optional<directory::InstanceHeartbeat> heartbeatOf(const edge::ControlCall& call) {
   const auto* typed = std::get_if<directory::DirectoryRequest>(&call);
-  const auto* beat = typed == nullptr ? nullptr : std::get_if<directory::InstanceBeat>(typed);
-  return beat == nullptr ? std::nullopt : std::optional(*beat);
+  const auto* heartbeat =
+      typed == nullptr ? nullptr : std::get_if<directory::InstanceHeartbeat>(typed);
+  return heartbeat == nullptr ? std::nullopt : std::optional(*heartbeat);
 }
 
-std::string beatWith(const std::string& field, const Json& value) {
-  Json beat = Json::parse(kBeat);
-  beat[field] = value;
-  return beat.dump();
+std::string heartbeatWith(const std::string& field, const Json& value) {
+  Json heartbeat = Json::parse(kHeartbeat);
+  heartbeat[field] = value;
+  return heartbeat.dump();
 }
 
-std::string beatWithout(const std::string& field) {
-  Json beat = Json::parse(kBeat);
-  beat.erase(field);
-  return beat.dump();
+std::string heartbeatWithout(const std::string& field) {
+  Json heartbeat = Json::parse(kHeartbeat);
+  heartbeat.erase(field);
+  return heartbeat.dump();
 }
 
 }  // namespace
@@ -393,60 +395,61 @@
 // What cannot be an engine's own heartbeat must register nothing: an engine with four billion
 // places gets all the work, one at no address loses it.
 Test(platform_json, heartbeat_that_names_no_usable_instance_is_refused) {
-  cr_assert(beatOf(beatCall(kBeat)).has_value());
-  const std::vector<std::string> unusable = {"",
-                                             "[]",
-                                             "{\"service\":",
-                                             "\xff\xfe",
-                                             beatWithout("service"),
-                                             beatWithout("address"),
-                                             beatWith("service", 7),
-                                             beatWith("service", ""),
-                                             beatWith("address", "10.1.0.9"),
-                                             beatWith("address", "10.1.0.9:0"),
-                                             beatWith("address", "10.1.0.9:70000"),
-                                             beatWith("address", "10.1.0.9:-1"),
-                                             beatWith("address", "10.1.0.9:80x"),
-                                             beatWith("address", "engine-7:8080"),
-                                             beatWith("address", "0.0.0.0:8080"),
-                                             beatWith("slots", -1),
-                                             beatWith("slots", 0),
-                                             beatWith("slots", 5'000'000'000),
-                                             beatWith("slots", "12"),
-                                             beatWith("state", "asleep"),
-                                             beatWith("state", 1),
-                                             beatWith("sequence", -4),
-                                             beatWith("sequence", 1.5),
-                                             beatWith("zone", Json::array()),
-                                             beatWith("models", 3),
-                                             beatWith("models", {{{"version", 3}}}),
-                                             beatWith("models", {{{"name", "m"}, {"version", -3}}}),
-                                             beatWith("born", "now"),
-                                             beatWith("born", -5)};
+  cr_assert(heartbeatOf(heartbeatCall(kHeartbeat)).has_value());
+  const std::vector<std::string> unusable = {
+      "",
+      "[]",
+      "{\"service\":",
+      "\xff\xfe",
+      heartbeatWithout("service"),
+      heartbeatWithout("address"),
+      heartbeatWith("service", 7),
+      heartbeatWith("service", ""),
+      heartbeatWith("address", "10.1.0.9"),
+      heartbeatWith("address", "10.1.0.9:0"),
+      heartbeatWith("address", "10.1.0.9:70000"),
+      heartbeatWith("address", "10.1.0.9:-1"),
+      heartbeatWith("address", "10.1.0.9:80x"),
+      heartbeatWith("address", "engine-7:8080"),
+      heartbeatWith("address", "0.0.0.0:8080"),
+      heartbeatWith("slots", -1),
+      heartbeatWith("slots", 0),
+      heartbeatWith("slots", 5'000'000'000),
+      heartbeatWith("slots", "12"),
+      heartbeatWith("state", "asleep"),
+      heartbeatWith("state", 1),
+      heartbeatWith("sequence", -4),
+      heartbeatWith("sequence", 1.5),
+      heartbeatWith("zone", Json::array()),
+      heartbeatWith("models", 3),
+      heartbeatWith("models", {{{"version", 3}}}),
+      heartbeatWith("models", {{{"name", "m"}, {"version", -3}}}),
+      heartbeatWith("born", "now"),
+      heartbeatWith("born", -5)};
   for (const std::string& body : unusable) {
-    cr_assert(std::holds_alternative<edge::MalformedCall>(beatCall(body)), "%s", body.c_str());
+    cr_assert(std::holds_alternative<edge::MalformedCall>(heartbeatCall(body)), "%s", body.c_str());
   }
-  cr_assert(
-      std::holds_alternative<edge::MalformedCall>(beatCall(kBeat, "/Instances.Heartbeat/a#1")),
-      "an identifier that no path can hold");
+  cr_assert(std::holds_alternative<edge::MalformedCall>(
+                heartbeatCall(kHeartbeat, "/Instances.Heartbeat/a#1")),
+            "an identifier that no path can hold");
 }
 
 Test(platform_json, incarnation_is_the_identifier_and_the_start) {
-  const auto beat = beatOf(beatCall(kBeat));
-  const directory::Incarnation incarnation = directory::Incarnation::parse(beat->record.id);
+  const auto heartbeat = heartbeatOf(heartbeatCall(kHeartbeat));
+  const directory::Incarnation incarnation = directory::Incarnation::parse(heartbeat->record.id);
   cr_assert_eq(incarnation.name, "i-1");
   cr_assert_eq(incarnation.born, 1764720000123U);
-  cr_assert_eq(beatOf(beatCall(beatWithout("born")))->record.id, "i-1");
+  cr_assert_eq(heartbeatOf(heartbeatCall(heartbeatWithout("born")))->record.id, "i-1");
   const auto leave = platform::PlatformDialect().controlCall(
       request("POST", "/Instances.Leave/i-1", R"({"born":1764720000123})"));
   const auto& typed = std::get<directory::DirectoryRequest>(leave);
-  cr_assert_eq(std::get<directory::InstanceLeaves>(typed).id, beat->record.id);
+  cr_assert_eq(std::get<directory::InstanceLeaves>(typed).id, heartbeat->record.id);
   const auto bare =
       platform::PlatformDialect().controlCall(request("POST", "/Instances.Leave/i-1"));
   cr_assert_eq(std::get<directory::InstanceLeaves>(std::get<directory::DirectoryRequest>(bare)).id,
                "i-1");
-  const http::UpstreamRequest order =
-      platform::PlatformDialect().orderRequest({beat->record.id, "10.1.0.9", 8080, "m", 4, 1}, "c");
+  const http::UpstreamRequest order = platform::PlatformDialect().orderRequest(
+      {heartbeat->record.id, "10.1.0.9", 8080, "m", 4, 1}, "c");
   cr_assert_eq(order.headers.value("Expected-Instance"), "i-1");
 }
 
@@ -503,10 +506,10 @@
 /// Decodes damaged bodies of every kind; what is accepted must be usable.
 void decodeDamaged(base::Random& random) {
   const platform::PlatformDialect dialect;
-  if (const auto beat = beatOf(beatCall(damaged(kBeat, random)))) {
-    cr_assert(beat->record.slots >= 1 && beat->record.slots <= 100'000);
-    cr_assert_neq(beat->record.port, 0);
-    cr_assert_not(beat->record.host.empty() || beat->record.service.empty());
+  if (const auto heartbeat = heartbeatOf(heartbeatCall(damaged(kHeartbeat, random)))) {
+    cr_assert(heartbeat->record.slots >= 1 && heartbeat->record.slots <= 100'000);
+    cr_assert_neq(heartbeat->record.port, 0);
+    cr_assert_not(heartbeat->record.host.empty() || heartbeat->record.service.empty());
   }
   if (const auto configuration = platform::parseConfiguration(damaged(kConfiguration, random))) {
     for (const directory::Route& route : configuration->routes) {
@@ -526,7 +529,7 @@
     }
   }
   (void)platform::parseVersion(damaged(R"({"model":"m","version":8})", random));
-  (void)platform::parseReport(damaged(kBeat, random));
+  (void)platform::parseReport(damaged(kHeartbeat, random));
   (void)dialect.load(damaged("3,0,8", random));
   (void)dialect.controlCall(
       request("POST", "/Instances.Leave/i-1", damaged(R"({"born":5})", random)));
