--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -136,7 +136,7 @@
   }
   std::vector<base::NodeId> voters;
   std::vector<base::NodeId> heard;
-  for (const directory::LedgerSight& sight : view_.ledgers) {
+  for (const directory::LedgerSummary& sight : view_.ledgers) {
     if (sight.silence >= kLedgerSilence) {
       continue;
     }
@@ -158,8 +158,8 @@
 }
 
 base::NodeId ClusterMember::nearbyLedger() const {
-  const directory::LedgerSight* nearest = nullptr;
-  for (const directory::LedgerSight& sight : view_.ledgers) {
+  const directory::LedgerSummary* nearest = nullptr;
+  for (const directory::LedgerSummary& sight : view_.ledgers) {
     const bool member = ledger_voters_.empty() || ledger_voters_.contains(sight.node);
     const bool usable =
         member && sight.zone == self_.zone && !sight.retiring && sight.silence < kLedgerSilence;
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -16,7 +16,7 @@
 #include "base/time.h"
 #include "consensus/raft_types.h"
 #include "directory/configuration.h"
-#include "directory/weights_sight.h"
+#include "directory/weights_summary.h"
 #include "duties/capacity_messages.h"
 #include "duties/usage_messages.h"
 #include "jobs/open_work.h"
@@ -235,7 +235,7 @@
 };
 
 /// A ledger as the leading controller hears it.
-struct LedgerSight {
+struct LedgerSummary {
   base::NodeId node;
   base::Duration silence{0};
   bool retiring = false;
@@ -262,7 +262,7 @@
   std::vector<InstanceView> instances;
   std::map<std::string, std::uint64_t> publishedVersions;
   std::vector<base::NodeId> controllers;
-  std::vector<LedgerSight> ledgers;
+  std::vector<LedgerSummary> ledgers;
   std::set<base::NodeId> ledgerFounders;  ///< first voters; empty until decided
   /// Of the ledgers' group, as its leader last reported them; empty until it has.
   std::set<base::NodeId> ledgerVoters;
@@ -289,10 +289,10 @@
   /// bytes: whole views of 3,000 instances are 1 MB each, and after a change of leader 300 nodes
   /// want one at once.
   base::Bytes packedView = {};
-  std::vector<quarantine::HoldSight> holds = {};     ///< answers ReadQuarantine
-  std::vector<duties::CapacitySight> capacity = {};  ///< answers ReadCapacity
+  std::vector<quarantine::HoldSummary> holds = {};  ///< answers ReadQuarantine
+  std::vector<duties::PoolSummary> capacity = {};   ///< answers ReadCapacity
   /// Answers ReadWeights; nothing while a new leader has not begun to decide.
-  std::optional<WeightsSight> weights = {};
+  std::optional<WeightsSummary> weights = {};
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -153,7 +153,7 @@
 void DirectoryRole::onRequest(const Caller& caller, const ReadWeights& /*request*/,
                               base::TimePoint /*now*/) {
   DirectoryReply answer;
-  if (const WeightsSight* sight = weights()) {
+  if (const WeightsSummary* sight = weights()) {
     answer.weights = *sight;
   }
   replyWith(caller, answer);
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -10,10 +10,10 @@
 
 #include "cluster/group_service.h"
 #include "consensus/replica.h"
-#include "directory/capacity_sight.h"
 #include "directory/directory_messages.h"
 #include "directory/directory_state.h"
 #include "directory/order_lease.h"
+#include "directory/scaled_services.h"
 #include "directory/version_orders.h"
 #include "directory/view_history.h"
 #include "directory/watch_queue.h"
@@ -88,11 +88,11 @@
   [[nodiscard]] const DirectoryState& state() const { return state_; }
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
   /// Where the weights of all models stand; nothing while this controller does not lead.
-  [[nodiscard]] const WeightsSight* weights() const {
+  [[nodiscard]] const WeightsSummary* weights() const {
     return begun_ && replica_.raft().isLeader() ? &orders_.sight() : nullptr;
   }
   /// Numbers of instances, as this process last decided about them as leader.
-  [[nodiscard]] const std::vector<duties::CapacitySight>& capacity() const {
+  [[nodiscard]] const std::vector<duties::PoolSummary>& capacity() const {
     return m_capacity.sights();
   }
   /// Of the controllers' group, as its leader sees it.
@@ -149,7 +149,7 @@
   void proposeOnce(const DirectoryCommand& command, bool& underWay, base::TimePoint now);
   /// All that a node may be told, without instances and configuration.
   [[nodiscard]] DirectoryView presentView(base::TimePoint now) const;
-  [[nodiscard]] std::vector<InstanceSight> presentInstances(base::TimePoint now) const;
+  [[nodiscard]] std::vector<InstanceViewRef> presentInstances(base::TimePoint now) const;
   [[nodiscard]] std::vector<cluster::GroupNode> nodesOf(NodeRole role, base::TimePoint now) const;
 
   void observeLeadership(base::TimePoint now);
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -31,15 +31,15 @@
   return nodes;
 }
 
-std::vector<InstanceSight> DirectoryRole::presentInstances(base::TimePoint now) const {
+std::vector<InstanceViewRef> DirectoryRole::presentInstances(base::TimePoint now) const {
   static const std::map<std::string, std::uint64_t> kNoVersions;
-  std::vector<InstanceSight> instances;
+  std::vector<InstanceViewRef> instances;
   instances.reserve(state_.instances().size());
   base::SortedCursor reports(reports_);
   for (const auto& [id, record] : state_.instances()) {
     const ReportedEngine* report = reports.find(id);
     const base::TimePoint heardAt = report == nullptr ? leader_since_ : report->heardAt;
-    InstanceSight sight;
+    InstanceViewRef sight;
     sight.record = &record;
     sight.versions = report == nullptr ? &kNoVersions : &report->versions;
     sight.silent = now - heardAt > settings_.instanceSilence;
--- a/src/directory/capacity_sight.cpp
+++ b/src/directory/scaled_services.cpp
@@ -1,4 +1,4 @@
-#include "directory/capacity_sight.h"
+#include "directory/scaled_services.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 /// The ledgers' leader tells its open work twice a second; older figures decide nothing.
 constexpr base::Duration kWorkLifetime = base::seconds(2);
 
-void count(const InstanceSight& instance, duties::RegisteredInstances& zone) {
+void count(const InstanceViewRef& instance, duties::RegisteredInstances& zone) {
   const InstanceRecord& record = *instance.record;
   if (record.leaving) {
     ++(record.withdrawable ? zone.withdrawableLeaving : zone.ordinaryLeaving);
@@ -39,8 +39,8 @@
   return demand;
 }
 
-void addInstances(const std::vector<InstanceSight>& instances, duties::ServiceSight& service) {
-  for (const InstanceSight& instance : instances) {
+void addInstances(const std::vector<InstanceViewRef>& instances, duties::ScaledService& service) {
+  for (const InstanceViewRef& instance : instances) {
     if (instance.record->service != service.name) {
       continue;
     }
@@ -53,17 +53,17 @@
 
 }  // namespace
 
-std::vector<duties::ServiceSight> scaledServices(const DirectoryState& state,
-                                                 const std::vector<InstanceSight>& instances,
-                                                 const HeardWork& work,
-                                                 const std::map<std::string, double>& recentWork,
-                                                 base::TimePoint now) {
-  std::vector<duties::ServiceSight> services;
+std::vector<duties::ScaledService> scaledServices(const DirectoryState& state,
+                                                  const std::vector<InstanceViewRef>& instances,
+                                                  const HeardWork& work,
+                                                  const std::map<std::string, double>& recentWork,
+                                                  base::TimePoint now) {
+  std::vector<duties::ScaledService> services;
   for (const Service& service : state.configuration().services) {
     if (!service.scaling) {
       continue;
     }
-    duties::ServiceSight& sight = services.emplace_back();
+    duties::ScaledService& sight = services.emplace_back();
     sight.name = service.name;
     sight.scaling = *service.scaling;
     sight.slots = std::max(service.slots, 1U);
--- a/src/directory/capacity_sight.h
+++ b/src/directory/scaled_services.h
@@ -21,8 +21,8 @@
 };
 
 /// The services with bounds on their instances. `recentWork` by model: see ModelDemand.
-[[nodiscard]] std::vector<duties::ServiceSight> scaledServices(
-    const DirectoryState& state, const std::vector<InstanceSight>& instances, const HeardWork& work,
-    const std::map<std::string, double>& recentWork, base::TimePoint now);
+[[nodiscard]] std::vector<duties::ScaledService> scaledServices(
+    const DirectoryState& state, const std::vector<InstanceViewRef>& instances,
+    const HeardWork& work, const std::map<std::string, double>& recentWork, base::TimePoint now);
 
 }  // namespace tackpick::directory
--- a/src/directory/version_orders.cpp
+++ b/src/directory/version_orders.cpp
@@ -231,7 +231,7 @@
   m_homes.assign(state, engines, demand, now);
   m_budget.setLeast(mostLoads());
   Fleet fleet = observe(state, engines, now);
-  updateSight(fleet, now);
+  updateSummary(fleet, now);
   if (now < orders_from_) {
     return orders;
   }
@@ -273,12 +273,12 @@
   return order;
 }
 
-void VersionOrders::updateSight(const Fleet& fleet, base::TimePoint now) {
+void VersionOrders::updateSummary(const Fleet& fleet, base::TimePoint now) {
   m_sight = {};
   m_sight.loading = fleet.loading;
   m_sight.budget = fleet.knowsSteps ? m_budget.most() : mostLoads();
   for (const auto& [name, model] : fleet.models) {
-    ModelWeightsSight& sight = m_sight.models[name];
+    ModelWeightsSummary& sight = m_sight.models[name];
     sight.published = model.published;
     if (!model.needs.empty()) {
       const StepNeed& first = model.needs.front();
--- a/src/directory/version_orders.h
+++ b/src/directory/version_orders.h
@@ -19,7 +19,7 @@
 #include "directory/load_budget.h"
 #include "directory/load_policy.h"
 #include "directory/step_forecast.h"
-#include "directory/weights_sight.h"
+#include "directory/weights_summary.h"
 #include "jobs/open_work.h"
 
 namespace tackpick::directory {
@@ -112,7 +112,7 @@
   [[nodiscard]] bool isLoading(const std::string& instance, const ReportedEngines& engines,
                                base::TimePoint now) const;
   void onOutcome(const VersionOrder& order, OrderOutcome outcome, base::TimePoint now);
-  [[nodiscard]] const WeightsSight& sight() const { return m_sight; }
+  [[nodiscard]] const WeightsSummary& sight() const { return m_sight; }
 
  private:
   struct Given {
@@ -160,7 +160,7 @@
                                        base::TimePoint now);
   [[nodiscard]] VersionOrder giveOrder(const DirectoryState& state, const LoadCandidate& candidate,
                                        std::uint64_t term, base::TimePoint now);
-  void updateSight(const Fleet& fleet, base::TimePoint now);
+  void updateSummary(const Fleet& fleet, base::TimePoint now);
 
   const VersionOrderSettings settings_;
   base::TimePoint orders_from_{};
@@ -169,7 +169,7 @@
   LoadBudget m_budget;
   std::unique_ptr<const LoadPolicy> m_policy;
   std::optional<ToldWork> m_told;
-  WeightsSight m_sight;
+  WeightsSummary m_sight;
   std::map<std::string, Given> given_;  ///< latest order by instance
   struct Published {
     std::uint64_t version = 0;
--- a/src/directory/view_history.cpp
+++ b/src/directory/view_history.cpp
@@ -10,13 +10,13 @@
 /// must not all need it because half of a large fleet is replaced.
 constexpr std::size_t kMostRemoved = 4096;
 
-bool isTold(const InstanceView& told, const InstanceSight& now) {
+bool isTold(const InstanceView& told, const InstanceViewRef& now) {
   return told.silent == now.silent && told.loading == now.loading && told.reserve == now.reserve &&
          told.versions == *now.versions && told.record == *now.record;
 }
 
 base::Bytes encodeWithoutSilences(DirectoryView view) {
-  for (LedgerSight& sight : view.ledgers) {
+  for (LedgerSummary& sight : view.ledgers) {
     sight.silence = {};
   }
   return base::encode(view);
@@ -35,7 +35,7 @@
   m_comparedRest.clear();
 }
 
-void ViewHistory::update(const std::vector<InstanceSight>& instances, DirectoryView rest) {
+void ViewHistory::update(const std::vector<InstanceViewRef>& instances, DirectoryView rest) {
   const std::uint64_t next = m_revision + 1;
   bool changed = updateInstances(instances, next);
   base::Bytes compared = encodeWithoutSilences(rest);
@@ -47,10 +47,11 @@
   }
 }
 
-bool ViewHistory::updateInstances(const std::vector<InstanceSight>& instances, std::uint64_t next) {
+bool ViewHistory::updateInstances(const std::vector<InstanceViewRef>& instances,
+                                  std::uint64_t next) {
   bool changed = false;
   auto known = m_instances.begin();
-  for (const InstanceSight& sight : instances) {
+  for (const InstanceViewRef& sight : instances) {
     const std::string& id = sight.record->id;
     while (known != m_instances.end() && known->first < id) {
       known = forget(known, next);
@@ -74,7 +75,7 @@
   return changed;
 }
 
-void ViewHistory::note(Told& told, const InstanceSight& sight, std::uint64_t next) {
+void ViewHistory::note(Told& told, const InstanceViewRef& sight, std::uint64_t next) {
   const std::string& id = sight.record->id;
   const auto removed = m_removed.find(id);
   if (removed != m_removed.end()) {
--- a/src/directory/view_history.h
+++ b/src/directory/view_history.h
@@ -17,7 +17,7 @@
 
 /// An instance as it is now. It refers to what it consists of, since all instances are compared
 /// with what was told of them several times a second, and few have changed.
-struct InstanceSight {
+struct InstanceViewRef {
   const InstanceRecord* record = nullptr;
   const std::map<std::string, std::uint64_t>* versions = nullptr;
   bool silent = false;
@@ -35,7 +35,7 @@
   void reset(std::uint64_t revision);
   /// Takes in what a node would be told now: `instances` in the order of their ids, `rest` without
   /// any and without a configuration. The revision rises when that differs from the last.
-  void update(const std::vector<InstanceSight>& instances, DirectoryView rest);
+  void update(const std::vector<InstanceViewRef>& instances, DirectoryView rest);
   [[nodiscard]] std::uint64_t revision() const { return m_revision; }
   /// True when a node that holds the view of `held` needs the whole: it is none of this leader's,
   /// or too old.
@@ -57,8 +57,8 @@
   using ByRevision = std::set<std::pair<std::uint64_t, std::string>>;
 
   /// True when anything differs from what was told.
-  bool updateInstances(const std::vector<InstanceSight>& instances, std::uint64_t next);
-  void note(Told& told, const InstanceSight& sight, std::uint64_t next);
+  bool updateInstances(const std::vector<InstanceViewRef>& instances, std::uint64_t next);
+  void note(Told& told, const InstanceViewRef& sight, std::uint64_t next);
   Instances::iterator forget(Instances::iterator known, std::uint64_t next);
   void forgetOldRemovals();
 
--- a/src/directory/watch_queue.cpp
+++ b/src/directory/watch_queue.cpp
@@ -15,11 +15,11 @@
 /// without).
 void keepVoters(DirectoryView& view) {
   const bool heard =
-      std::any_of(view.ledgers.begin(), view.ledgers.end(), [&](const LedgerSight& sight) {
+      std::any_of(view.ledgers.begin(), view.ledgers.end(), [&](const LedgerSummary& sight) {
         return view.ledgerVoters.contains(sight.node) && sight.silence < kHeardRecently;
       });
   if (heard) {
-    std::erase_if(view.ledgers, [&](const LedgerSight& sight) {
+    std::erase_if(view.ledgers, [&](const LedgerSummary& sight) {
       return !view.ledgerVoters.contains(sight.node);
     });
   }
--- a/src/directory/weights_sight.h
+++ b/src/directory/weights_summary.h
@@ -13,7 +13,7 @@
 namespace tackpick::directory {
 
 /// Where the weights of one model stand.
-struct ModelWeightsSight {
+struct ModelWeightsSummary {
   std::uint64_t published = 0;
   /// Oldest version that its most urgent step needs; zero: its steps are unknown.
   std::uint64_t neededVersion = 0;
@@ -30,8 +30,8 @@
 };
 
 /// Where the weights of all models stand, as of the last turn.
-struct WeightsSight {
-  std::map<std::string, ModelWeightsSight> models;
+struct WeightsSummary {
+  std::map<std::string, ModelWeightsSummary> models;
   std::uint64_t loading = 0;  ///< engines
   std::uint64_t budget = 0;   ///< ... that may load at once
 
--- a/src/duties/capacity_duty.cpp
+++ b/src/duties/capacity_duty.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// With the open work that it is decided from.
-CapacityDecision decisionFrom(const ServiceSight& service) {
+CapacityDecision decisionFrom(const ScaledService& service) {
   CapacityDecision decision;
   if (!service.demand) {
     return decision;
@@ -41,9 +41,9 @@
   m_retry = {};
 }
 
-KindSight CapacityDuty::kindSight(const CapacitySubject& subject, RegisteredKind registered,
-                                  const CapacityState& state, base::Duration startTime,
-                                  base::TimePoint now) {
+PoolCounts CapacityDuty::poolCounts(const CapacitySubject& subject, RegisteredKind registered,
+                                    const CapacityState& state, base::Duration startTime,
+                                    base::TimePoint now) {
   Subject& known = m_subjects[subject];
   known.lost =
       known.lost || registered.there < known.seen.there || registered.leaving < known.seen.leaving;
@@ -52,7 +52,7 @@
   if (known.proposed == noted.count) {
     known.proposed.reset();
   }
-  KindSight sight;
+  PoolCounts sight;
   sight.there = registered.there;
   sight.desired = known.proposed.value_or(noted.count);
   sight.asked = known.proposed || state.desired(subject);
@@ -65,13 +65,13 @@
   return sight;
 }
 
-std::vector<ZoneSight> CapacityDuty::zonesOf(const ServiceSight& service,
-                                             const CapacityState& state, base::TimePoint now) {
+std::vector<ZoneCounts> CapacityDuty::zonesOf(const ScaledService& service,
+                                              const CapacityState& state, base::TimePoint now) {
   std::map<std::string, RegisteredInstances> zones = service.zones;
   for (const std::string& zone : state.zones(service.name)) {
     zones.try_emplace(zone);
   }
-  std::vector<ZoneSight> sights;
+  std::vector<ZoneCounts> sights;
   for (const auto& [zone, registered] : zones) {
     const CapacitySubject ordinary{service.name, zone, InstanceKind::kOrdinary};
     const CapacitySubject withdrawable{service.name, zone, InstanceKind::kWithdrawable};
@@ -80,11 +80,11 @@
       withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
     }
     const base::Duration start = service.scaling.startTime;
-    ZoneSight sight;
+    ZoneCounts sight;
     sight.zone = zone;
     sight.ordinary =
-        kindSight(ordinary, {registered.ordinary, registered.ordinaryLeaving}, state, start, now);
-    sight.withdrawable = kindSight(
+        poolCounts(ordinary, {registered.ordinary, registered.ordinaryLeaving}, state, start, now);
+    sight.withdrawable = poolCounts(
         withdrawable, {registered.withdrawable, registered.withdrawableLeaving}, state, start, now);
     sight.silent = registered.silent;
     sight.leaving = registered.ordinaryLeaving + registered.withdrawableLeaving;
@@ -102,7 +102,7 @@
   return sights;
 }
 
-void CapacityDuty::noteBaselines(const ServiceSight& service, const CapacityState& state,
+void CapacityDuty::noteBaselines(const ScaledService& service, const CapacityState& state,
                                  CapacityWork& work) {
   const auto note = [&](const CapacitySubject& subject, std::uint32_t there) {
     if (!state.desired(subject) && there > state.baseline(subject)) {
@@ -127,10 +127,10 @@
   return true;
 }
 
-void CapacityDuty::noteWithdrawn(const ServiceSight& service, const std::vector<ZoneSight>& zones,
+void CapacityDuty::noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
                                  base::TimePoint now, CapacityWork& work) {
-  for (const ZoneSight& zone : zones) {
-    const KindSight& kind = zone.withdrawable;
+  for (const ZoneCounts& zone : zones) {
+    const PoolCounts& kind = zone.withdrawable;
     if (kind.unavailable && kind.desired > kind.there) {
       (void)propose({service.name, zone.zone, InstanceKind::kWithdrawable}, kind.there, now, work);
     }
@@ -152,7 +152,7 @@
   }
 }
 
-void CapacityDuty::plan(const ServiceSight& service, const CapacityState& state,
+void CapacityDuty::plan(const ScaledService& service, const CapacityState& state,
                         const Present& present, CapacityWork& work) {
   noteBaselines(service, state, work);
   CapacityInputs inputs;
@@ -249,7 +249,7 @@
   }
   m_wishes.clear();
   m_sights.clear();
-  for (const ServiceSight& service : present.services) {
+  for (const ScaledService& service : present.services) {
     plan(service, state, present, work);
   }
   for (const ConfirmCapacity& confirm : std::exchange(m_confirm, {})) {
--- a/src/duties/capacity_duty.h
+++ b/src/duties/capacity_duty.h
@@ -51,7 +51,7 @@
 };
 
 /// A service whose instances the platform starts and stops.
-struct ServiceSight {
+struct ScaledService {
   std::string name;
   Scaling scaling;
   std::uint32_t slots = 1;
@@ -92,7 +92,7 @@
   /// end of one that it made when it led before.
   void reset(const CapacityState& state, base::TimePoint callsFrom, base::TimePoint now);
   struct Present {
-    std::vector<ServiceSight> services;
+    std::vector<ScaledService> services;
     /// The leader has led long enough to have heard of every instance.
     bool settled = false;
     std::uint64_t fence = 0;
@@ -101,7 +101,7 @@
   [[nodiscard]] CapacityWork step(const CapacityState& state, const Present& present);
   void onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now);
 
-  [[nodiscard]] const std::vector<CapacitySight>& sights() const { return m_sights; }
+  [[nodiscard]] const std::vector<PoolSummary>& sights() const { return m_sights; }
   [[nodiscard]] bool enabled() const { return m_settings.plan.mode != CapacityMode::kHold; }
 
  private:
@@ -132,20 +132,20 @@
     base::Duration startTime{0};
   };
 
-  [[nodiscard]] std::vector<ZoneSight> zonesOf(const ServiceSight& service,
-                                               const CapacityState& state, base::TimePoint now);
-  [[nodiscard]] KindSight kindSight(const CapacitySubject& subject, RegisteredKind registered,
-                                    const CapacityState& state, base::Duration startTime,
-                                    base::TimePoint now);
-  static void noteBaselines(const ServiceSight& service, const CapacityState& state,
+  [[nodiscard]] std::vector<ZoneCounts> zonesOf(const ScaledService& service,
+                                                const CapacityState& state, base::TimePoint now);
+  [[nodiscard]] PoolCounts poolCounts(const CapacitySubject& subject, RegisteredKind registered,
+                                      const CapacityState& state, base::Duration startTime,
+                                      base::TimePoint now);
+  static void noteBaselines(const ScaledService& service, const CapacityState& state,
                             CapacityWork& work);
   /// What was withdrawn or refused is not counted on.
-  void noteWithdrawn(const ServiceSight& service, const std::vector<ZoneSight>& zones,
+  void noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
                      base::TimePoint now, CapacityWork& work);
   /// Writes a count to the log; false when that is under way.
   [[nodiscard]] bool propose(const CapacitySubject& subject, std::uint32_t count,
                              base::TimePoint now, CapacityWork& work);
-  void plan(const ServiceSight& service, const CapacityState& state, const Present& present,
+  void plan(const ScaledService& service, const CapacityState& state, const Present& present,
             CapacityWork& work);
   /// `decision.before` is not known yet.
   void decide(CapacityDecision decision, const CapacityState& state, base::TimePoint now,
@@ -165,7 +165,7 @@
   std::map<std::string, CapacityPlan> m_plans;  ///< by service
   std::map<CapacitySubject, Subject> m_subjects;
   std::map<CapacitySubject, Wish> m_wishes;  ///< of the present step
-  std::vector<CapacitySight> m_sights;
+  std::vector<PoolSummary> m_sights;
   std::vector<ConfirmCapacity> m_confirm;  ///< to be written to the log
   struct CallUnderWay {
     std::uint64_t fence = 0;
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -45,7 +45,7 @@
 };
 
 /// What an operator is shown of one kind of a service's instances in a zone.
-struct CapacitySight {
+struct PoolSummary {
   CapacitySubject subject;
   std::uint32_t desired = 0;  ///< asked for; zero: nothing was
   bool taken = false;         ///< by the platform
--- a/src/duties/capacity_plan.cpp
+++ b/src/duties/capacity_plan.cpp
@@ -22,7 +22,7 @@
   constexpr std::uint32_t kMostSilent = 3;  // one in so many
   std::uint32_t silent = 0;
   std::uint32_t there = 0;
-  for (const ZoneSight& zone : inputs.zones) {
+  for (const ZoneCounts& zone : inputs.zones) {
     silent += zone.silent;
     there += zone.ordinary.there + zone.withdrawable.there;
   }
@@ -30,8 +30,8 @@
 }
 
 /// Those of the target's zone and kind that are there.
-std::uint32_t thereOf(const CapacityTarget& target, const std::vector<ZoneSight>& zones) {
-  const auto zone = std::find_if(zones.begin(), zones.end(), [&](const ZoneSight& candidate) {
+std::uint32_t thereOf(const CapacityTarget& target, const std::vector<ZoneCounts>& zones) {
+  const auto zone = std::find_if(zones.begin(), zones.end(), [&](const ZoneCounts& candidate) {
     return candidate.zone == target.zone;
   });
   if (zone == zones.end()) {
@@ -44,7 +44,7 @@
 
 /// What a zone gets, as far as it is decided.
 struct CapacityPlan::ZonePlan {
-  const ZoneSight* sight = nullptr;
+  const ZoneCounts* sight = nullptr;
   double price = 1;
   std::uint32_t floor = 0;  ///< of ordinary instances
   std::uint32_t ordinary = 0;
@@ -60,13 +60,13 @@
 bool CapacityPlan::isResting(const CapacityInputs& inputs) {
   const bool hasWork = inputs.demand && !inputs.demand->idle();
   return !hasWork &&
-         std::any_of(inputs.zones.begin(), inputs.zones.end(), [&](const ZoneSight& zone) {
+         std::any_of(inputs.zones.begin(), inputs.zones.end(), [&](const ZoneCounts& zone) {
            return zone.ordinary.asked &&
                   zone.ordinary.desired < std::min(zone.baseline, inputs.scaling.maximum);
          });
 }
 
-std::uint32_t CapacityPlan::keptOf(std::uint32_t baseline, const KindSight& kind,
+std::uint32_t CapacityPlan::keptOf(std::uint32_t baseline, const PoolCounts& kind,
                                    const CapacityInputs& inputs) const {
   if (longIdle(inputs)) {
     return 0;
@@ -74,14 +74,14 @@
   return kind.asked && isResting(inputs) ? std::min(baseline, kind.desired) : baseline;
 }
 
-std::uint32_t CapacityPlan::floorOf(const ZoneSight& zone, const CapacityInputs& inputs) const {
+std::uint32_t CapacityPlan::floorOf(const ZoneCounts& zone, const CapacityInputs& inputs) const {
   const std::uint32_t kept = keptOf(zone.baseline, zone.ordinary, inputs);
   return std::clamp(kept, inputs.scaling.minimum, inputs.scaling.maximum);
 }
 
 std::uint32_t CapacityPlan::keptOf(const CapacityInputs& inputs) const {
   std::uint32_t kept = 0;
-  for (const ZoneSight& zone : inputs.zones) {
+  for (const ZoneCounts& zone : inputs.zones) {
     const std::uint32_t withdrawable = keptOf(zone.withdrawableBaseline, zone.withdrawable, inputs);
     kept += std::min(floorOf(zone, inputs) + withdrawable, inputs.scaling.maximum);
   }
@@ -92,7 +92,7 @@
 std::vector<CapacityPlan::ZonePlan> CapacityPlan::hold(const CapacityInputs& inputs) const {
   const bool replaceSilent = silenceIsCredible(inputs);
   std::vector<ZonePlan> plans;
-  for (const ZoneSight& zone : inputs.zones) {
+  for (const ZoneCounts& zone : inputs.zones) {
     ZonePlan plan;
     plan.sight = &zone;
     plan.price = priceOf(zone.zone, inputs.scaling);
@@ -120,7 +120,7 @@
 std::uint32_t CapacityPlan::wantedNow(const CapacityInputs& inputs) {
   const std::uint32_t kept = keptOf(inputs);
   std::uint32_t asked = 0;
-  for (const ZoneSight& zone : inputs.zones) {
+  for (const ZoneCounts& zone : inputs.zones) {
     asked += zone.ordinary.desired + zone.withdrawable.desired;
   }
   const std::uint32_t most = kept + kept * m_settings.mostExtraPercent / kWholePercent;
@@ -190,7 +190,7 @@
   std::uint32_t there = 0;
   bool quiet = inputs.settled && inputs.demand.has_value();
   for (const ZonePlan& plan : plans) {
-    const ZoneSight& zone = *plan.sight;
+    const ZoneCounts& zone = *plan.sight;
     there += zone.ordinary.there + zone.withdrawable.there;
     quiet = quiet && zone.silent == 0 && zone.leaving == 0 && zone.ordinary.starting == 0 &&
             zone.withdrawable.starting == 0;
@@ -233,7 +233,7 @@
   add(plans, difference(m_wanted, held), inputs);
   std::vector<CapacityTarget> targets;
   for (const ZonePlan& plan : plans) {
-    const ZoneSight& zone = *plan.sight;
+    const ZoneCounts& zone = *plan.sight;
     if (plan.ordinary > zone.ordinary.there) {
       targets.push_back({zone.zone, InstanceKind::kOrdinary, plan.ordinary});
     }
--- a/src/duties/capacity_plan.h
+++ b/src/duties/capacity_plan.h
@@ -15,7 +15,7 @@
 namespace tackpick::duties {
 
 /// Instances of one kind in a zone.
-struct KindSight {
+struct PoolCounts {
   std::uint32_t there = 0;     ///< registered and not leaving
   std::uint32_t starting = 0;  ///< asked for lately and not registered yet
   std::uint32_t desired = 0;   ///< what the platform was last asked for
@@ -26,10 +26,10 @@
 };
 
 /// A zone as the leader sees it.
-struct ZoneSight {
+struct ZoneCounts {
   std::string zone;
-  KindSight ordinary;
-  KindSight withdrawable;
+  PoolCounts ordinary;
+  PoolCounts withdrawable;
   std::uint32_t silent = 0;    ///< of those there: their heartbeats are overdue
   std::uint32_t leaving = 0;   ///< registered, get no new work
   std::uint32_t baseline = 0;  ///< ordinary instances before the first call
@@ -42,7 +42,7 @@
 struct CapacityInputs {
   Scaling scaling;
   std::uint32_t slots = 1;  ///< places of an instance
-  std::vector<ZoneSight> zones;
+  std::vector<ZoneCounts> zones;
   /// Nothing: it is not known, or too old.
   std::optional<CapacityDemand> demand;
   bool settled = false;  ///< the leader has led long enough to know which instances are silent
@@ -92,10 +92,10 @@
   /// they stay away.
   [[nodiscard]] static bool isResting(const CapacityInputs& inputs);
   /// Of `baseline` instances, those that are kept.
-  [[nodiscard]] std::uint32_t keptOf(std::uint32_t baseline, const KindSight& kind,
+  [[nodiscard]] std::uint32_t keptOf(std::uint32_t baseline, const PoolCounts& kind,
                                      const CapacityInputs& inputs) const;
   /// Ordinary instances that a zone keeps.
-  [[nodiscard]] std::uint32_t floorOf(const ZoneSight& zone, const CapacityInputs& inputs) const;
+  [[nodiscard]] std::uint32_t floorOf(const ZoneCounts& zone, const CapacityInputs& inputs) const;
   /// Instances of both kinds that a service keeps, in whatever zones.
   [[nodiscard]] std::uint32_t keptOf(const CapacityInputs& inputs) const;
   [[nodiscard]] std::vector<ZonePlan> hold(const CapacityInputs& inputs) const;
--- a/src/edge/capacity_call.cpp
+++ b/src/edge/capacity_call.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kPath = "/v1/capacity";
 
-Json toJson(const duties::CapacitySight& sight) {
+Json toJson(const duties::PoolSummary& sight) {
   return {{"service", sight.subject.service},
           {"zone", sight.subject.zone},
           {"kind", duties::toString(sight.subject.kind)},
@@ -39,7 +39,7 @@
     return std::nullopt;
   }
   Json pools = Json::array();
-  for (const duties::CapacitySight& sight : reply.capacity) {
+  for (const duties::PoolSummary& sight : reply.capacity) {
     pools.push_back(toJson(sight));
   }
   Answer answer;
--- a/src/edge/quarantine_call.cpp
+++ b/src/edge/quarantine_call.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view kListPath = "/v1/quarantine";
 
-Json toJson(const quarantine::HoldSight& hold) {
+Json toJson(const quarantine::HoldSummary& hold) {
   Json told = {{"fingerprint", hold.request.text()},
                {"service", hold.service},
                {"instances", hold.instances},
@@ -51,7 +51,7 @@
   Answer answer;
   if (std::holds_alternative<quarantine::ReadQuarantine>(request)) {
     Json holds = Json::array();
-    for (const quarantine::HoldSight& hold : reply.holds) {
+    for (const quarantine::HoldSummary& hold : reply.holds) {
       holds.push_back(toJson(hold));
     }
     answer.body = Json{{"held", holds}}.dump();
--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -18,7 +18,7 @@
   return time ? Json(base::toSeconds(*time)) : Json(nullptr);
 }
 
-Json toJson(const jobs::JobSight& job) {
+Json toJson(const jobs::JobSummary& job) {
   const bool isDue = job.slack != base::Duration::max();
   return {{"job", job.job},
           {"tenant", job.tenant},
@@ -32,7 +32,7 @@
           {"age_s", base::toSeconds(job.age)}};
 }
 
-Json toJson(const jobs::EngineSight& engine) {
+Json toJson(const jobs::EngineSummary& engine) {
   return {{"engine", engine.id},
           {"zone", engine.zone},
           {"pace_ms", engine.paceMs > 0 ? Json(engine.paceMs) : Json(nullptr)},
@@ -57,7 +57,7 @@
   return list;
 }
 
-Json tenantsJson(const std::map<std::string, jobs::TenantSight>& tenants) {
+Json tenantsJson(const std::map<std::string, jobs::TenantSummary>& tenants) {
   Json list = Json::array();
   for (const auto& [name, tenant] : tenants) {
     list.push_back({{"tenant", name},
@@ -78,7 +78,7 @@
           {"total_gateways", report.totalGateways}};
 }
 
-Json toJson(const directory::WeightsSight& weights) {
+Json toJson(const directory::WeightsSummary& weights) {
   Json models = Json::array();
   for (const auto& [name, model] : weights.models) {
     models.push_back({{"model", name},
--- a/src/edge/work_call.h
+++ b/src/edge/work_call.h
@@ -5,7 +5,7 @@
 
 #include <optional>
 
-#include "directory/weights_sight.h"
+#include "directory/weights_summary.h"
 #include "edge/dialect.h"
 #include "jobs/work_report.h"
 
@@ -14,7 +14,7 @@
 /// What the two leaders answered; nothing where one did not in time.
 struct WorkAnswers {
   std::optional<jobs::WorkReport> ledgers;
-  std::optional<directory::WeightsSight> controllers;
+  std::optional<directory::WeightsSummary> controllers;
 };
 
 /// Nothing when the request is no such call.
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -221,8 +221,8 @@
   return places;
 }
 
-std::vector<EngineSight> EnginePlacement::sight(base::TimePoint now) const {
-  std::vector<EngineSight> sights;
+std::vector<EngineSummary> EnginePlacement::sight(base::TimePoint now) const {
+  std::vector<EngineSummary> sights;
   sights.reserve(m_engines.size());
   for (const auto& [id, engine] : m_engines) {
     const EnginePace& pace = engine.pace->pace;
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -19,7 +19,7 @@
 #include "jobs/pace_book.h"
 #include "jobs/pace_classes.h"
 #include "jobs/placement_engine.h"
-#include "jobs/work_sight.h"
+#include "jobs/work_summary.h"
 
 namespace tackpick::jobs {
 
@@ -68,7 +68,7 @@
   [[nodiscard]] std::uint32_t placesReady(const std::string& model,
                                           std::uint64_t minimumVersion) const;
   /// All engines, by id.
-  [[nodiscard]] std::vector<EngineSight> sight(base::TimePoint now) const;
+  [[nodiscard]] std::vector<EngineSummary> sight(base::TimePoint now) const;
 
  private:
   using Engines = std::map<std::string, EngineWork, std::less<>>;
--- a/src/jobs/gateway_roster.cpp
+++ b/src/jobs/gateway_roster.cpp
@@ -191,8 +191,8 @@
   return active;
 }
 
-std::vector<GatewaySight> GatewayRoster::sight() const {
-  std::vector<GatewaySight> sight;
+std::vector<GatewaySummary> GatewayRoster::sight() const {
+  std::vector<GatewaySummary> sight;
   for (const auto& [name, zone] : m_zones) {
     for (const auto& [node, gateway] : zone.gateways) {
       const bool active = !zone.enough || zone.active.contains(node);
--- a/src/jobs/gateway_roster.h
+++ b/src/jobs/gateway_roster.h
@@ -40,7 +40,7 @@
 };
 
 /// What is known of one gateway.
-struct GatewaySight {
+struct GatewaySummary {
   base::NodeId gateway;
   std::string zone;
   std::uint32_t places = 0;  ///< that it takes now
@@ -76,7 +76,7 @@
   /// Those of a zone that run items.
   [[nodiscard]] std::vector<ActiveGateway> activeIn(const std::string& zone, base::TimePoint now);
   /// All gateways that ask, without what they hold.
-  [[nodiscard]] std::vector<GatewaySight> sight() const;
+  [[nodiscard]] std::vector<GatewaySummary> sight() const;
 
  private:
   struct Gateway {
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -321,9 +321,9 @@
   return call;
 }
 
-std::vector<GatewaySight> ItemLeases::gateways() const {
-  std::vector<GatewaySight> gateways = roster_.sight();
-  for (GatewaySight& sight : gateways) {
+std::vector<GatewaySummary> ItemLeases::gateways() const {
+  std::vector<GatewaySummary> gateways = roster_.sight();
+  for (GatewaySummary& sight : gateways) {
     const auto owned = leases_by_gateway_.find(sight.gateway);
     sight.held =
         owned == leases_by_gateway_.end() ? 0 : static_cast<std::uint32_t>(owned->second.size());
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -22,7 +22,7 @@
 #include "jobs/model_paces.h"
 #include "jobs/tenant_priorities.h"
 #include "jobs/work_order.h"
-#include "jobs/work_sight.h"
+#include "jobs/work_summary.h"
 #include "jobs/zone_affinity.h"
 
 namespace tackpick::jobs {
@@ -80,7 +80,7 @@
   /// Which gateways run items.
   [[nodiscard]] GatewayRoster& roster() { return roster_; }
   /// All gateways that ask for items.
-  [[nodiscard]] std::vector<GatewaySight> gateways() const;
+  [[nodiscard]] std::vector<GatewaySummary> gateways() const;
   /// Leases items to `gateway` that should run at engines in its zone, as many as find a place in
   /// `wanted`, and whole texts that only their score is missing of. The caller asks the roster
   /// first whether the gateway runs items.
@@ -104,7 +104,7 @@
   /// How fast texts are made.
   [[nodiscard]] ModelPaces& paces() { return m_paces; }
   /// For operators: open jobs, and what each tenant has of the engines.
-  [[nodiscard]] WorkSight sight(const JobState& state, base::TimePoint now) const;
+  [[nodiscard]] WorkSummary sight(const JobState& state, base::TimePoint now) const;
   /// Items of a job that are leased.
   [[nodiscard]] std::uint32_t runningItems(const std::string& job) const;
   /// All engines there are.
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -207,8 +207,8 @@
   return due - m_paces.timeFor(job.submission.model, longest);
 }
 
-WorkSight ItemLeases::sight(const JobState& state, base::TimePoint now) const {
-  WorkSight sight;
+WorkSummary ItemLeases::sight(const JobState& state, base::TimePoint now) const {
+  WorkSummary sight;
   std::map<std::pair<std::string, std::uint64_t>, std::uint32_t> placesReady;
   for (const auto* entry : state.bySubmission()) {
     const auto& [id, job] = *entry;
@@ -217,7 +217,7 @@
     }
     const JobSubmission& submission = job.submission;
     const auto open = static_cast<std::uint32_t>(submission.items.size() - job.results.size());
-    JobSight seen{id, submission.tenant, submission.model};
+    JobSummary seen{id, submission.tenant, submission.model};
     seen.minimumVersion = submission.minimumVersion;
     const auto [places, isNew] = placesReady.try_emplace({seen.model, seen.minimumVersion}, 0);
     if (isNew) {
@@ -229,7 +229,7 @@
     seen.waiting = open - seen.running;
     seen.slack = slackOf(job, id, now);
     seen.age = now - firstSeen(id, now);
-    TenantSight& tenant = sight.tenants[submission.tenant];
+    TenantSummary& tenant = sight.tenants[submission.tenant];
     tenant.waiting += seen.waiting;
     tenant.running += seen.running;
     sight.jobs.push_back(std::move(seen));
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -236,7 +236,7 @@
   return work;
 }
 
-std::optional<WorkSight> JobRole::workSight(base::TimePoint now) const {
+std::optional<WorkSummary> JobRole::workSummary(base::TimePoint now) const {
   return replica_.canRead(now) ? std::optional(leases_.sight(state_, now)) : std::nullopt;
 }
 
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -73,7 +73,7 @@
   /// Jobs that are not settled; nothing when another leads.
   [[nodiscard]] std::optional<OpenWorks> openWork(base::TimePoint now) const;
   /// Open jobs for operators; nothing when another leads.
-  [[nodiscard]] std::optional<WorkSight> workSight(base::TimePoint now) const;
+  [[nodiscard]] std::optional<WorkSummary> workSummary(base::TimePoint now) const;
   /// What is known of the lengths of texts.
   [[nodiscard]] const LengthForecast& forecast() const { return leases_.forecast(); }
   /// Rises whenever a job comes or is settled.
@@ -82,8 +82,8 @@
   [[nodiscard]] const JobState& state() const { return state_; }
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
   /// Gateways that ask for items; empty when another leads.
-  [[nodiscard]] std::vector<GatewaySight> gateways(base::TimePoint now) const {
-    return replica_.canRead(now) ? leases_.gateways() : std::vector<GatewaySight>{};
+  [[nodiscard]] std::vector<GatewaySummary> gateways(base::TimePoint now) const {
+    return replica_.canRead(now) ? leases_.gateways() : std::vector<GatewaySummary>{};
   }
   /// Of the ledgers' group, as its leader sees it.
   [[nodiscard]] const std::optional<cluster::GroupHealth>& groupHealth() const {
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -11,7 +11,7 @@
 namespace tackpick::jobs {
 
 /// A run of an item, as its gateway sees it.
-struct RunSight {
+struct RunState {
   bool expectedLong = false;  ///< by the caller's estimate
   bool moved = false;         ///< it has left an engine that was slow
   std::uint64_t events = 0;   ///< of its text so far, all runs together
@@ -24,7 +24,7 @@
 /// count as 5 and come before all items. An engine that runs out of memory puts back the newest of
 /// the least urgent, which then waits for seconds: a long text that is put back decides when its
 /// step ends, a short one has time.
-[[nodiscard]] inline int urgencyOf(const RunSight& run) {
+[[nodiscard]] inline int urgencyOf(const RunState& run) {
   constexpr int kBegunLong = 6;
   constexpr int kExpectedLong = 7;
   constexpr int kOther = 8;
@@ -37,7 +37,7 @@
 
 /// True when a run should go on elsewhere, if another engine has room: its engine has put it back
 /// for want of memory, or is dead. 700 ms are 14 of the usual pauses between two events.
-[[nodiscard]] inline bool isStalled(const RunSight& run) {
+[[nodiscard]] inline bool isStalled(const RunState& run) {
   constexpr base::Duration kStallLimit = base::milliseconds(700);
   constexpr std::uint32_t kMostMoves = 3;
   return run.begun && run.silence > kStallLimit && run.moves < kMostMoves;
--- a/src/jobs/work_report.cpp
+++ b/src/jobs/work_report.cpp
@@ -15,11 +15,11 @@
   return total;
 }
 
-std::vector<GatewayReport> reportsOf(const std::vector<GatewaySight>& gateways,
+std::vector<GatewayReport> reportsOf(const std::vector<GatewaySummary>& gateways,
                                      base::TimePoint now) {
   std::vector<GatewayReport> reports;
   reports.reserve(gateways.size());
-  for (const GatewaySight& sight : gateways) {
+  for (const GatewaySummary& sight : gateways) {
     GatewayReport report{sight.gateway, sight.zone, sight.places, sight.held, sight.active, {}};
     if (sight.slowSince) {
       report.slowFor = now - *sight.slowSince;
@@ -31,18 +31,19 @@
 
 }  // namespace
 
-WorkReport makeWorkReport(WorkSight work, std::vector<EngineSight> engines,
-                          const std::vector<GatewaySight>& gateways, base::TimePoint now) {
+WorkReport makeWorkReport(WorkSummary work, std::vector<EngineSummary> engines,
+                          const std::vector<GatewaySummary>& gateways, base::TimePoint now) {
   WorkReport report;
   report.jobs = std::move(work.jobs);
-  report.totalJobs = keepFirst(report.jobs, [](const JobSight& left, const JobSight& right) {
+  report.totalJobs = keepFirst(report.jobs, [](const JobSummary& left, const JobSummary& right) {
     return left.slack < right.slack;
   });
   report.tenants = std::move(work.tenants);
   report.engines = std::move(engines);
-  report.totalEngines = keepFirst(
-      report.engines,
-      [](const EngineSight& left, const EngineSight& right) { return left.paceMs > right.paceMs; });
+  report.totalEngines =
+      keepFirst(report.engines, [](const EngineSummary& left, const EngineSummary& right) {
+        return left.paceMs > right.paceMs;
+      });
   report.gateways = reportsOf(gateways, now);
   report.totalGateways =
       keepFirst(report.gateways, [](const GatewayReport& left, const GatewayReport& right) {
--- a/src/jobs/work_report.h
+++ b/src/jobs/work_report.h
@@ -12,7 +12,7 @@
 #include "base/serialization.h"
 #include "base/time.h"
 #include "jobs/gateway_roster.h"
-#include "jobs/work_sight.h"
+#include "jobs/work_summary.h"
 
 namespace tackpick::jobs {
 
@@ -36,10 +36,10 @@
 
 /// The first rows of each list, with how many there are in all.
 struct WorkReport {
-  std::vector<JobSight> jobs;  ///< least slack first
+  std::vector<JobSummary> jobs;  ///< least slack first
   std::uint64_t totalJobs = 0;
-  std::map<std::string, TenantSight> tenants;
-  std::vector<EngineSight> engines;  ///< slowest first, those of unknown pace last
+  std::map<std::string, TenantSummary> tenants;
+  std::vector<EngineSummary> engines;  ///< slowest first, those of unknown pace last
   std::uint64_t totalEngines = 0;
   std::vector<GatewayReport> gateways;  ///< slow ones first, then those with most places
   std::uint64_t totalGateways = 0;
@@ -51,8 +51,8 @@
 };
 
 /// Orders and shortens what the leader knows at `now`.
-[[nodiscard]] WorkReport makeWorkReport(WorkSight work, std::vector<EngineSight> engines,
-                                        const std::vector<GatewaySight>& gateways,
+[[nodiscard]] WorkReport makeWorkReport(WorkSummary work, std::vector<EngineSummary> engines,
+                                        const std::vector<GatewaySummary>& gateways,
                                         base::TimePoint now);
 
 }  // namespace tackpick::jobs
--- a/src/jobs/work_sight.h
+++ b/src/jobs/work_summary.h
@@ -14,7 +14,7 @@
 namespace tackpick::jobs {
 
 /// One open job.
-struct JobSight {
+struct JobSummary {
   std::string job;
   std::string tenant;
   std::string model;
@@ -35,7 +35,7 @@
 };
 
 /// What one tenant has and waits for.
-struct TenantSight {
+struct TenantSummary {
   std::uint32_t waiting = 0;  ///< items
   std::uint32_t running = 0;  ///< items
   double share = 0;           ///< part of all running items
@@ -47,7 +47,7 @@
 };
 
 /// What placing goes by at one engine.
-struct EngineSight {
+struct EngineSummary {
   std::string id;
   std::string zone;
   double paceMs = 0;                    ///< expected; zero: unknown
@@ -63,9 +63,9 @@
 };
 
 /// Open jobs in the order of their submission, and their tenants.
-struct WorkSight {
-  std::vector<JobSight> jobs;
-  std::map<std::string, TenantSight> tenants;
+struct WorkSummary {
+  std::vector<JobSummary> jobs;
+  std::map<std::string, TenantSummary> tenants;
 };
 
 }  // namespace tackpick::jobs
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -286,8 +286,8 @@
   item.exchange = node_.upstream().start(std::move(request), std::move(events));
 }
 
-jobs::RunSight ItemRunner::sightOf(const Running& item, base::TimePoint now) const {
-  jobs::RunSight sight;
+jobs::RunState ItemRunner::sightOf(const Running& item, base::TimePoint now) const {
+  jobs::RunState sight;
   sight.expectedLong = isLong(item);
   sight.moved = item.moves > 0;
   sight.events = item.run.lastEvent().value_or(0);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -452,7 +452,7 @@
     return;
   }
   std::vector<cluster::GroupNode> nodes;
-  for (const directory::LedgerSight& sight : view.ledgers) {
+  for (const directory::LedgerSummary& sight : view.ledgers) {
     nodes.push_back({sight.node, sight.silence, sight.retiring});
   }
   ledger_->setNodes(std::move(nodes));
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -87,11 +87,13 @@
 }
 
 void Node::reportWeights() {
-  const directory::WeightsSight* leading = directory_->weights();
-  const directory::WeightsSight sight = leading == nullptr ? directory::WeightsSight{} : *leading;
+  const directory::WeightsSummary* leading = directory_->weights();
+  const directory::WeightsSummary sight =
+      leading == nullptr ? directory::WeightsSummary{} : *leading;
   for (const auto& [name, version] : directory_->state().versions()) {
     const auto found = sight.models.find(name);
-    const auto model = found == sight.models.end() ? directory::ModelWeightsSight{} : found->second;
+    const auto model =
+        found == sight.models.end() ? directory::ModelWeightsSummary{} : found->second;
     metrics_.set(GaugeId::kPlacesReady, name, model.placesReady);
     metrics_.set(GaugeId::kPlacesLoading, name, model.placesLoading);
     metrics_.set(GaugeId::kPlacesNeeded, name, model.placesNeeded);
@@ -122,7 +124,7 @@
 void Node::reportCapacity() {
   const bool leads = replica()->raft().isLeader();
   const auto told = [leads](std::uint32_t figure) { return leads ? figure : 0; };
-  for (const duties::CapacitySight& sight : directory_->capacity()) {
+  for (const duties::PoolSummary& sight : directory_->capacity()) {
     const std::string pool = sight.subject.service + "/" + sight.subject.zone + "/" +
                              std::string(duties::toString(sight.subject.kind));
     metrics_.set(GaugeId::kInstancesDesired, pool, told(sight.desired));
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -28,7 +28,7 @@
 };
 
 /// A held request as operators see it.
-struct HoldSight {
+struct HoldSummary {
   RequestFingerprint request;
   std::string service;
   std::set<std::string> instances;  ///< that had ended under it when it was held
--- a/src/quarantine/quarantine_state.cpp
+++ b/src/quarantine/quarantine_state.cpp
@@ -52,8 +52,8 @@
   return held;
 }
 
-std::vector<HoldSight> QuarantineState::sights(base::WallTime now) const {
-  std::vector<HoldSight> sights;
+std::vector<HoldSummary> QuarantineState::sights(base::WallTime now) const {
+  std::vector<HoldSummary> sights;
   for (const auto& [request, hold] : m_holds) {
     const bool last = hold.trialAt == base::WallTime::max();
     const base::Duration untilTrial = last ? base::Duration::max() : hold.trialAt - now;
--- a/test/cluster/cluster_member_test.cpp
+++ b/test/cluster/cluster_member_test.cpp
@@ -151,7 +151,7 @@
   directory::DirectoryView view = viewOfLedgers(30);
   cr_assert_not(fixture.member.nearbyLedger().valid());
   view.ledgerVoters = {ledger(17)};
-  for (directory::LedgerSight& sight : view.ledgers) {
+  for (directory::LedgerSummary& sight : view.ledgers) {
     sight.silence = base::milliseconds(10);
   }
   view.ledgers[17].silence = base::milliseconds(400);
--- a/test/cluster/cluster_world.cpp
+++ b/test/cluster/cluster_world.cpp
@@ -139,7 +139,7 @@
     return;
   }
   std::vector<cluster::GroupNode> nodes;
-  for (const directory::LedgerSight& sight : view.ledgers) {
+  for (const directory::LedgerSummary& sight : view.ledgers) {
     nodes.push_back({sight.node, sight.silence, sight.retiring});
   }
   node.ledger->setNodes(std::move(nodes));
--- a/test/directory/view_history_test.cpp
+++ b/test/directory/view_history_test.cpp
@@ -26,7 +26,7 @@
 }
 
 void update(directory::ViewHistory& history, const std::vector<directory::InstanceView>& views) {
-  std::vector<directory::InstanceSight> sights;
+  std::vector<directory::InstanceViewRef> sights;
   for (const directory::InstanceView& view : views) {
     sights.push_back({&view.record, &view.versions, view.silent, view.loading});
   }
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -81,7 +81,7 @@
 
 void CapacityWorld::step() {
   platform.advance(now);
-  duties::ServiceSight service;
+  duties::ScaledService service;
   service.name = "e";
   service.scaling = scaling;
   service.slots = 8;
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -157,8 +157,8 @@
   }
 }
 
-duties::ServiceSight EngineLoad::sight() const {
-  duties::ServiceSight service;
+duties::ScaledService EngineLoad::sight() const {
+  duties::ScaledService service;
   service.name = std::string("e");
   service.scaling = m_scaling;
   service.slots = kSlots;
--- a/test/duties/engine_load.h
+++ b/test/duties/engine_load.h
@@ -59,7 +59,7 @@
   void set(const duties::ScaleCall& call);
   void decide();
   [[nodiscard]] std::size_t neediestModel() const;
-  [[nodiscard]] duties::ServiceSight sight() const;
+  [[nodiscard]] duties::ScaledService sight() const;
   void account(base::Duration step);
 
   const LoadScenario m_scenario;
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -214,7 +214,7 @@
   fixture.placement.setLoads({{"slow", 3}}, fixture.now);
   const auto sights = fixture.placement.sight(fixture.now + base::milliseconds(200));
   cr_assert_eq(sights.size(), 4U);
-  const jobs::EngineSight& slow = sights[2];
+  const jobs::EngineSummary& slow = sights[2];
   cr_assert_eq(slow.id, "slow");
   cr_assert_eq(slow.zone, "z");
   cr_assert_float_eq(slow.paceMs, 90, 0.1);
--- a/test/jobs/gateway_roster_test.cpp
+++ b/test/jobs/gateway_roster_test.cpp
@@ -157,7 +157,7 @@
   slow = true;
   callFor(roster, 10, base::milliseconds(1500), now, size);
   cr_assert(active(roster, 10, now) == numbers({1, 3, 4, 5, 6, 7}));
-  for (const jobs::GatewaySight& sight : roster.sight()) {
+  for (const jobs::GatewaySummary& sight : roster.sight()) {
     const bool second = sight.gateway == gateway(2);
     cr_assert_eq(sight.slowSince.has_value(), second);
     cr_assert_eq(sight.places, second ? 6U : 24U);
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -211,7 +211,7 @@
   cr_assert_eq(leased.size(), 2U);
   cr_assert_eq(leased[0].tenant, "b");
   cr_assert_eq(leased[1].tenant, "b");
-  const jobs::WorkSight sight = *ledger.role->workSight(ledger.now);
+  const jobs::WorkSummary sight = *ledger.role->workSummary(ledger.now);
   cr_assert_eq(sight.jobs.size(), 2U);
   cr_assert_eq(sight.jobs[0].tenant, "a");
   cr_assert_eq(sight.jobs[0].priority, 2U);
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -264,7 +264,7 @@
   cr_assert_eq(leases.lease(kGateway, room({{"", 200}}), state, now).size(), 20U);
   cr_assert(leases.lease(kGateway, room({{"", 200}}), state, now).empty());
   cr_assert_eq(leases.lease(kOther, room({{"", 200}}), state, now).size(), 96U);
-  for (const jobs::GatewaySight& sight : leases.gateways()) {
+  for (const jobs::GatewaySummary& sight : leases.gateways()) {
     if (sight.gateway == kGateway) {
       cr_assert_eq(sight.held, 20U);
       cr_assert_eq(sight.places, 10U);
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -247,7 +247,7 @@
   ledger.draft("early-name", "b", "n", {50, 40}).priority = 2;
   ledger.submit();
   (void)ledger.lease();
-  const jobs::WorkSight sight = ledger.leases.sight(ledger.state, ledger.now);
+  const jobs::WorkSummary sight = ledger.leases.sight(ledger.state, ledger.now);
   cr_assert_eq(sight.jobs.size(), 2U);
   cr_assert_eq(sight.jobs[0].job, "late-name", "in the order of submission");
   cr_assert_eq(sight.jobs[0].priority, 7U);
--- a/test/jobs/run_decisions_test.cpp
+++ b/test/jobs/run_decisions_test.cpp
@@ -10,8 +10,8 @@
 
 constexpr int kCallersUrgency = 5;
 
-jobs::RunSight silentFor(base::Duration silence) {
-  jobs::RunSight run;
+jobs::RunState silentFor(base::Duration silence) {
+  jobs::RunState run;
   run.begun = true;
   run.silence = silence;
   return run;
@@ -28,12 +28,12 @@
 }  // namespace
 
 Test(run_decisions, long_texts_are_more_urgent_and_none_more_than_callers) {
-  jobs::RunSight shortRun;
-  jobs::RunSight expected;
+  jobs::RunState shortRun;
+  jobs::RunState expected;
   expected.expectedLong = true;
-  jobs::RunSight grown;
+  jobs::RunState grown;
   grown.events = 30;
-  jobs::RunSight moved;
+  jobs::RunState moved;
   moved.moved = true;
   cr_assert_lt(jobs::urgencyOf(expected), jobs::urgencyOf(shortRun));
   cr_assert_lt(jobs::urgencyOf(grown), jobs::urgencyOf(expected));
@@ -61,10 +61,10 @@
 Test(run_decisions, run_without_events_for_long_has_stalled) {
   cr_assert_not(jobs::isStalled(silentFor(base::milliseconds(600))));
   cr_assert(jobs::isStalled(silentFor(base::milliseconds(800))));
-  jobs::RunSight waiting = silentFor(base::milliseconds(800));
+  jobs::RunState waiting = silentFor(base::milliseconds(800));
   waiting.begun = false;
   cr_assert_not(jobs::isStalled(waiting), "it waits for its place");
-  jobs::RunSight restless = silentFor(base::milliseconds(800));
+  jobs::RunState restless = silentFor(base::milliseconds(800));
   restless.moves = 3;
   cr_assert_not(jobs::isStalled(restless), "it has moved often enough");
 }
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -12,19 +12,19 @@
 
 constexpr base::TimePoint kNow{base::seconds(100)};
 
-jobs::JobSight job(const std::string& id, base::Duration slack) {
-  jobs::JobSight made;
+jobs::JobSummary job(const std::string& id, base::Duration slack) {
+  jobs::JobSummary made;
   made.job = id;
   made.slack = slack;
   return made;
 }
 
-jobs::EngineSight engine(const std::string& id, double paceMs) {
+jobs::EngineSummary engine(const std::string& id, double paceMs) {
   return {id, "a", paceMs, 100, {}, 0};
 }
 
-jobs::GatewaySight gateway(std::uint32_t number, std::uint32_t places, bool slow) {
-  jobs::GatewaySight made{base::makeNodeId(number, 1), "a", places, 0, true, {}};
+jobs::GatewaySummary gateway(std::uint32_t number, std::uint32_t places, bool slow) {
+  jobs::GatewaySummary made{base::makeNodeId(number, 1), "a", places, 0, true, {}};
   if (slow) {
     made.slowSince = kNow - base::seconds(2);
   }
@@ -34,7 +34,7 @@
 }  // namespace
 
 Test(work_report, what_needs_attention_comes_first) {
-  jobs::WorkSight work;
+  jobs::WorkSummary work;
   work.jobs = {job("unknown", base::Duration::max()), job("soon", base::seconds(1)),
                job("late", -base::seconds(1)), job("as soon", base::seconds(1))};
   const jobs::WorkReport report = jobs::makeWorkReport(
@@ -53,9 +53,9 @@
 
 Test(work_report, size_does_not_grow_with_the_cluster) {
   constexpr std::uint32_t kMany = 1000;
-  jobs::WorkSight work;
-  std::vector<jobs::EngineSight> engines;
-  std::vector<jobs::GatewaySight> gateways;
+  jobs::WorkSummary work;
+  std::vector<jobs::EngineSummary> engines;
+  std::vector<jobs::GatewaySummary> gateways;
   for (std::uint32_t i = 0; i < kMany; ++i) {
     work.jobs.push_back(job(std::to_string(i), base::seconds(kMany - i)));
     engines.push_back(engine(std::to_string(i), i));
--- a/test/runtime/work_call_test.cpp
+++ b/test/runtime/work_call_test.cpp
@@ -24,7 +24,7 @@
 
 jobs::WorkReport report() {
   jobs::WorkReport made;
-  jobs::JobSight job;
+  jobs::JobSummary job;
   job.job = "j";
   job.model = "m";
   job.minimumVersion = 7;
@@ -39,8 +39,8 @@
   return made;
 }
 
-tackpick::directory::WeightsSight weights() {
-  tackpick::directory::WeightsSight made;
+tackpick::directory::WeightsSummary weights() {
+  tackpick::directory::WeightsSummary made;
   made.models["m"] = {8, 7, 4, 2, 6, -base::seconds(1)};
   made.budget = 2;
   return made;
