--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -107,7 +107,7 @@
     }
   }
   if (!news.whole && news.since != view_.revision) {
-    askForWhole();  // these are changes to another view
+    requestFullView();  // these are changes to another view
     return;
   }
   keep(news);
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -79,7 +79,7 @@
   /// The newest view, without instances.
   [[nodiscard]] const directory::DirectoryView& view() const { return view_; }
   /// The next news are whole: somebody has missed the instances so far.
-  void askForWhole() { view_.revision = 0; }
+  void requestFullView() { view_.revision = 0; }
   /// A ledger in this node's zone that keeps batches; invalid when none is heard there. Of 80
   /// ledgers five do, and reads that go to another one are answered twice.
   [[nodiscard]] base::NodeId nearbyLedger() const;
--- a/src/directory/call_name.cpp
+++ b/src/directory/call_name.cpp
@@ -22,9 +22,9 @@
   return {"read_retirement", request.name, false};
 }
 
-CallName nameOfTyped(const TellUsage& /*request*/) { return {"tell_usage", {}, false}; }
+CallName nameOfTyped(const ReportUsage& /*request*/) { return {"tell_usage", {}, false}; }
 
-CallName nameOfTyped(const TellOpenWork& /*request*/) { return {"tell_open_work", {}, false}; }
+CallName nameOfTyped(const ReportOpenJobs& /*request*/) { return {"tell_open_work", {}, false}; }
 
 CallName nameOfTyped(const RelayHeartbeats& /*request*/) { return {"relay_heartbeats", {}, false}; }
 
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -171,7 +171,7 @@
 };
 
 /// What a gateway has counted, between two watches.
-struct TellUsage {
+struct ReportUsage {
   duties::GatewayUsage usage;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -180,7 +180,7 @@
 };
 
 /// What is open at the ledgers, told by their leader as soon as a job comes or ends.
-struct TellOpenWork {
+struct ReportOpenJobs {
   jobs::OpenWorks openWork;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -220,9 +220,9 @@
 
 using DirectoryRequest =
     std::variant<ReplaceConfiguration, ReadConfiguration, InstanceHeartbeat, InstanceLeaves,
-                 PublishVersion, Watch, RetireNode, ReadRetirement, TellUsage, RelayHeartbeats,
+                 PublishVersion, Watch, RetireNode, ReadRetirement, ReportUsage, RelayHeartbeats,
                  quarantine::ReportCrashes, quarantine::AskTrial, quarantine::ReadQuarantine,
-                 quarantine::ReleaseRequest, TellOpenWork, duties::ReadCapacity, ReadWeights>;
+                 quarantine::ReleaseRequest, ReportOpenJobs, duties::ReadCapacity, ReadWeights>;
 
 // Answers.
 
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -131,13 +131,13 @@
   watches_.add(caller, request, now);
 }
 
-void DirectoryRole::onRequest(const Caller& caller, const TellUsage& request,
+void DirectoryRole::onRequest(const Caller& caller, const ReportUsage& request,
                               base::TimePoint /*now*/) {
   usage_.onTold(caller.node, request.usage);
   reply(caller, DirectoryStatus::kDone);
 }
 
-void DirectoryRole::onRequest(const Caller& caller, const TellOpenWork& request,
+void DirectoryRole::onRequest(const Caller& caller, const ReportOpenJobs& request,
                               base::TimePoint now) {
   noteOpenWork(request.openWork, now);
   reply(caller, DirectoryStatus::kDone);
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -124,8 +124,8 @@
   void onRequest(const Caller& caller, const Watch& request, base::TimePoint now);
   void onRequest(const Caller& caller, const RetireNode& request, base::TimePoint now);
   void onRequest(const Caller& caller, const ReadRetirement& request, base::TimePoint now);
-  void onRequest(const Caller& caller, const TellUsage& request, base::TimePoint now);
-  void onRequest(const Caller& caller, const TellOpenWork& request, base::TimePoint now);
+  void onRequest(const Caller& caller, const ReportUsage& request, base::TimePoint now);
+  void onRequest(const Caller& caller, const ReportOpenJobs& request, base::TimePoint now);
   void onRequest(const Caller& caller, const RelayHeartbeats& request, base::TimePoint now);
   void onRequest(const Caller& caller, const duties::ReadCapacity& request, base::TimePoint now);
   void onRequest(const Caller& caller, const ReadWeights& request, base::TimePoint now);
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -41,20 +41,20 @@
 
 void StepForecast::note(const jobs::OpenWorks& works,
                         const std::map<std::string, std::uint64_t>& published,
-                        base::TimePoint toldAt) {
+                        base::TimePoint reportedAt) {
   for (const auto& [model, open] : works) {
     const auto version = published.find(model);
-    noteModel(m_models[model], open, version == published.end() ? 0 : version->second, toldAt);
+    noteModel(m_models[model], open, version == published.end() ? 0 : version->second, reportedAt);
   }
   for (auto& [model, steps] : m_models) {
     if (!works.contains(model)) {
-      noteModel(steps, {}, 0, toldAt);
+      noteModel(steps, {}, 0, reportedAt);
     }
   }
 }
 
 void StepForecast::noteModel(ModelSteps& steps, const std::vector<jobs::OpenWork>& works,
-                             std::uint64_t published, base::TimePoint toldAt) {
+                             std::uint64_t published, base::TimePoint reportedAt) {
   std::set<std::string> open;
   for (const jobs::OpenWork& work : works) {
     open.insert(work.job);
@@ -62,7 +62,7 @@
         steps.known.contains(work.job) ||
         std::find(steps.ended.begin(), steps.ended.end(), work.job) != steps.ended.end();
     if (!isKnown) {
-      noteSubmission(steps, work, published, toldAt - work.age);
+      noteSubmission(steps, work, published, reportedAt - work.age);
     }
   }
   for (const std::string& job : steps.known) {
@@ -72,7 +72,7 @@
   }
   steps.known = std::move(open);
   steps.open = works;
-  steps.toldAt = toldAt;
+  steps.reportedAt = reportedAt;
 }
 
 void StepForecast::noteSubmission(ModelSteps& steps, const jobs::OpenWork& work,
@@ -121,13 +121,13 @@
 
 void StepForecast::addOpen(const ModelSteps& steps, base::TimePoint now,
                            std::vector<StepNeed>& needs) const {
-  if (now - steps.toldAt > m_settings.staleAfter) {
+  if (now - steps.reportedAt > m_settings.staleAfter) {
     return;
   }
   for (const jobs::OpenWork& work : steps.open) {
     if (work.waiting > 0) {
-      needs.push_back({true, work.minimumVersion, work.items, work.waiting, steps.toldAt - work.age,
-                       work.slack});
+      needs.push_back({true, work.minimumVersion, work.items, work.waiting,
+                       steps.reportedAt - work.age, work.slack});
     }
   }
   std::stable_sort(needs.begin(), needs.end(), [](const StepNeed& left, const StepNeed& right) {
--- a/src/directory/step_forecast.h
+++ b/src/directory/step_forecast.h
@@ -43,9 +43,9 @@
   explicit StepForecast(StepForecastSettings settings) : m_settings(settings) {}
 
   void reset() { m_models.clear(); }
-  /// What is open, as told at `toldAt`, and the newest versions by model.
+  /// What is open, as told at `reportedAt`, and the newest versions by model.
   void note(const jobs::OpenWorks& works, const std::map<std::string, std::uint64_t>& published,
-            base::TimePoint toldAt);
+            base::TimePoint reportedAt);
   /// Open steps with items that wait, by slack, and then those that are expected. Empty when too
   /// little is known of the model's steps.
   [[nodiscard]] std::vector<StepNeed> needs(const std::string& model, std::uint64_t published,
@@ -54,7 +54,7 @@
  private:
   struct ModelSteps {
     std::vector<jobs::OpenWork> open;
-    base::TimePoint toldAt{};
+    base::TimePoint reportedAt{};
     std::set<std::string> known;              ///< jobs that are open
     std::deque<std::string> ended;            ///< the last that were; news of them comes late
     std::deque<base::TimePoint> submittedAt;  ///< the last steps
@@ -67,7 +67,7 @@
   };
 
   void noteModel(ModelSteps& steps, const std::vector<jobs::OpenWork>& works,
-                 std::uint64_t published, base::TimePoint toldAt);
+                 std::uint64_t published, base::TimePoint reportedAt);
   void noteSubmission(ModelSteps& steps, const jobs::OpenWork& work, std::uint64_t published,
                       base::TimePoint submittedAt);
   /// When the step after the newest is due.
--- a/src/directory/view_history.cpp
+++ b/src/directory/view_history.cpp
@@ -117,7 +117,7 @@
 DirectoryView ViewHistory::since(std::uint64_t held) const {
   DirectoryView view = m_rest;
   view.revision = m_revision;
-  view.whole = needsWhole(held);
+  view.whole = needsFullView(held);
   if (view.whole) {
     for (const auto& [id, told] : m_instances) {
       view.instances.push_back(told.instance);
--- a/src/directory/view_history.h
+++ b/src/directory/view_history.h
@@ -39,7 +39,7 @@
   [[nodiscard]] std::uint64_t revision() const { return m_revision; }
   /// True when a node that holds the view of `held` needs the whole: it is none of this leader's,
   /// or too old.
-  [[nodiscard]] bool needsWhole(std::uint64_t held) const {
+  [[nodiscard]] bool needsFullView(std::uint64_t held) const {
     return held < m_first || held > m_revision;
   }
   /// What a node lacks that holds the view of `held`.
--- a/src/directory/watch_queue.cpp
+++ b/src/directory/watch_queue.cpp
@@ -76,7 +76,7 @@
   }
   const Watch& watch = pending.watch;
   const bool lacksConfiguration = watch.configurationVersion < round.configuration.version;
-  const bool whole = round.views.needsWhole(watch.revision);
+  const bool whole = round.views.needsFullView(watch.revision);
   if (whole && m_wholeBytes <= 0) {
     // Its turn comes later. What cannot wait is told without the instances.
     if (!lacksConfiguration && round.now < pending.until) {
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -38,21 +38,21 @@
 std::uint32_t FollowWaitingWork::lastingShortage(const CapacityDemand& demand,
                                                  base::TimePoint now) {
   // The same figures, seen again, are no news.
-  const base::TimePoint toldAt = now - demand.toldBefore;
+  const base::TimePoint reportedAt = now - demand.toldBefore;
   const std::uint32_t shortage = shortageOf(demand);
   if (shortage == 0) {
     m_shortSince.reset();
     return 0;
   }
   if (!m_shortSince) {
-    m_shortSince = toldAt;
+    m_shortSince = reportedAt;
     m_leastShortage = shortage;
   }
   m_leastShortage = std::min(m_leastShortage, shortage);
-  if (toldAt - *m_shortSince < m_settings.patience) {
+  if (reportedAt - *m_shortSince < m_settings.patience) {
     return 0;
   }
-  m_shortSince = toldAt;
+  m_shortSince = reportedAt;
   return std::exchange(m_leastShortage, shortage);
 }
 
--- a/src/duties/cluster_time.cpp
+++ b/src/duties/cluster_time.cpp
@@ -15,7 +15,7 @@
 void ClusterClock::onTold(base::NodeId node, base::WallTime shown, base::TimePoint now) {
   m_offsets[node] = {shown.time_since_epoch() - now.time_since_epoch(), now};
   std::erase_if(m_offsets,
-                [&](const auto& entry) { return now - entry.second.toldAt > kClockAge; });
+                [&](const auto& entry) { return now - entry.second.reportedAt > kClockAge; });
 }
 
 base::WallTime ClusterClock::at(base::TimePoint now, base::WallTime own) const {
@@ -28,7 +28,7 @@
   return base::WallTime{now.time_since_epoch() + *middle};
 }
 
-void ToldClusterTime::onTold(base::WallTime leaderTime, base::TimePoint now) {
+void ClusterTimeEstimate::onTold(base::WallTime leaderTime, base::TimePoint now) {
   const base::Duration offset = leaderTime.time_since_epoch() - now.time_since_epoch();
   if (m_offsets.size() < kTellings) {
     m_offsets.push_back(offset);
@@ -38,7 +38,7 @@
   m_nextOffset = (m_nextOffset + 1) % kTellings;
 }
 
-base::WallTime ToldClusterTime::at(base::TimePoint now, base::WallTime own) const {
+base::WallTime ClusterTimeEstimate::at(base::TimePoint now, base::WallTime own) const {
   if (m_offsets.empty()) {
     return own;
   }
--- a/src/duties/cluster_time.h
+++ b/src/duties/cluster_time.h
@@ -25,13 +25,13 @@
  private:
   struct Offset {
     base::Duration offset{0};  ///< from this process's monotonic clock
-    base::TimePoint toldAt{};
+    base::TimePoint reportedAt{};
   };
   std::map<base::NodeId, Offset> m_offsets;
 };
 
 /// Held by every other node: the leader's time, as it was told. Deterministic; owned by one thread.
-class ToldClusterTime {
+class ClusterTimeEstimate {
  public:
   void onTold(base::WallTime leaderTime, base::TimePoint now);
   /// `own` until something was told.
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -94,7 +94,7 @@
 void JobRole::onRequest(const Caller& caller, const LeaseItems& request, base::TimePoint now) {
   notePaces(request, now);
   JobReply reply;
-  reply.wantsPaces = notePacesTold(caller.node, !request.paces.empty());
+  reply.wantsPaces = recordReporter(caller.node, !request.paces.empty());
   reply.revoked = leases_.renew(caller.node, request.held, state_, now);
   if (request.leaving) {
     leases_.giveBack(caller.node, request.held, state_);
@@ -113,7 +113,7 @@
   replyWith(caller, reply);
 }
 
-bool JobRole::notePacesTold(base::NodeId gateway, bool told) {
+bool JobRole::recordReporter(base::NodeId gateway, bool told) {
   if (told) {
     m_pacesTold.insert(gateway);
   }
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -120,7 +120,7 @@
   void proposeFor(const Caller& caller, const JobCommand& command, base::TimePoint now);
   [[nodiscard]] OpenWork workOf(const std::string& id, const Job& job, base::TimePoint now) const;
   /// Notes whether a gateway told paces in its call; true when it should in its next.
-  [[nodiscard]] bool notePacesTold(base::NodeId gateway, bool told);
+  [[nodiscard]] bool recordReporter(base::NodeId gateway, bool told);
   [[nodiscard]] LeasedItem describe(const GrantedItem& granted, base::TimePoint now) const;
   void notePaces(const LeaseItems& request, base::TimePoint now);
   void observeLeadership(base::TimePoint now);
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -37,7 +37,7 @@
 /// One caller's request until it is answered. Lives as long as its sends and timers.
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest> {
  public:
-  ForwardedRequest(Node& node, forwarding::InstanceTable& instances, UsageTeller& usage,
+  ForwardedRequest(Node& node, forwarding::InstanceTable& instances, UsageSender& usage,
                    RequestGuard& guard, http::RawRequest request,
                    std::shared_ptr<http::Exchange> exchange, const directory::Route& route,
                    std::string tenant)
@@ -117,7 +117,7 @@
 
   Node& node_;
   forwarding::InstanceTable& instances_;
-  UsageTeller& usage_;
+  UsageSender& usage_;
   RequestGuard& m_guard;
   const http::RawRequest request_;
   std::shared_ptr<http::Exchange> exchange_;
--- a/src/node/forwarder.h
+++ b/src/node/forwarder.h
@@ -8,7 +8,7 @@
 #include "forwarding/instance_table.h"
 #include "http/exchange_server.h"
 #include "node/request_guard.h"
-#include "node/usage_teller.h"
+#include "node/usage_sender.h"
 
 namespace tackpick::node {
 
@@ -17,7 +17,7 @@
 /// Thin: AttemptPolicy and InstanceTable decide; each request is a ForwardedRequest of its own.
 class Forwarder {
  public:
-  Forwarder(Node& node, forwarding::InstanceTable& instances, UsageTeller& usage,
+  Forwarder(Node& node, forwarding::InstanceTable& instances, UsageSender& usage,
             RequestGuard& guard)
       : node_(node), instances_(instances), usage_(usage), m_guard(guard) {}
 
@@ -27,7 +27,7 @@
  private:
   Node& node_;
   forwarding::InstanceTable& instances_;
-  UsageTeller& usage_;
+  UsageSender& usage_;
   RequestGuard& m_guard;
 };
 
--- a/src/node/gateway_front.cpp
+++ b/src/node/gateway_front.cpp
@@ -251,7 +251,7 @@
   items_.tick();
   usage_.tick();
   m_guard.tick();
-  tellCutReaders();
+  logSlowReaders();
   if (!stopping_) {
     return;
   }
@@ -268,7 +268,7 @@
   }
 }
 
-void GatewayFront::tellCutReaders() {
+void GatewayFront::logSlowReaders() {
   const http::UnreadAnswers unread = traffic_.unreadAnswers();
   for (; m_toldCuts < unread.cutCount; ++m_toldCuts) {
     node_.metrics().count(telemetry::CounterId::kSlowReaders, "cut");
--- a/src/node/gateway_front.h
+++ b/src/node/gateway_front.h
@@ -14,7 +14,7 @@
 #include "node/member_ledger_client.h"
 #include "node/refusal_log.h"
 #include "node/request_guard.h"
-#include "node/usage_teller.h"
+#include "node/usage_sender.h"
 #include "telemetry/log_limiter.h"
 #include "tenancy/tenant_table.h"
 
@@ -54,7 +54,7 @@
   /// How long a planned stop may take; a little of the grace period is left for the end.
   [[nodiscard]] base::Duration longestStop() const;
   /// Tells of callers whose connections were cut since they did not read.
-  void tellCutReaders();
+  void logSlowReaders();
   [[nodiscard]] bool ready() const { return configuration_->version > 0 && !stopping_; }
 
   Node& node_;
@@ -66,7 +66,7 @@
   RefusalLog m_refusals;
   telemetry::LogLimiter m_cutReaders{base::seconds(1)};
   std::uint64_t m_toldCuts = 0;
-  UsageTeller usage_;
+  UsageSender usage_;
   RequestGuard m_guard;
   Forwarder forwarder_;
   MemberLedgerClient ledgers_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -9,8 +9,8 @@
 #include "node/duty_caller.h"
 #include "node/gateway_front.h"
 #include "node/metrics_front.h"
+#include "node/open_jobs_sender.h"
 #include "node/tick_interval.h"
-#include "node/work_teller.h"
 #include "runtime/node_identity.h"
 #include "storage/posix_file_system.h"
 #include "telemetry/log.h"
@@ -233,7 +233,7 @@
   ledger_ = std::make_unique<jobs::JobRole>(self_, directory::kLedgerGroup, settings, *log_,
                                             *random_, now());
   ledger_->setTenantPriorities(jobs::TenantPriorities(member_->configuration().tenants));
-  m_workTeller = std::make_unique<WorkTeller>(*this);
+  m_openJobsSender = std::make_unique<OpenJobsSender>(*this);
   return {};
 }
 
@@ -325,7 +325,7 @@
   }
   if (ledger_) {
     ledger_->tick(at);
-    m_workTeller->tick(*ledger_);
+    m_openJobsSender->tick(*ledger_);
   }
   member_->tick(at);
   if (control_front_) {
@@ -372,7 +372,7 @@
     for (const duties::UsageReport& report : actions.usageReports) {
       sendUsageReport(report);
     }
-    tellCapacity(actions.capacityDecisions);
+    logCapacityDecisions(actions.capacityDecisions);
     for (const duties::ScaleCall& call : actions.scaleCalls) {
       sendScaleCall(call);
     }
@@ -432,7 +432,7 @@
     failed_ = base::recover(
         [&]() -> base::Result<bool> {
           BOOST_LEAF_CHECK(openLedger(view.ledgerFounders));
-          member_->askForWhole();  // the instances told so far were not kept
+          member_->requestFullView();  // the instances told so far were not kept
           return false;
         },
         [](const base::Error& error) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -28,7 +28,7 @@
 class DutyCaller;
 class GatewayFront;
 class MetricsFront;
-class WorkTeller;
+class OpenJobsSender;
 
 /// Thin: decisions are made by DirectoryRole, JobRole and the modules of the gateway; this class
 /// opens folders and ports and moves messages. Single-threaded.
@@ -85,7 +85,7 @@
   void reportWeights();
   void sendUsageReport(const duties::UsageReport& report);
   void sendScaleCall(const duties::ScaleCall& call);
-  static void tellCapacity(const std::vector<duties::CapacityDecision>& decisions);
+  static void logCapacityDecisions(const std::vector<duties::CapacityDecision>& decisions);
   void reportCapacity();
   void askForReport(const directory::InstanceRecord& engine);
   void sendAll(const transport::Outbox& outbox);
@@ -119,7 +119,7 @@
   std::unique_ptr<transport::PeerNetwork> network_;
   std::unique_ptr<http::UpstreamClient> upstream_;
   std::unique_ptr<DutyCaller> duty_caller_;
-  std::unique_ptr<WorkTeller> m_workTeller;  ///< at ledgers
+  std::unique_ptr<OpenJobsSender> m_openJobsSender;  ///< at ledgers
   std::unique_ptr<ControlFront> control_front_;
   std::unique_ptr<GatewayFront> gateway_front_;
   std::unique_ptr<MetricsFront> metrics_front_;
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -102,7 +102,7 @@
   metrics_.set(GaugeId::kLoadBudget, static_cast<double>(sight.budget));
 }
 
-void Node::tellCapacity(const std::vector<duties::CapacityDecision>& decisions) {
+void Node::logCapacityDecisions(const std::vector<duties::CapacityDecision>& decisions) {
   for (const duties::CapacityDecision& decision : decisions) {
     logEvent(EventId::kCapacityDecided, Detail()
                                             .add("service", decision.subject.service)
--- a/src/node/work_teller.cpp
+++ b/src/node/open_jobs_sender.cpp
@@ -1,4 +1,4 @@
-#include "node/work_teller.h"
+#include "node/open_jobs_sender.h"
 
 #include "jobs/job_role.h"
 #include "node/node.h"
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void WorkTeller::tick(const jobs::JobRole& ledger) {
+void OpenJobsSender::tick(const jobs::JobRole& ledger) {
   const base::TimePoint now = m_node.now();
   const std::uint64_t changes = ledger.workChanges();
   if (m_telling || changes == m_told || now - m_toldAt < kTellInterval) {
@@ -24,7 +24,7 @@
   }
   m_telling = true;
   m_toldAt = now;
-  m_node.member().call(directory::DirectoryRequest{directory::TellOpenWork{*work}}, kTellDeadline,
+  m_node.member().call(directory::DirectoryRequest{directory::ReportOpenJobs{*work}}, kTellDeadline,
                        now, [this, changes](const directory::DirectoryReply* reply) {
                          m_telling = false;
                          m_told = reply == nullptr ? m_told : changes;
--- a/src/node/work_teller.h
+++ b/src/node/open_jobs_sender.h
@@ -16,9 +16,9 @@
 
 /// Every watch of the ledgers' leader carries what is open. A watch may be held for half a second;
 /// a job that comes or ends is told at once, since weights and engines are planned by it.
-class WorkTeller {
+class OpenJobsSender {
  public:
-  explicit WorkTeller(Node& node) : m_node(node) {}
+  explicit OpenJobsSender(Node& node) : m_node(node) {}
 
   void tick(const jobs::JobRole& ledger);
 
--- a/src/node/usage_teller.cpp
+++ b/src/node/usage_sender.cpp
@@ -1,4 +1,4 @@
-#include "node/usage_teller.h"
+#include "node/usage_sender.h"
 
 #include <algorithm>
 
@@ -15,20 +15,20 @@
 
 }  // namespace
 
-UsageTeller::UsageTeller(Node& node) : m_node(node), m_counter(node.settings().usageWindow) {
+UsageSender::UsageSender(Node& node) : m_node(node), m_counter(node.settings().usageWindow) {
   m_node.member().reportUsage([this] { return m_counter.present(clusterTime(m_node.now())); });
 }
 
-base::WallTime UsageTeller::clusterTime(base::TimePoint at) const {
+base::WallTime UsageSender::clusterTime(base::TimePoint at) const {
   const base::Duration ago = m_node.now() - at;
   return m_clusterTime.at(at, m_node.wallClock().wallNow() - ago);
 }
 
-void UsageTeller::onBegan(const std::string& tenant, base::TimePoint at) {
+void UsageSender::onBegan(const std::string& tenant, base::TimePoint at) {
   m_counter.onBegan(tenant, clusterTime(at));
 }
 
-void UsageTeller::onView(const directory::DirectoryView& view) {
+void UsageSender::onView(const directory::DirectoryView& view) {
   if (view.clusterTime != base::WallTime{}) {
     m_clusterTime.onTold(view.clusterTime, m_node.now());
   }
@@ -37,12 +37,12 @@
   }
 }
 
-base::Duration UsageTeller::tellInterval() const {
+base::Duration UsageSender::tellInterval() const {
   const auto gateways = static_cast<base::Duration::rep>(m_node.member().view().gateways);
   return std::max(kTellInterval, kTellIntervalPerGateway * gateways);
 }
 
-void UsageTeller::tick() {
+void UsageSender::tick() {
   const base::TimePoint now = m_node.now();
   if (m_telling || isTold() || now - m_toldAt < tellInterval()) {
     return;
@@ -50,7 +50,7 @@
   m_telling = true;
   m_toldAt = now;
   const std::uint64_t revision = m_counter.revision();
-  const directory::TellUsage told{m_counter.present(clusterTime(now))};
+  const directory::ReportUsage told{m_counter.present(clusterTime(now))};
   m_node.member().call(directory::DirectoryRequest{told}, kTellDeadline, now,
                        [this, revision](const directory::DirectoryReply* reply) {
                          m_telling = false;
--- a/src/node/usage_teller.h
+++ b/src/node/usage_sender.h
@@ -14,9 +14,9 @@
 
 /// Every watch of this gateway carries all that it has counted. In between, news are told by calls
 /// of their own, so that little is lost with a gateway that dies.
-class UsageTeller {
+class UsageSender {
  public:
-  explicit UsageTeller(Node& node);
+  explicit UsageSender(Node& node);
 
   /// A request of `tenant` began to run.
   void onBegan(const std::string& tenant, base::TimePoint at);
@@ -31,7 +31,7 @@
 
   Node& m_node;
   duties::UsageCounter m_counter;
-  duties::ToldClusterTime m_clusterTime;
+  duties::ClusterTimeEstimate m_clusterTime;
   std::uint64_t m_told = 0;  ///< revision of the counter that the controllers have
   bool m_telling = false;
   base::TimePoint m_toldAt{};
--- a/src/quarantine/request_gate.h
+++ b/src/quarantine/request_gate.h
@@ -44,7 +44,7 @@
  private:
   CrashObserver m_observer;
   std::map<RequestFingerprint, base::WallTime> m_held;  ///< with the time of the next trial
-  duties::ToldClusterTime m_clusterTime;
+  duties::ClusterTimeEstimate m_clusterTime;
 };
 
 }  // namespace tackpick::quarantine
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -202,7 +202,7 @@
   controller.run(base::milliseconds(200));
   const auto window = controller.role->state().usage().next();
   cr_assert(window.has_value());
-  controller.ask(directory::TellUsage{{*window, {{*window, {{"a", 3}}}}}});
+  controller.ask(directory::ReportUsage{{*window, {{*window, {{"a", 3}}}}}});
   controller.run(base::seconds(13));
   cr_assert_eq(controller.reports.size(), 1U, "one call is under way at a time");
   cr_assert_eq(controller.reports[0].usage.window, *window);
--- a/test/duties/cluster_time_test.cpp
+++ b/test/duties/cluster_time_test.cpp
@@ -37,7 +37,7 @@
 }
 
 Test(told_cluster_time, fastest_telling_counts) {
-  duties::ToldClusterTime time;
+  duties::ClusterTimeEstimate time;
   cr_assert(time.at(kNow, kTrue) == kTrue, "nothing was told");
   time.onTold(kTrue, kNow + base::milliseconds(1));
   time.onTold(kTrue, kNow + base::milliseconds(80));
