--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -64,13 +64,13 @@
   const auto items = static_cast<std::uint32_t>(engineCount) * kSlots / kModels;
   std::chrono::duration<double, std::micro> spent{0};
   for (std::uint64_t step = 2; step < 2 + kSteps; ++step) {
-    jobs::OpenWorks works;
+    jobs::OpenJobsByModel works;
     for (int i = 0; i < kModels; ++i) {
       apply(fleet.state, directory::PublishVersion{modelName(i), step});
       works[modelName(i)].push_back({modelName(i) + "-" + std::to_string(step), step - 1, items,
                                      items / 4, base::Duration{0}, base::seconds(7)});
     }
-    orders.noteOpenWork(works, now);
+    orders.setOpenJobs(works, now);
     for (int turn = 0; turn < kTurnsPerStep; ++turn) {
       for (auto& [id, engine] : fleet.engines) {
         engine.heardAt = now;
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -69,8 +69,8 @@
   if (work_) {
     request.recentWork = work_();
   }
-  if (m_openWork) {
-    request.openWork = m_openWork();
+  if (m_openJobs) {
+    request.openJobs = m_openJobs();
   }
   if (usage_) {
     request.usage = usage_();
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -49,8 +49,8 @@
   void reportWork(WorkSource source) { work_ = std::move(source); }
 
   /// What is open, where this is the ledgers' leader; nothing elsewhere.
-  using OpenWorkSource = std::function<std::optional<jobs::OpenWorks>()>;
-  void reportOpenWork(OpenWorkSource source) { m_openWork = std::move(source); }
+  using OpenWorkSource = std::function<std::optional<jobs::OpenJobsByModel>()>;
+  void reportOpenWork(OpenWorkSource source) { m_openJobs = std::move(source); }
 
   /// What this gateway has counted.
   using UsageSource = std::function<duties::GatewayUsage()>;
@@ -118,7 +118,7 @@
   ConfigurationHandler m_onConfiguration;
   MembershipSource ledger_membership_;
   WorkSource work_;
-  OpenWorkSource m_openWork;
+  OpenWorkSource m_openJobs;
   UsageSource usage_;
   const base::WallTimeSource* clock_ = nullptr;  ///< null: it is not told
   transport::Outbox outbox_;
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -19,7 +19,7 @@
 #include "directory/weights_summary.h"
 #include "duties/capacity_messages.h"
 #include "duties/usage_messages.h"
-#include "jobs/open_work.h"
+#include "jobs/open_jobs.h"
 #include "quarantine/quarantine_messages.h"
 
 namespace tackpick::directory {
@@ -143,12 +143,12 @@
   /// From gateways: recent work by model (see ModelDemand).
   std::map<std::string, double> recentWork;
   /// From the ledgers' leader only.
-  std::optional<jobs::OpenWorks> openWork;
+  std::optional<jobs::OpenJobsByModel> openJobs;
   duties::GatewayUsage usage;  ///< from gateways
   base::WallTime clock;        ///< what the node's clock shows
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(node, configurationVersion, revision, hold, ledgerMembership, recentWork, openWork,
+    archive(node, configurationVersion, revision, hold, ledgerMembership, recentWork, openJobs,
             usage, clock);
   }
 };
@@ -181,10 +181,10 @@
 
 /// What is open at the ledgers, told by their leader as soon as a job comes or ends.
 struct ReportOpenJobs {
-  jobs::OpenWorks openWork;
+  jobs::OpenJobsByModel openJobs;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(openWork);
+    archive(openJobs);
   }
 };
 
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -125,8 +125,8 @@
     ledger_voters_ = request.ledgerMembership->voters;
     completeRetirements(*request.ledgerMembership, now);
   }
-  if (request.openWork) {
-    noteOpenWork(*request.openWork, now);
+  if (request.openJobs) {
+    setOpenJobs(*request.openJobs, now);
   }
   watches_.add(caller, request, now);
 }
@@ -139,7 +139,7 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const ReportOpenJobs& request,
                               base::TimePoint now) {
-  noteOpenWork(request.openWork, now);
+  setOpenJobs(request.openJobs, now);
   reply(caller, DirectoryStatus::kDone);
 }
 
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -155,7 +155,7 @@
   present.fence = replica_.raft().currentTerm();
   present.now = now;
   present.services =
-      scaledServices(state_, presentInstances(now), m_openWork, modelDemand(now), now);
+      scaledServices(state_, presentInstances(now), m_openJobs, modelDemand(now), now);
   duties::CapacityWork work = m_capacity.step(state_.capacity(), present);
   for (auto& command : work.commands) {
     std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
@@ -177,9 +177,9 @@
   }
 }
 
-void DirectoryRole::noteOpenWork(const jobs::OpenWorks& works, base::TimePoint now) {
-  orders_.noteOpenWork(works, now);
-  m_openWork = {works, now};
+void DirectoryRole::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
+  orders_.setOpenJobs(works, now);
+  m_openJobs = {works, now};
 }
 
 void DirectoryRole::giveNoted(std::vector<VersionOrder> orders, base::TimePoint now) {
@@ -367,7 +367,7 @@
     nodes_.clear();
     ledger_voters_.clear();
     clock_.reset();
-    m_openWork = {};
+    m_openJobs = {};
     recording_versions_ = false;
     m_recordingHomes = false;
     forgetting_ = false;
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -163,7 +163,7 @@
   /// Calls that were decided but not sent are due again.
   void takeBack(const std::vector<duties::UsageReport>& reports,
                 const std::vector<duties::ScaleCall>& scaleCalls, base::TimePoint now);
-  void noteOpenWork(const jobs::OpenWorks& works, base::TimePoint now);
+  void setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now);
   [[nodiscard]] base::WallTime clusterTime(base::TimePoint now) const {
     return clock_.at(now, wall_.wallNow());
   }
@@ -207,7 +207,7 @@
   std::vector<duties::UsageReport> noted_reports_;  ///< to be sent at the end of this turn
   duties::CapacityDuty m_capacity;
   std::vector<duties::ScaleCall> m_notedScaleCalls;  ///< to be sent at the end of this turn
-  HeardWork m_openWork;
+  ReportedOpenJobs m_openJobs;
   quarantine::CrashTally m_crashes;
   std::map<quarantine::RequestFingerprint, AskedTrial> m_trialsUnderWay;
   WatchQueue watches_;
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -18,7 +18,7 @@
   zone.silent += instance.silent ? 1 : 0;
 }
 
-std::optional<duties::CapacityDemand> demandOf(const Service& service, const HeardWork& work,
+std::optional<duties::CapacityDemand> demandOf(const Service& service, const ReportedOpenJobs& work,
                                                const std::map<std::string, double>& recentWork,
                                                base::TimePoint now) {
   // What else a service runs is not told.
@@ -55,7 +55,7 @@
 
 std::vector<duties::ScaledService> scaledServices(const DirectoryState& state,
                                                   const std::vector<InstanceViewRef>& instances,
-                                                  const HeardWork& work,
+                                                  const ReportedOpenJobs& work,
                                                   const std::map<std::string, double>& recentWork,
                                                   base::TimePoint now) {
   std::vector<duties::ScaledService> services;
--- a/src/directory/scaled_services.h
+++ b/src/directory/scaled_services.h
@@ -10,19 +10,20 @@
 #include "directory/directory_state.h"
 #include "directory/view_history.h"
 #include "duties/capacity_duty.h"
-#include "jobs/open_work.h"
+#include "jobs/open_jobs.h"
 
 namespace tackpick::directory {
 
 /// Open work as the ledgers' leader last told it.
-struct HeardWork {
-  jobs::OpenWorks works;
+struct ReportedOpenJobs {
+  jobs::OpenJobsByModel works;
   std::optional<base::TimePoint> heardAt;
 };
 
 /// The services with bounds on their instances. `recentWork` by model: see ModelDemand.
 [[nodiscard]] std::vector<duties::ScaledService> scaledServices(
     const DirectoryState& state, const std::vector<InstanceViewRef>& instances,
-    const HeardWork& work, const std::map<std::string, double>& recentWork, base::TimePoint now);
+    const ReportedOpenJobs& work, const std::map<std::string, double>& recentWork,
+    base::TimePoint now);
 
 }  // namespace tackpick::directory
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-void StepForecast::note(const jobs::OpenWorks& works,
+void StepForecast::note(const jobs::OpenJobsByModel& works,
                         const std::map<std::string, std::uint64_t>& published,
                         base::TimePoint reportedAt) {
   for (const auto& [model, open] : works) {
@@ -53,10 +53,10 @@
   }
 }
 
-void StepForecast::noteModel(ModelSteps& steps, const std::vector<jobs::OpenWork>& works,
+void StepForecast::noteModel(ModelSteps& steps, const std::vector<jobs::OpenJob>& works,
                              std::uint64_t published, base::TimePoint reportedAt) {
   std::set<std::string> open;
-  for (const jobs::OpenWork& work : works) {
+  for (const jobs::OpenJob& work : works) {
     open.insert(work.job);
     const bool isKnown =
         steps.known.contains(work.job) ||
@@ -75,7 +75,7 @@
   steps.reportedAt = reportedAt;
 }
 
-void StepForecast::noteSubmission(ModelSteps& steps, const jobs::OpenWork& work,
+void StepForecast::noteSubmission(ModelSteps& steps, const jobs::OpenJob& work,
                                   std::uint64_t published, base::TimePoint submittedAt) {
   if (!steps.submittedAt.empty()) {
     const base::TimePoint last = steps.submittedAt.back();
@@ -124,7 +124,7 @@
   if (now - steps.reportedAt > m_settings.staleAfter) {
     return;
   }
-  for (const jobs::OpenWork& work : steps.open) {
+  for (const jobs::OpenJob& work : steps.open) {
     if (work.waiting > 0) {
       needs.push_back({true, work.minimumVersion, work.items, work.waiting,
                        steps.reportedAt - work.age, work.slack});
--- a/src/directory/step_forecast.h
+++ b/src/directory/step_forecast.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "jobs/open_work.h"
+#include "jobs/open_jobs.h"
 
 namespace tackpick::directory {
 
@@ -44,8 +44,8 @@
 
   void reset() { m_models.clear(); }
   /// What is open, as told at `reportedAt`, and the newest versions by model.
-  void note(const jobs::OpenWorks& works, const std::map<std::string, std::uint64_t>& published,
-            base::TimePoint reportedAt);
+  void note(const jobs::OpenJobsByModel& works,
+            const std::map<std::string, std::uint64_t>& published, base::TimePoint reportedAt);
   /// Open steps with items that wait, by slack, and then those that are expected. Empty when too
   /// little is known of the model's steps.
   [[nodiscard]] std::vector<StepNeed> needs(const std::string& model, std::uint64_t published,
@@ -53,7 +53,7 @@
 
  private:
   struct ModelSteps {
-    std::vector<jobs::OpenWork> open;
+    std::vector<jobs::OpenJob> open;
     base::TimePoint reportedAt{};
     std::set<std::string> known;              ///< jobs that are open
     std::deque<std::string> ended;            ///< the last that were; news of them comes late
@@ -66,9 +66,9 @@
     base::Duration slack = base::Duration::max();  ///< of the newest step when it came
   };
 
-  void noteModel(ModelSteps& steps, const std::vector<jobs::OpenWork>& works,
+  void noteModel(ModelSteps& steps, const std::vector<jobs::OpenJob>& works,
                  std::uint64_t published, base::TimePoint reportedAt);
-  void noteSubmission(ModelSteps& steps, const jobs::OpenWork& work, std::uint64_t published,
+  void noteSubmission(ModelSteps& steps, const jobs::OpenJob& work, std::uint64_t published,
                       base::TimePoint submittedAt);
   /// When the step after the newest is due.
   [[nodiscard]] base::TimePoint nextDue(const ModelSteps& steps, base::Duration interval) const;
--- a/src/directory/version_orders.cpp
+++ b/src/directory/version_orders.cpp
@@ -72,7 +72,7 @@
   given_.clear();
 }
 
-void VersionOrders::noteOpenWork(const jobs::OpenWorks& works, base::TimePoint now) {
+void VersionOrders::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
   OpenItems items;
   for (const auto& [model, open] : works) {
     items[model] = jobs::itemsOf(open);
--- a/src/directory/version_orders.h
+++ b/src/directory/version_orders.h
@@ -20,7 +20,7 @@
 #include "directory/load_policy.h"
 #include "directory/step_forecast.h"
 #include "directory/weights_summary.h"
-#include "jobs/open_work.h"
+#include "jobs/open_jobs.h"
 
 namespace tackpick::directory {
 
@@ -100,7 +100,7 @@
                                                const std::map<std::string, double>& demand,
                                                std::uint64_t term, base::TimePoint now);
   /// What is open at the ledgers.
-  void noteOpenWork(const jobs::OpenWorks& works, base::TimePoint now);
+  void setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now);
   /// True when no model needs the engine now.
   [[nodiscard]] bool isInReserve(const InstanceRecord& engine) const {
     return m_homes.isInReserve(engine);
@@ -132,7 +132,7 @@
 
   /// What open work that was told is planned with, once versions named before it are applied.
   struct ToldWork {
-    jobs::OpenWorks works;
+    jobs::OpenJobsByModel works;
     base::TimePoint at{};
   };
 
--- a/src/duties/capacity_duty.cpp
+++ b/src/duties/capacity_duty.cpp
@@ -16,7 +16,7 @@
   decision.workKnown = true;
   decision.workAge = service.demand->toldBefore;
   for (const auto& [model, works] : service.demand->works) {
-    for (const jobs::OpenWork& work : works) {
+    for (const jobs::OpenJob& work : works) {
       decision.items += work.items;
       decision.waiting += work.waiting;
     }
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -12,7 +12,7 @@
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
   for (const auto& [model, works] : demand.works) {
-    for (const jobs::OpenWork& work : works) {
+    for (const jobs::OpenJob& work : works) {
       waiting += work.waiting;
       running += work.items - std::min(work.items, work.waiting);
     }
@@ -66,9 +66,9 @@
   return m_peak;
 }
 
-void FollowExpectedSteps::note(const jobs::OpenWorks& works, base::TimePoint now) {
+void FollowExpectedSteps::note(const jobs::OpenJobsByModel& works, base::TimePoint now) {
   for (const auto& [model, open] : works) {
-    for (const jobs::OpenWork& work : open) {
+    for (const jobs::OpenJob& work : open) {
       Step& largest = m_largest[model];
       const bool old = now - largest.seenAt > m_settings.memory;
       if (work.items >= largest.items || old) {
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "base/time.h"
-#include "jobs/open_work.h"
+#include "jobs/open_jobs.h"
 
 namespace tackpick::duties {
 
@@ -22,7 +22,7 @@
 
 /// The open work of a service.
 struct CapacityDemand {
-  jobs::OpenWorks works;          ///< of the models of that service only
+  jobs::OpenJobsByModel works;    ///< of the models of that service only
   std::uint32_t placesThere = 0;  ///< of the instances that serve
   base::Duration toldBefore{0};   ///< age of these figures
   double recentEvents = 0;        ///< of streams of those models, jobs or not; older count less
@@ -93,7 +93,7 @@
     std::uint32_t items = 0;
     base::TimePoint seenAt{};
   };
-  void note(const jobs::OpenWorks& works, base::TimePoint now);
+  void note(const jobs::OpenJobsByModel& works, base::TimePoint now);
 
   const ExpectedStepsSettings m_settings;
   FollowWaitingWork m_waiting;
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -210,11 +210,11 @@
   service_.proposeFor(caller, encodeCommand(command), base::encode(JobReply{}), now);
 }
 
-std::optional<OpenWorks> JobRole::openWork(base::TimePoint now) const {
+std::optional<OpenJobsByModel> JobRole::openJobs(base::TimePoint now) const {
   if (!replica_.canRead(now)) {
     return std::nullopt;
   }
-  OpenWorks works;
+  OpenJobsByModel works;
   for (const auto* entry : state_.bySubmission()) {
     const auto& [id, job] = *entry;
     if (!job.settled()) {
@@ -224,8 +224,8 @@
   return works;
 }
 
-OpenWork JobRole::workOf(const std::string& id, const Job& job, base::TimePoint now) const {
-  OpenWork work;
+OpenJob JobRole::workOf(const std::string& id, const Job& job, base::TimePoint now) const {
+  OpenJob work;
   work.job = id;
   work.minimumVersion = job.submission.minimumVersion;
   work.items = static_cast<std::uint32_t>(job.submission.items.size() - job.results.size());
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -12,7 +12,7 @@
 #include "consensus/replica.h"
 #include "jobs/item_leases.h"
 #include "jobs/job_state.h"
-#include "jobs/open_work.h"
+#include "jobs/open_jobs.h"
 #include "jobs/read_gathering.h"
 
 namespace tackpick::jobs {
@@ -71,7 +71,7 @@
   [[nodiscard]] std::optional<consensus::Membership> settledMembership(base::TimePoint now) const;
 
   /// Jobs that are not settled; nothing when another leads.
-  [[nodiscard]] std::optional<OpenWorks> openWork(base::TimePoint now) const;
+  [[nodiscard]] std::optional<OpenJobsByModel> openJobs(base::TimePoint now) const;
   /// Open jobs for operators; nothing when another leads.
   [[nodiscard]] std::optional<WorkSummary> workSummary(base::TimePoint now) const;
   /// What is known of the lengths of texts.
@@ -118,7 +118,7 @@
 
   void replyWith(const Caller& caller, const JobReply& reply);
   void proposeFor(const Caller& caller, const JobCommand& command, base::TimePoint now);
-  [[nodiscard]] OpenWork workOf(const std::string& id, const Job& job, base::TimePoint now) const;
+  [[nodiscard]] OpenJob workOf(const std::string& id, const Job& job, base::TimePoint now) const;
   /// Notes whether a gateway told paces in its call; true when it should in its next.
   [[nodiscard]] bool recordReporter(base::NodeId gateway, bool told);
   [[nodiscard]] LeasedItem describe(const GrantedItem& granted, base::TimePoint now) const;
--- a/src/jobs/open_work.h
+++ b/src/jobs/open_jobs.h
@@ -14,7 +14,7 @@
 namespace tackpick::jobs {
 
 /// One open job, as the ledgers' leader sees it.
-struct OpenWork {
+struct OpenJob {
   std::string job;
   std::uint64_t minimumVersion = 0;  ///< oldest weights that may make its texts
   std::uint32_t items = 0;           ///< without a result
@@ -31,12 +31,12 @@
 };
 
 /// Open jobs by model, each model's in the order of their submission.
-using OpenWorks = std::map<std::string, std::vector<OpenWork>>;
+using OpenJobsByModel = std::map<std::string, std::vector<OpenJob>>;
 
 /// Items without a result of one model's jobs.
-[[nodiscard]] inline std::uint32_t itemsOf(const std::vector<OpenWork>& works) {
+[[nodiscard]] inline std::uint32_t itemsOf(const std::vector<OpenJob>& works) {
   std::uint32_t items = 0;
-  for (const OpenWork& work : works) {
+  for (const OpenJob& work : works) {
     items += work.items;
   }
   return items;
--- a/src/jobs/work_summary.h
+++ b/src/jobs/work_summary.h
@@ -23,7 +23,7 @@
   std::uint32_t priority = 0;        ///< 0 is the highest
   std::uint32_t waiting = 0;         ///< items at no engine
   std::uint32_t running = 0;         ///< leased items
-  /// As OpenWork::slack.
+  /// As OpenJob::slack.
   base::Duration slack = base::Duration::max();
   base::Duration age{0};  ///< since the leader first saw it
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -161,8 +161,8 @@
       ledger_->setTenantPriorities(jobs::TenantPriorities(newest.tenants));
     }
   });
-  member_->reportOpenWork([this]() -> std::optional<jobs::OpenWorks> {
-    return ledger_ ? ledger_->openWork(now()) : std::nullopt;
+  member_->reportOpenWork([this]() -> std::optional<jobs::OpenJobsByModel> {
+    return ledger_ ? ledger_->openJobs(now()) : std::nullopt;
   });
   member_->reportLedgerMembership([this]() -> std::optional<consensus::Membership> {
     return ledger_ ? ledger_->settledMembership(now()) : std::nullopt;
--- a/src/node/open_jobs_sender.cpp
+++ b/src/node/open_jobs_sender.cpp
@@ -18,7 +18,7 @@
   if (m_telling || changes == m_told || now - m_toldAt < kTellInterval) {
     return;
   }
-  const auto work = ledger.openWork(now);
+  const auto work = ledger.openJobs(now);
   if (!work) {
     return;
   }
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 /// One open job of so many items for each model.
-jobs::OpenWorks openWork(const std::map<std::string, std::uint32_t>& items) {
-  jobs::OpenWorks works;
+jobs::OpenJobsByModel openJobs(const std::map<std::string, std::uint32_t>& items) {
+  jobs::OpenJobsByModel works;
   for (const auto& [model, count] : items) {
     works[model].push_back({"job-" + model, 1, count, 0});
   }
@@ -323,7 +323,7 @@
   for (const auto& [zone, count] : fleet.inUse()) {
     cr_assert_geq(count, 40U, "spread over the zones: %s has %zu", zone.c_str(), count);
   }
-  fleet.orders.noteOpenWork(openWork({{"m", 800}}), fleet.now);
+  fleet.orders.setOpenJobs(openJobs({{"m", 800}}), fleet.now);
   (void)fleet.step();
   cr_assert_eq(fleet.inUseOfAll(), 264U, "200 for 800 items and half of that more, at once");
   apply(fleet.state, directory::PublishVersion{"m", 2});
@@ -368,12 +368,12 @@
 
 Test(version_orders, engines_go_back_one_by_one_after_demand_has_fallen) {
   LargeFleet fleet(3000);
-  fleet.orders.noteOpenWork(openWork({{"m", 800}}), fleet.now);
+  fleet.orders.setOpenJobs(openJobs({{"m", 800}}), fleet.now);
   (void)fleet.step();
   cr_assert_eq(fleet.inUseOfAll(), 264U);
   for (int second = 0; second < 40; ++second) {
     fleet.now += base::seconds(1);
-    fleet.orders.noteOpenWork(openWork({{"m", 100}}), fleet.now);
+    fleet.orders.setOpenJobs(openJobs({{"m", 100}}), fleet.now);
     (void)fleet.step();
   }
   cr_assert_lt(fleet.inUseOfAll(), 264U);
@@ -488,7 +488,7 @@
     homes[id] = "m";
   }
   fixture.orders.reset({}, homes);
-  fixture.orders.noteOpenWork(openWork({{"m", 100}, {"n", 100}}), fixture.now);
+  fixture.orders.setOpenJobs(openJobs({{"m", 100}, {"n", 100}}), fixture.now);
   (void)fixture.orders.step(fixture.state, fixture.engines, {{"m", 5000.0}}, 3, fixture.now);
   const auto follow = [&](const std::string& model) {
     return std::count_if(fixture.orders.homes().begin(), fixture.orders.homes().end(),
--- a/test/directory/step_forecast_test.cpp
+++ b/test/directory/step_forecast_test.cpp
@@ -28,7 +28,7 @@
   /// All items of the open steps run.
   void tell() {
     forecast.note({{"m", open}}, published, now);
-    for (jobs::OpenWork& work : open) {
+    for (jobs::OpenJob& work : open) {
       work.waiting = 0;
     }
   }
@@ -36,7 +36,7 @@
 
   directory::StepForecast forecast{directory::StepForecastSettings{}};
   std::map<std::string, std::uint64_t> published;
-  std::vector<jobs::OpenWork> open;
+  std::vector<jobs::OpenJob> open;
   const base::TimePoint start{base::seconds(100)};
   base::TimePoint now = start;
 };
@@ -114,7 +114,7 @@
     trainer.submit(step);
   }
   const base::TimePoint expected = trainer.needs().back().expectedAt;
-  const jobs::OpenWork old{"job1", 0, 100, 0, base::seconds(1), base::seconds(7)};
+  const jobs::OpenJob old{"job1", 0, 100, 0, base::seconds(1), base::seconds(7)};
   trainer.now += base::seconds(1);
   trainer.forecast.note({{"m", {old}}}, trainer.published, trainer.now);
   cr_assert(trainer.needs().back().expectedAt == expected);
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -213,7 +213,7 @@
   }
 
   void tell() {
-    jobs::OpenWorks works;
+    jobs::OpenJobsByModel works;
     for (const auto& [model, steps] : m_steps) {
       for (const Step& step : steps) {
         const std::uint32_t items = trainer(model).items - endedItems(step);
@@ -224,7 +224,7 @@
         }
       }
     }
-    m_orders.noteOpenWork(works, m_now);
+    m_orders.setOpenJobs(works, m_now);
   }
 
   void give() {
--- a/test/directory/weights_plan_test.cpp
+++ b/test/directory/weights_plan_test.cpp
@@ -48,11 +48,11 @@
   }
   void tell() {
     for (auto& [model, open] : works) {
-      for (jobs::OpenWork& work : open) {
+      for (jobs::OpenJob& work : open) {
         work.age = now - submittedAt[work.job];
       }
     }
-    orders.noteOpenWork(works, now);
+    orders.setOpenJobs(works, now);
   }
   std::vector<directory::VersionOrder> step() {
     for (auto& [id, engine] : engines) {
@@ -99,7 +99,7 @@
   directory::DirectoryState state;
   directory::ReportedEngines engines;
   directory::Homes homes;
-  jobs::OpenWorks works;
+  jobs::OpenJobsByModel works;
   std::map<std::string, base::TimePoint> submittedAt;
   std::vector<directory::VersionOrder> log;
   std::uint64_t newest = 1;
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -182,7 +182,7 @@
     const auto waiting = static_cast<std::uint32_t>(m_queues[model].size());
     const std::uint32_t items = waiting + running[model];
     if (items > 0) {
-      jobs::OpenWork work;
+      jobs::OpenJob work;
       work.items = items;
       work.waiting = waiting;
       work.age = m_now - m_lastStep[model];
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -126,16 +126,16 @@
   }
   (void)ledger.ask(submit);
   const std::uint64_t submitted = ledger.role->workChanges();
-  const jobs::OpenWorks before = *ledger.role->openWork(ledger.now);
+  const jobs::OpenJobsByModel before = *ledger.role->openJobs(ledger.now);
   cr_assert_eq(before.at("m").front().items, 3U);
   cr_assert_eq(before.at("m").front().waiting, 3U);
   cr_assert(before.at("m").front().slack == base::Duration::max(), "nothing says when it is due");
   const base::PackedText text("t");
   (void)ledger.ask(jobs::CommitResults{{{"j", {{1, jobs::ItemState::kCompleted, text, {1}}}}}});
-  cr_assert_eq(ledger.role->openWork(ledger.now)->at("m").front().items, 2U);
+  cr_assert_eq(ledger.role->openJobs(ledger.now)->at("m").front().items, 2U);
   cr_assert_eq(ledger.role->workChanges(), submitted);
   (void)ledger.ask(jobs::EndJob{"j", "a"});
-  cr_assert(ledger.role->openWork(ledger.now)->empty());
+  cr_assert(ledger.role->openJobs(ledger.now)->empty());
   cr_assert_gt(ledger.role->workChanges(), submitted);
 }
 
@@ -148,7 +148,7 @@
     (void)ledger.ask(submit);
   }
   ledger.restart();
-  const jobs::OpenWorks works = *ledger.role->openWork(ledger.now);
+  const jobs::OpenJobsByModel works = *ledger.role->openJobs(ledger.now);
   cr_assert_eq(works.at("").size(), 2U);
   cr_assert_eq(works.at("").front().job, "z");
 }
@@ -228,7 +228,7 @@
     submit.job.items[i].expectedTokens = 100;
   }
   (void)ledger.ask(submit);
-  const auto slack = [&] { return ledger.role->openWork(ledger.now)->at("").front().slack; };
+  const auto slack = [&] { return ledger.role->openJobs(ledger.now)->at("").front().slack; };
   const base::Duration before = slack();
   jobs::JobResults results{"j", {}};
   for (std::uint32_t item = 0; item < 30; ++item) {
