--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -213,7 +213,7 @@
       machine.engine.port = elsewhere ? options_.announcePorts[position] : engine->port();
       machine.engine.zone = engine->settings().zone;
       machine.engine.model = engine->settings().model.model;
-      machine.engine.leaving = engine->model().status().leaving;
+      machine.engine.draining = engine->model().status().draining;
       machines.push_back(machine);
     }
     if (!machines.empty() && !platform_url_.empty()) {
@@ -248,7 +248,7 @@
         continue;
       }
       if (request.path == "/leave") {
-        engine->model().startLeaving();
+        engine->model().startDraining();
       } else if (request.path == "/fail-next-swap") {
         engine->model().failNextSwap();
       }
--- a/src/control/control_delta.h
+++ b/src/control/control_delta.h
@@ -34,13 +34,13 @@
   std::uint16_t port = 0;
   std::string zone;
   std::string model;
-  bool drained = false;  ///< by an operator
-  bool leaving = false;  ///< by the machine list; sticky for this incarnation
+  bool drained = false;   ///< by an operator
+  bool draining = false;  ///< by the machine list; sticky for this incarnation
   bool removed = false;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(engine, revision, incarnation, host, port, zone, model, drained, leaving, removed);
+    archive(engine, revision, incarnation, host, port, zone, model, drained, draining, removed);
   }
 };
 
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -143,14 +143,14 @@
   if (known != content_.engines.end()) {
     const EngineRecord& before = known->second;
     // The list lags and flaps: an older run never replaces a newer one, and a run that was once
-    // leaving stays so.
+    // draining stays so.
     if (record.incarnation < before.incarnation) {
       return refused(ChangeStatus::kUnchanged, "an older incarnation");
     }
     record.drained = before.drained;
     const bool sameRun = record.incarnation == before.incarnation;
-    record.leaving = record.leaving || (sameRun && before.leaving);
-    const bool same = sameRun && record.leaving == before.leaving && record.host == before.host &&
+    record.draining = record.draining || (sameRun && before.draining);
+    const bool same = sameRun && record.draining == before.draining && record.host == before.host &&
                       record.port == before.port && record.model == before.model &&
                       record.zone == before.zone && record.removed == before.removed;
     if (same) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -78,7 +78,7 @@
     actions_.messages.push_back({from, transport::WatchRedirect{replica_.raft().leader()}});
     return;
   }
-  if (message.leaving) {
+  if (message.draining) {
     leases_.release(from);
     watchers_.erase(from);
     return;
@@ -105,7 +105,7 @@
     const bool changed = known == state_.engines().end() ||
                          known->second.incarnation < machine.engine.incarnation ||
                          (known->second.incarnation == machine.engine.incarnation &&
-                          known->second.leaving != machine.engine.leaving);
+                          known->second.draining != machine.engine.draining);
     if (changed) {
       const ControlCommand command{{}, RegisterEngine{machine.engine}};
       const bool proposed = replica_.propose(base::encode(command), now,
--- a/src/control/weights_rollout.cpp
+++ b/src/control/weights_rollout.cpp
@@ -12,7 +12,7 @@
   Progress progress = countOrdered(now);
   for (const auto& [id, record] : engines) {
     const auto wanted = weights.find(record.model);
-    if (wanted == weights.end() || record.leaving || record.removed) {
+    if (wanted == weights.end() || record.draining || record.removed) {
       continue;
     }
     Observed& observed = observed_[id];
--- a/src/directory/call_name.cpp
+++ b/src/directory/call_name.cpp
@@ -10,9 +10,9 @@
   return {"read_configuration", {}, false};
 }
 CallName nameOfTyped(const InstanceHeartbeat& request) {
-  return {request.record.leaving ? "drain" : "heartbeat", request.record.id, false};
+  return {request.record.draining ? "drain" : "heartbeat", request.record.id, false};
 }
-CallName nameOfTyped(const InstanceLeaves& request) { return {"leave", request.id, false}; }
+CallName nameOfTyped(const DeregisterInstance& request) { return {"leave", request.id, false}; }
 CallName nameOfTyped(const PublishVersion& request) {
   return {"publish_version", request.model + ":" + std::to_string(request.version), true};
 }
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -48,17 +48,17 @@
   std::uint16_t port = 0;
   std::string zone;
   std::uint32_t slots = 0;
-  bool leaving = false;  ///< gets no new work, ever
+  bool draining = false;  ///< gets no new work, ever
   /// The platform may take it away at short notice.
   bool withdrawable = false;
-  /// Until a leaving instance ends, from when that was first heard; zero: it ends when it is done.
-  base::Duration leavesAfter{0};
+  /// Until a draining instance ends, from when that was first heard; zero: it ends when it is done.
+  base::Duration timeToTermination{0};
 
   bool operator==(const InstanceRecord&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, service, host, port, zone, slots, leaving, withdrawable, leavesAfter);
+    archive(id, service, host, port, zone, slots, draining, withdrawable, timeToTermination);
   }
 };
 
@@ -67,8 +67,9 @@
                                                const InstanceRecord& heard) {
   return known.service == heard.service && known.host == heard.host && known.port == heard.port &&
          known.slots == heard.slots && known.zone == heard.zone &&
-         (known.withdrawable || !heard.withdrawable) && (known.leaving || !heard.leaving) &&
-         (known.leavesAfter > base::Duration{0} || heard.leavesAfter == base::Duration{0});
+         (known.withdrawable || !heard.withdrawable) && (known.draining || !heard.draining) &&
+         (known.timeToTermination > base::Duration{0} ||
+          heard.timeToTermination == base::Duration{0});
 }
 
 /// An instance as gateways see it.
@@ -114,7 +115,7 @@
   }
 };
 
-struct InstanceLeaves {
+struct DeregisterInstance {
   std::string id;  ///< without a start: the newest incarnation of that name
   template <class Archive>
   void serialize(Archive& archive) {
@@ -219,7 +220,7 @@
 };
 
 using DirectoryRequest =
-    std::variant<ReplaceConfiguration, ReadConfiguration, InstanceHeartbeat, InstanceLeaves,
+    std::variant<ReplaceConfiguration, ReadConfiguration, InstanceHeartbeat, DeregisterInstance,
                  PublishVersion, Watch, RetireNode, ReadRetirement, ReportUsage, RelayHeartbeats,
                  quarantine::ReportCrashes, quarantine::AskTrial, quarantine::ReadQuarantine,
                  quarantine::ReleaseRequest, ReportOpenJobs, duties::ReadCapacity, ReadWeights>;
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -57,7 +57,7 @@
   if (!late) {
     observeReport(request, now);
   }
-  if (registered || (late && !request.record.leaving)) {
+  if (registered || (late && !request.record.draining)) {
     reply(caller, DirectoryStatus::kDone);
     return;
   }
@@ -91,7 +91,7 @@
   report.versions = heartbeat.versions;
 }
 
-void DirectoryRole::onRequest(const Caller& caller, const InstanceLeaves& request,
+void DirectoryRole::onRequest(const Caller& caller, const DeregisterInstance& request,
                               base::TimePoint now) {
   const bool tellsStart = Incarnation::parse(request.id).born != 0;
   const std::string id =
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -119,7 +119,7 @@
   void onRequest(const Caller& caller, const ReplaceConfiguration& request, base::TimePoint now);
   void onRequest(const Caller& caller, const ReadConfiguration& request, base::TimePoint now);
   void onRequest(const Caller& caller, const InstanceHeartbeat& request, base::TimePoint now);
-  void onRequest(const Caller& caller, const InstanceLeaves& request, base::TimePoint now);
+  void onRequest(const Caller& caller, const DeregisterInstance& request, base::TimePoint now);
   void onRequest(const Caller& caller, const PublishVersion& request, base::TimePoint now);
   void onRequest(const Caller& caller, const Watch& request, base::TimePoint now);
   void onRequest(const Caller& caller, const RetireNode& request, base::TimePoint now);
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -39,17 +39,18 @@
   displaceFrom(record);
   const auto [known, added] = data_.instances.try_emplace(record.id);
   InstanceRecord& stored = known->second;
-  const bool leaving = record.leaving || stored.leaving;
+  const bool draining = record.draining || stored.draining;
   const bool withdrawable = record.withdrawable || stored.withdrawable;
-  const base::Duration leavesAfter =
-      stored.leavesAfter > base::Duration{0} ? stored.leavesAfter : record.leavesAfter;
+  const base::Duration timeToTermination = stored.timeToTermination > base::Duration{0}
+                                               ? stored.timeToTermination
+                                               : record.timeToTermination;
   if (!added) {
     m_idsByAddress.erase(addressOf(stored));
   }
   stored = record;
-  stored.leaving = leaving;
+  stored.draining = draining;
   stored.withdrawable = withdrawable;
-  stored.leavesAfter = leavesAfter;
+  stored.timeToTermination = timeToTermination;
   m_idsByAddress[addressOf(record)] = record.id;
   ++data_.revision;
 }
--- a/src/directory/engine_homes.cpp
+++ b/src/directory/engine_homes.cpp
@@ -84,7 +84,7 @@
   std::size_t places = 0;
   base::SortedCursor homes(m_homes);
   for (const auto& [id, record] : state.instances()) {
-    if (record.service != service.name || record.leaving) {
+    if (record.service != service.name || record.draining) {
       continue;
     }
     ++engineCount;
@@ -224,7 +224,7 @@
   std::map<std::string, std::size_t> counts;
   for (const auto& [id, model] : m_homes) {
     const auto record = state.instances().find(id);
-    if (record->second.service == service.name && !record->second.leaving &&
+    if (record->second.service == service.name && !record->second.draining &&
         isHeard(id, engines, now)) {
       ++counts[model];
     }
@@ -260,7 +260,7 @@
       continue;
     }
     const ReportedEngine* report = reports.find(id);
-    if (record.service != service.name || record.leaving || report == nullptr ||
+    if (record.service != service.name || record.draining || report == nullptr ||
         now - report->heardAt > m_silenceLimit) {
       continue;
     }
@@ -308,7 +308,7 @@
   }
   for (auto& [id, model] : m_homes) {
     const auto record = state.instances().find(id);
-    if (model == from && record->second.service == service.name && !record->second.leaving) {
+    if (model == from && record->second.service == service.name && !record->second.draining) {
       model = to;
       m_movedAt = now;
       return;
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -10,8 +10,8 @@
 
 void count(const InstanceViewRef& instance, duties::RegisteredInstances& zone) {
   const InstanceRecord& record = *instance.record;
-  if (record.leaving) {
-    ++(record.withdrawable ? zone.withdrawableLeaving : zone.ordinaryLeaving);
+  if (record.draining) {
+    ++(record.withdrawable ? zone.preemptibleDraining : zone.onDemandDraining);
     return;
   }
   ++(record.withdrawable ? zone.withdrawable : zone.ordinary);
@@ -45,7 +45,7 @@
       continue;
     }
     count(instance, service.zones[instance.record->zone]);
-    if (service.demand && !instance.record->leaving && !instance.silent) {
+    if (service.demand && !instance.record->draining && !instance.silent) {
       service.demand->placesThere += instance.record->slots;
     }
   }
--- a/src/directory/version_orders.cpp
+++ b/src/directory/version_orders.cpp
@@ -198,7 +198,7 @@
     ofModel.loading += loading ? 1 : 0;
     fleet.loading += loading ? 1 : 0;
     const auto model = fleet.models.find(home);
-    const bool isUsable = record != nullptr && report != nullptr && !record->leaving &&
+    const bool isUsable = record != nullptr && report != nullptr && !record->draining &&
                           now - report->heardAt <= settings_.silenceLimit;
     if (!isUsable || model == fleet.models.end()) {
       continue;
--- a/src/duties/capacity_duty.cpp
+++ b/src/duties/capacity_duty.cpp
@@ -45,8 +45,8 @@
                                     const CapacityState& state, base::Duration startTime,
                                     base::TimePoint now) {
   Subject& known = m_subjects[subject];
-  known.lost =
-      known.lost || registered.there < known.seen.there || registered.leaving < known.seen.leaving;
+  known.lost = known.lost || registered.there < known.seen.there ||
+               registered.draining < known.seen.draining;
   known.seen = registered;
   const DesiredCapacity noted = state.desired(subject).value_or(DesiredCapacity{});
   if (known.proposed == noted.count) {
@@ -75,7 +75,7 @@
   for (const auto& [zone, registered] : zones) {
     const CapacitySubject ordinary{service.name, zone, InstanceKind::kOrdinary};
     const CapacitySubject withdrawable{service.name, zone, InstanceKind::kWithdrawable};
-    if (registered.withdrawableLeaving > 0) {
+    if (registered.preemptibleDraining > 0) {
       Subject& withdrawn = m_subjects[withdrawable];
       withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
     }
@@ -83,19 +83,19 @@
     ZoneCounts sight;
     sight.zone = zone;
     sight.ordinary =
-        poolCounts(ordinary, {registered.ordinary, registered.ordinaryLeaving}, state, start, now);
+        poolCounts(ordinary, {registered.ordinary, registered.onDemandDraining}, state, start, now);
     sight.withdrawable = poolCounts(
-        withdrawable, {registered.withdrawable, registered.withdrawableLeaving}, state, start, now);
+        withdrawable, {registered.withdrawable, registered.preemptibleDraining}, state, start, now);
     sight.silent = registered.silent;
-    sight.leaving = registered.ordinaryLeaving + registered.withdrawableLeaving;
+    sight.draining = registered.onDemandDraining + registered.preemptibleDraining;
     sight.baseline = state.baseline(ordinary);
     sight.withdrawableBaseline = state.baseline(withdrawable);
     sights.push_back(sight);
-    for (const auto& [subject, kind, leaving] :
-         {std::tuple(ordinary, sight.ordinary, registered.ordinaryLeaving),
-          std::tuple(withdrawable, sight.withdrawable, registered.withdrawableLeaving)}) {
+    for (const auto& [subject, kind, draining] :
+         {std::tuple(ordinary, sight.ordinary, registered.onDemandDraining),
+          std::tuple(withdrawable, sight.withdrawable, registered.preemptibleDraining)}) {
       const bool taken = state.desired(subject).value_or(DesiredCapacity{}).taken;
-      m_sights.push_back({subject, kind.desired, taken, kind.there, kind.starting, leaving,
+      m_sights.push_back({subject, kind.desired, taken, kind.there, kind.starting, draining,
                           m_subjects[subject].refusals});
     }
   }
@@ -172,7 +172,7 @@
     m_wishes.insert_or_assign(decision.subject, Wish{target, service.scaling.startTime});
     decision.count = target.count;
     decision.there = seen.there;
-    decision.leaving = seen.leaving;
+    decision.draining = seen.draining;
     decision.wanted = plan.wanted();
     decide(std::move(decision), state, present.now, work);
   }
--- a/src/duties/capacity_duty.h
+++ b/src/duties/capacity_duty.h
@@ -43,11 +43,11 @@
 
 /// Instances of a service in a zone, as they are registered.
 struct RegisteredInstances {
-  std::uint32_t ordinary = 0;  ///< not leaving
+  std::uint32_t ordinary = 0;  ///< not draining
   std::uint32_t withdrawable = 0;
   std::uint32_t silent = 0;  ///< of both
-  std::uint32_t ordinaryLeaving = 0;
-  std::uint32_t withdrawableLeaving = 0;
+  std::uint32_t onDemandDraining = 0;
+  std::uint32_t preemptibleDraining = 0;
 };
 
 /// A service whose instances the platform starts and stops.
@@ -65,7 +65,7 @@
   std::uint32_t count = 0;
   std::uint32_t before = 0;  ///< the count that was asked for until now
   std::uint32_t there = 0;
-  std::uint32_t leaving = 0;
+  std::uint32_t draining = 0;
   std::uint32_t wanted = 0;  ///< in all zones, of both kinds
   bool workKnown = false;    ///< the open work below decided too
   std::uint32_t items = 0;   ///< open ones
@@ -108,7 +108,7 @@
   /// Instances of one kind in a zone.
   struct RegisteredKind {
     std::uint32_t there = 0;
-    std::uint32_t leaving = 0;
+    std::uint32_t draining = 0;
   };
   /// What this leader knows of a subject.
   struct Subject {
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -51,12 +51,12 @@
   bool taken = false;         ///< by the platform
   std::uint32_t there = 0;
   std::uint32_t starting = 0;
-  std::uint32_t leaving = 0;
+  std::uint32_t draining = 0;
   std::uint32_t refusals = 0;  ///< in a row: none could be had
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(subject, desired, taken, there, starting, leaving, refusals);
+    archive(subject, desired, taken, there, starting, draining, refusals);
   }
 };
 
--- a/src/duties/capacity_plan.cpp
+++ b/src/duties/capacity_plan.cpp
@@ -192,7 +192,7 @@
   for (const ZonePlan& plan : plans) {
     const ZoneCounts& zone = *plan.sight;
     there += zone.ordinary.there + zone.withdrawable.there;
-    quiet = quiet && zone.silent == 0 && zone.leaving == 0 && zone.ordinary.starting == 0 &&
+    quiet = quiet && zone.silent == 0 && zone.draining == 0 && zone.ordinary.starting == 0 &&
             zone.withdrawable.starting == 0;
   }
   if (!quiet || there <= m_wanted) {
--- a/src/duties/capacity_plan.h
+++ b/src/duties/capacity_plan.h
@@ -16,7 +16,7 @@
 
 /// Instances of one kind in a zone.
 struct PoolCounts {
-  std::uint32_t there = 0;     ///< registered and not leaving
+  std::uint32_t there = 0;     ///< registered and not draining
   std::uint32_t starting = 0;  ///< asked for lately and not registered yet
   std::uint32_t desired = 0;   ///< what the platform was last asked for
   bool asked = false;          ///< ... if it ever was
@@ -31,7 +31,7 @@
   PoolCounts ordinary;
   PoolCounts withdrawable;
   std::uint32_t silent = 0;    ///< of those there: their heartbeats are overdue
-  std::uint32_t leaving = 0;   ///< registered, get no new work
+  std::uint32_t draining = 0;  ///< registered, get no new work
   std::uint32_t baseline = 0;  ///< ordinary instances before the first call
   std::uint32_t withdrawableBaseline = 0;
 
--- a/src/edge/capacity_call.cpp
+++ b/src/edge/capacity_call.cpp
@@ -17,7 +17,7 @@
           {"taken", sight.taken},
           {"there", sight.there},
           {"starting", sight.starting},
-          {"leaving", sight.leaving},
+          {"leaving", sight.draining},
           {"refusals", sight.refusals}};
 }
 
--- a/src/emulator/platform.cpp
+++ b/src/emulator/platform.cpp
@@ -61,7 +61,7 @@
       seen = {};
       seen.firstSeenAt = now;
     }
-    if (machine.engine.leaving && !seen.machine.engine.leaving) {
+    if (machine.engine.draining && !seen.machine.engine.draining) {
       seen.leavingSeenAt = now;
     }
     seen.machine = machine;
@@ -80,7 +80,7 @@
     }
     control::MachineListing machine = seen.machine;
     const bool leavingVisible = now - seen.leavingSeenAt >= settings_.listLag;
-    machine.engine.leaving = machine.engine.leaving && leavingVisible;
+    machine.engine.draining = machine.engine.draining && leavingVisible;
     list.push_back(machine);
   }
   return list;
--- a/src/engine/engine_model.cpp
+++ b/src/engine/engine_model.cpp
@@ -284,7 +284,7 @@
   status.activeVersion = active_;
   status.preparedVersion = prepared_;
   status.role = role_;
-  status.leaving = leaving_;
+  status.draining = leaving_;
   status.slots = settings_.slots;
   status.running = static_cast<std::uint32_t>(running_.size());
   status.waiting = static_cast<std::uint32_t>(waiting_.size());
@@ -297,7 +297,7 @@
   EngineStatus late = history_.front().status;
   // The engine's own flags and versions are read at once; only the load figures lag.
   const EngineStatus current = status();
-  late.leaving = current.leaving;
+  late.draining = current.draining;
   late.activeVersion = current.activeVersion;
   late.preparedVersion = current.preparedVersion;
   late.age = std::min(now - history_.front().at, settings_.loadReportLag);
--- a/src/engine/engine_model.h
+++ b/src/engine/engine_model.h
@@ -84,7 +84,7 @@
 
   OrderReply order(const EngineOrder& order, base::TimePoint now);
   /// The engine's own flag: from now on it refuses new work.
-  void startLeaving() { leaving_ = true; }
+  void startDraining() { leaving_ = true; }
   void failNextSwap() { fail_next_swap_ = true; }
 
   /// The load report as a reader gets it now: late.
--- a/src/engine/engine_status.h
+++ b/src/engine/engine_status.h
@@ -23,7 +23,7 @@
   base::WeightsVersion activeVersion;    ///< none while a failed swap leaves it unknown
   base::WeightsVersion preparedVersion;  ///< loaded beside the active one
   EngineRole role = EngineRole::kMixed;
-  bool leaving = false;  ///< the engine's own flag
+  bool draining = false;  ///< the engine's own flag
   std::uint32_t slots = 0;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
@@ -33,7 +33,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(engine, incarnation, model, activeVersion, preparedVersion, role, leaving, slots,
+    archive(engine, incarnation, model, activeVersion, preparedVersion, role, draining, slots,
             running, waiting, cacheBlocksUsed, cacheBlocksTotal, age);
   }
 };
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -24,7 +24,7 @@
 
 /// Its places count when work is asked for.
 bool takesWork(const InstanceEntry& entry) {
-  return !entry.record.leaving && !entry.gone && !entry.reserve && entry.record.slots > 0;
+  return !entry.record.draining && !entry.gone && !entry.reserve && entry.record.slots > 0;
 }
 
 }  // namespace
@@ -90,9 +90,9 @@
   if (m_departed.erase(instance.record.id) > 0) {
     entry.gone = false;
   }
-  const bool leaving = entry.record.leaving || instance.record.leaving;
+  const bool draining = entry.record.draining || instance.record.draining;
   entry.record = instance.record;
-  entry.record.leaving = leaving;
+  entry.record.draining = draining;
   entry.silent = instance.silent;
   entry.loading = instance.loading;
   entry.reserve = instance.reserve;
@@ -187,7 +187,7 @@
 }
 
 bool InstanceTable::serves(const InstanceEntry& entry, const InstanceNeed& need) {
-  return entry.record.service == need.service && !entry.record.leaving && !entry.gone &&
+  return entry.record.service == need.service && !entry.record.draining && !entry.gone &&
          (need.model.empty() || entry.version(need.model) >= need.minimumVersion);
 }
 
@@ -340,7 +340,7 @@
   const auto& instances = instancesOf(service);
   return static_cast<std::size_t>(
       std::count_if(instances.begin(), instances.end(), [](const auto& instance) {
-        return !instance.second->record.leaving && !instance.second->gone;
+        return !instance.second->record.draining && !instance.second->gone;
       }));
 }
 
@@ -369,7 +369,7 @@
   double taken = 0;
   double places = 0;
   for (const auto& [id, entry] : instancesOf(service)) {
-    if (!entry->record.leaving && !entry->gone) {
+    if (!entry->record.draining && !entry->gone) {
       taken += std::max<double>(entry->inFlight, entry->load.running + entry->load.waiting);
       places += entry->record.slots;
     }
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -217,12 +217,12 @@
   std::vector<HeldItem> held;
   std::map<std::string, PaceReport> paces;  ///< by the name of the engine
   EngineRoom wanted;                        ///< for further items
-  bool leaving = false;                     ///< all its other leases are given back
+  bool draining = false;                    ///< all its other leases are given back
   std::string zone;                         ///< the gateway's
   GatewayCapacity capacity = {};            ///< the gateway's
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(held, paces, wanted, leaving, zone, capacity);
+    archive(held, paces, wanted, draining, zone, capacity);
   }
 };
 
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -96,7 +96,7 @@
   JobReply reply;
   reply.wantsPaces = recordReporter(caller.node, !request.paces.empty());
   reply.revoked = leases_.renew(caller.node, request.held, state_, now);
-  if (request.leaving) {
+  if (request.draining) {
     leases_.giveBack(caller.node, request.held, state_);
   }
   leases_.onAsked(caller.node, request.zone, !request.wanted.empty(), now, request.capacity);
--- a/src/node/gateway_front.cpp
+++ b/src/node/gateway_front.cpp
@@ -222,7 +222,7 @@
   std::map<std::string, double> states = {
       {"ready", 0}, {"leaving", 0}, {"loading", 0}, {"avoided", 0}, {"reserve", 0}};
   for (const auto& [id, entry] : instances_.entries()) {
-    if (entry.record.leaving || entry.gone) {
+    if (entry.record.draining || entry.gone) {
       ++states["leaving"];
     } else if (entry.loading) {
       ++states["loading"];
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -48,7 +48,7 @@
 }  // namespace
 
 void ItemRunner::onView(const directory::DirectoryView& view) {
-  noteLeaving(view, node_.now());
+  recordDraining(view, node_.now());
   if (!sharers_told_) {
     sharers_ = std::max(view.gateways, 1U);
   }
@@ -67,7 +67,7 @@
   moveFromSlow(now);
   moveFromQueues(now);
   moveFromStalls(now);
-  moveFromLeaving(now);
+  moveFromDraining(now);
   startAttempts(now);
   startScoring(now);
   commit(now);
@@ -122,7 +122,7 @@
   }
   jobs::LeaseItems request;
   request.wanted = wantedItems();
-  request.leaving = released_;
+  request.draining = released_;
   request.zone = node_.settings().zone;
   request.capacity = capacity();
   for (const auto& [key, item] : items_) {
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -130,8 +130,8 @@
   /// Continues texts elsewhere whose engine makes no events of them any more.
   void moveFromStalls(base::TimePoint now);
   /// Continues texts elsewhere that do not end before their engine does.
-  void moveFromLeaving(base::TimePoint now);
-  void noteLeaving(const directory::DirectoryView& view, base::TimePoint now);
+  void moveFromDraining(base::TimePoint now);
+  void recordDraining(const directory::DirectoryView& view, base::TimePoint now);
   /// Breaks the running attempt off; the item goes on at `instance`.
   void moveTo(const jobs::ItemKey& key, Running& item, const std::string& instance,
               std::string_view reason);
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -136,15 +136,15 @@
   }
 }
 
-void ItemRunner::noteLeaving(const directory::DirectoryView& view, base::TimePoint now) {
+void ItemRunner::recordDraining(const directory::DirectoryView& view, base::TimePoint now) {
   for (const std::string& id : view.removed) {
     m_endings.erase(id);
   }
   std::map<std::string, base::TimePoint> told;
   for (const directory::InstanceView& instance : view.instances) {
-    const base::Duration leavesAfter = instance.record.leavesAfter;
-    if (leavesAfter > base::Duration{0}) {
-      told.emplace(instance.record.id, now + leavesAfter);
+    const base::Duration timeToTermination = instance.record.timeToTermination;
+    if (timeToTermination > base::Duration{0}) {
+      told.emplace(instance.record.id, now + timeToTermination);
     }
   }
   // What was noted first is nearest to when it was said.
@@ -154,7 +154,7 @@
   m_endings.merge(told);
 }
 
-void ItemRunner::moveFromLeaving(base::TimePoint now) {
+void ItemRunner::moveFromDraining(base::TimePoint now) {
   if (m_endings.empty()) {
     return;
   }
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -111,7 +111,7 @@
                                             .add("count", decision.count)
                                             .add("before", decision.before)
                                             .add("there", decision.there)
-                                            .add("leaving", decision.leaving)
+                                            .add("leaving", decision.draining)
                                             .add("wanted", decision.wanted)
                                             .add("work_known", decision.workKnown)
                                             .add("items", decision.items)
@@ -130,7 +130,7 @@
     metrics_.set(GaugeId::kInstancesDesired, pool, told(sight.desired));
     metrics_.set(GaugeId::kInstancesThere, pool, told(sight.there));
     metrics_.set(GaugeId::kInstancesStarting, pool, told(sight.starting));
-    metrics_.set(GaugeId::kInstancesLeaving, pool, told(sight.leaving));
+    metrics_.set(GaugeId::kInstancesLeaving, pool, told(sight.draining));
     metrics_.set(GaugeId::kInstancesRefused, pool, told(sight.refusals));
   }
 }
--- a/src/routing/engine_table.cpp
+++ b/src/routing/engine_table.cpp
@@ -30,7 +30,7 @@
       }
     }
     entry.record = record;
-    entry.leaving = entry.leaving || record.leaving;
+    entry.draining = entry.draining || record.draining;
   }
 }
 
@@ -47,7 +47,7 @@
   }
   if (newRun) {
     entry.cachedBlocks.clear();
-    entry.leaving = entry.record.leaving && entry.record.incarnation >= status.incarnation;
+    entry.draining = entry.record.draining && entry.record.incarnation >= status.incarnation;
   }
   if (!entry.hasStatus || newRun || trueAt >= entry.statusAt) {
     entry.statusAt = trueAt;
@@ -62,7 +62,7 @@
     entry.confirmedAt = std::max(entry.confirmedAt, *entry.readSentAt);
     entry.readSentAt.reset();
   }
-  entry.leaving = entry.leaving || status.leaving;
+  entry.draining = entry.draining || status.draining;
 }
 
 void EngineTable::onReadSent(base::EngineId engine, base::TimePoint now) {
@@ -108,8 +108,8 @@
   }
 }
 
-bool EngineTable::isLeaving(const EngineEntry& entry) const {
-  return entry.leaving || entry.record.leaving || entry.record.drained;
+bool EngineTable::isDraining(const EngineEntry& entry) const {
+  return entry.draining || entry.record.draining || entry.record.drained;
 }
 
 bool EngineTable::isEligible(const EngineEntry& entry, const std::string& model,
@@ -120,10 +120,10 @@
   if (!entry.status.activeVersion.valid() || entry.status.activeVersion < minimumVersion) {
     return false;
   }
-  if (settings_.mutants.ignoreLeaving) {
+  if (settings_.mutants.ignoreDraining) {
     return true;
   }
-  return !isLeaving(entry) && now - entry.confirmedAt < settings_.statusTimeout;
+  return !isDraining(entry) && now - entry.confirmedAt < settings_.statusTimeout;
 }
 
 std::uint32_t EngineTable::load(const EngineEntry& entry) {
--- a/src/routing/engine_table.h
+++ b/src/routing/engine_table.h
@@ -22,7 +22,7 @@
   base::Duration statusTimeout = base::milliseconds(2500);
 
   struct Mutants {
-    bool ignoreLeaving = false;  ///< dispatch to leaving engines, and on old status
+    bool ignoreDraining = false;  ///< dispatch to draining engines, and on old status
   } mutants;
 };
 
@@ -34,7 +34,7 @@
   base::TimePoint statusAt{};     ///< when the figures in `status` were true
   base::TimePoint confirmedAt{};  ///< the engine answered for itself no earlier than this
   std::optional<base::TimePoint> readSentAt;  ///< of the oldest read without an answer
-  bool leaving = false;                       ///< by list or own flag; sticky for this incarnation
+  bool draining = false;                      ///< by list or own flag; sticky for this incarnation
   std::uint32_t inFlight = 0;                 ///< own attempts running
   std::uint32_t sinceStatus = 0;              ///< own attempts begun after `statusAt`
   std::set<std::uint64_t> cachedBlocks;       ///< as far as cache events told
@@ -60,7 +60,7 @@
   /// May this engine get new work of `model` under at least `minimumVersion`?
   [[nodiscard]] bool isEligible(const EngineEntry& entry, const std::string& model,
                                 base::WeightsVersion minimumVersion, base::TimePoint now) const;
-  [[nodiscard]] bool isLeaving(const EngineEntry& entry) const;
+  [[nodiscard]] bool isDraining(const EngineEntry& entry) const;
   /// Sequences the engine is thought to hold now, including own ones it has not reported yet.
   [[nodiscard]] static std::uint32_t load(const EngineEntry& entry);
   [[nodiscard]] const EngineEntry* find(base::EngineId engine) const;
--- a/src/runtime/control_json.cpp
+++ b/src/runtime/control_json.cpp
@@ -120,7 +120,7 @@
                        {"zone", record.zone},
                        {"model", record.model},
                        {"drained", record.drained},
-                       {"leaving", record.leaving}});
+                       {"leaving", record.draining}});
   }
   Json weights = Json::array();
   for (const control::WeightsRecord& record : state.weights) {
--- a/src/runtime/engine_json.cpp
+++ b/src/runtime/engine_json.cpp
@@ -33,7 +33,7 @@
           {"active_version", status.activeVersion.value},
           {"prepared_version", status.preparedVersion.value},
           {"role", static_cast<int>(status.role)},
-          {"leaving", status.leaving},
+          {"leaving", status.draining},
           {"slots", status.slots},
           {"running", status.running},
           {"waiting", status.waiting},
@@ -57,7 +57,7 @@
   status.activeVersion = {unsigned64("active_version")};
   status.preparedVersion = {unsigned64("prepared_version")};
   status.role = static_cast<engine::EngineRole>(reader.integer("role", 0, 0, 2));
-  status.leaving = reader.flag("leaving", false);
+  status.draining = reader.flag("leaving", false);
   status.slots = unsigned32("slots");
   status.running = unsigned32("running");
   status.waiting = unsigned32("waiting");
@@ -273,7 +273,7 @@
                     {"port", record.port},
                     {"zone", record.zone},
                     {"model", record.model},
-                    {"state", record.leaving ? "leaving" : "live"}});
+                    {"state", record.draining ? "leaving" : "live"}});
   }
   return Json{{"machines", std::move(list)}}.dump();
 }
@@ -296,7 +296,7 @@
     record.port = static_cast<std::uint16_t>(reader.integer("port", 0, 1, kLargestPort));
     record.zone = reader.text("zone");
     record.model = reader.text("model");
-    record.leaving = reader.text("state") == "leaving";
+    record.draining = reader.text("state") == "leaving";
     if (!reader.firstProblem().empty()) {
       return std::nullopt;
     }
--- a/src/simulation/engine_host.cpp
+++ b/src/simulation/engine_host.cpp
@@ -62,10 +62,10 @@
   }
 }
 
-void EngineHost::startLeaving() {
+void EngineHost::startDraining() {
   if (model_) {
-    model_->startLeaving();
-    environment_.observations.onEngineLeaving(id_, incarnation_);
+    model_->startDraining();
+    environment_.observations.onEngineDraining(id_, incarnation_);
   }
 }
 
--- a/src/simulation/engine_host.h
+++ b/src/simulation/engine_host.h
@@ -28,7 +28,7 @@
   void crash();
   [[nodiscard]] bool isRunning() const { return model_.has_value(); }
   /// The engine's own flag.
-  void startLeaving();
+  void startDraining();
   void failNextSwap();
 
   /// A request arrived. Everything it causes goes back to `gateway`.
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -250,9 +250,9 @@
     return;
   }
   if (environment_.random.chance(0.5)) {
-    engine->startLeaving();
+    engine->startDraining();
   } else {
-    environment_.platform->markLeaving(engine->id());
+    environment_.platform->markDraining(engine->id());
   }
   // The machine goes away and comes back as a new incarnation.
   environment_.loop.after(environment_.drawBetween(base::seconds(6), base::seconds(10)), [engine] {
--- a/src/simulation/mutants.cpp
+++ b/src/simulation/mutants.cpp
@@ -72,7 +72,7 @@
       {"finish-early", "an answer ends with the engine's finish and count", "whole-answer",
        [](Options& options) { options.gateway.mutants.finishEarly = true; }},
       {"ignore-leaving", "no work to engines that leave", "leaving-engine",
-       [](Options& options) { options.gateway.engines.mutants.ignoreLeaving = true; }},
+       [](Options& options) { options.gateway.engines.mutants.ignoreDraining = true; }},
       {"drop-on-drain", "a planned stop finishes what runs", "planned-stop",
        [](Options& options) { options.gateway.mutants.dropOnDrain = true; }},
   };
--- a/src/simulation/observations.cpp
+++ b/src/simulation/observations.cpp
@@ -8,8 +8,8 @@
 namespace tackpick::simulation {
 namespace {
 
-/// "After a few seconds": how long an engine that is leaving may still be given work.
-constexpr base::Duration kLeavingGrace = base::seconds(5);
+/// "After a few seconds": how long an engine that is draining may still be given work.
+constexpr base::Duration kDrainingGrace = base::seconds(5);
 constexpr std::size_t kLongestList = 50;
 
 }  // namespace
@@ -86,13 +86,13 @@
 
 void Observations::onWorkGiven(base::EngineId engine, base::Incarnation incarnation) {
   const auto found = leaving_since_.find({engine, incarnation});
-  if (found != leaving_since_.end() && clock_.now() - found->second > kLeavingGrace) {
+  if (found != leaving_since_.end() && clock_.now() - found->second > kDrainingGrace) {
     broken(Promise::kLeavingEngine,
            "engine " + std::to_string(engine.value) + " got work long after it began to leave");
   }
 }
 
-void Observations::onEngineLeaving(base::EngineId engine, base::Incarnation incarnation) {
+void Observations::onEngineDraining(base::EngineId engine, base::Incarnation incarnation) {
   leaving_since_.try_emplace({engine, incarnation}, clock_.now());
 }
 
--- a/src/simulation/observations.h
+++ b/src/simulation/observations.h
@@ -96,7 +96,7 @@
 
   // Engines.
   void onWorkGiven(base::EngineId engine, base::Incarnation incarnation);
-  void onEngineLeaving(base::EngineId engine, base::Incarnation incarnation);
+  void onEngineDraining(base::EngineId engine, base::Incarnation incarnation);
   /// An operator is about to end a drain.
   void onEngineBack(base::EngineId engine, base::Incarnation incarnation) {
     leaving_since_.erase({engine, incarnation});
--- a/src/simulation/operator_actor.cpp
+++ b/src/simulation/operator_actor.cpp
@@ -119,7 +119,7 @@
     }
     *answered = true;
     if (drained && outcome->status == control::ChangeStatus::kAccepted) {
-      environment_.observations.onEngineLeaving(engine, incarnation);
+      environment_.observations.onEngineDraining(engine, incarnation);
     }
   });
   environment_.loop.after(kPatience, [this, engine, drained, answered, number] {
--- a/src/simulation/platform.cpp
+++ b/src/simulation/platform.cpp
@@ -6,14 +6,14 @@
   history_[record.engine].push_back({environment_.loop.now(), record});
 }
 
-void Platform::markLeaving(base::EngineId engine) {
+void Platform::markDraining(base::EngineId engine) {
   control::EngineRecord record = history_[engine].back().record;
-  record.leaving = true;
+  record.draining = true;
   update(record);
   // Nobody can know before the list shows it.
   const base::Incarnation incarnation = record.incarnation;
   environment_.loop.after(environment_.options.longestListLag, [this, engine, incarnation] {
-    environment_.observations.onEngineLeaving(engine, incarnation);
+    environment_.observations.onEngineDraining(engine, incarnation);
   });
 }
 
--- a/src/simulation/platform.h
+++ b/src/simulation/platform.h
@@ -17,8 +17,8 @@
 
   /// The engine's entry changed now.
   void update(const control::EngineRecord& record);
-  /// The machine list marks the running incarnation as leaving.
-  void markLeaving(base::EngineId engine);
+  /// The machine list marks the running incarnation as draining.
+  void markDraining(base::EngineId engine);
   /// The list as it was a moment ago; each call draws another moment.
   [[nodiscard]] std::vector<control::MachineListing> list();
 
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -79,7 +79,7 @@
   options.faults.crashEngine = kSometimes;
 }
 
-void leavingEngine(SimulationOptions& options) {
+void drainingEngine(SimulationOptions& options) {
   options.faultTime = seconds(25);
   options.longestListLag = seconds(4);
   options.faults.leaveEngine = kSometimes;
@@ -251,7 +251,7 @@
       {"at-most-once", "at most once: resends elsewhere while gateways and ledgers die",
        atMostOnce},
       {"leaving-engine", "leaving engines: the list flaps, controllers are away, gateways freeze",
-       leavingEngine},
+       drainingEngine},
       {"planned-stop", "planned stops: every role is stopped under load, several together",
        plannedStop},
       {"configuration", "configuration: operators race and resend while controllers die",
--- a/src/transport/internal_messages.h
+++ b/src/transport/internal_messages.h
@@ -74,11 +74,11 @@
   base::Incarnation incarnation;  ///< of the gateway process
   std::uint64_t sequence = 0;     ///< echoed, so that the gateway can date the lease from sending
   base::Revision revision;        ///< the configuration in force in this gateway
-  bool leaving = false;           ///< gives the lease back
+  bool draining = false;          ///< gives the lease back
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(incarnation, sequence, revision, leaving);
+    archive(incarnation, sequence, revision, draining);
   }
 };
 
--- a/test/control/control_state_test.cpp
+++ b/test/control/control_state_test.cpp
@@ -79,14 +79,14 @@
   control::EngineRecord record;
   record.engine = {1};
   record.incarnation = {10};
-  record.leaving = true;
+  record.draining = true;
   apply(state, 3, {"", control::RegisterEngine{record}});
-  record.leaving = false;
+  record.draining = false;
   apply(state, 4, {"", control::RegisterEngine{record}});
-  cr_assert(state.engines().at({1}).leaving, "a flapping list does not bring it back");
+  cr_assert(state.engines().at({1}).draining, "a flapping list does not bring it back");
   record.incarnation = {11};
   apply(state, 5, {"", control::RegisterEngine{record}});
-  cr_assert_not(state.engines().at({1}).leaving, "a new incarnation is a new engine");
+  cr_assert_not(state.engines().at({1}).draining, "a new incarnation is a new engine");
 }
 
 Test(serving_leases, in_force_waits_for_acknowledgements_leases_and_predecessors) {
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -75,11 +75,11 @@
   Fixture fixture(base::seconds(3));
   cr_assert(fixture.controller->replica().raft().isLeader());
   cr_assert_not(fixture.grantsLease());
-  control::MachineListing leaving;
-  leaving.engine.engine = {3};
-  leaving.engine.incarnation = {1};
-  leaving.engine.leaving = true;
-  fixture.controller->onMachineList({leaving}, fixture.now);
+  control::MachineListing draining;
+  draining.engine.engine = {3};
+  draining.engine.incarnation = {1};
+  draining.engine.draining = true;
+  fixture.controller->onMachineList({draining}, fixture.now);
   cr_assert_not(fixture.asksTooEarly(), "what the list says is not yet committed");
   cr_assert(fixture.grantsLease());
 }
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -243,8 +243,8 @@
   controller.ask(other);
   controller.run(base::milliseconds(500));
   other.sequence = 2;
-  other.record.leaving = true;
-  other.record.leavesAfter = base::milliseconds(2000);
+  other.record.draining = true;
+  other.record.timeToTermination = base::milliseconds(2000);
   controller.ask(other);
   controller.run(base::milliseconds(200));
 }
@@ -281,17 +281,17 @@
   controller.run(base::milliseconds(200));
   heartbeat.sequence = 2;
   heartbeat.record.withdrawable = false;
-  heartbeat.record.leaving = true;
-  heartbeat.record.leavesAfter = base::milliseconds(2000);
+  heartbeat.record.draining = true;
+  heartbeat.record.timeToTermination = base::milliseconds(2000);
   controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
   heartbeat.sequence = 3;
-  heartbeat.record.leavesAfter = base::milliseconds(800);
+  heartbeat.record.timeToTermination = base::milliseconds(800);
   controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
   const directory::InstanceRecord& record = controller.role->state().instances().at("e0");
-  cr_assert(record.withdrawable && record.leaving);
-  cr_assert(record.leavesAfter == base::milliseconds(2000), "told again, it is no change");
+  cr_assert(record.withdrawable && record.draining);
+  cr_assert(record.timeToTermination == base::milliseconds(2000), "told again, it is no change");
 }
 
 Test(directory_role, without_bounds_or_by_setting_no_engine_is_asked_for) {
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -123,11 +123,11 @@
 
 Test(directory_state, leaving_is_for_good) {
   directory::DirectoryState state;
-  auto leaving = instance("i");
-  leaving.leaving = true;
-  apply(state, directory::RegisterInstance{leaving});
+  auto draining = instance("i");
+  draining.draining = true;
+  apply(state, directory::RegisterInstance{draining});
   apply(state, directory::RegisterInstance{instance("i")});
-  cr_assert(state.instances().at("i").leaving);
+  cr_assert(state.instances().at("i").draining);
   apply(state, directory::RemoveInstance{"i", true});
   apply(state, directory::RegisterInstance{instance("i")});
   cr_assert(state.instances().empty());
@@ -511,9 +511,9 @@
 Test(version_orders, silent_and_leaving_engines_get_none) {
   OrdersFixture fixture(2);
   apply(fixture.state, directory::PublishVersion{"m", 5});
-  auto leaving = instance("e0", 1);
-  leaving.leaving = true;
-  apply(fixture.state, directory::RegisterInstance{leaving});
+  auto draining = instance("e0", 1);
+  draining.draining = true;
+  apply(fixture.state, directory::RegisterInstance{draining});
   (void)fixture.step();
   OrdersFixture silent(1);
   apply(silent.state, directory::PublishVersion{"m", 5});
--- a/test/directory/heartbeat_relay_test.cpp
+++ b/test/directory/heartbeat_relay_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 directory::InstanceHeartbeat heartbeat(std::uint64_t sequence, std::uint64_t version,
-                                       bool leaving = false) {
+                                       bool draining = false) {
   directory::InstanceHeartbeat made;
-  made.record = {"e", "s", "10.0.0.9", 1, "z", 4, leaving};
+  made.record = {"e", "s", "10.0.0.9", 1, "z", 4, draining};
   made.sequence = sequence;
   made.versions = {{"m", version}};
   return made;
--- a/test/directory/incarnation_test.cpp
+++ b/test/directory/incarnation_test.cpp
@@ -21,8 +21,8 @@
   void apply(const directory::DirectoryCommand& command) {
     state.apply(++m_index, base::encode(command));
   }
-  void registers(const std::string& id, std::uint16_t port = 1, bool leaving = false) {
-    apply(directory::RegisterInstance{{id, "s", "10.0.0.9", port, "z", 4, leaving}});
+  void registers(const std::string& id, std::uint16_t port = 1, bool draining = false) {
+    apply(directory::RegisterInstance{{id, "s", "10.0.0.9", port, "z", 4, draining}});
   }
   [[nodiscard]] bool has(const std::string& id) const { return state.instances().contains(id); }
 
@@ -51,7 +51,7 @@
   applied.registers(kSecond, 2);
   cr_assert_not(applied.has(kFirst));
   cr_assert(applied.has(kSecond) && applied.has(kOther));
-  cr_assert_not(applied.state.instances().at(kSecond).leaving, "the earlier one was draining");
+  cr_assert_not(applied.state.instances().at(kSecond).draining, "the earlier one was draining");
   cr_assert_not(applied.state.heldVersions().contains(kSecond));
   cr_assert_not(applied.state.heldVersions().contains(kFirst));
 }
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -124,7 +124,7 @@
   for (int round = 0; round < 200 && world.platform.total() > 45; ++round) {
     const std::uint32_t before = world.platform.total();
     world.run(base::seconds(5));
-    world.platform.endLeaving();
+    world.platform.removeDraining();
     cr_assert_leq(before - world.platform.total(), 1U);
   }
   cr_assert_eq(world.platform.total(), 45U);
@@ -150,7 +150,7 @@
   CapacityWorld world;
   for (int round = 0; round < 600; ++round) {
     world.run(base::seconds(5));
-    world.platform.endLeaving();
+    world.platform.removeDraining();
   }
   cr_assert_eq(world.platform.total(), 3U);
   world.offer(8);
@@ -162,7 +162,7 @@
   CapacityWorld world;
   for (int round = 0; round < 600; ++round) {
     world.run(base::seconds(5));
-    world.platform.endLeaving();
+    world.platform.removeDraining();
   }
   cr_assert_eq(world.platform.total(), 3U);
   world.elect();
@@ -243,7 +243,7 @@
   cr_assert_gt(lost, 0U);
   world.platform.withdraw("b", kWithdrawable, lost);
   world.run(base::seconds(2));
-  world.platform.endLeaving();
+  world.platform.removeDraining();
   world.run(base::seconds(4));
   cr_assert_eq(world.platform.total(), before);
 }
@@ -357,7 +357,7 @@
   world.run(base::seconds(4));
   cr_assert_leq(world.sent.size() - calls, 8U, "calls are repeated with growing pauses");
   world.answer = nullptr;
-  world.platform.endLeaving();
+  world.platform.removeDraining();
   world.run(base::seconds(8));
   cr_assert_geq(world.platform.total(), before);
   cr_assert_eq(world.platform.emptied, 0U);
@@ -429,7 +429,7 @@
   for (int round = 0; round < 100; ++round) {
     const std::uint32_t before = world.platform.total();
     world.run(base::seconds(5));
-    world.platform.endLeaving();
+    world.platform.removeDraining();
     cr_assert_leq(before - world.platform.total(), 1U);
   }
   cr_assert_eq(world.platform.total(), 39U);
@@ -446,7 +446,7 @@
     return std::nullopt;  // taken, and nothing starts
   };
   world.platform.withdraw("a", kOrdinary, 6);
-  world.platform.endLeaving();
+  world.platform.removeDraining();
   world.run(base::seconds(120));
   const auto counts = world.sentCounts("a", kOrdinary);
   cr_assert_geq(counts.size(), 4U);
@@ -482,7 +482,7 @@
         world.platform.withdraw(zone, random.below(2) == 0 ? kOrdinary : kWithdrawable, 4);
       }
       world.run(base::seconds(2));
-      world.platform.endLeaving();
+      world.platform.removeDraining();
     }
     cr_assert_eq(world.platform.emptied, 0U, "seed %lu", static_cast<unsigned long>(seed));
     world.answer = nullptr;
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -19,7 +19,7 @@
   }
   while (kind.there > call.count) {
     --kind.there;
-    ++kind.leaving;
+    ++kind.draining;
     ++emptied;
   }
 }
@@ -35,12 +35,12 @@
   RunningKind& running = zones[{zone, kind}];
   const std::uint32_t taken = std::min(count, running.there);
   running.there -= taken;
-  running.leaving += taken;
+  running.draining += taken;
 }
 
-void FakePlatform::endLeaving() {
+void FakePlatform::removeDraining() {
   for (auto& [place, kind] : zones) {
-    kind.leaving = 0;
+    kind.draining = 0;
   }
 }
 
@@ -50,7 +50,7 @@
     duties::RegisteredInstances& zone = told[place.first];
     const bool ordinary = place.second == InstanceKind::kOrdinary;
     (ordinary ? zone.ordinary : zone.withdrawable) = kind.there;
-    (ordinary ? zone.ordinaryLeaving : zone.withdrawableLeaving) = kind.leaving;
+    (ordinary ? zone.onDemandDraining : zone.preemptibleDraining) = kind.draining;
   }
   return told;
 }
--- a/test/duties/capacity_world.h
+++ b/test/duties/capacity_world.h
@@ -17,7 +17,7 @@
 /// What one zone runs of one kind.
 struct RunningKind {
   std::uint32_t there = 0;
-  std::uint32_t leaving = 0;
+  std::uint32_t draining = 0;
   std::vector<base::TimePoint> starting;  ///< when each serves
 };
 
@@ -30,8 +30,8 @@
   void advance(base::TimePoint now);
   /// Instances announce that they leave.
   void withdraw(const std::string& zone, duties::InstanceKind kind, std::uint32_t count);
-  /// Those that were leaving are gone.
-  void endLeaving();
+  /// Those that were draining are gone.
+  void removeDraining();
   [[nodiscard]] std::map<std::string, duties::RegisteredInstances> registered() const;
   [[nodiscard]] std::uint32_t total() const;
 
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -68,7 +68,7 @@
   double most = -1;
   for (std::size_t model = 0; model < m_queues.size(); ++model) {
     const auto engines = std::count_if(m_engines.begin(), m_engines.end(), [&](const Engine& e) {
-      return e.model == model && !e.leaving && e.servesFrom <= m_now;
+      return e.model == model && !e.draining && e.servesFrom <= m_now;
     });
     const double need = static_cast<double>(kStepItems[model]) / static_cast<double>(engines + 1);
     if (need > most) {
@@ -99,7 +99,7 @@
   for (Engine& engine : m_engines) {
     const bool withdrawn = engine.kind == InstanceKind::kWithdrawable && engine.zone == "b";
     if (withdrawn || m_random.below(kWhole) < kShare) {
-      engine.leaving = true;
+      engine.draining = true;
       engine.leavesAt = m_now + kNotice;
     }
   }
@@ -123,7 +123,7 @@
   }
   std::erase_if(m_engines, [&](const Engine& engine) { return m_now >= engine.leavesAt; });
   for (Engine& engine : m_engines) {
-    if (engine.leaving || engine.servesFrom > m_now) {
+    if (engine.draining || engine.servesFrom > m_now) {
       continue;
     }
     if (engine.servesFrom == m_now) {
@@ -142,15 +142,15 @@
   std::uint32_t present = 0;
   for (const Engine& engine : m_engines) {
     const bool counted = engine.zone == call.subject.zone && engine.kind == call.subject.kind;
-    present += counted && !engine.leaving ? 1 : 0;
+    present += counted && !engine.draining ? 1 : 0;
   }
   for (; present < call.count; ++present) {
     addEngine(call.subject.zone, call.subject.kind, m_now + m_scaling.startTime);
   }
   for (Engine& engine : m_engines) {
     const bool counted = engine.zone == call.subject.zone && engine.kind == call.subject.kind;
-    if (present > call.count && counted && !engine.leaving) {
-      engine.leaving = true;
+    if (present > call.count && counted && !engine.draining) {
+      engine.draining = true;
       engine.leavesAt = m_now + kNotice;
       --present;
     }
@@ -171,8 +171,8 @@
     running[engine.model] += static_cast<std::uint32_t>(engine.running.size());
     duties::RegisteredInstances& zone = service.zones[engine.zone];
     const bool ordinary = engine.kind == InstanceKind::kOrdinary;
-    if (engine.leaving) {
-      ++(ordinary ? zone.ordinaryLeaving : zone.withdrawableLeaving);
+    if (engine.draining) {
+      ++(ordinary ? zone.onDemandDraining : zone.preemptibleDraining);
     } else {
       ++(ordinary ? zone.ordinary : zone.withdrawable);
       service.demand->placesThere += kSlots;
--- a/test/duties/engine_load.h
+++ b/test/duties/engine_load.h
@@ -48,7 +48,7 @@
     duties::InstanceKind kind = duties::InstanceKind::kOrdinary;
     std::size_t model = 0;
     base::TimePoint servesFrom{};
-    bool leaving = false;
+    bool draining = false;
     base::TimePoint leavesAt = base::TimePoint::max();
     std::vector<Item> running;
   };
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -60,9 +60,9 @@
 }  // namespace
 
 Test(instance_table, leaving_gone_and_old_instances_are_never_chosen) {
-  auto leaving = view("leaving");
-  leaving.record.leaving = true;
-  Fixture fixture({view("a", 3), view("old", 2), leaving});
+  auto draining = view("leaving");
+  draining.record.draining = true;
+  Fixture fixture({view("a", 3), view("old", 2), draining});
   cr_assert(fixture.chosen({"s", "m", 3}) == std::set<std::string>{"a"});
   fixture.table.onEnded("a", SendOutcome::kGone, {}, fixture.now);
   cr_assert(fixture.chosen({"s", "m", 3}).empty());
@@ -70,9 +70,9 @@
 }
 
 Test(instance_table, leaving_is_not_taken_back) {
-  auto leaving = view("a");
-  leaving.record.leaving = true;
-  Fixture fixture({leaving});
+  auto draining = view("a");
+  draining.record.draining = true;
+  Fixture fixture({draining});
   fixture.table.update({view("a")});
   cr_assert(fixture.chosen(kNeed).empty());
 }
@@ -90,9 +90,9 @@
   const forwarding::ServiceModels models{{"s", {"m"}}};
   Fixture fixture({view("a"), view("b"), view("c", 2)});
   fixture.table.onSent("b");
-  auto leaving = view("a");
-  leaving.record.leaving = true;
-  fixture.table.change({leaving, view("c", 3), view("d", 3)}, {"b", "unknown"});
+  auto draining = view("a");
+  draining.record.draining = true;
+  fixture.table.change({draining, view("c", 3), view("d", 3)}, {"b", "unknown"});
   cr_assert(fixture.chosen({"s", "m", 1}) == (std::set<std::string>{"c", "d"}));
   cr_assert_not_null(fixture.table.find("b"), "an answer may still come");
   jobs::EngineRoom room = fixture.table.engineRoom(models);
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -99,7 +99,7 @@
   cr_assert_not_null(heartbeat);
   cr_assert_eq(heartbeat->record.host, "10.0.0.9");
   cr_assert_eq(heartbeat->record.port, 8080);
-  cr_assert(heartbeat->record.leaving);
+  cr_assert(heartbeat->record.draining);
   cr_assert_eq(heartbeat->versions.at("m"), 3U);
   cr_assert_eq(heartbeat->sequence, 4U);
   cr_assert(std::holds_alternative<edge::MalformedCall>(
@@ -156,12 +156,13 @@
     return std::get<directory::InstanceHeartbeat>(parsed).record;
   };
   cr_assert_not(read("").withdrawable);
-  const auto leaving = read(R"(,"state":"draining","spot":true,"leaves_ms":2400)");
-  cr_assert(leaving.withdrawable && leaving.leaving);
-  cr_assert_eq(leaving.leavesAfter.count(), base::Duration(base::milliseconds(2400)).count());
-  cr_assert_gt(read(R"(,"state":"draining","leaves_ms":0)").leavesAfter.count(), 0);
-  cr_assert_eq(read(R"(,"state":"draining")").leavesAfter.count(), 0);
-  cr_assert_eq(read(R"(,"state":"ready","leaves_ms":9)").leavesAfter.count(), 0);
+  const auto draining = read(R"(,"state":"draining","spot":true,"leaves_ms":2400)");
+  cr_assert(draining.withdrawable && draining.draining);
+  cr_assert_eq(draining.timeToTermination.count(),
+               base::Duration(base::milliseconds(2400)).count());
+  cr_assert_gt(read(R"(,"state":"draining","leaves_ms":0)").timeToTermination.count(), 0);
+  cr_assert_eq(read(R"(,"state":"draining")").timeToTermination.count(), 0);
+  cr_assert_eq(read(R"(,"state":"ready","leaves_ms":9)").timeToTermination.count(), 0);
   cr_assert(std::holds_alternative<edge::MalformedCall>(platform::parseHeartbeat(
       "i-1", R"({"service":"e","address":"10.0.0.9:8080","spot":"perhaps"})")));
 }
@@ -228,7 +229,7 @@
       typed("POST", "/Configuration.Replace", kConfiguration)));
   cr_assert(
       std::holds_alternative<directory::ReadConfiguration>(typed("GET", "/Configuration.Read")));
-  cr_assert_eq(std::get<directory::InstanceLeaves>(typed("POST", "/Instances.Leave/i-1")).id,
+  cr_assert_eq(std::get<directory::DeregisterInstance>(typed("POST", "/Instances.Leave/i-1")).id,
                "i-1");
   cr_assert_eq(std::get<directory::RetireNode>(typed("POST", "/Retire.Start/n", "{}")).name, "n");
   cr_assert_eq(std::get<directory::ReadRetirement>(typed("GET", "/Retire.Read/n")).name, "n");
@@ -443,11 +444,12 @@
   const auto leave = platform::PlatformDialect().controlCall(
       request("POST", "/Instances.Leave/i-1", R"({"born":1764720000123})"));
   const auto& typed = std::get<directory::DirectoryRequest>(leave);
-  cr_assert_eq(std::get<directory::InstanceLeaves>(typed).id, heartbeat->record.id);
+  cr_assert_eq(std::get<directory::DeregisterInstance>(typed).id, heartbeat->record.id);
   const auto bare =
       platform::PlatformDialect().controlCall(request("POST", "/Instances.Leave/i-1"));
-  cr_assert_eq(std::get<directory::InstanceLeaves>(std::get<directory::DirectoryRequest>(bare)).id,
-               "i-1");
+  cr_assert_eq(
+      std::get<directory::DeregisterInstance>(std::get<directory::DirectoryRequest>(bare)).id,
+      "i-1");
   const http::UpstreamRequest order = platform::PlatformDialect().orderRequest(
       {heartbeat->record.id, "10.1.0.9", 8080, "m", 4, 1}, "c");
   cr_assert_eq(order.headers.value("Expected-Instance"), "i-1");
--- a/test/routing/routing_test.cpp
+++ b/test/routing/routing_test.cpp
@@ -148,11 +148,11 @@
   cr_assert(selector.select(table, outliers, demand, kStart).has_value());
   cr_assert_not(selector.select(table, outliers, demand, kStart + base::seconds(3)).has_value(),
                 "an engine unheard for seconds may have been told to leave");
-  tackpick::engine::EngineStatus leaving = table.find({1})->status;
-  leaving.leaving = true;
-  table.onStatus(leaving, kStart);
-  leaving.leaving = false;
-  table.onStatus(leaving, kStart);  // flaps back
+  tackpick::engine::EngineStatus draining = table.find({1})->status;
+  draining.draining = true;
+  table.onStatus(draining, kStart);
+  draining.draining = false;
+  table.onStatus(draining, kStart);  // flaps back
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(selector.select(table, outliers, demand, kStart)->value, 2U, "leaving is sticky");
   }
