--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -50,7 +50,7 @@
   std::uint32_t slots = 0;
   bool draining = false;  ///< gets no new work, ever
   /// The platform may take it away at short notice.
-  bool withdrawable = false;
+  bool preemptible = false;
   /// Until a draining instance ends, from when that was first heard; zero: it ends when it is done.
   base::Duration timeToTermination{0};
 
@@ -58,7 +58,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, service, host, port, zone, slots, draining, withdrawable, timeToTermination);
+    archive(id, service, host, port, zone, slots, draining, preemptible, timeToTermination);
   }
 };
 
@@ -67,7 +67,7 @@
                                                const InstanceRecord& heard) {
   return known.service == heard.service && known.host == heard.host && known.port == heard.port &&
          known.slots == heard.slots && known.zone == heard.zone &&
-         (known.withdrawable || !heard.withdrawable) && (known.draining || !heard.draining) &&
+         (known.preemptible || !heard.preemptible) && (known.draining || !heard.draining) &&
          (known.timeToTermination > base::Duration{0} ||
           heard.timeToTermination == base::Duration{0});
 }
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -40,7 +40,7 @@
   const auto [known, added] = data_.instances.try_emplace(record.id);
   InstanceRecord& stored = known->second;
   const bool draining = record.draining || stored.draining;
-  const bool withdrawable = record.withdrawable || stored.withdrawable;
+  const bool preemptible = record.preemptible || stored.preemptible;
   const base::Duration timeToTermination = stored.timeToTermination > base::Duration{0}
                                                ? stored.timeToTermination
                                                : record.timeToTermination;
@@ -49,7 +49,7 @@
   }
   stored = record;
   stored.draining = draining;
-  stored.withdrawable = withdrawable;
+  stored.preemptible = preemptible;
   stored.timeToTermination = timeToTermination;
   m_idsByAddress[addressOf(record)] = record.id;
   ++data_.revision;
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -11,10 +11,10 @@
 void count(const InstanceViewRef& instance, duties::RegisteredInstances& zone) {
   const InstanceRecord& record = *instance.record;
   if (record.draining) {
-    ++(record.withdrawable ? zone.preemptibleDraining : zone.onDemandDraining);
+    ++(record.preemptible ? zone.preemptibleDraining : zone.onDemandDraining);
     return;
   }
-  ++(record.withdrawable ? zone.withdrawable : zone.ordinary);
+  ++(record.preemptible ? zone.preemptible : zone.onDemand);
   zone.silent += instance.silent ? 1 : 0;
 }
 
--- a/src/duties/capacity_duty.cpp
+++ b/src/duties/capacity_duty.cpp
@@ -73,27 +73,27 @@
   }
   std::vector<ZoneCounts> sights;
   for (const auto& [zone, registered] : zones) {
-    const CapacitySubject ordinary{service.name, zone, InstanceKind::kOrdinary};
-    const CapacitySubject withdrawable{service.name, zone, InstanceKind::kWithdrawable};
+    const CapacitySubject onDemand{service.name, zone, InstanceKind::kOnDemand};
+    const CapacitySubject preemptible{service.name, zone, InstanceKind::kPreemptible};
     if (registered.preemptibleDraining > 0) {
-      Subject& withdrawn = m_subjects[withdrawable];
+      Subject& withdrawn = m_subjects[preemptible];
       withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
     }
     const base::Duration start = service.scaling.startTime;
     ZoneCounts sight;
     sight.zone = zone;
-    sight.ordinary =
-        poolCounts(ordinary, {registered.ordinary, registered.onDemandDraining}, state, start, now);
-    sight.withdrawable = poolCounts(
-        withdrawable, {registered.withdrawable, registered.preemptibleDraining}, state, start, now);
+    sight.onDemand =
+        poolCounts(onDemand, {registered.onDemand, registered.onDemandDraining}, state, start, now);
+    sight.preemptible = poolCounts(
+        preemptible, {registered.preemptible, registered.preemptibleDraining}, state, start, now);
     sight.silent = registered.silent;
     sight.draining = registered.onDemandDraining + registered.preemptibleDraining;
-    sight.baseline = state.baseline(ordinary);
-    sight.withdrawableBaseline = state.baseline(withdrawable);
+    sight.baseline = state.baseline(onDemand);
+    sight.preemptibleBaseline = state.baseline(preemptible);
     sights.push_back(sight);
     for (const auto& [subject, kind, draining] :
-         {std::tuple(ordinary, sight.ordinary, registered.onDemandDraining),
-          std::tuple(withdrawable, sight.withdrawable, registered.preemptibleDraining)}) {
+         {std::tuple(onDemand, sight.onDemand, registered.onDemandDraining),
+          std::tuple(preemptible, sight.preemptible, registered.preemptibleDraining)}) {
       const bool taken = state.desired(subject).value_or(DesiredCapacity{}).taken;
       m_sights.push_back({subject, kind.desired, taken, kind.there, kind.starting, draining,
                           m_subjects[subject].refusals});
@@ -110,8 +110,8 @@
     }
   };
   for (const auto& [zone, registered] : service.zones) {
-    note({service.name, zone, InstanceKind::kOrdinary}, registered.ordinary);
-    note({service.name, zone, InstanceKind::kWithdrawable}, registered.withdrawable);
+    note({service.name, zone, InstanceKind::kOnDemand}, registered.onDemand);
+    note({service.name, zone, InstanceKind::kPreemptible}, registered.preemptible);
   }
 }
 
@@ -130,9 +130,9 @@
 void CapacityDuty::noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
                                  base::TimePoint now, CapacityWork& work) {
   for (const ZoneCounts& zone : zones) {
-    const PoolCounts& kind = zone.withdrawable;
+    const PoolCounts& kind = zone.preemptible;
     if (kind.unavailable && kind.desired > kind.there) {
-      (void)propose({service.name, zone.zone, InstanceKind::kWithdrawable}, kind.there, now, work);
+      (void)propose({service.name, zone.zone, InstanceKind::kPreemptible}, kind.there, now, work);
     }
   }
 }
--- a/src/duties/capacity_duty.h
+++ b/src/duties/capacity_duty.h
@@ -35,7 +35,7 @@
   base::Duration noteTime = base::seconds(1);
   /// A call without an answer may be carried out so late.
   base::Duration latestEffect = base::seconds(15);
-  /// No withdrawable instances are asked for in a zone that has none for this time, and then twice
+  /// No preemptible instances are asked for in a zone that has none for this time, and then twice
   /// as long each time.
   base::Duration firstPause = base::seconds(3);
   base::Duration longestPause = base::seconds(60);
@@ -43,8 +43,8 @@
 
 /// Instances of a service in a zone, as they are registered.
 struct RegisteredInstances {
-  std::uint32_t ordinary = 0;  ///< not draining
-  std::uint32_t withdrawable = 0;
+  std::uint32_t onDemand = 0;  ///< not draining
+  std::uint32_t preemptible = 0;
   std::uint32_t silent = 0;  ///< of both
   std::uint32_t onDemandDraining = 0;
   std::uint32_t preemptibleDraining = 0;
--- a/src/duties/capacity_messages.cpp
+++ b/src/duties/capacity_messages.cpp
@@ -3,7 +3,7 @@
 namespace tackpick::duties {
 
 std::string_view toString(InstanceKind kind) {
-  return kind == InstanceKind::kOrdinary ? "ordinary" : "withdrawable";
+  return kind == InstanceKind::kOnDemand ? "ordinary" : "withdrawable";
 }
 
 std::string_view toString(ScaleOutcome outcome) {
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -14,8 +14,8 @@
 
 /// How an instance may end.
 enum class InstanceKind : std::uint8_t {
-  kOrdinary,      ///< runs until it is given back
-  kWithdrawable,  ///< cheaper; the platform may take all of a zone away at short notice
+  kOnDemand,     ///< runs until it is given back
+  kPreemptible,  ///< cheaper; the platform may take all of a zone away at short notice
 };
 
 [[nodiscard]] std::string_view toString(InstanceKind kind);
@@ -24,7 +24,7 @@
 struct CapacitySubject {
   std::string service;
   std::string zone;
-  InstanceKind kind = InstanceKind::kOrdinary;
+  InstanceKind kind = InstanceKind::kOnDemand;
 
   auto operator<=>(const CapacitySubject&) const = default;
 
@@ -105,7 +105,7 @@
 enum class ScaleOutcome : std::uint8_t {
   kTaken,
   kRefused,        ///< a higher fence was seen: another holds the duty
-  kNoneAvailable,  ///< no withdrawable instances can be had in that zone now
+  kNoneAvailable,  ///< no preemptible instances can be had in that zone now
   kBusy,           ///< too many calls
   kUncertain,      ///< no answer, or none that says more; it may be carried out later
 };
--- a/src/duties/capacity_plan.cpp
+++ b/src/duties/capacity_plan.cpp
@@ -24,7 +24,7 @@
   std::uint32_t there = 0;
   for (const ZoneCounts& zone : inputs.zones) {
     silent += zone.silent;
-    there += zone.ordinary.there + zone.withdrawable.there;
+    there += zone.onDemand.there + zone.preemptible.there;
   }
   return inputs.settled && silent * kMostSilent <= there;
 }
@@ -37,7 +37,7 @@
   if (zone == zones.end()) {
     return 0;
   }
-  return target.kind == InstanceKind::kOrdinary ? zone->ordinary.there : zone->withdrawable.there;
+  return target.kind == InstanceKind::kOnDemand ? zone->onDemand.there : zone->preemptible.there;
 }
 
 }  // namespace
@@ -46,11 +46,11 @@
 struct CapacityPlan::ZonePlan {
   const ZoneCounts* sight = nullptr;
   double price = 1;
-  std::uint32_t floor = 0;  ///< of ordinary instances
-  std::uint32_t ordinary = 0;
-  std::uint32_t withdrawable = 0;
+  std::uint32_t floor = 0;  ///< of on-demand instances
+  std::uint32_t onDemand = 0;
+  std::uint32_t preemptible = 0;
 
-  [[nodiscard]] std::uint32_t total() const { return ordinary + withdrawable; }
+  [[nodiscard]] std::uint32_t total() const { return onDemand + preemptible; }
 };
 
 bool CapacityPlan::longIdle(const CapacityInputs& inputs) const {
@@ -61,8 +61,8 @@
   const bool hasWork = inputs.demand && !inputs.demand->idle();
   return !hasWork &&
          std::any_of(inputs.zones.begin(), inputs.zones.end(), [&](const ZoneCounts& zone) {
-           return zone.ordinary.asked &&
-                  zone.ordinary.desired < std::min(zone.baseline, inputs.scaling.maximum);
+           return zone.onDemand.asked &&
+                  zone.onDemand.desired < std::min(zone.baseline, inputs.scaling.maximum);
          });
 }
 
@@ -75,15 +75,15 @@
 }
 
 std::uint32_t CapacityPlan::floorOf(const ZoneCounts& zone, const CapacityInputs& inputs) const {
-  const std::uint32_t kept = keptOf(zone.baseline, zone.ordinary, inputs);
+  const std::uint32_t kept = keptOf(zone.baseline, zone.onDemand, inputs);
   return std::clamp(kept, inputs.scaling.minimum, inputs.scaling.maximum);
 }
 
 std::uint32_t CapacityPlan::keptOf(const CapacityInputs& inputs) const {
   std::uint32_t kept = 0;
   for (const ZoneCounts& zone : inputs.zones) {
-    const std::uint32_t withdrawable = keptOf(zone.withdrawableBaseline, zone.withdrawable, inputs);
-    kept += std::min(floorOf(zone, inputs) + withdrawable, inputs.scaling.maximum);
+    const std::uint32_t preemptible = keptOf(zone.preemptibleBaseline, zone.preemptible, inputs);
+    kept += std::min(floorOf(zone, inputs) + preemptible, inputs.scaling.maximum);
   }
   return kept;
 }
@@ -97,11 +97,11 @@
     plan.sight = &zone;
     plan.price = priceOf(zone.zone, inputs.scaling);
     plan.floor = floorOf(zone, inputs);
-    plan.withdrawable = zone.withdrawable.coming();
-    const std::uint32_t room = difference(inputs.scaling.maximum, plan.withdrawable);
+    plan.preemptible = zone.preemptible.coming();
+    const std::uint32_t room = difference(inputs.scaling.maximum, plan.preemptible);
     const std::uint32_t lost = replaceSilent ? zone.silent : 0;
-    const std::uint32_t asked = std::max(zone.ordinary.desired, plan.floor + lost);
-    plan.ordinary = std::max(zone.ordinary.coming(), std::min(asked, room));
+    const std::uint32_t asked = std::max(zone.onDemand.desired, plan.floor + lost);
+    plan.onDemand = std::max(zone.onDemand.coming(), std::min(asked, room));
     plans.push_back(plan);
   }
   std::stable_sort(plans.begin(), plans.end(),
@@ -121,7 +121,7 @@
   const std::uint32_t kept = keptOf(inputs);
   std::uint32_t asked = 0;
   for (const ZoneCounts& zone : inputs.zones) {
-    asked += zone.ordinary.desired + zone.withdrawable.desired;
+    asked += zone.onDemand.desired + zone.preemptible.desired;
   }
   const std::uint32_t most = kept + kept * m_settings.mostExtraPercent / kWholePercent;
   if (!inputs.demand) {
@@ -136,15 +136,15 @@
 /// One instance after the other, each in the next zone by price, so that no zone carries them all.
 void CapacityPlan::add(std::vector<ZonePlan>& plans, std::uint32_t missing,
                        const CapacityInputs& inputs) const {
-  std::uint32_t withdrawable = 0;
+  std::uint32_t preemptible = 0;
   std::uint32_t share = 0;
   for (const ZonePlan& plan : plans) {
-    withdrawable += plan.withdrawable;
-    share += plan.sight->withdrawableBaseline;
+    preemptible += plan.preemptible;
+    share += plan.sight->preemptibleBaseline;
   }
   const std::uint32_t extra = difference(m_wanted, keptOf(inputs));
-  share += extra * m_settings.withdrawablePercent / kWholePercent;
-  std::uint32_t cheaper = std::min(missing, difference(share, withdrawable));
+  share += extra * m_settings.preemptiblePercent / kWholePercent;
+  std::uint32_t cheaper = std::min(missing, difference(share, preemptible));
   const auto spread = [&](std::uint32_t& count, auto take) {
     for (bool took = true; took && count > 0;) {
       took = false;
@@ -158,12 +158,12 @@
   };
   const std::uint32_t planned = cheaper;
   spread(cheaper, [](ZonePlan& plan) {
-    plan.withdrawable += plan.sight->withdrawable.unavailable ? 0 : 1;
-    return !plan.sight->withdrawable.unavailable;
+    plan.preemptible += plan.sight->preemptible.unavailable ? 0 : 1;
+    return !plan.sight->preemptible.unavailable;
   });
   std::uint32_t rest = missing - (planned - cheaper);
   spread(rest, [](ZonePlan& plan) {
-    ++plan.ordinary;
+    ++plan.onDemand;
     return true;
   });
 }
@@ -171,15 +171,15 @@
 /// Ordinary ones of the dearest zone first.
 std::optional<CapacityTarget> CapacityPlan::dearest(const std::vector<ZonePlan>& plans) {
   for (auto plan = plans.rbegin(); plan != plans.rend(); ++plan) {
-    const std::uint32_t ordinary = plan->sight->ordinary.there;
-    if (ordinary > plan->floor) {
-      return CapacityTarget{plan->sight->zone, InstanceKind::kOrdinary, ordinary - 1, true};
+    const std::uint32_t onDemand = plan->sight->onDemand.there;
+    if (onDemand > plan->floor) {
+      return CapacityTarget{plan->sight->zone, InstanceKind::kOnDemand, onDemand - 1, true};
     }
   }
   for (auto plan = plans.rbegin(); plan != plans.rend(); ++plan) {
-    const std::uint32_t withdrawable = plan->sight->withdrawable.there;
-    if (withdrawable > 0) {
-      return CapacityTarget{plan->sight->zone, InstanceKind::kWithdrawable, withdrawable - 1, true};
+    const std::uint32_t preemptible = plan->sight->preemptible.there;
+    if (preemptible > 0) {
+      return CapacityTarget{plan->sight->zone, InstanceKind::kPreemptible, preemptible - 1, true};
     }
   }
   return std::nullopt;
@@ -191,9 +191,9 @@
   bool quiet = inputs.settled && inputs.demand.has_value();
   for (const ZonePlan& plan : plans) {
     const ZoneCounts& zone = *plan.sight;
-    there += zone.ordinary.there + zone.withdrawable.there;
-    quiet = quiet && zone.silent == 0 && zone.draining == 0 && zone.ordinary.starting == 0 &&
-            zone.withdrawable.starting == 0;
+    there += zone.onDemand.there + zone.preemptible.there;
+    quiet = quiet && zone.silent == 0 && zone.draining == 0 && zone.onDemand.starting == 0 &&
+            zone.preemptible.starting == 0;
   }
   if (!quiet || there <= m_wanted) {
     m_unusedSince.reset();
@@ -234,11 +234,11 @@
   std::vector<CapacityTarget> targets;
   for (const ZonePlan& plan : plans) {
     const ZoneCounts& zone = *plan.sight;
-    if (plan.ordinary > zone.ordinary.there) {
-      targets.push_back({zone.zone, InstanceKind::kOrdinary, plan.ordinary});
+    if (plan.onDemand > zone.onDemand.there) {
+      targets.push_back({zone.zone, InstanceKind::kOnDemand, plan.onDemand});
     }
-    if (plan.withdrawable > zone.withdrawable.there) {
-      targets.push_back({zone.zone, InstanceKind::kWithdrawable, plan.withdrawable});
+    if (plan.preemptible > zone.preemptible.there) {
+      targets.push_back({zone.zone, InstanceKind::kPreemptible, plan.preemptible});
     }
   }
   if (const auto less = giveBack(plans, inputs)) {
--- a/src/duties/capacity_plan.h
+++ b/src/duties/capacity_plan.h
@@ -28,14 +28,14 @@
 /// A zone as the leader sees it.
 struct ZoneCounts {
   std::string zone;
-  PoolCounts ordinary;
-  PoolCounts withdrawable;
+  PoolCounts onDemand;
+  PoolCounts preemptible;
   std::uint32_t silent = 0;    ///< of those there: their heartbeats are overdue
   std::uint32_t draining = 0;  ///< registered, get no new work
-  std::uint32_t baseline = 0;  ///< ordinary instances before the first call
-  std::uint32_t withdrawableBaseline = 0;
+  std::uint32_t baseline = 0;  ///< on-demand instances before the first call
+  std::uint32_t preemptibleBaseline = 0;
 
-  [[nodiscard]] std::uint32_t coming() const { return ordinary.coming() + withdrawable.coming(); }
+  [[nodiscard]] std::uint32_t coming() const { return onDemand.coming() + preemptible.coming(); }
 };
 
 /// All that a decision is made from.
@@ -52,7 +52,7 @@
 /// Instances that a zone should have of one kind.
 struct CapacityTarget {
   std::string zone;
-  InstanceKind kind = InstanceKind::kOrdinary;
+  InstanceKind kind = InstanceKind::kOnDemand;
   std::uint32_t count = 0;
   bool givesBack = false;  ///< one fewer than there are
 
@@ -64,9 +64,9 @@
   CapacityMode mode = CapacityMode::kHold;
   /// Ordered beyond the baseline at most, which bounds what a misjudged demand can cost.
   std::uint32_t mostExtraPercent = 50;
-  /// Of what is ordered beyond the baseline: withdrawable, as they cost less. The rest stays when
+  /// Of what is ordered beyond the baseline: preemptible, as they cost less. The rest stays when
   /// a zone's are withdrawn.
-  std::uint32_t withdrawablePercent = 50;
+  std::uint32_t preemptiblePercent = 50;
   /// More than is wanted is kept so long after the last that left; then one is given back.
   base::Duration keepUnused = base::seconds(30);
   /// Without any open work for so long, the baseline is given back too, down to the minimum.
--- a/src/duties/scaling.cpp
+++ b/src/duties/scaling.cpp
@@ -26,7 +26,7 @@
   if (scaling.startTime < base::Duration{0} || scaling.startTime > kLongestStart) {
     return invalid("its start time is out of range");
   }
-  if (!isPrice(scaling.withdrawablePrice)) {
+  if (!isPrice(scaling.preemptiblePrice)) {
     return invalid("the price of withdrawable instances is no price");
   }
   for (const auto& [zone, price] : scaling.zonePrices) {
--- a/src/duties/scaling.h
+++ b/src/duties/scaling.h
@@ -16,15 +16,15 @@
 struct Scaling {
   std::uint32_t minimum = 0;  ///< instances in a zone, of both kinds together
   std::uint32_t maximum = 0;
-  base::Duration startTime{0};   ///< from a call until a new instance serves
-  double withdrawablePrice = 1;  ///< of a withdrawable instance, relative to an ordinary one
-  std::map<std::string, double> zonePrices;  ///< of an ordinary instance for a second, by zone
+  base::Duration startTime{0};  ///< from a call until a new instance serves
+  double preemptiblePrice = 1;  ///< of a preemptible instance, relative to an on-demand one
+  std::map<std::string, double> zonePrices;  ///< of an on-demand instance for a second, by zone
 
   bool operator==(const Scaling&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(minimum, maximum, startTime, withdrawablePrice, zonePrices);
+    archive(minimum, maximum, startTime, preemptiblePrice, zonePrices);
   }
 };
 
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -276,11 +276,11 @@
   LoneController controller;
   controller.run(base::seconds(3));
   directory::InstanceHeartbeat heartbeat = engineHeartbeat(1, 1);
-  heartbeat.record.withdrawable = true;
+  heartbeat.record.preemptible = true;
   controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
   heartbeat.sequence = 2;
-  heartbeat.record.withdrawable = false;
+  heartbeat.record.preemptible = false;
   heartbeat.record.draining = true;
   heartbeat.record.timeToTermination = base::milliseconds(2000);
   controller.ask(heartbeat);
@@ -290,7 +290,7 @@
   controller.ask(heartbeat);
   controller.run(base::milliseconds(200));
   const directory::InstanceRecord& record = controller.role->state().instances().at("e0");
-  cr_assert(record.withdrawable && record.draining);
+  cr_assert(record.preemptible && record.draining);
   cr_assert(record.timeToTermination == base::milliseconds(2000), "told again, it is no change");
 }
 
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr auto kOrdinary = InstanceKind::kOrdinary;
-constexpr auto kWithdrawable = InstanceKind::kWithdrawable;
+constexpr auto kOnDemand = InstanceKind::kOnDemand;
+constexpr auto kPreemptible = InstanceKind::kPreemptible;
 
 /// Counts about one subject that came after a higher one.
 bool fell(const std::vector<std::uint32_t>& counts) {
@@ -26,7 +26,7 @@
 Test(capacity_plan, mode_hold_makes_no_call) {
   CapacityWorld world(duties::CapacityMode::kHold);
   world.offer(2000);
-  world.platform.withdraw("a", kOrdinary, 5);
+  world.platform.withdraw("a", kOnDemand, 5);
   world.run(base::seconds(60));
   cr_assert(world.sent.empty());
   cr_assert_eq(world.platform.total(), 40U);
@@ -38,7 +38,7 @@
   world.demand->works["m"][0].waiting = 0;
   world.run(base::seconds(60));
   cr_assert(world.sent.empty());
-  cr_assert_eq((world.state.baseline({"e", "b", kOrdinary})), 15U);
+  cr_assert_eq((world.state.baseline({"e", "b", kOnDemand})), 15U);
 }
 
 Test(capacity_plan, a_step_larger_than_the_places_is_ordered_for) {
@@ -48,8 +48,8 @@
   cr_assert_eq(world.platform.total(), 45U);
   world.run(base::seconds(5));
   cr_assert_eq(world.platform.total(), 60U, "there are %u", world.platform.total());
-  const auto& withdrawable = world.platform.zones[{"b", kWithdrawable}];
-  cr_assert_gt(withdrawable.there, 0U);
+  const auto& preemptible = world.platform.zones[{"b", kPreemptible}];
+  cr_assert_gt(preemptible.there, 0U);
   cr_assert_eq(world.platform.emptied, 0U);
 }
 
@@ -69,9 +69,9 @@
 Test(capacity_plan, leaving_instances_are_replaced_at_once) {
   CapacityWorld world;
   world.run(base::seconds(1));
-  world.platform.withdraw("a", kOrdinary, 6);
+  world.platform.withdraw("a", kOnDemand, 6);
   world.run(base::milliseconds(200));
-  cr_assert_eq(world.sentCounts("a", kOrdinary).size(), 1U);
+  cr_assert_eq(world.sentCounts("a", kOnDemand).size(), 1U);
   cr_assert_eq(world.sent[0].count, 15U);
   world.run(base::seconds(5));
   cr_assert_eq(world.platform.total(), 45U);
@@ -193,15 +193,15 @@
 Test(capacity_plan, zone_without_withdrawable_instances_is_passed_over_with_growing_pauses) {
   CapacityWorld world;
   world.answer = [](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
-    const bool none = call.subject.kind == kWithdrawable && call.subject.zone == "b";
+    const bool none = call.subject.kind == kPreemptible && call.subject.zone == "b";
     return none ? ScaleOutcome::kNoneAvailable : ScaleOutcome::kTaken;
   };
   world.offer(480, base::milliseconds(10));
   world.run(base::seconds(8));
   cr_assert_eq(world.platform.total(), 60U, "the other zones carry what is missing");
-  cr_assert_eq((world.platform.zones[{"b", kWithdrawable}].there), 0U);
+  cr_assert_eq((world.platform.zones[{"b", kPreemptible}].there), 0U);
   world.run(base::seconds(120));
-  const auto refused = world.sentCounts("b", kWithdrawable);
+  const auto refused = world.sentCounts("b", kPreemptible);
   cr_assert_leq(refused.size(), 6U, "%zu calls", refused.size());
   cr_assert_eq(world.platform.emptied, 0U);
 }
@@ -223,13 +223,13 @@
 Test(capacity_plan, withdrawable_instances_that_were_there_are_kept) {
   CapacityWorld world;
   for (const char* zone : {"a", "b", "c"}) {
-    world.platform.zones[{zone, kWithdrawable}].there = 3;
+    world.platform.zones[{zone, kPreemptible}].there = 3;
   }
   world.offer(8, base::milliseconds(10));
   world.demand->works["m"][0].waiting = 0;
   world.run(base::seconds(300));
   cr_assert(world.sent.empty());
-  world.platform.withdraw("b", kWithdrawable, 3);
+  world.platform.withdraw("b", kPreemptible, 3);
   world.run(base::seconds(6));
   cr_assert_eq(world.platform.total(), 54U);
 }
@@ -239,9 +239,9 @@
   world.offer(480);
   world.run(base::seconds(10));
   const std::uint32_t before = world.platform.total();
-  const std::uint32_t lost = world.platform.zones[{"b", kWithdrawable}].there;
+  const std::uint32_t lost = world.platform.zones[{"b", kPreemptible}].there;
   cr_assert_gt(lost, 0U);
-  world.platform.withdraw("b", kWithdrawable, lost);
+  world.platform.withdraw("b", kPreemptible, lost);
   world.run(base::seconds(2));
   world.platform.removeDraining();
   world.run(base::seconds(4));
@@ -253,8 +253,8 @@
 Test(capacity_duty, holder_lost_between_decision_and_call) {
   CapacityWorld world;
   world.run(base::seconds(1));
-  world.platform.withdraw("a", kOrdinary, 6);
-  while (!world.state.desired({"e", "a", kOrdinary})) {
+  world.platform.withdraw("a", kOnDemand, 6);
+  while (!world.state.desired({"e", "a", kOnDemand})) {
     world.step();
   }
   cr_assert(world.sent.empty(), "the count stands in the log before it is sent");
@@ -272,13 +272,13 @@
     world.platform.set(call, world.now);
     return std::nullopt;
   };
-  world.platform.withdraw("a", kOrdinary, 6);
+  world.platform.withdraw("a", kOnDemand, 6);
   world.run(base::milliseconds(200));
   cr_assert_eq(world.sent.size(), 1U);
   world.answer = nullptr;
   world.elect();
   world.run(base::seconds(8));
-  const auto counts = world.sentCounts("a", kOrdinary);
+  const auto counts = world.sentCounts("a", kOnDemand);
   cr_assert_eq(counts.size(), 2U);
   cr_assert_eq(counts[1], 15U, "the same again");
   cr_assert_eq(world.platform.total(), 45U);
@@ -288,7 +288,7 @@
 Test(capacity_duty, new_leader_waits_for_its_predecessors_lease) {
   CapacityWorld world;
   world.run(base::seconds(1));
-  world.platform.withdraw("a", kOrdinary, 6);
+  world.platform.withdraw("a", kOnDemand, 6);
   world.elect(base::seconds(3));
   world.run(base::milliseconds(2900));
   cr_assert(world.sent.empty());
@@ -300,7 +300,7 @@
   CapacityWorld world;
   world.run(base::seconds(1));
   world.answer = [](const duties::ScaleCall&) { return std::nullopt; };
-  world.platform.withdraw("a", kOrdinary, 6);
+  world.platform.withdraw("a", kOnDemand, 6);
   world.run(base::milliseconds(200));
   cr_assert_eq(world.sent.size(), 1U);
   world.duty->reset(world.state, world.now, world.now);
@@ -316,8 +316,8 @@
 Test(capacity_duty, holder_frozen_past_its_lease_stops_when_its_fence_is_refused) {
   CapacityWorld world;
   world.run(base::seconds(1));
-  world.platform.withdraw("a", kOrdinary, 6);
-  world.platform.withdraw("b", kOrdinary, 2);
+  world.platform.withdraw("a", kOnDemand, 6);
+  world.platform.withdraw("b", kOnDemand, 2);
   world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kRefused; };
   world.run(base::seconds(60));
   cr_assert_eq(world.sent.size(), 1U);
@@ -330,8 +330,8 @@
 Test(capacity_duty, outcome_of_a_call_of_a_former_term_is_no_answer_to_the_present_one) {
   CapacityWorld world;
   world.run(base::seconds(1));
-  world.platform.withdraw("a", kOrdinary, 6);
-  world.platform.withdraw("b", kOrdinary, 2);
+  world.platform.withdraw("a", kOnDemand, 6);
+  world.platform.withdraw("b", kOnDemand, 2);
   world.answer = [](const duties::ScaleCall&) { return std::nullopt; };
   world.run(base::milliseconds(200));
   cr_assert_eq(world.sent.size(), 1U);
@@ -352,8 +352,8 @@
   const std::uint32_t before = world.platform.total();
   const std::size_t calls = world.sent.size();
   world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kUncertain; };
-  world.platform.withdraw("b", kWithdrawable, 30);
-  world.platform.withdraw("b", kOrdinary, 4);
+  world.platform.withdraw("b", kPreemptible, 30);
+  world.platform.withdraw("b", kOnDemand, 4);
   world.run(base::seconds(4));
   cr_assert_leq(world.sent.size() - calls, 8U, "calls are repeated with growing pauses");
   world.answer = nullptr;
@@ -374,7 +374,7 @@
     }
     return ScaleOutcome::kTaken;
   };
-  world.platform.withdraw("b", kOrdinary, 6);
+  world.platform.withdraw("b", kOnDemand, 6);
   world.run(base::milliseconds(200));
   cr_assert(late.has_value());
   world.offer(540);
@@ -398,7 +398,7 @@
     }
     return ScaleOutcome::kTaken;
   };
-  world.platform.withdraw("b", kOrdinary, 6);
+  world.platform.withdraw("b", kOnDemand, 6);
   world.run(base::milliseconds(200));
   world.offer(540);
   world.run(base::seconds(2));
@@ -445,10 +445,10 @@
     world.duty->onOutcome(call, ScaleOutcome::kTaken, world.now);
     return std::nullopt;  // taken, and nothing starts
   };
-  world.platform.withdraw("a", kOrdinary, 6);
+  world.platform.withdraw("a", kOnDemand, 6);
   world.platform.removeDraining();
   world.run(base::seconds(120));
-  const auto counts = world.sentCounts("a", kOrdinary);
+  const auto counts = world.sentCounts("a", kOnDemand);
   cr_assert_geq(counts.size(), 4U);
   cr_assert_leq(counts.size(), 7U);
   cr_assert_not(fell(counts));
@@ -465,8 +465,8 @@
         case 1:
           return ScaleOutcome::kUncertain;  // and it is never carried out
         case 2:
-          return call.subject.kind == kWithdrawable ? ScaleOutcome::kNoneAvailable
-                                                    : ScaleOutcome::kTaken;
+          return call.subject.kind == kPreemptible ? ScaleOutcome::kNoneAvailable
+                                                   : ScaleOutcome::kTaken;
         default:
           return ScaleOutcome::kTaken;
       }
@@ -479,7 +479,7 @@
       }
       if (random.below(5) == 0) {
         const char* zone = random.below(2) == 0 ? "a" : "b";
-        world.platform.withdraw(zone, random.below(2) == 0 ? kOrdinary : kWithdrawable, 4);
+        world.platform.withdraw(zone, random.below(2) == 0 ? kOnDemand : kPreemptible, 4);
       }
       world.run(base::seconds(2));
       world.platform.removeDraining();
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -48,9 +48,9 @@
   std::map<std::string, duties::RegisteredInstances> told;
   for (const auto& [place, kind] : zones) {
     duties::RegisteredInstances& zone = told[place.first];
-    const bool ordinary = place.second == InstanceKind::kOrdinary;
-    (ordinary ? zone.ordinary : zone.withdrawable) = kind.there;
-    (ordinary ? zone.onDemandDraining : zone.preemptibleDraining) = kind.draining;
+    const bool onDemand = place.second == InstanceKind::kOnDemand;
+    (onDemand ? zone.onDemand : zone.preemptible) = kind.there;
+    (onDemand ? zone.onDemandDraining : zone.preemptibleDraining) = kind.draining;
   }
   return told;
 }
@@ -66,7 +66,7 @@
 CapacityWorld::CapacityWorld(duties::CapacityMode mode) {
   scaling = {1, 30, base::seconds(4), 0.2, {{"a", 1.0}, {"b", 0.8}, {"c", 1.25}}};
   for (const char* zone : {"a", "b", "c"}) {
-    platform.zones[{zone, InstanceKind::kOrdinary}].there = 15;
+    platform.zones[{zone, InstanceKind::kOnDemand}].there = 15;
   }
   settings.plan.mode = mode;
   demand.emplace();
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -43,11 +43,11 @@
     m_lastStep[model] = m_now - kStepInterval + base::seconds(static_cast<std::int64_t>(model));
   }
   constexpr int kEnginesAZone = 15;
-  constexpr int kWithdrawable = 3;
+  constexpr int kPreemptible = 3;
   for (const char* zone : {"a", "b", "c"}) {
     for (int engine = 0; engine < kEnginesAZone; ++engine) {
       const auto kind =
-          engine < kWithdrawable ? InstanceKind::kWithdrawable : InstanceKind::kOrdinary;
+          engine < kPreemptible ? InstanceKind::kPreemptible : InstanceKind::kOnDemand;
       addEngine(zone, kind, m_now);
       m_engines.back().model = m_engines.size() % kStepItems.size();
     }
@@ -97,7 +97,7 @@
   constexpr std::uint64_t kShare = 13;
   constexpr std::uint64_t kWhole = 100;
   for (Engine& engine : m_engines) {
-    const bool withdrawn = engine.kind == InstanceKind::kWithdrawable && engine.zone == "b";
+    const bool withdrawn = engine.kind == InstanceKind::kPreemptible && engine.zone == "b";
     if (withdrawn || m_random.below(kWhole) < kShare) {
       engine.draining = true;
       engine.leavesAt = m_now + kNotice;
@@ -170,11 +170,11 @@
     }
     running[engine.model] += static_cast<std::uint32_t>(engine.running.size());
     duties::RegisteredInstances& zone = service.zones[engine.zone];
-    const bool ordinary = engine.kind == InstanceKind::kOrdinary;
+    const bool onDemand = engine.kind == InstanceKind::kOnDemand;
     if (engine.draining) {
-      ++(ordinary ? zone.onDemandDraining : zone.preemptibleDraining);
+      ++(onDemand ? zone.onDemandDraining : zone.preemptibleDraining);
     } else {
-      ++(ordinary ? zone.ordinary : zone.withdrawable);
+      ++(onDemand ? zone.onDemand : zone.preemptible);
       service.demand->placesThere += kSlots;
     }
   }
@@ -212,10 +212,10 @@
   }
   m_figures.waitingItemSeconds += waiting * seconds;
   for (const Engine& engine : m_engines) {
-    const bool ordinary = engine.kind == InstanceKind::kOrdinary;
+    const bool onDemand = engine.kind == InstanceKind::kOnDemand;
     m_figures.engineSeconds += seconds;
     m_figures.price += seconds * m_scaling.zonePrices.at(engine.zone) *
-                       (ordinary ? 1 : m_scaling.withdrawablePrice);
+                       (onDemand ? 1 : m_scaling.preemptiblePrice);
   }
   if ((m_now - m_begun) % base::seconds(1) == base::Duration{0}) {
     m_figures.waiting.push_back(waiting);
--- a/test/duties/engine_load.h
+++ b/test/duties/engine_load.h
@@ -27,7 +27,7 @@
 
 /// What is played.
 struct LoadScenario {
-  bool taken = false;  ///< half way one zone's withdrawable engines and 13 % of the others leave
+  bool taken = false;  ///< half way one zone's preemptible engines and 13 % of the others leave
   std::uint32_t stepPercent = 100;  ///< size of the steps
 };
 
@@ -45,7 +45,7 @@
   };
   struct Engine {
     std::string zone;
-    duties::InstanceKind kind = duties::InstanceKind::kOrdinary;
+    duties::InstanceKind kind = duties::InstanceKind::kOnDemand;
     std::size_t model = 0;
     base::TimePoint servesFrom{};
     bool draining = false;
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -120,7 +120,7 @@
   cr_assert_eq(scaling.minimum, 1U);
   cr_assert_eq(scaling.maximum, 30U);
   cr_assert_eq(scaling.startTime.count(), base::Duration(base::milliseconds(4500)).count());
-  cr_assert_float_eq(scaling.withdrawablePrice, 0.18, 1e-9);
+  cr_assert_float_eq(scaling.preemptiblePrice, 0.18, 1e-9);
   cr_assert_float_eq(scaling.zonePrices.at("b"), 0.8, 1e-9);
   cr_assert_not(read("")->services[0].scaling.has_value());
   cr_assert_not(read(R"(,"scaling":null)")->services[0].scaling.has_value());
@@ -155,9 +155,9 @@
         "i-1", R"({"service":"e","address":"10.0.0.9:8080","zone":"z","slots":8)" + fields + "}");
     return std::get<directory::InstanceHeartbeat>(parsed).record;
   };
-  cr_assert_not(read("").withdrawable);
+  cr_assert_not(read("").preemptible);
   const auto draining = read(R"(,"state":"draining","spot":true,"leaves_ms":2400)");
-  cr_assert(draining.withdrawable && draining.draining);
+  cr_assert(draining.preemptible && draining.draining);
   cr_assert_eq(draining.timeToTermination.count(),
                base::Duration(base::milliseconds(2400)).count());
   cr_assert_gt(read(R"(,"state":"draining","leaves_ms":0)").timeToTermination.count(), 0);
@@ -327,20 +327,20 @@
 Test(platform_dialect, number_of_instances) {
   const platform::PlatformDialect dialect;
   namespace duties = tackpick::duties;
-  const duties::ScaleCall ordinary{{"e", "z", duties::InstanceKind::kOrdinary}, 6, 12};
-  const http::UpstreamRequest call = dialect.scaleRequest(ordinary, "core-1");
+  const duties::ScaleCall onDemand{{"e", "z", duties::InstanceKind::kOnDemand}, 6, 12};
+  const http::UpstreamRequest call = dialect.scaleRequest(onDemand, "core-1");
   cr_assert_eq(call.method, "POST");
   cr_assert_eq(call.target, "/scale");
   cr_assert_eq(call.headers.value("Duty-Holder"), "core-1");
   cr_assert_eq(call.headers.value("Fencing-Token"), "12");
   cr_assert(Json::parse(call.body) == Json({{"service", "e"}, {"zone", "z"}, {"desiredCount", 6}}));
-  const duties::ScaleCall withdrawable{{"e", "z", duties::InstanceKind::kWithdrawable}, 2, 12};
-  cr_assert(Json::parse(dialect.scaleRequest(withdrawable, "core-1").body).at("spot") == true);
-  cr_assert(dialect.scaleOutcome(ordinary, 200) == duties::ScaleOutcome::kTaken);
-  cr_assert(dialect.scaleOutcome(ordinary, 409) == duties::ScaleOutcome::kRefused);
-  cr_assert(dialect.scaleOutcome(withdrawable, 409) == duties::ScaleOutcome::kNoneAvailable);
-  cr_assert(dialect.scaleOutcome(ordinary, 429) == duties::ScaleOutcome::kBusy);
-  cr_assert(dialect.scaleOutcome(ordinary, 503) == duties::ScaleOutcome::kUncertain);
+  const duties::ScaleCall preemptible{{"e", "z", duties::InstanceKind::kPreemptible}, 2, 12};
+  cr_assert(Json::parse(dialect.scaleRequest(preemptible, "core-1").body).at("spot") == true);
+  cr_assert(dialect.scaleOutcome(onDemand, 200) == duties::ScaleOutcome::kTaken);
+  cr_assert(dialect.scaleOutcome(onDemand, 409) == duties::ScaleOutcome::kRefused);
+  cr_assert(dialect.scaleOutcome(preemptible, 409) == duties::ScaleOutcome::kNoneAvailable);
+  cr_assert(dialect.scaleOutcome(onDemand, 429) == duties::ScaleOutcome::kBusy);
+  cr_assert(dialect.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUncertain);
 }
 
 Test(platform_dialect, usage_report) {
