--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kItemsPerJob = 200;
 constexpr std::uint32_t kTenants = 79;
 constexpr std::uint32_t kSlots = 6;
-constexpr std::uint32_t kPlacesPerGateway = 24;
+constexpr std::uint32_t kSlotsPerGateway = 24;
 constexpr std::uint32_t kCallsPerGateway = 40;
 constexpr std::uint32_t kRoom = 1000000;
 
@@ -53,8 +53,8 @@
   return engines;
 }
 
-jobs::EngineRoom roomFor(std::uint32_t placesOfEachModel) {
-  jobs::EngineRoom room;
+jobs::FreeSlots roomFor(std::uint32_t placesOfEachModel) {
+  jobs::FreeSlots room;
   for (std::uint32_t model = 0; model < kModels; ++model) {
     room.add(modelName(model), 1, placesOfEachModel);
   }
@@ -73,8 +73,8 @@
     leases.addJob(id, job, now);
   }
   leases.setEngines(makeEngines(engines, kZones));
-  const std::uint32_t gateways = std::max(kZones, engines * kSlots / kPlacesPerGateway);
-  const jobs::EngineRoom room = roomFor(kRoom);
+  const std::uint32_t gateways = std::max(kZones, engines * kSlots / kSlotsPerGateway);
+  const jobs::FreeSlots room = roomFor(kRoom);
   std::vector<std::vector<jobs::HeldItem>> held(gateways);
   const auto begun = std::chrono::steady_clock::now();
   for (std::uint32_t call = 0; call < gateways * kCallsPerGateway; ++call) {
@@ -107,7 +107,7 @@
   constexpr std::uint32_t kPlans = 100;
   constexpr std::uint32_t kGivingBack = 100;
   const std::uint32_t places = engines * (kSlots + 1);
-  const std::uint32_t gateways = places / kPlacesPerGateway;
+  const std::uint32_t gateways = places / kSlotsPerGateway;
   const jobs::JobState state = stateWith(items + places);
   base::TimePoint now{base::seconds(1)};
   jobs::ItemLeases leases(base::seconds(1000), base::milliseconds(5), policy);
@@ -116,7 +116,7 @@
     leases.addJob(id, job, now);
   }
   leases.setEngines(makeEngines(engines, 1));
-  const jobs::EngineRoom room = roomFor(kPlacesPerGateway / kModels);
+  const jobs::FreeSlots room = roomFor(kSlotsPerGateway / kModels);
   for (std::uint32_t number = 1; number <= gateways; ++number) {
     leases.onAsked(base::makeNodeId(number, 1), "zone0", true, now);
     (void)leases.lease(base::makeNodeId(number, 1), room, state, now);
--- a/src/directory/load_policy.h
+++ b/src/directory/load_policy.h
@@ -22,10 +22,10 @@
 };
 
 /// Places of engines by version.
-using VersionPlaces = std::map<std::uint64_t, std::uint32_t>;
+using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
 /// Those with `version` or newer.
-[[nodiscard]] inline std::uint32_t placesFrom(const VersionPlaces& places, std::uint64_t version) {
+[[nodiscard]] inline std::uint32_t slotsFrom(const SlotsByVersion& places, std::uint64_t version) {
   std::uint32_t sum = 0;
   for (auto found = places.lower_bound(version); found != places.end(); ++found) {
     sum += found->second;
@@ -38,8 +38,8 @@
   std::uint64_t published = 0;
   base::TimePoint publishedAt{};  ///< when this leader saw that version first
   std::vector<StepNeed> needs;    ///< see StepForecast::needs(); empty: steps are unknown
-  VersionPlaces placesReady;      ///< of engines that hold each version and do not load
-  VersionPlaces placesLoading;    ///< of engines that load each version
+  SlotsByVersion readySlots;      ///< of engines that hold each version and do not load
+  SlotsByVersion loadingSlots;    ///< of engines that load each version
 };
 using ModelLoadStates = std::map<std::string, ModelLoadState>;
 
--- a/src/directory/model_ranking.cpp
+++ b/src/directory/model_ranking.cpp
@@ -25,7 +25,7 @@
   std::uint32_t served = 0;  // items that wait and may begin as engines are
   std::uint64_t oldest = 0;
   for (const StepNeed& step : model.needs) {
-    if (step.open && placesFrom(model.placesReady, step.version) > 0) {
+    if (step.open && slotsFrom(model.readySlots, step.version) > 0) {
       served += step.waiting;
       oldest = oldest == 0 ? step.version : std::min(oldest, step.version);
     }
@@ -33,7 +33,7 @@
   const bool presses =
       std::any_of(model.needs.begin(), model.needs.end(),
                   [&](const StepNeed& step) { return step.version > oldest && isPressing(step); });
-  const std::uint32_t ready = placesFrom(model.placesReady, oldest);
+  const std::uint32_t ready = slotsFrom(model.readySlots, oldest);
   m_spare = presses && served > 0 ? ready - std::min(ready, served) : 0;
 }
 
@@ -56,8 +56,8 @@
   if (step.version > m_model.published) {
     return;  // no load helps before that version is there
   }
-  std::uint32_t places = placesFrom(m_model.placesReady, step.version) +
-                         placesFrom(m_model.placesLoading, step.version) + m_promised;
+  std::uint32_t places = slotsFrom(m_model.readySlots, step.version) +
+                         slotsFrom(m_model.loadingSlots, step.version) + m_promised;
   const base::Duration left = step.open ? step.slack : step.expectedAt - m_now;
   Candidates others;
   for (const LoadCandidate* candidate : candidates) {
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -46,7 +46,7 @@
     }
     count(instance, service.zones[instance.record->zone]);
     if (service.demand && !instance.record->draining && !instance.silent) {
-      service.demand->placesThere += instance.record->slots;
+      service.demand->activeSlots += instance.record->slots;
     }
   }
 }
--- a/src/directory/version_orders.cpp
+++ b/src/directory/version_orders.cpp
@@ -206,9 +206,9 @@
     ModelLoadState& weights = model->second;
     const std::uint64_t held = versionOf(*report, home);
     if (loading) {
-      weights.placesLoading[weights.published] += record->slots;
+      weights.loadingSlots[weights.published] += record->slots;
     } else {
-      weights.placesReady[held] += record->slots;
+      weights.readySlots[held] += record->slots;
     }
     const bool isFree = given == nullptr || given->isDone || now >= given->retryAt;
     if (held < weights.published && isFree &&
@@ -283,13 +283,13 @@
     if (!model.needs.empty()) {
       const StepNeed& first = model.needs.front();
       sight.neededVersion = first.version;
-      sight.placesNeeded = first.places;
+      sight.requiredSlots = first.places;
       sight.expectedIn = first.expectedAt - now;
     }
     // Where no step is known, engines get what is published.
     const std::uint64_t wanted = sight.neededVersion == 0 ? model.published : sight.neededVersion;
-    sight.placesReady = placesFrom(model.placesReady, wanted);
-    sight.placesLoading = placesFrom(model.placesLoading, wanted);
+    sight.readySlots = slotsFrom(model.readySlots, wanted);
+    sight.loadingSlots = slotsFrom(model.loadingSlots, wanted);
   }
 }
 
--- a/src/directory/weights_summary.h
+++ b/src/directory/weights_summary.h
@@ -18,14 +18,14 @@
   /// Oldest version that its most urgent step needs; zero: its steps are unknown.
   std::uint64_t neededVersion = 0;
   /// Of engines that hold that version or newer; of the published one where none is known.
-  std::uint32_t placesReady = 0;
-  std::uint32_t placesLoading = 0;  ///< of engines that load it
-  std::uint32_t placesNeeded = 0;
+  std::uint32_t readySlots = 0;
+  std::uint32_t loadingSlots = 0;  ///< of engines that load it
+  std::uint32_t requiredSlots = 0;
   std::optional<base::Duration> expectedIn;  ///< below zero: it is open, or late
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(published, neededVersion, placesReady, placesLoading, placesNeeded, expectedIn);
+    archive(published, neededVersion, readySlots, loadingSlots, requiredSlots, expectedIn);
   }
 };
 
--- a/src/duties/capacity_plan.cpp
+++ b/src/duties/capacity_plan.cpp
@@ -128,7 +128,7 @@
     // Who follows a lost leader, or hears nothing, keeps to what was asked for.
     return std::clamp(std::max(asked, m_wanted), kept, most);
   }
-  const std::uint32_t places = m_policy->placesWanted(*inputs.demand, inputs.now);
+  const std::uint32_t places = m_policy->targetSlots(*inputs.demand, inputs.now);
   const std::uint32_t slots = std::max(inputs.slots, 1U);
   return std::clamp((places + slots - 1) / slots, kept, most);
 }
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -17,7 +17,7 @@
       running += work.items - std::min(work.items, work.waiting);
     }
   }
-  const std::uint32_t free = demand.placesThere - std::min(demand.placesThere, running);
+  const std::uint32_t free = demand.activeSlots - std::min(demand.activeSlots, running);
   return waiting - std::min(waiting, free);
 }
 
@@ -56,9 +56,9 @@
   return std::exchange(m_leastShortage, shortage);
 }
 
-std::uint32_t FollowWaitingWork::placesWanted(const CapacityDemand& demand, base::TimePoint now) {
+std::uint32_t FollowWaitingWork::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
   const std::uint32_t shortage = lastingShortage(demand, now);
-  const std::uint32_t wanted = shortage == 0 ? 0 : demand.placesThere + shortage;
+  const std::uint32_t wanted = shortage == 0 ? 0 : demand.activeSlots + shortage;
   if (wanted >= m_peak || now - m_peakAt > m_settings.memory) {
     m_peak = wanted;
     m_peakAt = now;
@@ -80,13 +80,13 @@
                 [&](const auto& entry) { return now - entry.second.seenAt > m_settings.memory; });
 }
 
-std::uint32_t FollowExpectedSteps::placesWanted(const CapacityDemand& demand, base::TimePoint now) {
+std::uint32_t FollowExpectedSteps::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
   note(demand.works, now);
   std::uint32_t expected = 0;
   for (const auto& [model, step] : m_largest) {
     expected += step.items;
   }
-  return std::max(expected, m_waiting.placesWanted(demand, now));
+  return std::max(expected, m_waiting.targetSlots(demand, now));
 }
 
 }  // namespace tackpick::duties
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -23,7 +23,7 @@
 /// The open work of a service.
 struct CapacityDemand {
   jobs::OpenJobsByModel works;    ///< of the models of that service only
-  std::uint32_t placesThere = 0;  ///< of the instances that serve
+  std::uint32_t activeSlots = 0;  ///< of the instances that serve
   base::Duration toldBefore{0};   ///< age of these figures
   double recentEvents = 0;        ///< of streams of those models, jobs or not; older count less
 
@@ -38,8 +38,8 @@
  public:
   virtual ~CapacityPolicy() = default;
   /// Places that should be there, or be starting.
-  [[nodiscard]] virtual std::uint32_t placesWanted(const CapacityDemand& demand,
-                                                   base::TimePoint now) = 0;
+  [[nodiscard]] virtual std::uint32_t targetSlots(const CapacityDemand& demand,
+                                                  base::TimePoint now) = 0;
 
   /// Nothing for CapacityMode::kHold.
   [[nodiscard]] static std::unique_ptr<CapacityPolicy> make(CapacityMode mode);
@@ -57,8 +57,8 @@
 class FollowWaitingWork final : public CapacityPolicy {
  public:
   explicit FollowWaitingWork(WaitingWorkSettings settings = {}) : m_settings(settings) {}
-  [[nodiscard]] std::uint32_t placesWanted(const CapacityDemand& demand,
-                                           base::TimePoint now) override;
+  [[nodiscard]] std::uint32_t targetSlots(const CapacityDemand& demand,
+                                          base::TimePoint now) override;
 
  private:
   /// The least over the last while; zero until it has lasted.
@@ -85,8 +85,8 @@
  public:
   explicit FollowExpectedSteps(ExpectedStepsSettings settings = {})
       : m_settings(settings), m_waiting(settings.waiting) {}
-  [[nodiscard]] std::uint32_t placesWanted(const CapacityDemand& demand,
-                                           base::TimePoint now) override;
+  [[nodiscard]] std::uint32_t targetSlots(const CapacityDemand& demand,
+                                          base::TimePoint now) override;
 
  private:
   struct Step {
--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -24,7 +24,7 @@
           {"tenant", job.tenant},
           {"model", job.model},
           {"minimum_version", job.minimumVersion},
-          {"places_ready", job.placesReady},
+          {"places_ready", job.readySlots},
           {"priority", job.priority},
           {"waiting", job.waiting},
           {"running", job.running},
@@ -84,9 +84,9 @@
     models.push_back({{"model", name},
                       {"published", model.published},
                       {"needed", model.neededVersion},
-                      {"places_needed", model.placesNeeded},
-                      {"places_ready", model.placesReady},
-                      {"places_loading", model.placesLoading},
+                      {"places_needed", model.requiredSlots},
+                      {"places_ready", model.readySlots},
+                      {"places_loading", model.loadingSlots},
                       {"expected_in_s", secondsOrNull(model.expectedIn)}});
   }
   return {{"models", models}, {"loading", weights.loading}, {"load_budget", weights.budget}};
--- a/src/forwarding/call_window.h
+++ b/src/forwarding/call_window.h
@@ -24,7 +24,7 @@
   explicit CallWindow(CallWindowSettings settings = {})
       : m_settings(settings), m_size(settings.initial) {}
 
-  [[nodiscard]] bool hasRoom() const { return m_running < static_cast<std::uint32_t>(m_size); }
+  [[nodiscard]] bool hasFreeSlot() const { return m_running < static_cast<std::uint32_t>(m_size); }
   [[nodiscard]] double size() const { return m_size; }
   void onSent() { ++m_running; }
   /// A call ended. `crowded`: requests waited at its server, or the server refused it.
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -47,7 +47,7 @@
   std::vector<const InstanceEntry*> faster;
   for (const std::string& id : m_paced) {
     const InstanceEntry& entry = entries_.at(id);
-    if (id != current && isSound(entry, need, now) && hasRoom(entry, now) &&
+    if (id != current && isSound(entry, need, now) && hasFreeSlot(entry, now) &&
         entry.paceMs <= longestPaceMs) {
       faster.push_back(&entry);
     }
@@ -60,7 +60,7 @@
                                              base::Random& random, base::TimePoint now) const {
   std::vector<const InstanceEntry*> idle;
   for (const auto& [id, entry] : instancesOf(need.service)) {
-    if (!entry->reserve && isSound(*entry, need, now) && hasRoom(*entry, now) &&
+    if (!entry->reserve && isSound(*entry, need, now) && hasFreeSlot(*entry, now) &&
         !tried.contains(id)) {
       idle.push_back(entry);
     }
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -84,7 +84,7 @@
     endEarlier(instance.record.id, entry);
     entry.favour = base::hashBytes(settings_.gateway + "/" + instance.record.id);
   } else {
-    withdrawPlaces(entry);
+    removeSlots(entry);
     m_byService[entry.record.service].erase(instance.record.id);
   }
   if (m_departed.erase(instance.record.id) > 0) {
@@ -101,7 +101,7 @@
     held = std::max(held, version);
   }
   m_byService[entry.record.service][instance.record.id] = &entry;
-  addPlaces(entry);
+  addSlots(entry);
 }
 
 void InstanceTable::endEarlier(const std::string& id, InstanceEntry& successor) {
@@ -138,7 +138,7 @@
   if (known == entries_.end()) {
     return;
   }
-  withdrawPlaces(known->second);
+  removeSlots(known->second);
   known->second.gone = true;
   m_departed.insert(id);
 }
@@ -163,21 +163,21 @@
   return found == m_byService.end() ? kNone : found->second;
 }
 
-void InstanceTable::addPlaces(const InstanceEntry& entry) {
+void InstanceTable::addSlots(const InstanceEntry& entry) {
   if (!takesWork(entry)) {
     return;
   }
   for (const auto& [model, version] : entry.versions) {
-    m_places[entry.record.service][model][version] += entry.record.slots;
+    m_slots[entry.record.service][model][version] += entry.record.slots;
   }
 }
 
-void InstanceTable::withdrawPlaces(const InstanceEntry& entry) {
+void InstanceTable::removeSlots(const InstanceEntry& entry) {
   if (!takesWork(entry)) {
     return;
   }
   for (const auto& [model, version] : entry.versions) {
-    VersionPlaces& places = m_places[entry.record.service][model];
+    SlotsByVersion& places = m_slots[entry.record.service][model];
     const auto found = places.find(version);
     found->second -= entry.record.slots;
     if (found->second == 0) {
@@ -223,7 +223,7 @@
   return serves(entry, need) && !loads && now >= entry.avoidUntil;
 }
 
-bool InstanceTable::hasRoom(const InstanceEntry& entry, base::TimePoint now) {
+bool InstanceTable::hasFreeSlot(const InstanceEntry& entry, base::TimePoint now) {
   return busyness(entry, now) + 1 <= entry.record.slots;
 }
 
@@ -271,7 +271,7 @@
                                                                              : settings_.fullTime));
       break;
     case SendOutcome::kGone:
-      withdrawPlaces(entry);
+      removeSlots(entry);
       entry.gone = true;
       break;
     case SendOutcome::kAbandoned:
@@ -314,9 +314,9 @@
                               std::uint64_t version) {
   const auto found = entries_.find(id);
   if (found != entries_.end() && found->second.version(model) < version) {
-    withdrawPlaces(found->second);
+    removeSlots(found->second);
     found->second.versions[model] = version;
-    addPlaces(found->second);
+    addSlots(found->second);
   }
 }
 
@@ -344,11 +344,11 @@
       }));
 }
 
-jobs::EngineRoom InstanceTable::engineRoom(const ServiceModels& models) const {
-  jobs::EngineRoom room;
+jobs::FreeSlots InstanceTable::freeSlots(const ServiceModels& models) const {
+  jobs::FreeSlots room;
   for (const auto& [service, run] : models) {
-    const auto known = m_places.find(service);
-    if (known == m_places.end()) {
+    const auto known = m_slots.find(service);
+    if (known == m_slots.end()) {
       continue;
     }
     for (const auto& [model, byVersion] : known->second) {
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -14,7 +14,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "directory/directory_messages.h"
-#include "jobs/engine_room.h"
+#include "jobs/free_slots.h"
 #include "jobs/pace_report.h"
 
 namespace tackpick::forwarding {
@@ -151,7 +151,7 @@
   /// Instances of a service that do not leave.
   [[nodiscard]] std::size_t count(const std::string& service) const;
   /// Places at engines, by model and the version of it that they hold.
-  [[nodiscard]] jobs::EngineRoom engineRoom(const ServiceModels& models) const;
+  [[nodiscard]] jobs::FreeSlots freeSlots(const ServiceModels& models) const;
   /// Share of the places of a service that are taken, as last reported; requests of this gateway
   /// count at least.
   [[nodiscard]] double occupancy(const std::string& service) const;
@@ -165,7 +165,7 @@
   [[nodiscard]] static double workTime(const InstanceEntry& entry, base::TimePoint now);
   [[nodiscard]] static bool isSound(const InstanceEntry& entry, const InstanceNeed& need,
                                     base::TimePoint now);
-  [[nodiscard]] static bool hasRoom(const InstanceEntry& entry, base::TimePoint now);
+  [[nodiscard]] static bool hasFreeSlot(const InstanceEntry& entry, base::TimePoint now);
   /// Of two drawn at random the cheaper one.
   [[nodiscard]] const InstanceEntry* drawCheaper(
       const std::vector<const InstanceEntry*>& candidates, int draws, const InstanceNeed& need,
@@ -174,7 +174,7 @@
                             base::TimePoint now) const;
 
   /// Places by version of one model.
-  using VersionPlaces = std::map<std::uint64_t, std::uint32_t>;
+  using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
   /// The cheapest of this gateway's favourites; nothing when they are busy, or there are so few
   /// candidates that any may be drawn.
@@ -195,16 +195,16 @@
   /// Those of one service.
   [[nodiscard]] const std::map<std::string, InstanceEntry*>& instancesOf(
       const std::string& service) const;
-  /// Counts the instance's places in m_places, or takes them out again before it changes.
-  void addPlaces(const InstanceEntry& entry);
-  void withdrawPlaces(const InstanceEntry& entry);
+  /// Counts the instance's places in m_slots, or takes them out again before it changes.
+  void addSlots(const InstanceEntry& entry);
+  void removeSlots(const InstanceEntry& entry);
 
   const InstanceTableSettings settings_;
   std::map<std::string, InstanceEntry> entries_;
   std::map<std::string, std::map<std::string, InstanceEntry*>> m_byService;
   /// By service and model, of those that get new work. Kept since leases are asked for several
   /// times a second with what these say.
-  std::map<std::string, std::map<std::string, VersionPlaces>> m_places;
+  std::map<std::string, std::map<std::string, SlotsByVersion>> m_slots;
   std::set<std::string> m_paced;     ///< ids of those whose pace is known
   std::set<std::string> m_departed;  ///< ids of those that the controllers took out
 };
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -194,7 +194,7 @@
   return found == m_engines.end() ? 0 : found->second.paceMs;
 }
 
-std::map<std::string, std::uint32_t> EnginePlacement::placesByZone() const {
+std::map<std::string, std::uint32_t> EnginePlacement::slotsByZone() const {
   std::map<std::string, std::uint32_t> places;
   for (const auto& [id, engine] : m_inUse) {
     places[engine->told.zone] += engine->told.slots;
@@ -210,8 +210,8 @@
   }
 }
 
-std::uint32_t EnginePlacement::placesReady(const std::string& model,
-                                           std::uint64_t minimumVersion) const {
+std::uint32_t EnginePlacement::readySlots(const std::string& model,
+                                          std::uint64_t minimumVersion) const {
   std::uint32_t places = 0;
   for (const auto& [id, engine] : m_engines) {
     if (engine.told.takesItems && engine.told.holds(model, minimumVersion)) {
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -55,7 +55,7 @@
   /// The zone of a known engine; else empty.
   [[nodiscard]] std::string zoneOf(const std::string& engine) const;
   /// Places at all engines that take items and are not in reserve, by zone.
-  [[nodiscard]] std::map<std::string, std::uint32_t> placesByZone() const;
+  [[nodiscard]] std::map<std::string, std::uint32_t> slotsByZone() const;
   /// The engine that will have run an item soonest, counting the item there from now on. A few
   /// items more than an engine has places wait there, so that it never stands idle between a result
   /// and the next lease. Empty when every engine that may run the item is full.
@@ -65,8 +65,8 @@
   void takeBack(const std::string& engine);
   /// Places at engines that take items and hold these weights or newer, engines in reserve
   /// included.
-  [[nodiscard]] std::uint32_t placesReady(const std::string& model,
-                                          std::uint64_t minimumVersion) const;
+  [[nodiscard]] std::uint32_t readySlots(const std::string& model,
+                                         std::uint64_t minimumVersion) const;
   /// All engines, by id.
   [[nodiscard]] std::vector<EngineSummary> sight(base::TimePoint now) const;
 
--- a/src/jobs/engine_room.cpp
+++ b/src/jobs/free_slots.cpp
@@ -1,11 +1,11 @@
-#include "jobs/engine_room.h"
+#include "jobs/free_slots.h"
 
 #include <algorithm>
 #include <iterator>
 
 namespace tackpick::jobs {
 
-void EngineRoom::add(const std::string& model, std::uint64_t version, std::uint32_t places) {
+void FreeSlots::add(const std::string& model, std::uint64_t version, std::uint32_t places) {
   Room& room = m_rooms[model];
   const auto newer = room.upper_bound(version);
   room.try_emplace(version, newer == room.end() ? 0 : newer->second);
@@ -14,7 +14,7 @@
   }
 }
 
-void EngineRoom::share(std::uint32_t parts, std::uint32_t percent) {
+void FreeSlots::share(std::uint32_t parts, std::uint32_t percent) {
   constexpr std::uint32_t kWholePercent = 100;
   for (auto& [model, room] : m_rooms) {
     for (auto& [version, places] : room) {
@@ -23,7 +23,7 @@
   }
 }
 
-bool EngineRoom::take(const std::string& model, std::uint64_t minimumVersion) {
+bool FreeSlots::take(const std::string& model, std::uint64_t minimumVersion) {
   const auto found = m_rooms.find(model);
   if (found == m_rooms.end()) {
     return false;
@@ -43,7 +43,7 @@
   return true;
 }
 
-void EngineRoom::occupy(const std::string& model, std::uint64_t minimumVersion) {
+void FreeSlots::occupy(const std::string& model, std::uint64_t minimumVersion) {
   const auto found = m_rooms.find(model);
   if (found == m_rooms.end()) {
     return;
@@ -56,7 +56,7 @@
   }
 }
 
-bool EngineRoom::empty() const {
+bool FreeSlots::empty() const {
   return std::all_of(m_rooms.begin(), m_rooms.end(), [](const auto& model) {
     return model.second.empty() || model.second.begin()->second == 0;
   });
--- a/src/jobs/engine_room.h
+++ b/src/jobs/free_slots.h
@@ -13,7 +13,7 @@
 /// An item of minimum version m may run at engines that hold m or newer, so items share places: of
 /// those at engines with version v or newer, all items whose minimum is above the next older
 /// version have their part. Deterministic.
-class EngineRoom {
+class FreeSlots {
  public:
   /// `places` more at engines that hold `version` of `model`.
   void add(const std::string& model, std::uint64_t version, std::uint32_t places);
--- a/src/jobs/gateway_capacity.cpp
+++ b/src/jobs/gateway_capacity.cpp
@@ -14,13 +14,13 @@
 
 /// Half a millisecond for an item that runs for half a second, and a tenth of one for each of some
 /// 20 events a second.
-constexpr double kCoresPerPlace = 0.003;
+constexpr double kCoresPerSlot = 0.003;
 /// 20 events of 2 KB a second, in and out again to the ledgers.
-constexpr double kMbpsPerPlace = 0.64;
+constexpr double kMbpsPerSlot = 0.64;
 /// The request, the text and the buffers of its connections.
-constexpr double kMegabytesPerPlace = 0.25;
+constexpr double kMegabytesPerSlot = 0.25;
 /// A kept connection may wait beside the one in use.
-constexpr double kDescriptorsPerPlace = 2;
+constexpr double kDescriptorsPerSlot = 2;
 
 constexpr double kMostCores = 1024;
 constexpr double kMostMemoryMb = 1e8;
@@ -28,9 +28,9 @@
 constexpr double kMostMbps = 1e7;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
-std::optional<double> places(double told, double most, double share, double perPlace) {
+std::optional<double> places(double told, double most, double share, double perSlot) {
   const bool known = told > 0 && told <= most;  // false for what is no number, too
-  return known ? std::optional(told * share / perPlace) : std::nullopt;
+  return known ? std::optional(told * share / perSlot) : std::nullopt;
 }
 
 bool textsFillMemory(const GatewayCapacity& capacity) {
@@ -40,14 +40,14 @@
 
 }  // namespace
 
-std::optional<std::uint32_t> placesOf(const GatewayCapacity& capacity) {
+std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity) {
   std::optional<double> fewest;
   for (const std::optional<double>& bound :
-       {places(capacity.processorCores, kMostCores, kProcessorForItems, kCoresPerPlace),
-        places(capacity.memoryMb, kMostMemoryMb, kMemoryForItems, kMegabytesPerPlace),
+       {places(capacity.processorCores, kMostCores, kProcessorForItems, kCoresPerSlot),
+        places(capacity.memoryMb, kMostMemoryMb, kMemoryForItems, kMegabytesPerSlot),
         places(capacity.fileDescriptors, kMostDescriptors, kDescriptorsForItems,
-               kDescriptorsPerPlace),
-        places(capacity.linkMbps, kMostMbps, kLinkForItems, kMbpsPerPlace)}) {
+               kDescriptorsPerSlot),
+        places(capacity.linkMbps, kMostMbps, kLinkForItems, kMbpsPerSlot)}) {
     if (bound) {
       fewest = std::min(fewest.value_or(*bound), *bound);
     }
@@ -56,9 +56,10 @@
     return std::nullopt;
   }
   if (textsFillMemory(capacity)) {
-    return kFewestPlaces;
+    return kMinGatewaySlots;
   }
-  return static_cast<std::uint32_t>(std::clamp<double>(*fewest, kFewestPlaces, kMostPlaces));
+  return static_cast<std::uint32_t>(
+      std::clamp<double>(*fewest, kMinGatewaySlots, kMaxGatewaySlots));
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/gateway_capacity.h
+++ b/src/jobs/gateway_capacity.h
@@ -25,12 +25,12 @@
   }
 };
 
-/// Bounds of what placesOf() says.
-inline constexpr std::uint32_t kFewestPlaces = 6;
-inline constexpr std::uint32_t kMostPlaces = 48;
+/// Bounds of what slotsFor() says.
+inline constexpr std::uint32_t kMinGatewaySlots = 6;
+inline constexpr std::uint32_t kMaxGatewaySlots = 48;
 
 /// Places at engines that a gateway of that capacity can serve; nothing when it tells none of what
 /// bounds them. Values that no machine has count as unknown.
-[[nodiscard]] std::optional<std::uint32_t> placesOf(const GatewayCapacity& capacity);
+[[nodiscard]] std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity);
 
 }  // namespace tackpick::jobs
--- a/src/jobs/gateway_roster.cpp
+++ b/src/jobs/gateway_roster.cpp
@@ -9,8 +9,8 @@
   return std::tuple(slow, other.size, gateway) < std::tuple(other.slow, size, other.gateway);
 }
 
-void GatewayRoster::setPlaces(const std::map<std::string, std::uint32_t>& placesByZone) {
-  for (const auto& [name, places] : placesByZone) {
+void GatewayRoster::setSlots(const std::map<std::string, std::uint32_t>& slotsByZone) {
+  for (const auto& [name, places] : slotsByZone) {
     Zone& zone = m_zones[name];
     zone.outdated = zone.outdated || places > zone.places;
     zone.places = std::max(zone.places, places);
@@ -41,7 +41,7 @@
 
 void GatewayRoster::measure(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
                             base::TimePoint now) const {
-  const std::uint32_t size = jobs::placesOf(capacity).value_or(m_settings.placesPerGateway);
+  const std::uint32_t size = jobs::slotsFor(capacity).value_or(m_settings.slotsPerGateway);
   const bool wasSlow = gateway.slow.isSlow();
   const bool first = gateway.askedAt == base::TimePoint{};
   gateway.lateness = capacity.tickLateness;
@@ -102,9 +102,9 @@
   }
 }
 
-std::uint32_t GatewayRoster::placesOf(const Zone& zone, const Gateway& gateway) const {
+std::uint32_t GatewayRoster::slotsFor(const Zone& zone, const Gateway& gateway) const {
   const bool equal = zone.sizes.size() <= 1;
-  const std::uint32_t places = equal ? m_settings.placesPerGateway : gateway.size;
+  const std::uint32_t places = equal ? m_settings.slotsPerGateway : gateway.size;
   return gateway.slow.isSlow() ? std::max(places / m_settings.slowDivisor, 1U) : places;
 }
 
@@ -135,7 +135,7 @@
       return;
     }
     spare += places >= zone.places ? 1 : 0;
-    places += placesOf(zone, gateway);
+    places += slotsFor(zone, gateway);
     zone.active.insert(next.gateway);
   }
   zone.enough = places >= zone.places && spare == m_settings.spareGateways;
@@ -175,7 +175,7 @@
   if (usual || !home->second.enough) {
     return std::nullopt;
   }
-  return placesOf(home->second, known->second) * m_settings.itemsPerPlace;
+  return slotsFor(home->second, known->second) * m_settings.itemsPerSlot;
 }
 
 std::vector<ActiveGateway> GatewayRoster::activeIn(const std::string& zone, base::TimePoint now) {
@@ -186,7 +186,7 @@
   }
   findActive(found->second, now);
   for (const base::NodeId node : found->second.active) {
-    active.push_back({node, placesOf(found->second, found->second.gateways.at(node))});
+    active.push_back({node, slotsFor(found->second, found->second.gateways.at(node))});
   }
   return active;
 }
@@ -196,7 +196,7 @@
   for (const auto& [name, zone] : m_zones) {
     for (const auto& [node, gateway] : zone.gateways) {
       const bool active = !zone.enough || zone.active.contains(node);
-      sight.push_back({node, name, placesOf(zone, gateway), 0, active, gateway.slow.slowSince()});
+      sight.push_back({node, name, slotsFor(zone, gateway), 0, active, gateway.slow.slowSince()});
     }
   }
   return sight;
--- a/src/jobs/gateway_roster.h
+++ b/src/jobs/gateway_roster.h
@@ -22,7 +22,7 @@
   /// Places at engines that one gateway serves where all are of the same size: an item costs a
   /// gateway about half a millisecond of processor time and runs for half a second and more, so
   /// this is far from its limit.
-  std::uint32_t placesPerGateway = 24;
+  std::uint32_t slotsPerGateway = 24;
   /// More than needed in each zone, so that the loss of one leaves no engine idle.
   std::uint32_t spareGateways = 2;
   /// A gateway that runs items asks several times within this time.
@@ -35,7 +35,7 @@
   std::uint32_t slowDivisor = 4;
   /// Items that a gateway may hold for each of its places: some wait at engines, and the gateways
   /// of a zone may be fewer than their share.
-  std::uint32_t itemsPerPlace = 2;
+  std::uint32_t itemsPerSlot = 2;
   SlowWatchSettings slow;
 };
 
@@ -60,7 +60,7 @@
   void clear() { m_zones.clear(); }
   /// Places of all engines in each zone; the most that was told counts, since engines that change
   /// their weights are left out for a moment.
-  void setPlaces(const std::map<std::string, std::uint32_t>& placesByZone);
+  void setSlots(const std::map<std::string, std::uint32_t>& slotsByZone);
   /// A gateway asks for items (`takesItems`), or for none any more.
   void note(base::NodeId gateway, const std::string& zone, bool takesItems, base::TimePoint now,
             const GatewayCapacity& capacity = {});
@@ -109,7 +109,7 @@
     bool outdated = true;
   };
 
-  [[nodiscard]] std::uint32_t placesOf(const Zone& zone, const Gateway& gateway) const;
+  [[nodiscard]] std::uint32_t slotsFor(const Zone& zone, const Gateway& gateway) const;
   [[nodiscard]] bool isSound(const Gateway& gateway, base::TimePoint now) const;
   [[nodiscard]] bool isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const;
   void findActive(Zone& zone, base::TimePoint now) const;
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -32,7 +32,7 @@
   m_engineAffinity.clear();
   m_models.clear();
   roster_.clear();
-  roster_.setPlaces(placement_.placesByZone());
+  roster_.setSlots(placement_.slotsByZone());
   first_seen_.clear();
   come_again_.clear();
   seen_items_.clear();
@@ -121,7 +121,7 @@
 }
 
 void ItemLeases::observeEngines() {
-  roster_.setPlaces(placement_.placesByZone());
+  roster_.setSlots(placement_.slotsByZone());
   plan_outdated_ = true;
 }
 
@@ -268,7 +268,7 @@
   }
 }
 
-std::vector<GrantedItem> ItemLeases::lease(base::NodeId gateway, EngineRoom wanted,
+std::vector<GrantedItem> ItemLeases::lease(base::NodeId gateway, FreeSlots wanted,
                                            const JobState& state, base::TimePoint now) {
   std::vector<GrantedItem> leased;
   if (now < leasing_from_) {
@@ -306,7 +306,7 @@
   }
 }
 
-ItemLeases::LeaseCall ItemLeases::callOf(base::NodeId gateway, EngineRoom wanted,
+ItemLeases::LeaseCall ItemLeases::callOf(base::NodeId gateway, FreeSlots wanted,
                                          base::TimePoint now) {
   LeaseCall call;
   call.gateway = gateway;
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -84,7 +84,7 @@
   /// Leases items to `gateway` that should run at engines in its zone, as many as find a place in
   /// `wanted`, and whole texts that only their score is missing of. The caller asks the roster
   /// first whether the gateway runs items.
-  [[nodiscard]] std::vector<GrantedItem> lease(base::NodeId gateway, EngineRoom wanted,
+  [[nodiscard]] std::vector<GrantedItem> lease(base::NodeId gateway, FreeSlots wanted,
                                                const JobState& state, base::TimePoint now);
   /// Leased items by the engine where they run or were placed.
   [[nodiscard]] const std::map<std::string, std::uint32_t>& itemsByEngine() const {
@@ -142,7 +142,7 @@
     base::NodeId gateway;
     std::string zone;
     base::TimePoint now{};
-    EngineRoom room;
+    FreeSlots room;
     std::size_t itemsLeft = 0;  ///< that it may hold besides those that it holds
     bool byAffinity = false;    ///< it takes only items of engines that the affinity allows
   };
@@ -174,7 +174,7 @@
   void leaseWhole(base::NodeId gateway, const JobState& state, base::TimePoint now,
                   std::vector<GrantedItem>& leased);
   /// What the gateway may take of the plan.
-  [[nodiscard]] LeaseCall callOf(base::NodeId gateway, EngineRoom wanted, base::TimePoint now);
+  [[nodiscard]] LeaseCall callOf(base::NodeId gateway, FreeSlots wanted, base::TimePoint now);
   void leasePlanned(LeaseCall& call, PlannedJob& planned, const JobState& state,
                     std::vector<GrantedItem>& leased);
   [[nodiscard]] static bool isOpen(const JobState& state, const ItemKey& key);
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -209,7 +209,7 @@
 
 WorkSummary ItemLeases::sight(const JobState& state, base::TimePoint now) const {
   WorkSummary sight;
-  std::map<std::pair<std::string, std::uint64_t>, std::uint32_t> placesReady;
+  std::map<std::pair<std::string, std::uint64_t>, std::uint32_t> readySlots;
   for (const auto* entry : state.bySubmission()) {
     const auto& [id, job] = *entry;
     if (job.settled()) {
@@ -219,11 +219,11 @@
     const auto open = static_cast<std::uint32_t>(submission.items.size() - job.results.size());
     JobSummary seen{id, submission.tenant, submission.model};
     seen.minimumVersion = submission.minimumVersion;
-    const auto [places, isNew] = placesReady.try_emplace({seen.model, seen.minimumVersion}, 0);
+    const auto [places, isNew] = readySlots.try_emplace({seen.model, seen.minimumVersion}, 0);
     if (isNew) {
-      places->second = placement_.placesReady(seen.model, seen.minimumVersion);
+      places->second = placement_.readySlots(seen.model, seen.minimumVersion);
     }
-    seen.placesReady = places->second;
+    seen.readySlots = places->second;
     seen.priority = m_priorities.of(submission.tenant, submission.priority);
     seen.running = std::min(open, runningItems(id));
     seen.waiting = open - seen.running;
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -16,7 +16,7 @@
 #include "base/packed_text.h"
 #include "base/serialization.h"
 #include "base/time.h"
-#include "jobs/engine_room.h"
+#include "jobs/free_slots.h"
 #include "jobs/gateway_capacity.h"
 #include "jobs/pace_report.h"
 #include "jobs/work_report.h"
@@ -216,7 +216,7 @@
 struct LeaseItems {
   std::vector<HeldItem> held;
   std::map<std::string, PaceReport> paces;  ///< by the name of the engine
-  EngineRoom wanted;                        ///< for further items
+  FreeSlots wanted;                         ///< for further items
   bool draining = false;                    ///< all its other leases are given back
   std::string zone;                         ///< the gateway's
   GatewayCapacity capacity = {};            ///< the gateway's
--- a/src/jobs/pace_classes.cpp
+++ b/src/jobs/pace_classes.cpp
@@ -48,7 +48,7 @@
   PaceClass& own = m_classes.at(engine.paceClass);
   own.push({engine.cost(), m_added, &engine});
   own.places += engine.told.slots;
-  own.taken += engine.takenPlaces();
+  own.taken += engine.usedSlots();
   ++m_added;
 }
 
@@ -62,14 +62,14 @@
     return nullptr;
   }
   EngineWork* engine = m_chosen->front().engine;
-  m_takenBefore = engine->takenPlaces();
+  m_takenBefore = engine->usedSlots();
   return engine;
 }
 
 void PaceClasses::onPlaced() {
   Candidate candidate = m_chosen->pop();
   candidate.cost = candidate.engine->cost();
-  m_chosen->taken += candidate.engine->takenPlaces() - m_takenBefore;
+  m_chosen->taken += candidate.engine->usedSlots() - m_takenBefore;
   m_chosen->push(candidate);
 }
 
--- a/src/jobs/placement_engine.h
+++ b/src/jobs/placement_engine.h
@@ -47,11 +47,11 @@
 
   /// Of one more item.
   [[nodiscard]] double cost() const { return engineCost(paceMs, (load + 1.0) / told.slots); }
-  [[nodiscard]] std::uint32_t takenPlaces() const { return std::min(load, told.slots); }
+  [[nodiscard]] std::uint32_t usedSlots() const { return std::min(load, told.slots); }
   [[nodiscard]] bool isFull() const {
     /// One item may wait for so many places.
-    constexpr std::uint32_t kPlacesPerWaiting = 8;
-    return load >= told.slots + told.slots / kPlacesPerWaiting;
+    constexpr std::uint32_t kSlotsPerQueuedItem = 8;
+    return load >= told.slots + told.slots / kSlotsPerQueuedItem;
   }
 };
 
--- a/src/jobs/work_summary.h
+++ b/src/jobs/work_summary.h
@@ -19,7 +19,7 @@
   std::string tenant;
   std::string model;
   std::uint64_t minimumVersion = 0;  ///< oldest weights that may make its texts
-  std::uint32_t placesReady = 0;     ///< at engines that take items and hold that version or newer
+  std::uint32_t readySlots = 0;      ///< at engines that take items and hold that version or newer
   std::uint32_t priority = 0;        ///< 0 is the highest
   std::uint32_t waiting = 0;         ///< items at no engine
   std::uint32_t running = 0;         ///< leased items
@@ -29,8 +29,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(job, tenant, model, minimumVersion, placesReady, priority, waiting, running, slack,
-            age);
+    archive(job, tenant, model, minimumVersion, readySlots, priority, waiting, running, slack, age);
   }
 };
 
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -88,11 +88,11 @@
   return std::max(shared, items_.empty() ? kIdleLeaseInterval : kLeaseInterval);
 }
 
-jobs::EngineRoom ItemRunner::wantedItems() const {
+jobs::FreeSlots ItemRunner::wantedItems() const {
   if (stopping_) {
     return {};
   }
-  jobs::EngineRoom wanted = instances_.engineRoom(engine_models_);
+  jobs::FreeSlots wanted = instances_.freeSlots(engine_models_);
   wanted.share(sharers_, kOvercommitPercent);
   for (const auto& [key, item] : items_) {
     if (needsEngine(*item)) {
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -99,7 +99,7 @@
   void onLeased(const jobs::JobReply& reply);
   /// Between two calls for leases.
   [[nodiscard]] base::Duration leaseInterval() const;
-  [[nodiscard]] jobs::EngineRoom wantedItems() const;
+  [[nodiscard]] jobs::FreeSlots wantedItems() const;
   [[nodiscard]] jobs::GatewayCapacity capacity() const;
   /// Without a renewal of the leases nothing new is sent: a job may have ended.
   [[nodiscard]] bool mayStart(base::TimePoint now) const;
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -94,9 +94,9 @@
     const auto found = sight.models.find(name);
     const auto model =
         found == sight.models.end() ? directory::ModelWeightsSummary{} : found->second;
-    metrics_.set(GaugeId::kPlacesReady, name, model.placesReady);
-    metrics_.set(GaugeId::kPlacesLoading, name, model.placesLoading);
-    metrics_.set(GaugeId::kPlacesNeeded, name, model.placesNeeded);
+    metrics_.set(GaugeId::kPlacesReady, name, model.readySlots);
+    metrics_.set(GaugeId::kPlacesLoading, name, model.loadingSlots);
+    metrics_.set(GaugeId::kPlacesNeeded, name, model.requiredSlots);
   }
   metrics_.set(GaugeId::kEnginesLoading, static_cast<double>(sight.loading));
   metrics_.set(GaugeId::kLoadBudget, static_cast<double>(sight.budget));
--- a/src/node/score_caller.cpp
+++ b/src/node/score_caller.cpp
@@ -56,7 +56,7 @@
       breakOff(call, SendOutcome::kFailed, now);
     }
     const bool due = !call.exchange.valid() && now >= call.notBefore && now < call.deadline;
-    if (due && m_window.hasRoom()) {
+    if (due && m_window.hasFreeSlot()) {
       send(key, call, now);
     }
   }
--- a/src/routing/engine_selector.cpp
+++ b/src/routing/engine_selector.cpp
@@ -12,7 +12,7 @@
   for (const auto& [id, entry] : table.entries()) {
     if (table.isEligible(entry, demand.model, demand.minimumVersion, now) &&
         !outliers.isEjected(id, now) && !demand.excluded.contains(id) &&
-        hasRoom(entry, outliers, demand)) {
+        hasFreeSlot(entry, outliers, demand)) {
       usable.push_back(&entry);
     }
   }
@@ -39,8 +39,8 @@
   return (*best)->record.engine;
 }
 
-bool EngineSelector::hasRoom(const EngineEntry& entry, const OutlierDetector& outliers,
-                             const EngineDemand& demand) const {
+bool EngineSelector::hasFreeSlot(const EngineEntry& entry, const OutlierDetector& outliers,
+                                 const EngineDemand& demand) const {
   if (outliers.onProbation(entry.record.engine) && entry.inFlight > 0) {
     return false;
   }
--- a/src/routing/engine_selector.h
+++ b/src/routing/engine_selector.h
@@ -51,8 +51,8 @@
                                                      base::TimePoint now);
 
  private:
-  [[nodiscard]] bool hasRoom(const EngineEntry& entry, const OutlierDetector& outliers,
-                             const EngineDemand& demand) const;
+  [[nodiscard]] bool hasFreeSlot(const EngineEntry& entry, const OutlierDetector& outliers,
+                                 const EngineDemand& demand) const;
   [[nodiscard]] double cost(const EngineEntry& entry, const EngineDemand& demand) const;
 
   const SelectorSettings settings_;
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -469,6 +469,6 @@
   const auto reply = base::decode<directory::DirectoryReply>(controller.answers[0].payload);
   cr_assert(reply && reply->weights.has_value());
   cr_assert_eq(reply->weights->models.at("m").published, 2U);
-  cr_assert_eq(reply->weights->models.at("m").placesReady, 0U, "the only engine holds the older");
+  cr_assert_eq(reply->weights->models.at("m").readySlots, 0U, "the only engine holds the older");
   cr_assert_geq(reply->weights->budget, 1U);
 }
--- a/test/directory/weights_plan_test.cpp
+++ b/test/directory/weights_plan_test.cpp
@@ -167,8 +167,8 @@
   const auto& sight = fleet.orders.sight();
   cr_assert_eq(sight.models.at("m").published, 6U);
   cr_assert_eq(sight.models.at("m").neededVersion, 5U);
-  cr_assert_eq(sight.models.at("m").placesReady, 48U);
-  cr_assert_eq(sight.models.at("m").placesNeeded, 48U);
+  cr_assert_eq(sight.models.at("m").readySlots, 48U);
+  cr_assert_eq(sight.models.at("m").requiredSlots, 48U);
   cr_assert(sight.models.at("m").expectedIn == base::seconds(3));
   cr_assert_eq(sight.budget, 2U);
 }
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -91,7 +91,7 @@
   }
   service.demand = demand;
   if (service.demand) {
-    service.demand->placesThere = platform.total() * service.slots;
+    service.demand->activeSlots = platform.total() * service.slots;
   }
   const duties::CapacityWork work = duty->step(state, {{service}, settled, fence, now});
   for (const auto& command : work.commands) {
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -175,7 +175,7 @@
       ++(onDemand ? zone.onDemandDraining : zone.preemptibleDraining);
     } else {
       ++(onDemand ? zone.onDemand : zone.preemptible);
-      service.demand->placesThere += kSlots;
+      service.demand->activeSlots += kSlots;
     }
   }
   for (std::size_t model = 0; model < m_queues.size(); ++model) {
--- a/test/forwarding/call_window_test.cpp
+++ b/test/forwarding/call_window_test.cpp
@@ -19,9 +19,9 @@
     now += base::seconds(1);
     window.onEnded(true, now);
   }
-  cr_assert(window.hasRoom());
+  cr_assert(window.hasFreeSlot());
   window.onSent();
-  cr_assert_not(window.hasRoom());
+  cr_assert_not(window.hasFreeSlot());
 }
 
 Test(call_window, grows_while_servers_have_room) {
@@ -29,7 +29,7 @@
   const base::TimePoint now{base::seconds(1)};
   int sent = 0;
   for (int i = 0; i < 1000; ++i) {
-    while (window.hasRoom()) {
+    while (window.hasFreeSlot()) {
       window.onSent();
       ++sent;
     }
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -95,7 +95,7 @@
   fixture.table.change({draining, view("c", 3), view("d", 3)}, {"b", "unknown"});
   cr_assert(fixture.chosen({"s", "m", 1}) == (std::set<std::string>{"c", "d"}));
   cr_assert_not_null(fixture.table.find("b"), "an answer may still come");
-  jobs::EngineRoom room = fixture.table.engineRoom(models);
+  jobs::FreeSlots room = fixture.table.freeSlots(models);
   for (int places = 0; places < 8; ++places) {
     cr_assert(room.take("m", 3));
   }
@@ -116,7 +116,7 @@
   cr_assert_null(fixture.table.findIdle(need, {"used"}, fixture.random, fixture.now));
   fixture.table.onEnded("used", SendOutcome::kUnreached, {}, fixture.now);
   cr_assert(fixture.chosen(need) == std::set<std::string>{"reserve"});
-  jobs::EngineRoom room = fixture.table.engineRoom({{"s", {"m"}}});
+  jobs::FreeSlots room = fixture.table.freeSlots({{"s", {"m"}}});
   cr_assert_not(room.take("m", 5), "items are leased for those in use");
 }
 
@@ -198,7 +198,7 @@
   Fixture fixture({view("a"), view("b")});
   fixture.table.onVersion("a", "m", 5);
   fixture.table.onEnded("b", SendOutcome::kGone, {}, fixture.now);
-  jobs::EngineRoom room = fixture.table.engineRoom(models);
+  jobs::FreeSlots room = fixture.table.freeSlots(models);
   for (int places = 0; places < 4; ++places) {
     cr_assert(room.take("m", 5));
   }
@@ -217,7 +217,7 @@
   fixture.table.onPace("e7", base::milliseconds(40), fixture.now);
   const std::clock_t begun = std::clock();
   for (int i = 0; i < kCalls; ++i) {
-    cr_assert_not(fixture.table.engineRoom({{"s", {"m"}}}).empty());
+    cr_assert_not(fixture.table.freeSlots({{"s", {"m"}}}).empty());
     cr_assert_eq(fixture.table.paces(fixture.now).size(), 1U);
     fixture.table.change({view("e" + std::to_string(i), 2)}, {});
   }
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -150,7 +150,7 @@
     }
     (void)m_leases.renew(gateway(number), held, m_state, m_now);
     m_leases.onAsked(gateway(number), "a", true, m_now);
-    jobs::EngineRoom room;
+    jobs::FreeSlots room;
     for (const char* model : {"m", "n"}) {
       room.add(model, 1, kEngines * kSlots / 3);
       for (std::size_t i = 0; i < held.size(); ++i) {
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -44,26 +44,26 @@
 }  // namespace
 
 Test(gateway_capacity, scarcest_of_what_is_known_decides_between_bounds) {
-  cr_assert_not(jobs::placesOf({}).has_value());
-  const auto small = jobs::placesOf(machine(0.09));
-  const auto large = jobs::placesOf(machine(0.2));
+  cr_assert_not(jobs::slotsFor({}).has_value());
+  const auto small = jobs::slotsFor(machine(0.09));
+  const auto large = jobs::slotsFor(machine(0.2));
   cr_assert(small && large && *small < *large);
-  cr_assert_eq(jobs::placesOf(machine(0.001)), jobs::kFewestPlaces);
+  cr_assert_eq(jobs::slotsFor(machine(0.001)), jobs::kMinGatewaySlots);
   jobs::GatewayCapacity fast = machine(4);
   fast.memoryMb = 16'000;
   fast.linkMbps = 10'000;
-  cr_assert_eq(jobs::placesOf(fast), jobs::kMostPlaces);
+  cr_assert_eq(jobs::slotsFor(fast), jobs::kMaxGatewaySlots);
   fast.linkMbps = 16;
-  cr_assert_lt(*jobs::placesOf(fast), 20U, "its link is narrow");
+  cr_assert_lt(*jobs::slotsFor(fast), 20U, "its link is narrow");
   fast.linkMbps = 0;
   fast.fileDescriptors = 64;
-  cr_assert_eq(jobs::placesOf(fast), 8U);
+  cr_assert_eq(jobs::slotsFor(fast), 8U);
 }
 
 Test(gateway_capacity, texts_that_fill_the_memory_leave_the_fewest_places) {
   jobs::GatewayCapacity capacity = machine(0.2);
   capacity.heldTextBytes = 41U << 20U;
-  cr_assert_eq(jobs::placesOf(capacity), jobs::kFewestPlaces);
+  cr_assert_eq(jobs::slotsFor(capacity), jobs::kMinGatewaySlots);
 }
 
 Test(gateway_capacity, values_that_no_machine_has_count_as_unknown) {
@@ -72,9 +72,9 @@
     jobs::GatewayCapacity nonsense;
     nonsense.processorCores = cores;
     nonsense.linkMbps = cores;
-    cr_assert_not(jobs::placesOf(nonsense).has_value());
+    cr_assert_not(jobs::slotsFor(nonsense).has_value());
     nonsense.memoryMb = 10;
-    cr_assert_eq(jobs::placesOf(nonsense), 10U);
+    cr_assert_eq(jobs::slotsFor(nonsense), 10U);
   }
 }
 
--- a/test/jobs/gateway_roster_test.cpp
+++ b/test/jobs/gateway_roster_test.cpp
@@ -34,10 +34,10 @@
 /// One zone with places for three gateways, and one to spare.
 jobs::GatewayRoster rosterOfFour() {
   jobs::GatewayRosterSettings settings;
-  settings.placesPerGateway = 10;
+  settings.slotsPerGateway = 10;
   settings.spareGateways = 1;
   jobs::GatewayRoster roster(settings);
-  roster.setPlaces({{"a", 30}});
+  roster.setSlots({{"a", 30}});
   return roster;
 }
 
@@ -48,7 +48,7 @@
   askAll(roster, 10, kNow);
   cr_assert_eq(activeAmong(roster, 10, kNow), 4U);
   cr_assert_eq(roster.activeCount(kNow), 4U);
-  roster.setPlaces({{"a", 5}});
+  roster.setSlots({{"a", 5}});
   cr_assert_eq(activeAmong(roster, 10, kNow), 4U, "engines that load count still");
 }
 
@@ -86,7 +86,7 @@
 /// Places for the engines of one zone of a real size.
 jobs::GatewayRoster rosterOfZone() {
   jobs::GatewayRoster roster;
-  roster.setPlaces({{"a", 88}});
+  roster.setSlots({{"a", 88}});
   return roster;
 }
 
@@ -202,7 +202,7 @@
   const auto size = [](std::uint32_t i) { return cores(i > 15 ? 0.3 : 0.09); };
   callFor(roster, 20, base::milliseconds(200), now, size);
   roster.clear();
-  roster.setPlaces({{"a", 88}});
+  roster.setSlots({{"a", 88}});
   cr_assert_eq(active(roster, 20, now).size(), 20U, "nothing is known");
   callFor(roster, 20, base::milliseconds(200), now, {[](std::uint32_t) { return cores(0); }});
   cr_assert(active(roster, 20, now) == numbers({1, 2, 3, 4, 5, 6}));
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -328,10 +328,10 @@
   cr_assert_eq(waiting.work->totalJobs, 1U);
   cr_assert_eq(waiting.work->jobs[0].waiting, 1U);
   cr_assert_eq(waiting.work->jobs[0].minimumVersion, 7U);
-  cr_assert_eq(waiting.work->jobs[0].placesReady, 0U);
+  cr_assert_eq(waiting.work->jobs[0].readySlots, 0U);
   cr_assert_eq(waiting.work->tenants.at("a").waiting, 1U);
   cr_assert_eq(waiting.work->totalEngines, 1U);
 
   ledger.role->setEngines({{"e", 4, {{"m", 7}}}});
-  cr_assert_eq(ledger.ask(jobs::ReadWork{}).work->jobs[0].placesReady, 4U);
+  cr_assert_eq(ledger.ask(jobs::ReadWork{}).work->jobs[0].readySlots, 4U);
 }
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -34,8 +34,8 @@
 }
 
 /// Places at engines that hold version 1.
-jobs::EngineRoom room(const std::map<std::string, std::uint32_t>& places) {
-  jobs::EngineRoom made;
+jobs::FreeSlots room(const std::map<std::string, std::uint32_t>& places) {
+  jobs::FreeSlots made;
   for (const auto& [model, count] : places) {
     made.add(model, 1, count);
   }
@@ -172,7 +172,7 @@
 }
 
 Test(engine_room, items_share_places_with_those_that_need_newer_weights) {
-  jobs::EngineRoom engines;
+  jobs::FreeSlots engines;
   engines.add("m", 8, 2);
   engines.add("m", 7, 3);
   cr_assert_not(engines.take("m", 9), "no engine is so new");
@@ -188,7 +188,7 @@
 }
 
 Test(engine_room, old_work_leaves_no_place_for_new_where_it_runs_at_new_engines) {
-  jobs::EngineRoom engines;
+  jobs::FreeSlots engines;
   engines.add("m", 7, 1);
   engines.add("m", 8, 2);
   cr_assert(engines.take("m", 7));
@@ -198,7 +198,7 @@
 }
 
 Test(engine_room, shares_and_running_items) {
-  jobs::EngineRoom engines;
+  jobs::FreeSlots engines;
   engines.add("m", 1, 10);
   engines.add("m", 2, 10);
   engines.share(4, 100);
@@ -217,13 +217,13 @@
   newer.minimumVersion = 8;
   apply(fixture.state, jobs::SubmitJob{newer});
   fixture.leases.addJob("k", *fixture.state.find("k"), fixture.now);
-  jobs::EngineRoom engines;
+  jobs::FreeSlots engines;
   engines.add("", 7, 2);
   engines.add("", 8, 1);
   const auto first = fixture.leases.lease(kGateway, engines, fixture.state, fixture.now);
   cr_assert_eq(first.size(), 3U);
   cr_assert_eq(first[2].key.job, "j", "three old items fill the three places");
-  jobs::EngineRoom newEngines;
+  jobs::FreeSlots newEngines;
   newEngines.add("", 8, 2);
   const auto second = fixture.leases.lease(kOther, newEngines, fixture.state, fixture.now);
   cr_assert_eq(second[1].key.job, "k");
@@ -340,7 +340,7 @@
   placement.setEngines({{"a", 2, {{"m", 1}}, "z", true, true},
                         {"b", 2, {{"m", 1}}, "z", true, true},
                         {"used", 2, {{"m", 5}}, "z"}});
-  cr_assert_eq(placement.placesByZone().at("z"), 2U);
+  cr_assert_eq(placement.slotsByZone().at("z"), 2U);
   for (const char* engine : {"used", "used", "a", "a", "b", "b"}) {
     cr_assert_eq(placement.place({"m", 1}), engine);
   }
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -54,7 +54,7 @@
 
   std::vector<jobs::GrantedItem> lease(base::NodeId gateway = kGateway) {
     now += base::milliseconds(5);
-    jobs::EngineRoom room;
+    jobs::FreeSlots room;
     room.add("m", 1, kRoom);
     room.add("n", 1, kRoom);
     return leases.lease(gateway, room, state, now);
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -85,8 +85,8 @@
   jobs::PlacementEngine loading{"loading", 16, {{"m", 3}}};
   loading.takesItems = false;
   placement.setEngines({older, newer, reserve, loading});
-  cr_assert_eq(placement.placesReady("m", 1), 14U);
-  cr_assert_eq(placement.placesReady("m", 2), 10U);
-  cr_assert_eq(placement.placesReady("m", 3), 0U);
-  cr_assert_eq(placement.placesReady("other", 0), 0U);
+  cr_assert_eq(placement.readySlots("m", 1), 14U);
+  cr_assert_eq(placement.readySlots("m", 2), 10U);
+  cr_assert_eq(placement.readySlots("m", 3), 0U);
+  cr_assert_eq(placement.readySlots("other", 0), 0U);
 }
