--- a/bench/placement/main.cpp
+++ b/bench/placement/main.cpp
@@ -49,10 +49,10 @@
   return engines;
 }
 
-std::map<std::string, jobs::PaceReport> makeReports(std::uint32_t engines) {
+std::map<std::string, jobs::EventIntervalReport> makeReports(std::uint32_t engines) {
   constexpr double kFastMs = 40;
   constexpr double kSlowMs = 90;
-  std::map<std::string, jobs::PaceReport> reports;
+  std::map<std::string, jobs::EventIntervalReport> reports;
   for (std::uint32_t i = 0; i < engines; ++i) {
     reports["engine" + std::to_string(i)] = {i % kZones == 0 ? kSlowMs : kFastMs};
   }
@@ -80,7 +80,7 @@
     if (now - reportedAt >= kReportInterval) {
       reportedAt = now;
       const Timer timer;
-      placement.notePaces(reports, now);
+      placement.recordEventIntervals(reports, now);
       reportsUs += timer.micros();
       ++told;
     }
--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -35,8 +35,8 @@
 Json toJson(const jobs::EngineSummary& engine) {
   return {{"engine", engine.id},
           {"zone", engine.zone},
-          {"pace_ms", engine.paceMs > 0 ? Json(engine.paceMs) : Json(nullptr)},
-          {"work_time_percent", engine.workTimePercent},
+          {"pace_ms", engine.eventIntervalMs > 0 ? Json(engine.eventIntervalMs) : Json(nullptr)},
+          {"work_time_percent", engine.slowdownPercent},
           {"sample_age_s", secondsOrNull(engine.sampleAge)},
           {"items", engine.items}};
 }
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -32,23 +32,25 @@
                                                double gain, base::Random& random,
                                                base::TimePoint now) const {
   const InstanceEntry* here = find(current);
-  return here == nullptr || here->paceMs <= 0
+  return here == nullptr || here->eventIntervalMs <= 0
              ? nullptr
-             : findPaced(need, current, here->paceMs / gain, random, now);
+             : findWithinInterval(need, current, here->eventIntervalMs / gain, random, now);
 }
 
-const InstanceEntry* InstanceTable::findPaced(const InstanceNeed& need, const std::string& current,
-                                              double longestPaceMs, base::Random& random,
-                                              base::TimePoint now) const {
+const InstanceEntry* InstanceTable::findWithinInterval(const InstanceNeed& need,
+                                                       const std::string& current,
+                                                       double maxEventIntervalMs,
+                                                       base::Random& random,
+                                                       base::TimePoint now) const {
   const InstanceEntry* here = find(current);
   if (here == nullptr || here->loading) {
     return nullptr;
   }
   std::vector<const InstanceEntry*> faster;
-  for (const std::string& id : m_paced) {
+  for (const std::string& id : m_measured) {
     const InstanceEntry& entry = entries_.at(id);
     if (id != current && isSound(entry, need, now) && hasFreeSlot(entry, now) &&
-        entry.paceMs <= longestPaceMs) {
+        entry.eventIntervalMs <= maxEventIntervalMs) {
       faster.push_back(&entry);
     }
   }
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -12,13 +12,13 @@
 /// Reports of load older than this say nothing.
 constexpr base::Duration kLoadFreshness = base::milliseconds(800);
 /// The time that work takes changes many times a second.
-constexpr base::Duration kWorkTimeFreshness = base::milliseconds(200);
+constexpr base::Duration kSlowdownMaxAge = base::milliseconds(200);
 constexpr double kLatencyWeight = 0.2;
-constexpr double kPaceWeight = 0.15;
+constexpr double kIntervalSmoothing = 0.15;
 /// Of what the ledgers are told, which average it over gateways.
-constexpr double kRecentPaceWeight = 0.3;
+constexpr double kRecentIntervalSmoothing = 0.3;
 /// What was measured before says nothing of an engine's present pace.
-constexpr base::Duration kPaceMemory = base::seconds(2);
+constexpr base::Duration kIntervalMaxAge = base::seconds(2);
 /// An instance in another zone counts as this much busier, in requests.
 constexpr double kOtherZoneCost = 0.4;
 
@@ -114,17 +114,17 @@
        known != entries_.end() && known->first < id; ++known) {
     endEntry(known->second, successor);
   }
-  if (successor.paceMs > 0) {
-    m_paced.insert(id);
+  if (successor.eventIntervalMs > 0) {
+    m_measured.insert(id);
   }
 }
 
 void InstanceTable::endEntry(InstanceEntry& earlier, InstanceEntry& successor) {
   earlier.ended = true;
-  if (earlier.paceMs > 0) {
-    successor.paceMs = earlier.paceMs;
-    successor.recentPaceMs = earlier.recentPaceMs;
-    successor.paceAt = earlier.paceAt;
+  if (earlier.eventIntervalMs > 0) {
+    successor.eventIntervalMs = earlier.eventIntervalMs;
+    successor.recentEventIntervalMs = earlier.recentEventIntervalMs;
+    successor.eventIntervalAt = earlier.eventIntervalAt;
   }
 }
 
@@ -149,7 +149,7 @@
     if (known->second.inFlight > 0) {
       return false;
     }
-    m_paced.erase(id);
+    m_measured.erase(id);
     m_byService[known->second.record.service].erase(id);
     entries_.erase(known);
     return true;
@@ -198,10 +198,10 @@
   return std::max({static_cast<double>(entry.inFlight), reported, shared});
 }
 
-double InstanceTable::workTime(const InstanceEntry& entry, base::TimePoint now) {
+double InstanceTable::slowdown(const InstanceEntry& entry, base::TimePoint now) {
   constexpr double kUsualPercent = 100.0;
-  const bool fresh = now - entry.loadAt < kWorkTimeFreshness;
-  return fresh ? entry.load.workTimePercent / kUsualPercent : 1.0;
+  const bool fresh = now - entry.loadAt < kSlowdownMaxAge;
+  return fresh ? entry.load.slowdownPercent / kUsualPercent : 1.0;
 }
 
 double InstanceTable::cost(const InstanceEntry& entry, const InstanceNeed& need,
@@ -211,10 +211,10 @@
   if (need.model.empty()) {
     const double away = entry.record.zone != settings_.zone ? kOtherZoneCost / slots : 0.0;
     constexpr double kUnknownLatencyMs = 10.0;
-    return (occupied + away) * workTime(entry, now) *
+    return (occupied + away) * slowdown(entry, now) *
            (entry.latencyMs > 0 ? entry.latencyMs : kUnknownLatencyMs);
   }
-  return jobs::engineCost(entry.paceMs, occupied);
+  return jobs::engineCost(entry.eventIntervalMs, occupied);
 }
 
 bool InstanceTable::isSound(const InstanceEntry& entry, const InstanceNeed& need,
@@ -279,19 +279,26 @@
   }
 }
 
-void InstanceTable::onPace(const std::string& id, base::Duration perEvent, base::TimePoint now) {
+void InstanceTable::onEventInterval(const std::string& id, base::Duration perEvent,
+                                    base::TimePoint now) {
   const auto found = entries_.find(id);
   if (found == entries_.end() || found->second.loading) {
     return;
   }
   InstanceEntry& entry = found->second;
   const double sample = base::toMilliseconds(perEvent);
-  entry.paceMs = entry.paceMs > 0 ? entry.paceMs + kPaceWeight * (sample - entry.paceMs) : sample;
-  const bool recent = entry.recentPaceMs > 0 && now - entry.paceAt <= kPaceMemory;
-  entry.recentPaceMs =
-      recent ? entry.recentPaceMs + kRecentPaceWeight * (sample - entry.recentPaceMs) : sample;
-  entry.paceAt = now;
-  m_paced.insert(id);
+  entry.eventIntervalMs =
+      entry.eventIntervalMs > 0
+          ? entry.eventIntervalMs + kIntervalSmoothing * (sample - entry.eventIntervalMs)
+          : sample;
+  const bool recent =
+      entry.recentEventIntervalMs > 0 && now - entry.eventIntervalAt <= kIntervalMaxAge;
+  entry.recentEventIntervalMs =
+      recent ? entry.recentEventIntervalMs +
+                   kRecentIntervalSmoothing * (sample - entry.recentEventIntervalMs)
+             : sample;
+  entry.eventIntervalAt = now;
+  m_measured.insert(id);
 }
 
 void InstanceTable::onLoad(const std::string& id, const ReportedLoad& load, base::TimePoint now) {
@@ -325,15 +332,17 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-std::map<std::string, jobs::PaceReport> InstanceTable::paces(base::TimePoint now) const {
-  std::map<std::string, jobs::PaceReport> paces;
+std::map<std::string, jobs::EventIntervalReport> InstanceTable::eventIntervals(
+    base::TimePoint now) const {
+  std::map<std::string, jobs::EventIntervalReport> eventIntervals;
   // In the order of the ids: of one engine's incarnations the latest comes last.
-  for (const std::string& id : m_paced) {
+  for (const std::string& id : m_measured) {
     const InstanceEntry& entry = entries_.at(id);
-    paces[directory::instanceName(id)] = {entry.recentPaceMs, now - entry.paceAt,
-                                          entry.load.workTimePercent, now - entry.loadAt};
+    eventIntervals[directory::instanceName(id)] = {entry.recentEventIntervalMs,
+                                                   now - entry.eventIntervalAt,
+                                                   entry.load.slowdownPercent, now - entry.loadAt};
   }
-  return paces;
+  return eventIntervals;
 }
 
 std::size_t InstanceTable::count(const std::string& service) const {
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -14,8 +14,8 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "directory/directory_messages.h"
+#include "jobs/event_interval_report.h"
 #include "jobs/free_slots.h"
-#include "jobs/pace_report.h"
 
 namespace tackpick::forwarding {
 
@@ -55,7 +55,7 @@
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
   /// How long work takes there now, in percent of what is usual: others use the machine too.
-  std::uint32_t workTimePercent = 100;
+  std::uint32_t slowdownPercent = 100;
 };
 
 /// What a request needs of an instance.
@@ -79,10 +79,11 @@
   base::TimePoint loadAt{};
   std::uint32_t sharedLoad = 0;  ///< requests of all gateways, as the ledgers count them
   base::TimePoint sharedLoadAt{};
-  double paceMs = 0;  ///< moving average of the time between two events of a stream; zero: none yet
-  double recentPaceMs = 0;   ///< the same over the last few runs, for the ledgers
-  base::TimePoint paceAt{};  ///< when they were last measured
-  double latencyMs = 0;      ///< moving average of served requests; zero: none yet
+  double eventIntervalMs =
+      0;  ///< moving average of the time between two events of a stream; zero: none yet
+  double recentEventIntervalMs = 0;   ///< the same over the last few runs, for the ledgers
+  base::TimePoint eventIntervalAt{};  ///< when they were last measured
+  double latencyMs = 0;               ///< moving average of served requests; zero: none yet
   std::uint32_t failures = 0;
   base::TimePoint avoidUntil{};
   std::uint64_t favour = 0;  ///< of those in its zone, this gateway favours the lowest
@@ -117,7 +118,7 @@
                base::TimePoint now);
   /// Events of a stream came so far apart on average. Passed over while the engine changes its
   /// weights, which slows it for a moment.
-  void onPace(const std::string& id, base::Duration perEvent, base::TimePoint now);
+  void onEventInterval(const std::string& id, base::Duration perEvent, base::TimePoint now);
   /// An instance where a stream would go on faster: at least `gain` times as fast as at `current`,
   /// with room. Of two drawn at random the cheaper one, so that gateways do not all choose the
   /// same. Nothing when there is none.
@@ -125,10 +126,12 @@
   [[nodiscard]] const InstanceEntry* findFaster(const InstanceNeed& need,
                                                 const std::string& current, double gain,
                                                 base::Random& random, base::TimePoint now) const;
-  /// The same where a stream is at most `longestPaceMs` milliseconds from event to event.
-  [[nodiscard]] const InstanceEntry* findPaced(const InstanceNeed& need, const std::string& current,
-                                               double longestPaceMs, base::Random& random,
-                                               base::TimePoint now) const;
+  /// The same where a stream is at most `maxEventIntervalMs` milliseconds from event to event.
+  [[nodiscard]] const InstanceEntry* findWithinInterval(const InstanceNeed& need,
+                                                        const std::string& current,
+                                                        double maxEventIntervalMs,
+                                                        base::Random& random,
+                                                        base::TimePoint now) const;
   /// An instance with room that has not been tried and refuses nothing now; nothing when there is
   /// none.
   [[nodiscard]] const InstanceEntry* findIdle(const InstanceNeed& need,
@@ -147,7 +150,8 @@
 
   [[nodiscard]] const InstanceEntry* find(const std::string& id) const;
   /// Paces of engines, by their names, where they are known.
-  [[nodiscard]] std::map<std::string, jobs::PaceReport> paces(base::TimePoint now) const;
+  [[nodiscard]] std::map<std::string, jobs::EventIntervalReport> eventIntervals(
+      base::TimePoint now) const;
   /// Instances of a service that do not leave.
   [[nodiscard]] std::size_t count(const std::string& service) const;
   /// Places at engines, by model and the version of it that they hold.
@@ -162,7 +166,7 @@
   /// Requests at an instance, as far as this gateway knows.
   [[nodiscard]] static double busyness(const InstanceEntry& entry, base::TimePoint now);
   /// How long work takes there now; 1: as usual, or not known.
-  [[nodiscard]] static double workTime(const InstanceEntry& entry, base::TimePoint now);
+  [[nodiscard]] static double slowdown(const InstanceEntry& entry, base::TimePoint now);
   [[nodiscard]] static bool isSound(const InstanceEntry& entry, const InstanceNeed& need,
                                     base::TimePoint now);
   [[nodiscard]] static bool hasFreeSlot(const InstanceEntry& entry, base::TimePoint now);
@@ -205,7 +209,7 @@
   /// By service and model, of those that get new work. Kept since leases are asked for several
   /// times a second with what these say.
   std::map<std::string, std::map<std::string, SlotsByVersion>> m_slots;
-  std::set<std::string> m_paced;     ///< ids of those whose pace is known
+  std::set<std::string> m_measured;  ///< ids of those whose pace is known
   std::set<std::string> m_departed;  ///< ids of those that the controllers took out
 };
 
--- a/src/jobs/engine_cost.h
+++ b/src/jobs/engine_cost.h
@@ -7,16 +7,17 @@
 namespace tackpick::jobs {
 
 /// Milliseconds between two events where nothing has been observed.
-inline constexpr double kUnknownPaceMs = 1.0;
+inline constexpr double kUnknownEventIntervalMs = 1.0;
 
-/// `paceMs` between two events; `occupied`: items there, with the one to come, as a part of its
-/// places. A full batch is hardly slower than an empty one, so speed counts more than balance; but
-/// what waits for a place makes no progress.
-[[nodiscard]] inline double engineCost(double paceMs, double occupied) {
+/// `eventIntervalMs` between two events; `occupied`: items there, with the one to come, as a part
+/// of its places. A full batch is hardly slower than an empty one, so speed counts more than
+/// balance; but what waits for a place makes no progress.
+[[nodiscard]] inline double engineCost(double eventIntervalMs, double occupied) {
   constexpr double kSharing = 0.06;
   constexpr double kQueueing = 4.0;
   const double queued = std::max(0.0, occupied - 1.0);
-  return (paceMs > 0 ? paceMs : kUnknownPaceMs) * (1.0 + kSharing * occupied + kQueueing * queued);
+  return (eventIntervalMs > 0 ? eventIntervalMs : kUnknownEventIntervalMs) *
+         (1.0 + kSharing * occupied + kQueueing * queued);
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/engine_pace.cpp
+++ b/src/jobs/engine_event_interval.cpp
@@ -1,4 +1,4 @@
-#include "jobs/engine_pace.h"
+#include "jobs/engine_event_interval.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,13 +7,14 @@
 namespace {
 
 /// No engine makes events faster, and none so slow is of use: what lies outside is an error.
-constexpr double kLeastPaceMs = 0.001;
-constexpr double kLongestPaceMs = 60'000;
+constexpr double kMinEventIntervalMs = 0.001;
+constexpr double kMaxEventIntervalMs = 60'000;
 /// Of the recent average: three reports outweigh what was known before.
 constexpr double kRecentWeight = 0.3;
 /// Nothing that old is told.
 constexpr base::Duration kOldest = base::seconds(3600);
-/// Gateways tell paces twice a second: samples that are apart by no more are of the same time.
+/// Gateways tell event intervals twice a second: samples that are apart by no more are of the same
+/// time.
 constexpr base::Duration kSameTime = base::milliseconds(500);
 /// The long run forgets this slowly, so that seconds of slowness hardly change it.
 constexpr base::Duration kLongRun = base::seconds(20);
@@ -31,8 +32,9 @@
 /// More is taken as this: the delay of a moment is bounded anyway.
 constexpr std::uint32_t kMostPercent = 10'000;
 
-bool isPlausible(double paceMs) {
-  return std::isfinite(paceMs) && paceMs >= kLeastPaceMs && paceMs <= kLongestPaceMs;
+bool isPlausible(double eventIntervalMs) {
+  return std::isfinite(eventIntervalMs) && eventIntervalMs >= kMinEventIntervalMs &&
+         eventIntervalMs <= kMaxEventIntervalMs;
 }
 
 /// From `from` to `to` by `share`, as a ratio.
@@ -47,16 +49,18 @@
 
 }  // namespace
 
-bool EnginePace::note(const PaceReport& report, double typicalMs, base::TimePoint now) {
-  if (!isPlausible(report.paceMs) || report.age < base::Duration{0} || report.age > kOldest) {
+bool EngineEventInterval::note(const EventIntervalReport& report, double typicalMs,
+                               base::TimePoint now) {
+  if (!isPlausible(report.eventIntervalMs) || report.age < base::Duration{0} ||
+      report.age > kOldest) {
     return false;
   }
-  noteWorkTime(report, now);
+  recordSlowdown(report, now);
   const base::TimePoint sampledAt = now - report.age;
   const bool fresh = report.age <= kFresh;
   if (!isKnown()) {
-    m_recentMs = report.paceMs;
-    m_longRunMs = typicalMs > 0 || !fresh ? typicalMs : report.paceMs;
+    m_recentMs = report.eventIntervalMs;
+    m_longRunMs = typicalMs > 0 || !fresh ? typicalMs : report.eventIntervalMs;
     m_sampledAt = sampledAt;
     m_learntAt = sampledAt;
     return true;
@@ -66,35 +70,36 @@
     return true;  // told again, or a later one is known
   }
   const base::TimePoint latest = std::max(m_sampledAt, sampledAt);
-  m_recentMs = between(expectedMs(typicalMs, latest), report.paceMs, kRecentWeight);
+  m_recentMs = between(expectedMs(typicalMs, latest), report.eventIntervalMs, kRecentWeight);
   m_sampledAt = latest;
-  learnLongRun(report.paceMs, m_sampledAt);
+  learnLongRun(report.eventIntervalMs, m_sampledAt);
   return true;
 }
 
-void EnginePace::learnLongRun(double paceMs, base::TimePoint now) {
+void EngineEventInterval::learnLongRun(double eventIntervalMs, base::TimePoint now) {
   const base::Duration step = std::min(now - m_learntAt, kLongestStep);
   if (step <= base::Duration{0}) {
     return;
   }
   m_learntAt = now;
   if (m_longRunMs <= 0) {
-    m_longRunMs = paceMs;
+    m_longRunMs = eventIntervalMs;
     return;
   }
-  m_longRunMs = between(m_longRunMs, paceMs, 1.0 - std::exp(-seconds(step) / seconds(kLongRun)));
+  m_longRunMs =
+      between(m_longRunMs, eventIntervalMs, 1.0 - std::exp(-seconds(step) / seconds(kLongRun)));
 }
 
-void EnginePace::noteWorkTime(const PaceReport& report, base::TimePoint now) {
-  const base::TimePoint saidAt = now - std::max(report.workTimeAge, base::Duration{0});
-  if (now - saidAt >= kMoment || (m_workTimeAt && saidAt < *m_workTimeAt)) {
+void EngineEventInterval::recordSlowdown(const EventIntervalReport& report, base::TimePoint now) {
+  const base::TimePoint saidAt = now - std::max(report.slowdownAge, base::Duration{0});
+  if (now - saidAt >= kMoment || (m_slowdownAt && saidAt < *m_slowdownAt)) {
     return;
   }
-  m_workTimeAt = saidAt;
-  m_workTimePercent = std::clamp(report.workTimePercent, kUsualPercent, kMostPercent);
+  m_slowdownAt = saidAt;
+  m_slowdownPercent = std::clamp(report.slowdownPercent, kUsualPercent, kMostPercent);
 }
 
-double EnginePace::expectedMs(double typicalMs, base::TimePoint now) const {
+double EngineEventInterval::expectedMs(double typicalMs, base::TimePoint now) const {
   if (!isKnown()) {
     return typicalMs;
   }
@@ -110,16 +115,16 @@
   return between(longRun, m_recentMs, remaining(age - kFresh, kRecentHalfLife));
 }
 
-base::Duration EnginePace::momentaryDelay(base::TimePoint now) const {
-  const std::uint32_t percent = workTimePercent(now);
+base::Duration EngineEventInterval::momentaryDelay(base::TimePoint now) const {
+  const std::uint32_t percent = slowdownPercent(now);
   return kMoment * (percent - kUsualPercent) / percent;
 }
 
-std::uint32_t EnginePace::workTimePercent(base::TimePoint now) const {
-  return m_workTimeAt && now - *m_workTimeAt < kMoment ? m_workTimePercent : kUsualPercent;
+std::uint32_t EngineEventInterval::slowdownPercent(base::TimePoint now) const {
+  return m_slowdownAt && now - *m_slowdownAt < kMoment ? m_slowdownPercent : kUsualPercent;
 }
 
-std::optional<base::Duration> EnginePace::age(base::TimePoint now) const {
+std::optional<base::Duration> EngineEventInterval::age(base::TimePoint now) const {
   return isKnown() ? std::optional(now - m_sampledAt) : std::nullopt;
 }
 
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -7,8 +7,9 @@
 namespace tackpick::jobs {
 namespace {
 
-/// Between taking over the expected paces: they change over seconds, and there may be 10,000.
-constexpr base::Duration kPaceInterval = base::milliseconds(100);
+/// Between taking over the expected event intervals: they change over seconds, and there may be
+/// 10,000.
+constexpr base::Duration kEventIntervalRefresh = base::milliseconds(100);
 /// Between two classes. Paces of equal engines differ by the prompts that they read meanwhile; a
 /// class holds what differs by no more, so that equal engines are filled evenly.
 constexpr double kClassRatio = 1.6;
@@ -85,14 +86,14 @@
 
 void EnginePlacement::attach(EngineWork& engine) {
   const std::string& machine = engine.told.machineName();
-  engine.pace = &m_paces.attach(machine, engine.told.zone);
+  engine.pace = &m_eventIntervals.attach(machine, engine.told.zone);
   m_byMachine[machine].insert(&engine);
-  takePace(engine, m_pacesAt);
+  refreshEventInterval(engine, m_intervalsRefreshedAt);
 }
 
 void EnginePlacement::detach(EngineWork& engine) {
   const std::string& machine = engine.told.machineName();
-  m_paces.detach(machine, m_pacesAt);
+  m_eventIntervals.detach(machine, m_intervalsRefreshedAt);
   const auto engines = m_byMachine.find(machine);
   engines->second.erase(&engine);
   if (engines->second.empty()) {
@@ -123,45 +124,47 @@
   return found == m_engines.end() ? nullptr : &found->second;
 }
 
-void EnginePlacement::notePaces(const std::map<std::string, PaceReport>& reports,
-                                base::TimePoint now) {
+void EnginePlacement::recordEventIntervals(
+    const std::map<std::string, EventIntervalReport>& reports, base::TimePoint now) {
   for (const auto& [machine, report] : reports) {
     const auto engines = m_byMachine.find(machine);
-    if (engines == m_byMachine.end() || !m_paces.note(machine, report, now)) {
+    if (engines == m_byMachine.end() || !m_eventIntervals.note(machine, report, now)) {
       continue;
     }
     for (EngineWork* engine : engines->second) {
-      takePace(*engine, now);
+      refreshEventInterval(*engine, now);
     }
   }
 }
 
-void EnginePlacement::takePaces(base::TimePoint now) {
-  if (now - m_pacesAt < kPaceInterval) {
+void EnginePlacement::refreshEventIntervals(base::TimePoint now) {
+  if (now - m_intervalsRefreshedAt < kEventIntervalRefresh) {
     return;
   }
-  m_pacesAt = now;
-  m_paces.refresh(now);
+  m_intervalsRefreshedAt = now;
+  m_eventIntervals.refresh(now);
   for (auto& [id, engine] : m_engines) {
-    takePace(engine, now);
+    refreshEventInterval(engine, now);
   }
 }
 
-void EnginePlacement::takePace(EngineWork& engine, base::TimePoint now) {
-  engine.paceMs = m_paces.expectedMs(*engine.pace, now);
-  const EnginePace& pace = engine.pace->pace;
+void EnginePlacement::refreshEventInterval(EngineWork& engine, base::TimePoint now) {
+  engine.eventIntervalMs = m_eventIntervals.expectedMs(*engine.pace, now);
+  const EngineEventInterval& pace = engine.pace->pace;
   engine.momentaryDelay = pace.momentaryDelay(now);
   // Apart from those of its pace: within a class engines are compared by the pace alone.
   constexpr double kUsualPercent = 100.0;
-  engine.paceClass = paceClassOf(engine.paceMs * pace.workTimePercent(now) / kUsualPercent);
+  engine.speedTier =
+      speedTierOf(engine.eventIntervalMs * pace.slowdownPercent(now) / kUsualPercent);
 }
 
-std::size_t EnginePlacement::paceClassOf(double paceMs) const {
-  if (paceMs <= 0 || m_paces.typicalMs() <= 0) {
-    return kTypicalClass;
+std::size_t EnginePlacement::speedTierOf(double eventIntervalMs) const {
+  if (eventIntervalMs <= 0 || m_eventIntervals.typicalMs() <= 0) {
+    return kTypicalTier;
   }
-  constexpr auto kMiddle = static_cast<double>(kTypicalClass);
-  const double steps = std::round(std::log(paceMs / m_paces.typicalMs()) / std::log(kClassRatio));
+  constexpr auto kMiddle = static_cast<double>(kTypicalTier);
+  const double steps =
+      std::round(std::log(eventIntervalMs / m_eventIntervals.typicalMs()) / std::log(kClassRatio));
   return static_cast<std::size_t>(kMiddle + std::clamp(steps, -kMiddle, kMiddle));
 }
 
@@ -175,7 +178,7 @@
       addLoad(*engine, items);
     }
   }
-  takePaces(now);
+  refreshEventIntervals(now);
   forgetSearches();
 }
 
@@ -189,9 +192,9 @@
   return found == m_engines.end() ? std::string() : found->second.told.zone;
 }
 
-double EnginePlacement::paceOf(const std::string& engine) const {
+double EnginePlacement::eventIntervalOf(const std::string& engine) const {
   const auto found = m_engines.find(engine);
-  return found == m_engines.end() ? 0 : found->second.paceMs;
+  return found == m_engines.end() ? 0 : found->second.eventIntervalMs;
 }
 
 std::map<std::string, std::uint32_t> EnginePlacement::slotsByZone() const {
@@ -225,15 +228,15 @@
   std::vector<EngineSummary> sights;
   sights.reserve(m_engines.size());
   for (const auto& [id, engine] : m_engines) {
-    const EnginePace& pace = engine.pace->pace;
-    sights.push_back({id, engine.told.zone, m_paces.expectedMs(*engine.pace, now),
-                      pace.workTimePercent(now), pace.age(now), engine.load});
+    const EngineEventInterval& pace = engine.pace->pace;
+    sights.push_back({id, engine.told.zone, m_eventIntervals.expectedMs(*engine.pace, now),
+                      pace.slowdownPercent(now), pace.age(now), engine.load});
   }
   return sights;
 }
 
-PaceClasses EnginePlacement::candidatesFor(const std::string& model, std::uint64_t minimumVersion) {
-  PaceClasses candidates;
+SpeedTiers EnginePlacement::candidatesFor(const std::string& model, std::uint64_t minimumVersion) {
+  SpeedTiers candidates;
   const auto engines = m_inUseByModel.find(model);
   if (engines == m_inUseByModel.end()) {
     return candidates;
@@ -246,7 +249,7 @@
   return candidates;
 }
 
-PaceClasses& EnginePlacement::candidatesOf(const std::string& model, std::uint64_t minimumVersion) {
+SpeedTiers& EnginePlacement::candidatesOf(const std::string& model, std::uint64_t minimumVersion) {
   const auto key = std::pair(model, minimumVersion);
   auto found = m_candidates.find(key);
   if (found == m_candidates.end()) {
@@ -256,7 +259,7 @@
 }
 
 std::string EnginePlacement::placeInUse(const ItemNeed& need) {
-  PaceClasses& candidates = candidatesOf(need.model, need.minimumVersion);
+  SpeedTiers& candidates = candidatesOf(need.model, need.minimumVersion);
   EngineWork* engine = candidates.choose(need);
   if (engine == nullptr) {
     return {};
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -15,18 +15,18 @@
 
 #include "base/identifiers.h"
 #include "base/time.h"
+#include "jobs/event_interval_table.h"
 #include "jobs/item_need.h"
-#include "jobs/pace_book.h"
-#include "jobs/pace_classes.h"
 #include "jobs/placement_engine.h"
+#include "jobs/speed_tiers.h"
 #include "jobs/work_summary.h"
 
 namespace tackpick::jobs {
 
 /// Deterministic. Items are counted at the engine where their gateway runs them, or where they were
 /// placed when it has not said so yet. The engines that may run items of one model and minimum
-/// version are kept in heaps by their cost, one for each class of paces, so that placing an item
-/// costs the logarithm of the engines.
+/// version are kept in heaps by their cost, one for each class of event intervals, so that placing
+/// an item costs the logarithm of the engines.
 ///
 /// An item whose length and due time are known goes to the slowest class where it ends in time even
 /// if its text turns out much longer than expected: faster engines stay free for those that need
@@ -42,8 +42,9 @@
   void setEngines(std::vector<PlacementEngine> engines);
   /// Engines that changed or are new, and ids of those that are gone.
   void changeEngines(std::vector<PlacementEngine> changed, const std::vector<std::string>& removed);
-  /// A gateway tells of the paces of engines, by machine.
-  void notePaces(const std::map<std::string, PaceReport>& reports, base::TimePoint now);
+  /// A gateway tells of the event intervals of engines, by machine.
+  void recordEventIntervals(const std::map<std::string, EventIntervalReport>& reports,
+                            base::TimePoint now);
   /// Items run at each engine, before the next placements.
   void setLoads(const std::map<std::string, std::uint32_t>& loads, base::TimePoint now);
   /// False while no engine takes items: gateways choose by themselves.
@@ -51,7 +52,7 @@
   /// Engines that placing looks at.
   [[nodiscard]] std::size_t engineCount() const { return m_inUse.size(); }
   /// Milliseconds between two events that are expected of a known engine; else zero.
-  [[nodiscard]] double paceOf(const std::string& engine) const;
+  [[nodiscard]] double eventIntervalOf(const std::string& engine) const;
   /// The zone of a known engine; else empty.
   [[nodiscard]] std::string zoneOf(const std::string& engine) const;
   /// Places at all engines that take items and are not in reserve, by zone.
@@ -85,12 +86,12 @@
   void addLoad(EngineWork& engine, std::uint32_t items);
   /// Loads or engines changed.
   void forgetSearches();
-  /// Takes the expected paces over from what is known, now and then.
-  void takePaces(base::TimePoint now);
-  void takePace(EngineWork& engine, base::TimePoint now);
-  [[nodiscard]] std::size_t paceClassOf(double paceMs) const;
-  [[nodiscard]] PaceClasses candidatesFor(const std::string& model, std::uint64_t minimumVersion);
-  [[nodiscard]] PaceClasses& candidatesOf(const std::string& model, std::uint64_t minimumVersion);
+  /// Takes the expected event intervals over from what is known, now and then.
+  void refreshEventIntervals(base::TimePoint now);
+  void refreshEventInterval(EngineWork& engine, base::TimePoint now);
+  [[nodiscard]] std::size_t speedTierOf(double eventIntervalMs) const;
+  [[nodiscard]] SpeedTiers candidatesFor(const std::string& model, std::uint64_t minimumVersion);
+  [[nodiscard]] SpeedTiers& candidatesOf(const std::string& model, std::uint64_t minimumVersion);
   [[nodiscard]] std::string placeInUse(const ItemNeed& need);
   [[nodiscard]] std::string placeInReserve(const std::string& model, std::uint64_t minimumVersion);
 
@@ -104,10 +105,10 @@
   std::map<std::pair<std::string, std::uint64_t>, Engines::iterator> m_reserveFrom;
   std::set<EngineWork*> m_loaded;  ///< engines with items
   /// By model and minimum version; made anew after loads or engines changed.
-  std::map<std::pair<std::string, std::uint64_t>, PaceClasses> m_candidates;
-  PaceBook m_paces;
+  std::map<std::pair<std::string, std::uint64_t>, SpeedTiers> m_candidates;
+  EventIntervalTable m_eventIntervals;
   std::map<std::string, std::set<EngineWork*>> m_byMachine;
-  base::TimePoint m_pacesAt{};  ///< when paces were last taken over
+  base::TimePoint m_intervalsRefreshedAt{};  ///< when event intervals were last taken over
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/pace_report.h
+++ b/src/jobs/event_interval_report.h
@@ -9,16 +9,16 @@
 namespace tackpick::jobs {
 
 /// Ages are durations, since clocks of machines differ.
-struct PaceReport {
-  double paceMs = 0;      ///< milliseconds between two events of a stream
-  base::Duration age{0};  ///< since the last event that it was measured by
+struct EventIntervalReport {
+  double eventIntervalMs = 0;  ///< milliseconds between two events of a stream
+  base::Duration age{0};       ///< since the last event that it was measured by
   /// How long work takes at this moment, in percent of what is usual there, as the engine said.
-  std::uint32_t workTimePercent = 100;
-  base::Duration workTimeAge{0};  ///< since the engine said so
+  std::uint32_t slowdownPercent = 100;
+  base::Duration slowdownAge{0};  ///< since the engine said so
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(paceMs, age, workTimePercent, workTimeAge);
+    archive(eventIntervalMs, age, slowdownPercent, slowdownAge);
   }
 };
 
--- a/src/jobs/pace_book.cpp
+++ b/src/jobs/event_interval_table.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pace_book.h"
+#include "jobs/event_interval_table.h"
 
 #include <algorithm>
 
@@ -8,25 +8,27 @@
 /// An engine that starts again is back by then.
 constexpr base::Duration kRemembered = base::seconds(120);
 
-double median(std::vector<double>& paces) {
-  if (paces.empty()) {
+double median(std::vector<double>& eventIntervals) {
+  if (eventIntervals.empty()) {
     return 0;
   }
-  const auto middle = paces.begin() + static_cast<std::ptrdiff_t>(paces.size() / 2);
-  std::nth_element(paces.begin(), middle, paces.end());
+  const auto middle =
+      eventIntervals.begin() + static_cast<std::ptrdiff_t>(eventIntervals.size() / 2);
+  std::nth_element(eventIntervals.begin(), middle, eventIntervals.end());
   return *middle;
 }
 
 }  // namespace
 
-PaceBook::Entry& PaceBook::attach(const std::string& machine, const std::string& zone) {
+EventIntervalTable::Entry& EventIntervalTable::attach(const std::string& machine,
+                                                      const std::string& zone) {
   Entry& entry = m_entries[machine];
   entry.zone = zone;
   ++entry.engines;
   return entry;
 }
 
-void PaceBook::detach(const std::string& machine, base::TimePoint now) {
+void EventIntervalTable::detach(const std::string& machine, base::TimePoint now) {
   const auto found = m_entries.find(machine);
   if (found == m_entries.end() || found->second.engines == 0) {
     return;
@@ -35,7 +37,8 @@
   found->second.unusedSince = now;
 }
 
-bool PaceBook::note(const std::string& machine, const PaceReport& report, base::TimePoint now) {
+bool EventIntervalTable::note(const std::string& machine, const EventIntervalReport& report,
+                              base::TimePoint now) {
   const auto found = m_entries.find(machine);
   if (found == m_entries.end()) {
     return false;
@@ -44,7 +47,7 @@
   return entry.pace.note(report, typicalOfZone(entry.zone), now);
 }
 
-void PaceBook::refresh(base::TimePoint now) {
+void EventIntervalTable::refresh(base::TimePoint now) {
   std::erase_if(m_entries, [&](const auto& known) {
     return known.second.engines == 0 && now - known.second.unusedSince > kRemembered;
   });
@@ -57,18 +60,18 @@
     }
   }
   m_typicalByZone.clear();
-  for (auto& [zone, paces] : byZone) {
-    m_typicalByZone.emplace(zone, median(paces));
+  for (auto& [zone, eventIntervals] : byZone) {
+    m_typicalByZone.emplace(zone, median(eventIntervals));
   }
   m_typicalMs = median(all);
 }
 
-double PaceBook::expectedMs(const Entry& entry, base::TimePoint now) const {
+double EventIntervalTable::expectedMs(const Entry& entry, base::TimePoint now) const {
   const double ofZone = typicalOfZone(entry.zone);
   return entry.pace.expectedMs(ofZone > 0 ? ofZone : m_typicalMs, now);
 }
 
-double PaceBook::typicalOfZone(const std::string& zone) const {
+double EventIntervalTable::typicalOfZone(const std::string& zone) const {
   const auto found = m_typicalByZone.find(zone);
   return found == m_typicalByZone.end() ? 0 : found->second;
 }
--- a/src/jobs/pace_book.h
+++ b/src/jobs/event_interval_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The paces of all engines, as gateways tell them to the ledgers' leader.
+/// The event intervals of all engines, as gateways tell them to the ledgers' leader.
 #pragma once
 
 #include <map>
@@ -7,19 +7,19 @@
 #include <vector>
 
 #include "base/time.h"
-#include "jobs/engine_pace.h"
+#include "jobs/engine_event_interval.h"
 
 namespace tackpick::jobs {
 
 /// Deterministic. Paces are kept by machine: an engine that loads other weights, or starts again,
 /// runs on the same one. A machine without engines is remembered for a while, since engines that
 /// start again are away for a moment.
-class PaceBook {
+class EventIntervalTable {
  public:
   /// A machine's entry; stays valid until detach().
   struct Entry {
     std::string zone;
-    EnginePace pace;
+    EngineEventInterval pace;
     std::uint32_t engines = 0;  ///< attached
     base::TimePoint unusedSince{};
   };
@@ -29,7 +29,7 @@
   /// One that was attached does so no more.
   void detach(const std::string& machine, base::TimePoint now);
   /// False when the machine is unknown or the report cannot be true.
-  bool note(const std::string& machine, const PaceReport& report, base::TimePoint now);
+  bool note(const std::string& machine, const EventIntervalReport& report, base::TimePoint now);
   /// Brings what is typical up to date, and forgets machines long gone.
   void refresh(base::TimePoint now);
   /// Expected of that machine; where nothing was ever seen of it, what is typical of its zone, else
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -19,7 +19,7 @@
 #include "jobs/lease_order.h"
 #include "jobs/lease_plan.h"
 #include "jobs/length_forecast.h"
-#include "jobs/model_paces.h"
+#include "jobs/model_event_intervals.h"
 #include "jobs/tenant_priorities.h"
 #include "jobs/work_order.h"
 #include "jobs/work_summary.h"
@@ -102,7 +102,7 @@
   [[nodiscard]] LengthForecast& forecast() { return m_forecast; }
   [[nodiscard]] const LengthForecast& forecast() const { return m_forecast; }
   /// How fast texts are made.
-  [[nodiscard]] ModelPaces& paces() { return m_paces; }
+  [[nodiscard]] ModelEventIntervals& eventIntervals() { return m_eventIntervals; }
   /// For operators: open jobs, and what each tenant has of the engines.
   [[nodiscard]] WorkSummary sight(const JobState& state, base::TimePoint now) const;
   /// Items of a job that are leased.
@@ -205,7 +205,7 @@
   std::unique_ptr<WorkOrder> m_order;
   TenantPriorities m_priorities;
   LengthForecast m_forecast;
-  ModelPaces m_paces;
+  ModelEventIntervals m_eventIntervals;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -13,7 +13,7 @@
   const Job& job;
   const std::vector<bool>* spare = nullptr;  ///< null: no item is
   const LengthModel& lengths;
-  double paceMs = 0;
+  double eventIntervalMs = 0;
   bool late = false;                   ///< the job cannot be whole in time
   ItemNeed need;                       ///< of the next item
   std::vector<bool> seen;              ///< an item that was put back may stand there twice
@@ -72,7 +72,7 @@
         .job = job,
         .spare = order == m_itemOrders.end() ? nullptr : &order->second.spare,
         .lengths = m_forecast.modelFor(submission),
-        .paceMs = m_paces.paceOf(submission.model),
+        .eventIntervalMs = m_eventIntervals.eventIntervalOf(submission.model),
         .late = m_lateJobs.contains(queued.id),
         .need = {submission.model, submission.minimumVersion, 0, untilDue(job, queued.id, now)},
         .seen = std::vector<bool>(job.listed.size()),
@@ -123,8 +123,10 @@
   const double restEvents = plan.need.restEvents;
   Urgency urgency;
   urgency.spare = plan.nextIsSpare();
-  urgency.slackClass = slackClassOf(untilDue - ModelPaces::timeAt(plan.paceMs, restEvents));
-  const base::Duration least = ModelPaces::timeAt(plan.paceMs, kOptimistic * restEvents);
+  urgency.slackClass =
+      slackClassOf(untilDue - ModelEventIntervals::timeAt(plan.eventIntervalMs, restEvents));
+  const base::Duration least =
+      ModelEventIntervals::timeAt(plan.eventIntervalMs, kOptimistic * restEvents);
   if (!plan.late && !urgency.spare && least > untilDue) {
     plan.late = true;
     m_lateJobs.insert(plan.queued.id);
@@ -178,7 +180,8 @@
   double soFar = kept == job.partial.end() ? 0 : static_cast<double>(kept->second.point.event);
   const auto lease = leases_.find(key);
   if (lease != leases_.end()) {
-    soFar = std::max(soFar, m_paces.eventsIn(job.submission.model, now - lease->second.since));
+    soFar =
+        std::max(soFar, m_eventIntervals.eventsIn(job.submission.model, now - lease->second.since));
   }
   return m_forecast.rest(job.submission, job.submission.items[key.item],
                          static_cast<std::uint64_t>(soFar));
@@ -204,7 +207,7 @@
       break;
     }
   }
-  return due - m_paces.timeFor(job.submission.model, longest);
+  return due - m_eventIntervals.timeFor(job.submission.model, longest);
 }
 
 WorkSummary ItemLeases::sight(const JobState& state, base::TimePoint now) const {
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -16,9 +16,9 @@
 #include "base/packed_text.h"
 #include "base/serialization.h"
 #include "base/time.h"
+#include "jobs/event_interval_report.h"
 #include "jobs/free_slots.h"
 #include "jobs/gateway_capacity.h"
-#include "jobs/pace_report.h"
 #include "jobs/work_report.h"
 
 namespace tackpick::jobs {
@@ -215,14 +215,14 @@
 /// A gateway renews its leases and asks for more. Leases live in the leader's memory only.
 struct LeaseItems {
   std::vector<HeldItem> held;
-  std::map<std::string, PaceReport> paces;  ///< by the name of the engine
-  FreeSlots wanted;                         ///< for further items
-  bool draining = false;                    ///< all its other leases are given back
-  std::string zone;                         ///< the gateway's
-  GatewayCapacity capacity = {};            ///< the gateway's
+  std::map<std::string, EventIntervalReport> eventIntervals;  ///< by the name of the engine
+  FreeSlots wanted;                                           ///< for further items
+  bool draining = false;          ///< all its other leases are given back
+  std::string zone;               ///< the gateway's
+  GatewayCapacity capacity = {};  ///< the gateway's
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(held, paces, wanted, draining, zone, capacity);
+    archive(held, eventIntervals, wanted, draining, zone, capacity);
   }
 };
 
@@ -331,16 +331,17 @@
   /// LeaseItems: other gateways run the items of this one's zone; it need not ask often.
   bool standby = false;
   std::uint32_t sharers = 0;  ///< LeaseItems: gateways that share the places of all engines
-  /// LeaseItems that tell paces: items of all gateways, by the engine where they run.
+  /// LeaseItems that tell event intervals: items of all gateways, by the engine where they run.
   std::map<std::string, std::uint32_t> itemsByEngine;
-  /// LeaseItems: this leader has not heard paces of the gateway; its next call should tell them.
-  bool wantsPaces = false;
+  /// LeaseItems: this leader has not heard event intervals of the gateway; its next call should
+  /// tell them.
+  bool wantsEventIntervals = false;
   std::optional<WorkReport> work;  ///< ReadWork
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(status, total, results, elsewhere, body, leased, revoked, standby, sharers,
-            itemsByEngine, wantsPaces, work);
+            itemsByEngine, wantsEventIntervals, work);
   }
 };
 
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -92,9 +92,9 @@
 }
 
 void JobRole::onRequest(const Caller& caller, const LeaseItems& request, base::TimePoint now) {
-  notePaces(request, now);
+  recordEventIntervals(request, now);
   JobReply reply;
-  reply.wantsPaces = recordReporter(caller.node, !request.paces.empty());
+  reply.wantsEventIntervals = recordReporter(caller.node, !request.eventIntervals.empty());
   reply.revoked = leases_.renew(caller.node, request.held, state_, now);
   if (request.draining) {
     leases_.giveBack(caller.node, request.held, state_);
@@ -107,7 +107,7 @@
       reply.leased.push_back(describe(granted, now));
     }
   }
-  if (!request.paces.empty()) {
+  if (!request.eventIntervals.empty()) {
     reply.itemsByEngine = leases_.itemsByEngine();
   }
   replyWith(caller, reply);
@@ -115,20 +115,21 @@
 
 bool JobRole::recordReporter(base::NodeId gateway, bool told) {
   if (told) {
-    m_pacesTold.insert(gateway);
+    m_intervalReporters.insert(gateway);
   }
-  return !m_pacesTold.contains(gateway);
+  return !m_intervalReporters.contains(gateway);
 }
 
-void JobRole::notePaces(const LeaseItems& request, base::TimePoint now) {
-  leases_.placement().notePaces(request.paces, now);
-  if (request.paces.empty()) {
+void JobRole::recordEventIntervals(const LeaseItems& request, base::TimePoint now) {
+  leases_.placement().recordEventIntervals(request.eventIntervals, now);
+  if (request.eventIntervals.empty()) {
     return;
   }
   for (const HeldItem& held : request.held) {
     const Job* job = state_.find(held.key.job);
     if (job != nullptr) {
-      leases_.paces().note(job->submission.model, leases_.placement().paceOf(held.engine));
+      leases_.eventIntervals().note(job->submission.model,
+                                    leases_.placement().eventIntervalOf(held.engine));
     }
   }
 }
@@ -199,7 +200,8 @@
 
 void JobRole::onPeerLost(std::uint32_t number, base::TimePoint now) {
   leases_.onGatewayLost(number, settings_.lostGatewayGrace, now);
-  std::erase_if(m_pacesTold, [&](base::NodeId node) { return base::nodeNumber(node) == number; });
+  std::erase_if(m_intervalReporters,
+                [&](base::NodeId node) { return base::nodeNumber(node) == number; });
 }
 
 void JobRole::replyWith(const Caller& caller, const JobReply& reply) {
@@ -329,7 +331,7 @@
     leader_since_ = now;
     service_.endTerm();
     leases_.reset(raft.currentTerm(), now, settings_.leaseGrace);
-    m_pacesTold.clear();
+    m_intervalReporters.clear();
     gathering_.reset();
     seen_jobs_.reset();
   }
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -119,10 +119,10 @@
   void replyWith(const Caller& caller, const JobReply& reply);
   void proposeFor(const Caller& caller, const JobCommand& command, base::TimePoint now);
   [[nodiscard]] OpenJob workOf(const std::string& id, const Job& job, base::TimePoint now) const;
-  /// Notes whether a gateway told paces in its call; true when it should in its next.
+  /// Notes whether a gateway told event intervals in its call; true when it should in its next.
   [[nodiscard]] bool recordReporter(base::NodeId gateway, bool told);
   [[nodiscard]] LeasedItem describe(const GrantedItem& granted, base::TimePoint now) const;
-  void notePaces(const LeaseItems& request, base::TimePoint now);
+  void recordEventIntervals(const LeaseItems& request, base::TimePoint now);
   void observeLeadership(base::TimePoint now);
   /// Notes when jobs come, also where another leads: their ages outlast a change of leader.
   void observeJobs(base::TimePoint now);
@@ -152,7 +152,7 @@
   std::map<std::string, Submission> m_submissions;  ///< by job
   base::TimePoint slow_work_at_{};
   std::vector<PendingRead> reads_;
-  std::set<base::NodeId> m_pacesTold;  ///< gateways that told paces in this term
+  std::set<base::NodeId> m_intervalReporters;  ///< gateways that told event intervals in this term
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/placement_engine.h
+++ b/src/jobs/placement_engine.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 #include "jobs/engine_cost.h"
-#include "jobs/pace_book.h"
+#include "jobs/event_interval_table.h"
 
 namespace tackpick::jobs {
 
@@ -33,20 +33,22 @@
 };
 
 /// Three of those that are faster than is typical, and three of the slower.
-inline constexpr std::size_t kPaceClasses = 7;
-inline constexpr std::size_t kTypicalClass = kPaceClasses / 2;
+inline constexpr std::size_t kSpeedTiers = 7;
+inline constexpr std::size_t kTypicalTier = kSpeedTiers / 2;
 
 /// An engine with what is known of its work.
 struct EngineWork {
   PlacementEngine told;
-  std::uint32_t load = 0;                 ///< items there
-  PaceBook::Entry* pace = nullptr;        ///< of its machine
-  double paceMs = 0;                      ///< expected when paces were last taken over
-  base::Duration momentaryDelay{0};       ///< likewise
-  std::size_t paceClass = kTypicalClass;  ///< likewise, of the pace at that moment
+  std::uint32_t load = 0;                     ///< items there
+  EventIntervalTable::Entry* pace = nullptr;  ///< of its machine
+  double eventIntervalMs = 0;            ///< expected when event intervals were last taken over
+  base::Duration momentaryDelay{0};      ///< likewise
+  std::size_t speedTier = kTypicalTier;  ///< likewise, of the pace at that moment
 
   /// Of one more item.
-  [[nodiscard]] double cost() const { return engineCost(paceMs, (load + 1.0) / told.slots); }
+  [[nodiscard]] double cost() const {
+    return engineCost(eventIntervalMs, (load + 1.0) / told.slots);
+  }
   [[nodiscard]] std::uint32_t usedSlots() const { return std::min(load, told.slots); }
   [[nodiscard]] bool isFull() const {
     /// One item may wait for so many places.
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -64,7 +64,7 @@
 
 /// A run at the pace that it keeps to, and what is left of its text.
 struct RunOutlook {
-  double paceMs = 0;                                ///< between two events
+  double eventIntervalMs = 0;                       ///< between two events
   double restEvents = 0;                            ///< zero: unknown
   base::Duration untilDue = base::Duration::max();  ///< the longest duration: unknown
   std::uint32_t moves = 0;                          ///< to faster engines so far
@@ -75,18 +75,18 @@
 
 /// The longest pace of another engine, in milliseconds, at which the run should go on there;
 /// nothing when it stays: it ends in time where it is, or no engine can make it end clearly sooner.
-[[nodiscard]] inline std::optional<double> longestPaceToMoveTo(const RunOutlook& run) {
+[[nodiscard]] inline std::optional<double> maxEventIntervalToMoveTo(const RunOutlook& run) {
   /// The prompt is read again, and a place may have to be waited for.
   constexpr double kMoveCostMs = 400;
-  /// Less is within the error of paces.
+  /// Less is within the error of event intervals.
   constexpr double kLeastGainMs = 400;
-  const double endsInMs = run.restEvents * run.paceMs;
+  const double endsInMs = run.restEvents * run.eventIntervalMs;
   const bool late = endsInMs > base::toMilliseconds(run.untilDue);
   if (!run.isKnown() || !late || run.moves >= kMostMovesToFaster) {
     return std::nullopt;
   }
   const double sooner = (endsInMs - kMoveCostMs - kLeastGainMs) / run.restEvents;
-  const double longest = std::min(sooner, run.paceMs / kLeastMoveGain);
+  const double longest = std::min(sooner, run.eventIntervalMs / kLeastMoveGain);
   return longest > 0 ? std::optional(longest) : std::nullopt;
 }
 
--- a/src/jobs/run_pace.cpp
+++ b/src/jobs/run_event_interval.cpp
@@ -1,4 +1,4 @@
-#include "jobs/run_pace.h"
+#include "jobs/run_event_interval.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -9,13 +9,13 @@
 /// A slowness of less is waited out: to move a text costs about as much.
 constexpr base::Duration kHalf = base::milliseconds(500);
 
-double paceOf(std::ptrdiff_t events) {
+double eventIntervalOf(std::ptrdiff_t events) {
   return base::toMilliseconds(kHalf) / static_cast<double>(std::max<std::ptrdiff_t>(events, 1));
 }
 
 }  // namespace
 
-void RunPace::onEvent(base::TimePoint now) {
+void RunEventInterval::onEvent(base::TimePoint now) {
   m_firstAt = m_firstAt == base::TimePoint{} ? now : m_firstAt;
   m_events.push_back(now);
   while (now - m_events.front() > 2 * kHalf) {
@@ -23,13 +23,13 @@
   }
 }
 
-std::optional<double> RunPace::sustainedMs(base::TimePoint now) const {
+std::optional<double> RunEventInterval::sustainedMs(base::TimePoint now) const {
   if (m_firstAt == base::TimePoint{} || now - m_firstAt < 2 * kHalf) {
     return std::nullopt;
   }
   const auto early = std::upper_bound(m_events.begin(), m_events.end(), now - 2 * kHalf);
   const auto late = std::upper_bound(early, m_events.end(), now - kHalf);
-  return std::min(paceOf(late - early), paceOf(m_events.end() - late));
+  return std::min(eventIntervalOf(late - early), eventIntervalOf(m_events.end() - late));
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/run_pace.h
+++ b/src/jobs/run_event_interval.h
@@ -10,7 +10,7 @@
 namespace tackpick::jobs {
 
 /// Deterministic. Knows the events of a short while.
-class RunPace {
+class RunEventInterval {
  public:
   void onEvent(base::TimePoint now);
   /// Milliseconds between two events that the run keeps to: of a while's two halves the faster, so
--- a/src/jobs/pace_classes.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pace_classes.h"
+#include "jobs/speed_tiers.h"
 
 #include <algorithm>
 
@@ -17,19 +17,19 @@
 
 }  // namespace
 
-void PaceClasses::PaceClass::push(const Candidate& candidate) {
+void SpeedTiers::SpeedTier::push(const Candidate& candidate) {
   heap.push_back(candidate);
   std::push_heap(heap.begin(), heap.end());
 }
 
-PaceClasses::Candidate PaceClasses::PaceClass::pop() {
+SpeedTiers::Candidate SpeedTiers::SpeedTier::pop() {
   std::pop_heap(heap.begin(), heap.end());
   const Candidate candidate = heap.back();
   heap.pop_back();
   return candidate;
 }
 
-void PaceClasses::PaceClass::settle() {
+void SpeedTiers::SpeedTier::settle() {
   while (!heap.empty()) {
     const EngineWork& engine = *front().engine;
     if (!engine.isFull() && engine.cost() <= front().cost) {
@@ -44,16 +44,16 @@
   }
 }
 
-void PaceClasses::add(EngineWork& engine) {
-  PaceClass& own = m_classes.at(engine.paceClass);
+void SpeedTiers::add(EngineWork& engine) {
+  SpeedTier& own = m_classes.at(engine.speedTier);
   own.push({engine.cost(), m_added, &engine});
   own.places += engine.told.slots;
   own.taken += engine.usedSlots();
   ++m_added;
 }
 
-EngineWork* PaceClasses::choose(const ItemNeed& need) {
-  for (PaceClass& each : m_classes) {
+EngineWork* SpeedTiers::choose(const ItemNeed& need) {
+  for (SpeedTier& each : m_classes) {
     each.settle();
   }
   m_chosen = slowestSafe(need);
@@ -66,14 +66,14 @@
   return engine;
 }
 
-void PaceClasses::onPlaced() {
+void SpeedTiers::onPlaced() {
   Candidate candidate = m_chosen->pop();
   candidate.cost = candidate.engine->cost();
   m_chosen->taken += candidate.engine->usedSlots() - m_takenBefore;
   m_chosen->push(candidate);
 }
 
-bool PaceClasses::isSafe(const EngineWork& engine, const ItemNeed& need) {
+bool SpeedTiers::isSafe(const EngineWork& engine, const ItemNeed& need) {
   if (engine.load >= engine.told.slots) {
     return false;
   }
@@ -82,14 +82,14 @@
   return delayMs + runMs <= base::toMilliseconds(need.untilDue);
 }
 
-PaceClasses::PaceClass* PaceClasses::slowestSafe(const ItemNeed& need) {
+SpeedTiers::SpeedTier* SpeedTiers::slowestSafe(const ItemNeed& need) {
   if (!need.isKnown()) {
     return nullptr;
   }
-  PaceClass* slowest = nullptr;
+  SpeedTier* slowest = nullptr;
   std::uint32_t places = 0;  // at the faster classes
   std::uint32_t taken = 0;
-  for (PaceClass& each : m_classes) {
+  for (SpeedTier& each : m_classes) {
     if (taken < kShortShare * places) {
       return slowest;
     }
@@ -101,16 +101,16 @@
   return slowest;
 }
 
-std::pair<double, std::size_t> PaceClasses::endOf(const PaceClass& of, const ItemNeed& need) {
+std::pair<double, std::size_t> SpeedTiers::endOf(const SpeedTier& of, const ItemNeed& need) {
   const Candidate& front = of.front();
   const double delayMs = base::toMilliseconds(front.engine->momentaryDelay);
   const double runMs = need.isKnown() ? need.restEvents * front.cost + delayMs : front.cost;
   return {runMs, front.index};
 }
 
-PaceClasses::PaceClass* PaceClasses::soonest(const ItemNeed& need) {
-  PaceClass* best = nullptr;
-  for (PaceClass& each : m_classes) {
+SpeedTiers::SpeedTier* SpeedTiers::soonest(const ItemNeed& need) {
+  SpeedTier* best = nullptr;
+  for (SpeedTier& each : m_classes) {
     const bool better =
         !each.heap.empty() && (best == nullptr || endOf(each, need) < endOf(*best, need));
     best = better ? &each : best;
--- a/src/jobs/pace_classes.h
+++ b/src/jobs/speed_tiers.h
@@ -15,7 +15,7 @@
 
 /// Deterministic. Engines of about the same pace are kept in a heap by their cost, so that a choice
 /// costs the logarithm of the engines. Their loads only rise while they are here.
-class PaceClasses {
+class SpeedTiers {
  public:
   /// Of engines of equal cost the one that was added first is chosen.
   void add(EngineWork& engine);
@@ -37,7 +37,7 @@
     }
   };
   /// Engines of about the same pace.
-  struct PaceClass {
+  struct SpeedTier {
     std::vector<Candidate> heap;
     std::uint32_t places = 0;
     std::uint32_t taken = 0;  ///< of the places
@@ -53,17 +53,17 @@
   /// wait for a place.
   [[nodiscard]] static bool isSafe(const EngineWork& engine, const ItemNeed& need);
   /// When a class's front will have run the item, to compare; of equals the first added is less.
-  [[nodiscard]] static std::pair<double, std::size_t> endOf(const PaceClass& of,
+  [[nodiscard]] static std::pair<double, std::size_t> endOf(const SpeedTier& of,
                                                             const ItemNeed& need);
   /// The slowest class whose front is safe, slower ones only while places at the faster are short;
   /// null: none is, or the need is not known.
-  [[nodiscard]] PaceClass* slowestSafe(const ItemNeed& need);
+  [[nodiscard]] SpeedTier* slowestSafe(const ItemNeed& need);
   /// The class whose front will have run the item soonest; null: all are full.
-  [[nodiscard]] PaceClass* soonest(const ItemNeed& need);
+  [[nodiscard]] SpeedTier* soonest(const ItemNeed& need);
 
-  std::array<PaceClass, kPaceClasses> m_classes;  ///< fastest first
+  std::array<SpeedTier, kSpeedTiers> m_classes;  ///< fastest first
   std::size_t m_added = 0;
-  PaceClass* m_chosen = nullptr;
+  SpeedTier* m_chosen = nullptr;
   std::uint32_t m_takenBefore = 0;  ///< places of the chosen engine
 };
 
--- a/src/jobs/work_report.cpp
+++ b/src/jobs/work_report.cpp
@@ -42,7 +42,7 @@
   report.engines = std::move(engines);
   report.totalEngines =
       keepFirst(report.engines, [](const EngineSummary& left, const EngineSummary& right) {
-        return left.paceMs > right.paceMs;
+        return left.eventIntervalMs > right.eventIntervalMs;
       });
   report.gateways = reportsOf(gateways, now);
   report.totalGateways =
--- a/src/jobs/work_summary.h
+++ b/src/jobs/work_summary.h
@@ -49,15 +49,15 @@
 struct EngineSummary {
   std::string id;
   std::string zone;
-  double paceMs = 0;                    ///< expected; zero: unknown
-  std::uint32_t workTimePercent = 100;  ///< at this moment, of what is usual
+  double eventIntervalMs = 0;           ///< expected; zero: unknown
+  std::uint32_t slowdownPercent = 100;  ///< at this moment, of what is usual
   /// Since the last sample; nothing: the pace is what is typical of the zone.
   std::optional<base::Duration> sampleAge;
   std::uint32_t items = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, zone, paceMs, workTimePercent, sampleAge, items);
+    archive(id, zone, eventIntervalMs, slowdownPercent, sampleAge, items);
   }
 };
 
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -34,7 +34,7 @@
 /// How often a held item asks whether it may run again.
 constexpr base::Duration kHeldDelay = base::milliseconds(100);
 /// How often the ledgers are told how fast engines are.
-constexpr base::Duration kPaceInterval = base::milliseconds(500);
+constexpr base::Duration kEventIntervalRefresh = base::milliseconds(500);
 /// A gateway takes up to this share of its part of all places, in percent: some items may wait at
 /// engines, and a zone's engines may have fewer gateways than their share, as when one is down.
 constexpr std::uint32_t kOvercommitPercent = 220;
@@ -128,9 +128,9 @@
   for (const auto& [key, item] : items_) {
     request.held.push_back({key, item->exchange.valid() ? item->instance : item->next});
   }
-  if (now - paces_told_at_ >= kPaceInterval) {
-    paces_told_at_ = now;
-    request.paces = instances_.paces(now);
+  if (now - m_lastIntervalReportAt >= kEventIntervalRefresh) {
+    m_lastIntervalReportAt = now;
+    request.eventIntervals = instances_.eventIntervals(now);
   }
   leasing_ = true;
   lease_at_ = now;
@@ -184,8 +184,8 @@
     sharers_told_ = true;
   }
   const base::TimePoint now = node_.now();
-  if (reply.wantsPaces && !instances_.paces(now).empty()) {
-    paces_told_at_ = {};
+  if (reply.wantsEventIntervals && !instances_.eventIntervals(now).empty()) {
+    m_lastIntervalReportAt = {};
     lease_at_ = {};  // at once: a new leader places by them from its first plan on
   }
   noteLeased(reply.leased);
@@ -273,8 +273,8 @@
   item.notExecuted = false;
   item.unusable = false;
   item.parser = jobs::StreamEventParser(names.weightsField);
-  item.paceSince = {};
-  item.paceEvents = 0;
+  item.intervalStart = {};
+  item.intervalEvents = 0;
   item.pace = {};
   instances_.onSent(item.instance);
   http::UpstreamEvents events;
@@ -291,7 +291,7 @@
   sight.expectedLong = isLong(item);
   sight.moved = item.moves > 0;
   sight.events = item.run.lastEvent().value_or(0);
-  sight.begun = item.exchange.valid() && item.paceSince != base::TimePoint{};
+  sight.begun = item.exchange.valid() && item.intervalStart != base::TimePoint{};
   sight.silence = now - item.lastByteAt;
   sight.moves = item.queueMoves;
   return sight;
@@ -354,7 +354,7 @@
     if (item.begunAfter == base::Duration{0}) {
       item.begunAfter = item.lastByteAt - item.firstSentAt;
     }
-    notePace(item, item.lastByteAt);
+    recordEventInterval(item, item.lastByteAt);
   }
 }
 
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -16,7 +16,7 @@
 #include "jobs/item_run.h"
 #include "jobs/progress_saver.h"
 #include "jobs/run_decisions.h"
-#include "jobs/run_pace.h"
+#include "jobs/run_event_interval.h"
 #include "node/request_guard.h"
 #include "node/score_caller.h"
 #include "node/tick_interval.h"
@@ -69,13 +69,13 @@
     base::TimePoint lastByteAt{};
     int status = 0;
     std::uint32_t attempts = 0;
-    std::uint32_t moves = 0;       ///< to faster engines
-    std::uint32_t queueMoves = 0;  ///< away from engines where it waited
-    std::string next;              ///< where it is to go on, when that is decided
-    base::Duration begunAfter{0};  ///< from its first send to its first event
-    std::uint32_t paceEvents = 0;  ///< events since the pace was last noted
-    base::TimePoint paceSince{};
-    jobs::RunPace pace;  ///< of the running attempt
+    std::uint32_t moves = 0;           ///< to faster engines
+    std::uint32_t queueMoves = 0;      ///< away from engines where it waited
+    std::string next;                  ///< where it is to go on, when that is decided
+    base::Duration begunAfter{0};      ///< from its first send to its first event
+    std::uint32_t intervalEvents = 0;  ///< events since the pace was last noted
+    base::TimePoint intervalStart{};
+    jobs::RunEventInterval pace;  ///< of the running attempt
     base::TimePoint firstSentAt{};
     bool notExecuted = false;
     bool unusable = false;  ///< the running attempt's answer must not be used
@@ -136,7 +136,7 @@
   void moveTo(const jobs::ItemKey& key, Running& item, const std::string& instance,
               std::string_view reason);
   [[nodiscard]] const forwarding::InstanceEntry* chooseInstance(Running& item, base::TimePoint now);
-  void notePace(Running& item, base::TimePoint now);
+  void recordEventInterval(Running& item, base::TimePoint now);
   [[nodiscard]] bool isLong(const Running& item) const;
   /// A run ended without the whole text: notes why, and when the next may begin.
   void onAttemptFailed(const jobs::ItemKey& key, Running& item, forwarding::SendOutcome outcome,
@@ -171,7 +171,7 @@
   bool released_ = false;
   base::TimePoint lease_at_{};
   base::TimePoint renewed_at_{};
-  base::TimePoint paces_told_at_{};
+  base::TimePoint m_lastIntervalReportAt{};
   directory::ModelDemand demand_;
   base::TickLateness m_lateness{kTickInterval};
   double typical_tokens_ = 0;  ///< moving average of the expected length of an item
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -18,7 +18,7 @@
 /// An attempt without a byte for so long is broken off and continued elsewhere.
 constexpr base::Duration kSilenceLimit = base::milliseconds(2500);
 /// Events over which the pace of an engine is noted.
-constexpr std::uint32_t kPaceEvents = 6;
+constexpr std::uint32_t kEventsPerSample = 6;
 /// An item that has run for so long may be one of the few that run very long: moving it pays.
 constexpr base::Duration kLongRun = base::milliseconds(900);
 /// Without a byte for so long after it was sent, an item waits for a place.
@@ -45,18 +45,18 @@
   }
 }
 
-void ItemRunner::notePace(Running& item, base::TimePoint now) {
+void ItemRunner::recordEventInterval(Running& item, base::TimePoint now) {
   item.pace.onEvent(now);
-  if (item.paceSince == base::TimePoint{}) {
-    item.paceSince = now;  // the first event also waited for its prompt
+  if (item.intervalStart == base::TimePoint{}) {
+    item.intervalStart = now;  // the first event also waited for its prompt
     return;
   }
-  if (++item.paceEvents < kPaceEvents) {
+  if (++item.intervalEvents < kEventsPerSample) {
     return;
   }
-  instances_.onPace(item.instance, (now - item.paceSince) / item.paceEvents, now);
-  item.paceSince = now;
-  item.paceEvents = 0;
+  instances_.onEventInterval(item.instance, (now - item.intervalStart) / item.intervalEvents, now);
+  item.intervalStart = now;
+  item.intervalEvents = 0;
 }
 
 bool ItemRunner::isLong(const Running& item) const {
@@ -69,7 +69,7 @@
   const std::uint64_t events = item.run.lastEvent().value_or(0);
   const std::uint64_t atLease = leased.progress ? leased.progress->point.event : 0;
   jobs::RunOutlook outlook;
-  outlook.paceMs = item.pace.sustainedMs(now).value_or(0);
+  outlook.eventIntervalMs = item.pace.sustainedMs(now).value_or(0);
   outlook.restEvents =
       jobs::restOfText(leased.restEvents, events - std::min(atLease, events), events);
   outlook.moves = item.moves;
@@ -89,16 +89,16 @@
                                            node_.random(), now)
                    : nullptr;
   }
-  const std::optional<double> longestPaceMs = jobs::longestPaceToMoveTo(outlook);
-  return longestPaceMs
-             ? instances_.findPaced(need, item.instance, *longestPaceMs, node_.random(), now)
-             : nullptr;
+  const std::optional<double> maxEventIntervalMs = jobs::maxEventIntervalToMoveTo(outlook);
+  return maxEventIntervalMs ? instances_.findWithinInterval(
+                                  need, item.instance, *maxEventIntervalMs, node_.random(), now)
+                            : nullptr;
 }
 
 void ItemRunner::moveFromSlow(base::TimePoint now) {
   for (const auto& [key, item] : items_) {
     const bool mayMove = item->exchange.valid() && !item->trial &&
-                         item->paceSince != base::TimePoint{} &&
+                         item->intervalStart != base::TimePoint{} &&
                          item->moves < jobs::kMostMovesToFaster;
     const auto* faster = mayMove ? findFaster(*item, now) : nullptr;
     if (faster != nullptr) {
@@ -171,7 +171,7 @@
     run.restEvents = std::max(0.0, item->run.leased().restEvents - made);
     run.pace = entry == nullptr ? base::Duration{0}
                                 : base::Duration(static_cast<base::Duration::rep>(
-                                      entry->paceMs * base::milliseconds(1).count()));
+                                      entry->eventIntervalMs * base::milliseconds(1).count()));
     if (!jobs::mustMoveOn(run)) {
       continue;
     }
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -214,11 +214,11 @@
     views.push_back(view("e" + std::to_string(i)));
   }
   Fixture fixture(views);
-  fixture.table.onPace("e7", base::milliseconds(40), fixture.now);
+  fixture.table.onEventInterval("e7", base::milliseconds(40), fixture.now);
   const std::clock_t begun = std::clock();
   for (int i = 0; i < kCalls; ++i) {
     cr_assert_not(fixture.table.freeSlots({{"s", {"m"}}}).empty());
-    cr_assert_eq(fixture.table.paces(fixture.now).size(), 1U);
+    cr_assert_eq(fixture.table.eventIntervals(fixture.now).size(), 1U);
     fixture.table.change({view("e" + std::to_string(i), 2)}, {});
   }
   cr_assert_lt(static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC, 1.0);
@@ -253,8 +253,8 @@
 
 Test(instance_table, long_runs_find_the_faster_instance_with_room) {
   Fixture fixture({view("slow"), view("fast")});
-  fixture.table.onPace("slow", base::milliseconds(80), fixture.now);
-  fixture.table.onPace("fast", base::milliseconds(40), fixture.now);
+  fixture.table.onEventInterval("slow", base::milliseconds(80), fixture.now);
+  fixture.table.onEventInterval("fast", base::milliseconds(40), fixture.now);
   const forwarding::InstanceNeed need{"s", "m", 1, true};
   const auto* faster = fixture.table.findFaster(need, "slow", 1.25, fixture.random, fixture.now);
   cr_assert_not_null(faster);
@@ -269,11 +269,11 @@
   auto loading = view("a");
   loading.loading = true;
   Fixture fixture({loading, view("b")});
-  fixture.table.onPace("a", base::milliseconds(300), fixture.now);
-  cr_assert_eq(fixture.table.find("a")->paceMs, 0.0);
+  fixture.table.onEventInterval("a", base::milliseconds(300), fixture.now);
+  cr_assert_eq(fixture.table.find("a")->eventIntervalMs, 0.0);
   fixture.table.update({view("a"), view("b")});
-  fixture.table.onPace("a", base::milliseconds(80), fixture.now);
-  fixture.table.onPace("b", base::milliseconds(40), fixture.now);
+  fixture.table.onEventInterval("a", base::milliseconds(80), fixture.now);
+  fixture.table.onEventInterval("b", base::milliseconds(40), fixture.now);
   const forwarding::InstanceNeed need{"s", "m", 1, true};
   cr_assert_not_null(fixture.table.findFaster(need, "a", 1.25, fixture.random, fixture.now));
   fixture.table.update({loading, view("b")});
@@ -283,40 +283,41 @@
 Test(instance_table, paces_are_told_with_their_age_and_follow_a_change) {
   Fixture fixture({view("a")});
   fixture.table.onLoad("a", {1, 0, 4, 250}, fixture.now);
-  fixture.table.onPace("a", base::milliseconds(160), fixture.now);
+  fixture.table.onEventInterval("a", base::milliseconds(160), fixture.now);
   fixture.now += base::milliseconds(100);
-  const jobs::PaceReport told = fixture.table.paces(fixture.now).at("a");
-  cr_assert_eq(told.paceMs, 160.0);
+  const jobs::EventIntervalReport told = fixture.table.eventIntervals(fixture.now).at("a");
+  cr_assert_eq(told.eventIntervalMs, 160.0);
   cr_assert_eq(told.age, base::milliseconds(100));
-  cr_assert_eq(told.workTimePercent, 250U);
-  cr_assert_eq(told.workTimeAge, base::milliseconds(100));
+  cr_assert_eq(told.slowdownPercent, 250U);
+  cr_assert_eq(told.slowdownAge, base::milliseconds(100));
   fixture.now += base::seconds(5);
-  fixture.table.onPace("a", base::milliseconds(40), fixture.now);
-  cr_assert_eq(fixture.table.paces(fixture.now).at("a").paceMs, 40.0,
+  fixture.table.onEventInterval("a", base::milliseconds(40), fixture.now);
+  cr_assert_eq(fixture.table.eventIntervals(fixture.now).at("a").eventIntervalMs, 40.0,
                "what it was before says nothing now");
-  fixture.table.onPace("a", base::milliseconds(60), fixture.now);
-  cr_assert_float_eq(fixture.table.paces(fixture.now).at("a").paceMs, 46.0, 0.01);
+  fixture.table.onEventInterval("a", base::milliseconds(60), fixture.now);
+  cr_assert_float_eq(fixture.table.eventIntervals(fixture.now).at("a").eventIntervalMs, 46.0, 0.01);
 }
 
 Test(instance_table, engine_that_starts_again_takes_over_the_pace_of_its_machine) {
   const std::string born = directory::Incarnation{"a", 7}.key();
   Fixture fixture({view("a"), view("b")});
-  fixture.table.onPace("a", base::milliseconds(140), fixture.now);
+  fixture.table.onEventInterval("a", base::milliseconds(140), fixture.now);
   fixture.table.change({view(born)}, {"a"});
-  cr_assert_eq(fixture.table.find(born)->paceMs, 140.0);
-  cr_assert_eq(fixture.table.paces(fixture.now).size(), 1U);
-  cr_assert_eq(fixture.table.paces(fixture.now).at("a").paceMs, 140.0);
+  cr_assert_eq(fixture.table.find(born)->eventIntervalMs, 140.0);
+  cr_assert_eq(fixture.table.eventIntervals(fixture.now).size(), 1U);
+  cr_assert_eq(fixture.table.eventIntervals(fixture.now).at("a").eventIntervalMs, 140.0);
 }
 
 Test(instance_table, engines_at_most_so_slow_are_found) {
   Fixture fixture({view("a"), view("b"), view("c")});
-  fixture.table.onPace("a", base::milliseconds(140), fixture.now);
-  fixture.table.onPace("b", base::milliseconds(90), fixture.now);
+  fixture.table.onEventInterval("a", base::milliseconds(140), fixture.now);
+  fixture.table.onEventInterval("b", base::milliseconds(90), fixture.now);
   const forwarding::InstanceNeed need{"s", "m", 1, true};
-  cr_assert_null(fixture.table.findPaced(need, "a", 60, fixture.random, fixture.now));
-  cr_assert_eq(fixture.table.findPaced(need, "a", 100, fixture.random, fixture.now)->record.id,
-               "b");
-  cr_assert_null(fixture.table.findPaced(need, "b", 100, fixture.random, fixture.now));
+  cr_assert_null(fixture.table.findWithinInterval(need, "a", 60, fixture.random, fixture.now));
+  cr_assert_eq(
+      fixture.table.findWithinInterval(need, "a", 100, fixture.random, fixture.now)->record.id,
+      "b");
+  cr_assert_null(fixture.table.findWithinInterval(need, "b", 100, fixture.random, fixture.now));
 }
 
 Test(instance_table, items_of_other_gateways_count) {
--- a/test/integration/soak_test.cpp
+++ b/test/integration/soak_test.cpp
@@ -2,8 +2,8 @@
 /// callers check what they are told: kills, freezes, planned stops, lost disks, machines replaced
 /// at other addresses until none of the first that keep state is left, engines that start again
 /// under their names, a request that ends each engine that runs it, and the loss of every process
-/// at once. Engines run at different paces and load weights; two trainers publish them, now and
-/// then two versions at once, for tenants whose priorities change all the time.
+/// at once. Engines run at different event intervals and load weights; two trainers publish them,
+/// now and then two versions at once, for tenants whose priorities change all the time.
 ///
 /// TACKPICK_SOAK_SEEDS=101-150 runs those seeds instead of CI's; TACKPICK_SOAK_GATEWAYS=40 makes
 /// the cluster larger: five controllers, five ledgers (no spare one, which could take the place
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -34,7 +34,7 @@
 
   void tell(double slowMs, double fastMs = 41) {
     now += base::milliseconds(500);
-    placement.notePaces({{"slow", {slowMs}}, {"fast", {fastMs}}, {"other", {41}}}, now);
+    placement.recordEventIntervals({{"slow", {slowMs}}, {"fast", {fastMs}}, {"other", {41}}}, now);
     placement.setLoads({{"other", kSlots}}, now);
   }
 
@@ -105,21 +105,21 @@
   base::SeededRandom random(7);
   for (int round = 0; round < kRounds; ++round) {
     jobs::EnginePlacement placement;
-    std::map<std::string, double> paces;
+    std::map<std::string, double> eventIntervals;
     std::map<std::string, std::uint32_t> loads;
     for (std::uint32_t i = 0; i < kEngines; ++i) {
       const std::string id = "e" + std::to_string(i);
       placement.changeEngines({engine(id)}, {});
-      paces[id] = 30 + 150 * random.uniform();
+      eventIntervals[id] = 30 + 150 * random.uniform();
       loads[id] = static_cast<std::uint32_t>(random.below(kSlots + 1));
-      placement.notePaces({{id, {paces[id]}}}, kNow);
+      placement.recordEventIntervals({{id, {eventIntervals[id]}}}, kNow);
     }
     placement.setLoads(loads, kNow);
     const jobs::ItemNeed text =
         need(1 + 150 * random.uniform(), base::milliseconds(random.below(15'000)));
     const auto inTime = [&](const std::string& id) {
       const double occupied = (loads[id] + 1.0) / kSlots;
-      return text.restEvents * jobs::engineCost(paces[id], occupied) <=
+      return text.restEvents * jobs::engineCost(eventIntervals[id], occupied) <=
              base::toMilliseconds(text.untilDue);
     };
     const bool possible = std::any_of(loads.begin(), loads.end(), [&](const auto& each) {
@@ -138,8 +138,8 @@
       placement->changeEngines({engine(id)}, {});
     }
     // Prompts that are read meanwhile make equal engines seem so different.
-    placement->notePaces({{"e0", {44}}, {"e1", {46}}, {"e2", {49}}, {"e3", {53}}, {"e4", {58}}},
-                         kNow);
+    placement->recordEventIntervals(
+        {{"e0", {44}}, {"e1", {46}}, {"e2", {49}}, {"e3", {53}}, {"e4", {58}}}, kNow);
     placement->setLoads({}, kNow);
   }
   for (int i = 0; i < 20; ++i) {
@@ -159,18 +159,18 @@
   cr_assert_eq(fixture.placement.place(need(5)), "fast", "a short one bears it");
   // Nothing runs there, so that nobody tells of its recovery.
   fixture.now += base::seconds(12);
-  fixture.placement.notePaces({{"slow", {90}}, {"other", {41}}}, fixture.now);
+  fixture.placement.recordEventIntervals({{"slow", {90}}, {"other", {41}}}, fixture.now);
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
   cr_assert_eq(fixture.placement.place(need(140)), "fast");
 }
 
 Test(placement_by_need, engine_slow_for_a_moment_gets_no_text_without_slack) {
   Fixture fixture;
-  jobs::PaceReport moment{41};
-  moment.workTimePercent = 250;
+  jobs::EventIntervalReport moment{41};
+  moment.slowdownPercent = 250;
   fixture.now += base::milliseconds(500);
   fixture.placement.changeEngines({engine("second")}, {});
-  fixture.placement.notePaces({{"fast", moment}, {"second", {42}}}, fixture.now);
+  fixture.placement.recordEventIntervals({{"fast", moment}, {"second", {42}}}, fixture.now);
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
   cr_assert_eq(fixture.placement.place(need(140)), "second");
   cr_assert_eq(fixture.placement.place({"m", 1}), "fast", "without a need only the pace counts");
@@ -182,7 +182,8 @@
   placement.setLoads({}, kNow);
   cr_assert_eq(placement.place(need(140)), "a");
   cr_assert_eq(placement.place(need(140)), "b");
-  placement.notePaces({{"a", {140, base::milliseconds(400)}}, {"b", {40}}, {"c", {40}}}, kNow);
+  placement.recordEventIntervals({{"a", {140, base::milliseconds(400)}}, {"b", {40}}, {"c", {40}}},
+                                 kNow);
   placement.setLoads({}, kNow + base::milliseconds(100));
   cr_assert_eq(placement.place(need(140)), "b");
   cr_assert_eq(placement.place(need(140)), "c");
@@ -202,7 +203,7 @@
   fixture.placement.changeEngines({incarnation("fast#2")}, {"fast"});
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
   cr_assert_eq(fixture.placement.place(need(140)), "slow");
-  fixture.placement.notePaces({{"fast", {170}}}, fixture.now);
+  fixture.placement.recordEventIntervals({{"fast", {170}}}, fixture.now);
   fixture.placement.changeEngines({incarnation("fast#3")}, {});
   fixture.placement.changeEngines({}, {"fast#2"});
   cr_assert_eq(fixture.placement.place(need(140)), "slow", "two lives overlap");
@@ -217,12 +218,12 @@
   const jobs::EngineSummary& slow = sights[2];
   cr_assert_eq(slow.id, "slow");
   cr_assert_eq(slow.zone, "z");
-  cr_assert_float_eq(slow.paceMs, 90, 0.1);
+  cr_assert_float_eq(slow.eventIntervalMs, 90, 0.1);
   cr_assert_eq(slow.items, 3U);
   cr_assert(slow.sampleAge == base::milliseconds(200));
   cr_assert_eq(sights[3].id, "unseen");
   cr_assert_not(sights[3].sampleAge.has_value());
-  cr_assert_float_eq(sights[3].paceMs, 41, 0.1, "typical");
-  cr_assert_float_eq(fixture.placement.paceOf("slow"), 90, 0.1);
-  cr_assert_eq(fixture.placement.paceOf("gone"), 0.0);
+  cr_assert_float_eq(sights[3].eventIntervalMs, 41, 0.1, "typical");
+  cr_assert_float_eq(fixture.placement.eventIntervalOf("slow"), 90, 0.1);
+  cr_assert_eq(fixture.placement.eventIntervalOf("gone"), 0.0);
 }
--- a/test/jobs/pace_book_test.cpp
+++ b/test/jobs/event_interval_table_test.cpp
@@ -1,5 +1,5 @@
-/// What the ledgers' leader makes of the paces that gateways tell.
-#include "jobs/pace_book.h"
+/// What the ledgers' leader makes of the event intervals that gateways tell.
+#include "jobs/event_interval_table.h"
 
 #include <criterion/criterion.h>
 
@@ -38,14 +38,14 @@
     return book.expectedMs(*entries[static_cast<std::size_t>(engine)], now);
   }
 
-  jobs::PaceBook book;
-  std::vector<jobs::PaceBook::Entry*> entries;
+  jobs::EventIntervalTable book;
+  std::vector<jobs::EventIntervalTable::Entry*> entries;
   base::TimePoint now{base::seconds(100)};
 };
 
 }  // namespace
 
-Test(pace_book, engine_that_slows_is_known_as_slow_within_three_reports) {
+Test(event_interval_table, engine_that_slows_is_known_as_slow_within_three_reports) {
   Fixture fixture(5);
   fixture.run(base::seconds(10), kUsualMs);
   fixture.run(base::milliseconds(1500), kSlowMs);
@@ -53,7 +53,7 @@
   cr_assert_float_eq(fixture.expected(1), kUsualMs, 1);
 }
 
-Test(pace_book, engine_that_nobody_sees_any_more_comes_to_be_tried_again) {
+Test(event_interval_table, engine_that_nobody_sees_any_more_comes_to_be_tried_again) {
   Fixture fixture(5);
   fixture.run(base::seconds(10), kUsualMs);
   fixture.run(base::seconds(8), kSlowMs);
@@ -62,20 +62,20 @@
   cr_assert_lt(fixture.expected(0), 90, "%f", fixture.expected(0));
 }
 
-Test(pace_book, engine_that_was_always_slow_stays_so_without_news) {
+Test(event_interval_table, engine_that_was_always_slow_stays_so_without_news) {
   Fixture fixture(5);
   fixture.run(base::seconds(60), kSlowMs);
   fixture.now += base::seconds(10);
   cr_assert_gt(fixture.expected(0), 140, "%f", fixture.expected(0));
 }
 
-Test(pace_book, engine_never_seen_is_taken_for_typical_of_its_zone_else_of_all) {
+Test(event_interval_table, engine_never_seen_is_taken_for_typical_of_its_zone_else_of_all) {
   Fixture fixture(5);
   fixture.run(base::seconds(1), kUsualMs);
   cr_assert_float_eq(fixture.book.expectedMs(fixture.book.attach("new", "a"), fixture.now),
                      kUsualMs, 1);
-  jobs::PaceBook::Entry& slowZone = fixture.book.attach("s", "slow");
-  jobs::PaceBook::Entry& other = fixture.book.attach("t", "slow");
+  jobs::EventIntervalTable::Entry& slowZone = fixture.book.attach("s", "slow");
+  jobs::EventIntervalTable::Entry& other = fixture.book.attach("t", "slow");
   cr_assert_float_eq(fixture.book.expectedMs(other, fixture.now), kUsualMs, 1);
   fixture.book.note("s", {kSlowMs}, fixture.now);
   fixture.book.refresh(fixture.now);
@@ -83,19 +83,19 @@
   cr_assert_float_eq(fixture.book.expectedMs(slowZone, fixture.now), kSlowMs, 1);
 }
 
-Test(pace_book, nothing_is_expected_while_no_pace_is_known) {
+Test(event_interval_table, nothing_is_expected_while_no_pace_is_known) {
   const Fixture fixture(1);
   cr_assert_eq(fixture.expected(0), 0.0);
 }
 
-Test(pace_book, what_cannot_be_true_changes_nothing) {
+Test(event_interval_table, what_cannot_be_true_changes_nothing) {
   Fixture fixture(3);
   fixture.run(base::seconds(2), kUsualMs);
   const double before = fixture.expected(0);
-  for (const double paceMs :
+  for (const double eventIntervalMs :
        {0.0, -50.0, 1e12, std::numeric_limits<double>::infinity(),
         -std::numeric_limits<double>::infinity(), std::numeric_limits<double>::quiet_NaN()}) {
-    cr_assert_not(fixture.book.note("e0", {paceMs}, fixture.now));
+    cr_assert_not(fixture.book.note("e0", {eventIntervalMs}, fixture.now));
   }
   cr_assert_not(fixture.book.note("e0", {kUsualMs, base::seconds(-5)}, fixture.now),
                 "it was not measured in the future");
@@ -105,7 +105,7 @@
   cr_assert_leq(fixture.entries[0]->pace.momentaryDelay(fixture.now), base::Duration{0});
 }
 
-Test(pace_book, one_wrong_report_among_many_does_little) {
+Test(event_interval_table, one_wrong_report_among_many_does_little) {
   Fixture fixture(3);
   fixture.run(base::seconds(2), kUsualMs);
   fixture.book.note("e0", {50'000}, fixture.now);
@@ -115,7 +115,7 @@
   cr_assert_lt(fixture.expected(0), 2 * kUsualMs, "%f", fixture.expected(0));
 }
 
-Test(pace_book, of_two_gateways_that_differ_the_later_sample_counts) {
+Test(event_interval_table, of_two_gateways_that_differ_the_later_sample_counts) {
   Fixture fixture(3);
   fixture.run(base::seconds(2), kUsualMs);
   fixture.run(base::seconds(3), kSlowMs);
@@ -127,7 +127,7 @@
   cr_assert_gt(fixture.expected(0), kUsualMs, "both saw it now");
 }
 
-Test(pace_book, old_sample_told_again_does_not_become_new) {
+Test(event_interval_table, old_sample_told_again_does_not_become_new) {
   Fixture fixture(3);
   fixture.run(base::seconds(5), kUsualMs);
   fixture.run(base::seconds(4), kSlowMs);
@@ -142,7 +142,7 @@
   cr_assert_lt(told.expected(0), 1.1 * fixture.expected(0));
 }
 
-Test(pace_book, old_samples_weigh_less_at_a_new_leader) {
+Test(event_interval_table, old_samples_weigh_less_at_a_new_leader) {
   Fixture fixture(3);
   fixture.book.note("e1", {kUsualMs, base::seconds(4)}, fixture.now);
   fixture.book.note("e2", {kUsualMs}, fixture.now);
@@ -158,7 +158,7 @@
   cr_assert_lt(old.expected(0), 1.3 * kUsualMs, "its slowness may be long over");
 }
 
-Test(pace_book, pace_belongs_to_the_machine_of_an_engine_that_starts_again) {
+Test(event_interval_table, pace_belongs_to_the_machine_of_an_engine_that_starts_again) {
   Fixture fixture(3);
   fixture.run(base::seconds(3), kSlowMs);
   fixture.book.detach("e0", fixture.now);
@@ -172,21 +172,21 @@
                      1, "after minutes it is another machine");
 }
 
-Test(pace_book, slowness_of_a_moment_delays_and_passes) {
+Test(event_interval_table, slowness_of_a_moment_delays_and_passes) {
   Fixture fixture(2);
-  jobs::PaceReport report{kUsualMs};
-  report.workTimePercent = 250;
-  report.workTimeAge = base::milliseconds(100);
+  jobs::EventIntervalReport report{kUsualMs};
+  report.slowdownPercent = 250;
+  report.slowdownAge = base::milliseconds(100);
   cr_assert(fixture.book.note("e0", report, fixture.now));
-  const jobs::EnginePace& pace = fixture.entries[0]->pace;
-  cr_assert_eq(pace.workTimePercent(fixture.now), 250U);
+  const jobs::EngineEventInterval& pace = fixture.entries[0]->pace;
+  cr_assert_eq(pace.slowdownPercent(fixture.now), 250U);
   cr_assert_gt(pace.momentaryDelay(fixture.now), base::milliseconds(200));
   cr_assert_lt(pace.momentaryDelay(fixture.now), base::seconds(1));
   fixture.now += base::milliseconds(500);
-  cr_assert_eq(pace.workTimePercent(fixture.now), 100U);
+  cr_assert_eq(pace.slowdownPercent(fixture.now), 100U);
   cr_assert_eq(pace.momentaryDelay(fixture.now), base::Duration{0});
-  report.workTimePercent = 0;
-  report.workTimeAge = base::Duration{0};
+  report.slowdownPercent = 0;
+  report.slowdownAge = base::Duration{0};
   cr_assert(fixture.book.note("e0", report, fixture.now));
   cr_assert_eq(pace.momentaryDelay(fixture.now), base::Duration{0}, "nonsense");
 }
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -157,19 +157,19 @@
   LoneLedger ledger;
   jobs::LeaseItems call;
   call.zone = "z";
-  cr_assert(ledger.ask(call).wantsPaces);
-  call.paces = {{"fast", {40}}, {"slow", {140}}};
-  cr_assert_not(ledger.ask(call).wantsPaces);
-  call.paces.clear();
-  cr_assert_not(ledger.ask(call).wantsPaces, "it was told in this term");
+  cr_assert(ledger.ask(call).wantsEventIntervals);
+  call.eventIntervals = {{"fast", {40}}, {"slow", {140}}};
+  cr_assert_not(ledger.ask(call).wantsEventIntervals);
+  call.eventIntervals.clear();
+  cr_assert_not(ledger.ask(call).wantsEventIntervals, "it was told in this term");
   ledger.restart();
   ledger.role->setEngines({{"a-slow", 4, {{"", 1}}, "z"}, {"fast", 4, {{"", 1}}, "z"}});
-  cr_assert(ledger.ask(call).wantsPaces);
+  cr_assert(ledger.ask(call).wantsEventIntervals);
   (void)ledger.ask(submission("a"));
-  call.paces = {{"fast", {40}}, {"a-slow", {140, base::seconds(1)}}};
+  call.eventIntervals = {{"fast", {40}}, {"a-slow", {140, base::seconds(1)}}};
   call.wanted.add("", 1, 4);
   const jobs::JobReply reply = ledger.ask(call);
-  cr_assert_not(reply.wantsPaces);
+  cr_assert_not(reply.wantsEventIntervals);
   cr_assert_eq(reply.leased.size(), 1U);
   cr_assert_eq(reply.leased.front().engine, "fast");
 }
@@ -242,7 +242,7 @@
   jobs::LeaseItems lease;
   lease.held = {{{"j", 35}, "e"}};
   ledger.role->setEngines({{"e", 8, {{"", 1}}, "z"}});
-  lease.paces["e"].paceMs = 100;
+  lease.eventIntervals["e"].eventIntervalMs = 100;
   const base::Duration atDefault = slack();
   (void)ledger.ask(lease);
   cr_assert_lt(slack(), atDefault - base::seconds(10));
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -290,8 +290,8 @@
 Test(engine_placement, fast_engines_fill_before_slow_ones) {
   jobs::EnginePlacement placement;
   placement.setEngines({{"slow", 4, {{"m", 5}}}, {"fast", 4, {{"m", 5}}}});
-  placement.notePaces({{"slow", {50}}}, kNow);
-  placement.notePaces({{"fast", {38}}}, kNow);
+  placement.recordEventIntervals({{"slow", {50}}}, kNow);
+  placement.recordEventIntervals({{"fast", {38}}}, kNow);
   for (int i = 0; i < 4; ++i) {
     cr_assert_eq(placement.place({"m", 5}), "fast");
   }
@@ -313,8 +313,8 @@
 Test(engine_placement, slow_engines_get_less) {
   jobs::EnginePlacement placement;
   placement.setEngines({{"fast", 8, {{"m", 1}}}, {"slow", 8, {{"m", 1}}}});
-  placement.notePaces({{"fast", {40}}}, kNow);
-  placement.notePaces({{"slow", {140}}}, kNow);
+  placement.recordEventIntervals({{"fast", {40}}}, kNow);
+  placement.recordEventIntervals({{"slow", {140}}}, kNow);
   placement.setLoads({}, kNow);
   for (int i = 0; i < 9; ++i) {
     cr_assert_eq(placement.place({"m", 1}), "fast", "one may wait there");
@@ -328,8 +328,8 @@
 Test(engine_placement, pace_outlasts_a_change_of_weights) {
   jobs::EnginePlacement placement;
   placement.setEngines({{"slow", 4, {{"m", 1}}}, {"fast", 4, {{"m", 1}}}});
-  placement.notePaces({{"slow", {140}}}, kNow);
-  placement.notePaces({{"fast", {40}}}, kNow);
+  placement.recordEventIntervals({{"slow", {140}}}, kNow);
+  placement.recordEventIntervals({{"fast", {40}}}, kNow);
   placement.changeEngines({{"slow", 4, {{"m", 1}}, {}, false}}, {});
   placement.changeEngines({{"slow", 4, {{"m", 2}}}}, {});
   cr_assert_eq(placement.place({"m", 1}), "fast");
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -34,7 +34,7 @@
   std::vector<TrainerLoad> trainers;
   std::uint32_t engines = 45;
   std::uint32_t slots = 8;
-  double paceMs = 40;
+  double eventIntervalMs = 40;
   double longestEvents = 150;
   double estimateSpread = 0.5;
   base::Duration due = base::milliseconds(7500);
@@ -186,7 +186,7 @@
 
   void runEngines() {
     const double events =
-        std::chrono::duration<double, std::milli>(kStep).count() / m_options.paceMs;
+        std::chrono::duration<double, std::milli>(kStep).count() / m_options.eventIntervalMs;
     std::vector<jobs::ItemKey> whole;
     for (auto& [engine, items] : m_running) {
       for (std::size_t i = 0; i < items.size() && i < m_options.slots; ++i) {
@@ -218,7 +218,8 @@
     jobs::ItemResult result{key.item, jobs::ItemState::kCompleted, base::PackedText("t"), {1}};
     result.events = open.lengths[key.item];
     m_leases.forecast().learn(m_state.find(key.job)->submission, result);
-    m_leases.paces().note(m_state.find(key.job)->submission.model, m_options.paceMs);
+    m_leases.eventIntervals().note(m_state.find(key.job)->submission.model,
+                                   m_options.eventIntervalMs);
     apply(jobs::CommitResults{{{key.job, {result}}}});
     const TrainerLoad& load = m_options.trainers[open.trainer];
     if (--open.left[key.item / load.groupSize] > 0 || open.whole == open.wanted) {
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -140,8 +140,8 @@
 Test(lease_order, long_items_of_a_job_without_slack_go_before_short_ones) {
   Ledger ledger;
   ledger.setEngines(2);
-  ledger.leases.paces().note("m", 40);
-  ledger.leases.paces().note("n", 40);
+  ledger.leases.eventIntervals().note("m", 40);
+  ledger.leases.eventIntervals().note("n", 40);
   ledger.learn("m");
   ledger.learn("n");
   ledger.draft("relaxed", "t", "m", {40, 30, 20, 10});
--- a/test/jobs/length_forecast_test.cpp
+++ b/test/jobs/length_forecast_test.cpp
@@ -7,7 +7,7 @@
 #include <limits>
 
 #include "base/random.h"
-#include "jobs/model_paces.h"
+#include "jobs/model_event_intervals.h"
 
 namespace base = tackpick::base;
 namespace jobs = tackpick::jobs;
@@ -125,14 +125,14 @@
 }
 
 Test(model_paces, a_model_that_has_not_run_is_as_fast_as_the_others) {
-  jobs::ModelPaces paces;
-  const base::Duration unknown = paces.timeFor("m", 10);
+  jobs::ModelEventIntervals eventIntervals;
+  const base::Duration unknown = eventIntervals.timeFor("m", 10);
   cr_assert_gt(unknown.count(), 0);
-  paces.note("m", 50);
-  paces.note("m", -1);
-  cr_assert_eq(paces.timeFor("m", 10), base::milliseconds(500));
-  cr_assert_eq(paces.timeFor("n", 10), base::milliseconds(500));
-  cr_assert_float_eq(paces.eventsIn("m", base::seconds(1)), 20, 0.01);
+  eventIntervals.note("m", 50);
+  eventIntervals.note("m", -1);
+  cr_assert_eq(eventIntervals.timeFor("m", 10), base::milliseconds(500));
+  cr_assert_eq(eventIntervals.timeFor("n", 10), base::milliseconds(500));
+  cr_assert_float_eq(eventIntervals.eventsIn("m", base::seconds(1)), 20, 0.01);
 }
 
 Test(length_forecast, odd_estimates_and_paces_stay_finite) {
@@ -142,16 +142,16 @@
     model.learn(100, 1);
     model.learn(101, 1'000'000'000'000ULL);
   }
-  jobs::ModelPaces paces;
-  paces.note("m", std::numeric_limits<double>::infinity());
-  paces.note("m", std::numeric_limits<double>::quiet_NaN());
-  paces.note("m", 1e12);
+  jobs::ModelEventIntervals eventIntervals;
+  eventIntervals.note("m", std::numeric_limits<double>::infinity());
+  eventIntervals.note("m", std::numeric_limits<double>::quiet_NaN());
+  eventIntervals.note("m", 1e12);
   for (const std::uint32_t estimate : {0U, 1U, 100U, kHuge}) {
     for (const std::uint64_t soFar : {0ULL, 5ULL, 1'000'000'000'000'000ULL}) {
       const double rest = model.rest(estimate, soFar);
       cr_assert(std::isfinite(rest) && rest >= 0);
-      cr_assert_leq(paces.timeFor("m", rest), base::Duration(std::chrono::hours(24)));
-      cr_assert_geq(paces.timeFor("m", rest), base::Duration{0});
+      cr_assert_leq(eventIntervals.timeFor("m", rest), base::Duration(std::chrono::hours(24)));
+      cr_assert_geq(eventIntervals.timeFor("m", rest), base::Duration{0});
     }
   }
 }
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -10,7 +10,7 @@
 #include "base/random.h"
 #include "jobs/engine_placement.h"
 #include "jobs/run_decisions.h"
-#include "jobs/run_pace.h"
+#include "jobs/run_event_interval.h"
 
 namespace base = tackpick::base;
 namespace jobs = tackpick::jobs;
@@ -37,7 +37,7 @@
 enum class Fleet : std::uint8_t {
   kEqual,   ///< engines of one pace, none of which turns slow
   kSlowed,  ///< engines of one pace, a fifth of which turns slow each 15 s
-  kUneven,  ///< zones of different paces; engines turn slow too
+  kUneven,  ///< zones of different event intervals; engines turn slow too
 };
 
 struct Load {
@@ -70,20 +70,20 @@
   base::TimePoint firstSentAt{};
   base::TimePoint due{};
   std::uint32_t moves = 0;
-  jobs::RunPace pace;
+  jobs::RunEventInterval pace;
 };
 
 struct Engine {
   std::string id;
   std::string zone;
-  double paceMs = kUsualMs;
+  double eventIntervalMs = kUsualMs;
   base::TimePoint slowFrom{};
   base::TimePoint slowUntil{};
   std::deque<Text> texts;  ///< the first kSlots run
   double reportedMs = 0;
 
-  [[nodiscard]] double paceNow(base::TimePoint now) const {
-    return now >= slowFrom && now < slowUntil ? kSlowdown * paceMs : paceMs;
+  [[nodiscard]] double currentEventIntervalMs(base::TimePoint now) const {
+    return now >= slowFrom && now < slowUntil ? kSlowdown * eventIntervalMs : eventIntervalMs;
   }
 };
 
@@ -97,13 +97,14 @@
       Engine engine;
       engine.id = "e" + std::to_string(i);
       engine.zone = "z" + std::to_string(i % kZones);
-      engine.paceMs = load.fleet == Fleet::kUneven ? kUsualMs / kSpeeds.at(i % kZones) : kUsualMs;
+      engine.eventIntervalMs =
+          load.fleet == Fleet::kUneven ? kUsualMs / kSpeeds.at(i % kZones) : kUsualMs;
       told.push_back({engine.id, kSlots, {{"m", 1}}, engine.zone});
       m_engines.emplace(engine.id, std::move(engine));
     }
     m_placement.setEngines(told);
     for (const auto& [id, engine] : m_engines) {
-      m_placement.notePaces({{id, {engine.paceMs}}}, m_now);
+      m_placement.recordEventIntervals({{id, {engine.eventIntervalMs}}}, m_now);
     }
   }
 
@@ -174,18 +175,19 @@
 
   /// Gateways see an engine's pace only where something runs.
   void report() {
-    std::map<std::string, jobs::PaceReport> reports;
+    std::map<std::string, jobs::EventIntervalReport> reports;
     for (auto& [id, engine] : m_engines) {
       if (!engine.texts.empty()) {
         // Of the last six events of each run; a gateway averages over those of a few runs.
         constexpr double kWeight = 0.28;
-        const double seen = engine.paceNow(m_now - kReports) * (0.95 + 0.1 * m_random.uniform());
+        const double seen =
+            engine.currentEventIntervalMs(m_now - kReports) * (0.95 + 0.1 * m_random.uniform());
         const double before = engine.reportedMs > 0 ? engine.reportedMs : seen;
         engine.reportedMs = before + kWeight * (seen - before);
         reports[id] = {engine.reportedMs};
       }
     }
-    m_placement.notePaces(reports, m_now);
+    m_placement.recordEventIntervals(reports, m_now);
   }
 
   void placeWaiting() {
@@ -219,7 +221,7 @@
 
   void makeEvents(Engine& engine) {
     const std::size_t running = std::min<std::size_t>(engine.texts.size(), kSlots);
-    const double made = base::toMilliseconds(kStep) / engine.paceNow(m_now);
+    const double made = base::toMilliseconds(kStep) / engine.currentEventIntervalMs(m_now);
     for (std::size_t i = 0; i < running; ++i) {
       Text& text = engine.texts[i];
       text.sentAt = text.sentAt == base::TimePoint{} ? m_now : text.sentAt;
@@ -251,15 +253,15 @@
   }
 
   /// The longest pace at which the text goes on elsewhere; zero: it stays.
-  double longestPace(const Engine& engine, const Text& text) {
+  double maxEventInterval(const Engine& engine, const Text& text) {
     if (m_load.byNeed) {
       jobs::RunOutlook outlook;
-      outlook.paceMs = text.pace.sustainedMs(m_now).value_or(0);
+      outlook.eventIntervalMs = text.pace.sustainedMs(m_now).value_or(0);
       outlook.restEvents = jobs::restOfText(text.estimate, static_cast<std::uint64_t>(text.made),
                                             static_cast<std::uint64_t>(text.made));
       outlook.untilDue = text.due - m_now;
       outlook.moves = text.moves;
-      return jobs::longestPaceToMoveTo(outlook).value_or(0);
+      return jobs::maxEventIntervalToMoveTo(outlook).value_or(0);
     }
     const bool ranLong = text.made >= 1 && m_now - text.firstSentAt > milliseconds(900);
     return ranLong && text.moves < jobs::kMostMovesToFaster
@@ -268,7 +270,7 @@
   }
 
   /// A gateway knows the engines of its zone.
-  Engine* findPaced(const std::string& zone, double longestMs) {
+  Engine* findWithinInterval(const std::string& zone, double longestMs) {
     Engine* best = nullptr;
     for (auto& [id, engine] : m_engines) {
       const bool suits = engine.zone == zone && engine.reportedMs > 0 &&
@@ -283,8 +285,8 @@
   void moveFromSlow() {
     for (auto& [id, engine] : m_engines) {
       for (std::size_t i = 0; i < engine.texts.size();) {
-        const double longestMs = longestPace(engine, engine.texts[i]);
-        Engine* faster = longestMs > 0 ? findPaced(engine.zone, longestMs) : nullptr;
+        const double longestMs = maxEventInterval(engine, engine.texts[i]);
+        Engine* faster = longestMs > 0 ? findWithinInterval(engine.zone, longestMs) : nullptr;
         if (faster == nullptr || faster == &engine) {
           ++i;
           continue;
--- a/test/jobs/run_decisions_test.cpp
+++ b/test/jobs/run_decisions_test.cpp
@@ -17,9 +17,9 @@
   return run;
 }
 
-jobs::RunOutlook outlook(double paceMs, double restEvents, base::Duration untilDue) {
+jobs::RunOutlook outlook(double eventIntervalMs, double restEvents, base::Duration untilDue) {
   jobs::RunOutlook run;
-  run.paceMs = paceMs;
+  run.eventIntervalMs = eventIntervalMs;
   run.restEvents = restEvents;
   run.untilDue = untilDue;
   return run;
@@ -71,37 +71,39 @@
 
 Test(run_decisions, text_on_an_engine_that_turned_slow_moves_only_when_it_would_be_late) {
   // 60 events are 10.2 s at this pace, 2.9 s at the usual one.
-  const auto late = jobs::longestPaceToMoveTo(outlook(170, 60, base::seconds(4)));
+  const auto late = jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::seconds(4)));
   cr_assert(late.has_value());
   cr_assert_geq(*late, 49, "engines of the usual pace do");
   cr_assert_leq(*late, 100, "others as slow do not");
-  cr_assert_not(jobs::longestPaceToMoveTo(outlook(170, 60, base::seconds(11))).has_value(),
+  cr_assert_not(jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::seconds(11))).has_value(),
                 "in time");
-  cr_assert(jobs::longestPaceToMoveTo(outlook(170, 60, base::seconds(-1))).has_value(),
+  cr_assert(jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::seconds(-1))).has_value(),
             "late anyway, yet clearly sooner elsewhere");
 }
 
 Test(run_decisions, text_near_its_end_stays) {
-  cr_assert_not(jobs::longestPaceToMoveTo(outlook(170, 4, base::milliseconds(300))).has_value(),
-                "the move would cost what it gains");
+  cr_assert_not(
+      jobs::maxEventIntervalToMoveTo(outlook(170, 4, base::milliseconds(300))).has_value(),
+      "the move would cost what it gains");
 }
 
 Test(run_decisions, text_on_a_sound_engine_stays_though_late) {
-  const auto bound = jobs::longestPaceToMoveTo(outlook(49, 100, base::seconds(4)));
+  const auto bound = jobs::maxEventIntervalToMoveTo(outlook(49, 100, base::seconds(4)));
   cr_assert(!bound || *bound < 30, "no engine is so much faster");
 }
 
 Test(run_decisions, text_does_not_move_on_and_on) {
   jobs::RunOutlook run = outlook(170, 60, base::seconds(4));
   run.moves = jobs::kMostMovesToFaster;
-  cr_assert_not(jobs::longestPaceToMoveTo(run).has_value());
+  cr_assert_not(jobs::maxEventIntervalToMoveTo(run).has_value());
 }
 
 Test(run_decisions, nothing_is_told_without_an_estimate_or_a_due_time) {
   cr_assert_not(outlook(170, 0, base::seconds(4)).isKnown());
   cr_assert_not(outlook(170, 60, base::Duration::max()).isKnown());
-  cr_assert_not(jobs::longestPaceToMoveTo(outlook(170, 0, base::seconds(-4))).has_value());
-  cr_assert_not(jobs::longestPaceToMoveTo(outlook(170, 60, base::Duration::max())).has_value());
+  cr_assert_not(jobs::maxEventIntervalToMoveTo(outlook(170, 0, base::seconds(-4))).has_value());
+  cr_assert_not(
+      jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::Duration::max())).has_value());
 }
 
 Test(run_decisions, rest_of_a_text_is_reckoned_with_the_error_of_its_estimate) {
--- a/test/jobs/run_pace_test.cpp
+++ b/test/jobs/run_event_interval_test.cpp
@@ -1,5 +1,5 @@
 /// The pace that a run keeps to.
-#include "jobs/run_pace.h"
+#include "jobs/run_event_interval.h"
 
 #include <criterion/criterion.h>
 
@@ -20,12 +20,12 @@
   [[nodiscard]] double pace() const { return events.sustainedMs(now).value_or(0); }
 
   base::TimePoint now{base::seconds(50)};
-  jobs::RunPace events;
+  jobs::RunEventInterval events;
 };
 
 }  // namespace
 
-Test(run_pace, is_not_known_at_the_beginning) {
+Test(run_event_interval, is_not_known_at_the_beginning) {
   Run run;
   cr_assert_eq(run.pace(), 0.0);
   run.make(base::milliseconds(900), kUsual);
@@ -34,7 +34,7 @@
   cr_assert_float_eq(run.pace(), 49, 6);
 }
 
-Test(run_pace, slowness_of_a_moment_does_not_count_a_lasting_one_does) {
+Test(run_event_interval, slowness_of_a_moment_does_not_count_a_lasting_one_does) {
   Run run;
   run.make(base::seconds(2), kUsual);
   run.make(base::milliseconds(600), 5 * kUsual / 2);
@@ -47,7 +47,7 @@
   cr_assert_lt(run.pace(), 60, "%f", run.pace());
 }
 
-Test(run_pace, silence_counts_as_slowness) {
+Test(run_event_interval, silence_counts_as_slowness) {
   Run run;
   run.make(base::seconds(2), kUsual);
   run.now += base::milliseconds(1000);
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -19,8 +19,8 @@
   return made;
 }
 
-jobs::EngineSummary engine(const std::string& id, double paceMs) {
-  return {id, "a", paceMs, 100, {}, 0};
+jobs::EngineSummary engine(const std::string& id, double eventIntervalMs) {
+  return {id, "a", eventIntervalMs, 100, {}, 0};
 }
 
 jobs::GatewaySummary gateway(std::uint32_t number, std::uint32_t places, bool slow) {
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -244,11 +244,11 @@
   const auto load = dialect.load("3,1,8");
   cr_assert(load.has_value());
   cr_assert_eq(load->waiting, 1U);
-  cr_assert_eq(load->workTimePercent, 100U);
+  cr_assert_eq(load->slowdownPercent, 100U);
   const auto longer = dialect.load("3,1,8,250");
   cr_assert(longer.has_value(), "some services tell a fourth figure");
   cr_assert_eq(longer->slots, 8U);
-  cr_assert_eq(longer->workTimePercent, 250U);
+  cr_assert_eq(longer->slowdownPercent, 250U);
   for (const char* bad : {"", "3", "3,1", "3,1,x", "a,b,c"}) {
     cr_assert_not(dialect.load(bad).has_value());
   }
