--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -40,7 +40,7 @@
       apply(state,
             directory::RegisterInstance{
                 {id, "s", "10.0.0.1", static_cast<std::uint16_t>(i + 1), zone, kSlots, false}});
-      homes[id] = modelName(i);
+      assignments[id] = modelName(i);
       for (int model = 0; model < kModels; ++model) {
         engines[id].versions[modelName(model)] = 1;
       }
@@ -48,7 +48,7 @@
   }
   directory::DirectoryState state;
   directory::ReportedEngines engines;
-  directory::Homes homes;
+  directory::EngineAssignments assignments;
 };
 
 /// Mean microseconds of a turn in which engines load for the steps of six trainers.
@@ -57,9 +57,9 @@
   directory::VersionOrderSettings settings;
   settings.loadOrder = order;
   // Each engine follows a model: none is in reserve.
-  settings.homes.wanted.leastEngines = static_cast<std::size_t>(engineCount);
+  settings.assignments.wanted.leastEngines = static_cast<std::size_t>(engineCount);
   directory::VersionOrders orders(settings);
-  orders.reset({}, fleet.homes);
+  orders.reset({}, fleet.assignments);
   base::TimePoint now{base::seconds(100)};
   const auto items = static_cast<std::uint32_t>(engineCount) * kSlots / kModels;
   std::chrono::duration<double, std::micro> spent{0};
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -357,7 +357,7 @@
 };
 
 /// The model that an engine follows; empty: none.
-struct EngineHome {
+struct EngineAssignment {
   std::string id;
   std::string model;
   template <class Archive>
@@ -368,8 +368,8 @@
 
 /// Which models engines follow. A leader that had to find that anew, from weights and from work
 /// that it has not heard of yet, could leave a model without engines.
-struct RecordHomes {
-  std::vector<EngineHome> changed;
+struct RecordAssignments {
+  std::vector<EngineAssignment> changed;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(changed);
@@ -413,8 +413,8 @@
     std::variant<ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances,
                  PublishVersion, FoundLedgers, BeginRetirement, CompleteRetirement, RecordVersions,
                  NoteOrders, duties::BeginUsage, duties::NoteUsage, duties::DecideUsage,
-                 duties::ConfirmUsage, RecordHomes, quarantine::HoldRequest, quarantine::NoteTrial,
-                 quarantine::ReleaseRequest, duties::NoteBaseline, duties::SetCapacity,
-                 duties::ConfirmCapacity>;
+                 duties::ConfirmUsage, RecordAssignments, quarantine::HoldRequest,
+                 quarantine::NoteTrial, quarantine::ReleaseRequest, duties::NoteBaseline,
+                 duties::SetCapacity, duties::ConfirmCapacity>;
 
 }  // namespace tackpick::directory
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -102,7 +102,7 @@
   stepCapacity(now);
   giveNoted(orders_.step(state_, reports_, modelDemand(now), replica_.raft().currentTerm(), now),
             now);
-  recordHomes(now);
+  recordAssignments(now);
 }
 
 void DirectoryRole::stepUsage(base::TimePoint now) {
@@ -272,17 +272,17 @@
   }
 }
 
-void DirectoryRole::recordHomes(base::TimePoint now) {
-  RecordHomes changes;
-  base::SortedCursor written(state_.homes());
-  for (const auto& [id, model] : orders_.homes()) {
+void DirectoryRole::recordAssignments(base::TimePoint now) {
+  RecordAssignments changes;
+  base::SortedCursor written(state_.assignments());
+  for (const auto& [id, model] : orders_.assignments()) {
     const std::string* known = written.find(id);
     if (known == nullptr || *known != model) {
       changes.changed.push_back({id, model});
     }
   }
-  base::SortedCursor followed(orders_.homes());
-  for (const auto& [id, model] : state_.homes()) {
+  base::SortedCursor followed(orders_.assignments());
+  for (const auto& [id, model] : state_.assignments()) {
     if (followed.find(id) == nullptr) {
       changes.changed.push_back({id, {}});
     }
@@ -291,7 +291,7 @@
     changes.changed.resize(kMostVersionsAnEntry);
   }
   if (!changes.changed.empty()) {
-    proposeOnce(changes, m_recordingHomes, now);
+    proposeOnce(changes, m_recordingAssignments, now);
   }
 }
 
@@ -311,7 +311,7 @@
   for (const auto& [id, versions] : state_.heldVersions()) {
     reports_.try_emplace(id, ReportedEngine{leader_since_, versions});
   }
-  orders_.reset(order_lease_.freeFrom(leader_since_), state_.homes());
+  orders_.reset(order_lease_.freeFrom(leader_since_), state_.assignments());
   // Which engines are in reserve must be known before the first view is told, or all would be news.
   (void)orders_.step(state_, reports_, {}, replica_.raft().currentTerm(), now);
   usage_.reset(state_.usage(), order_lease_.restOfLease());
@@ -369,7 +369,7 @@
     clock_.reset();
     m_openJobs = {};
     recording_versions_ = false;
-    m_recordingHomes = false;
+    m_recordingAssignments = false;
     forgetting_ = false;
     m_crashes.reset();
     m_trialsUnderWay.clear();
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -176,7 +176,7 @@
   /// Writes the weights that instances report into the log where they changed.
   void recordVersions(base::TimePoint now);
   /// Writes the models that engines follow into the log where they changed.
-  void recordHomes(base::TimePoint now);
+  void recordAssignments(base::TimePoint now);
   /// The whole log is applied: a new leader starts from the weights that it tells.
   void beginLeading(base::TimePoint now);
 
@@ -194,9 +194,9 @@
   base::TimePoint leader_since_{};
   std::map<std::string, ReportedEngine> reports_;
   std::map<std::string, std::uint64_t> m_heartbeatSequences;
-  bool recording_versions_ = false;  ///< an entry with weights of instances is on its way
-  bool m_recordingHomes = false;     ///< an entry with models that engines follow is on its way
-  bool forgetting_ = false;          ///< an entry with silent instances is on its way
+  bool recording_versions_ = false;     ///< an entry with weights of instances is on its way
+  bool m_recordingAssignments = false;  ///< an entry with models that engines follow is on its way
+  bool forgetting_ = false;             ///< an entry with silent instances is on its way
   std::map<base::NodeId, HeardNode> nodes_;
   std::set<base::NodeId> ledger_voters_;  ///< as the ledgers' leader last reported them
   VersionOrders orders_;
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -107,7 +107,7 @@
   m_idsByAddress.erase(addressOf(known->second));
   data_.instances.erase(known);
   data_.heldVersions.erase(id);
-  data_.homes.erase(id);
+  data_.assignments.erase(id);
 }
 
 void DirectoryState::applyTyped(const RemoveInstance& command) {
@@ -170,12 +170,12 @@
   }
 }
 
-void DirectoryState::applyTyped(const RecordHomes& command) {
-  for (const EngineHome& home : command.changed) {
+void DirectoryState::applyTyped(const RecordAssignments& command) {
+  for (const EngineAssignment& home : command.changed) {
     if (home.model.empty()) {
-      data_.homes.erase(home.id);
+      data_.assignments.erase(home.id);
     } else if (data_.instances.contains(home.id)) {
-      data_.homes[home.id] = home.model;
+      data_.assignments[home.id] = home.model;
     }
   }
 }
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -38,7 +38,9 @@
     return data_.heldVersions;
   }
   /// The model that each engine follows, as that was last written.
-  [[nodiscard]] const std::map<std::string, std::string>& homes() const { return data_.homes; }
+  [[nodiscard]] const std::map<std::string, std::string>& assignments() const {
+    return data_.assignments;
+  }
   /// Who has noted that it gives orders, with the index of its newest note. The few latest holders
   /// are kept.
   using OrderNotes = std::map<base::NodeId, consensus::LogIndex>;
@@ -72,7 +74,7 @@
     Configuration configuration;
     std::map<std::string, InstanceRecord> instances;
     std::map<std::string, std::map<std::string, std::uint64_t>> heldVersions;
-    std::map<std::string, std::string> homes;
+    std::map<std::string, std::string> assignments;
     std::deque<std::string> leftInOrder;
     std::map<std::string, std::uint64_t> versions;
     std::set<base::NodeId> ledgerFounders;
@@ -84,7 +86,7 @@
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(revision, configuration, instances, heldVersions, homes, leftInOrder, versions,
+      archive(revision, configuration, instances, heldVersions, assignments, leftInOrder, versions,
               ledgerFounders, retirements, orderNotes, usage, quarantine, capacity);
     }
   };
@@ -98,7 +100,7 @@
   void applyTyped(const BeginRetirement& command);
   void applyTyped(const CompleteRetirement& command);
   void applyTyped(const RecordVersions& command);
-  void applyTyped(const RecordHomes& command);
+  void applyTyped(const RecordAssignments& command);
   void applyTyped(const NoteOrders& command);
   void applyTyped(const duties::BeginUsage& command) { data_.usage.apply(command); }
   void applyTyped(const duties::NoteUsage& command) { data_.usage.apply(command); }
--- a/src/directory/engine_homes.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -1,4 +1,4 @@
-#include "directory/engine_homes.h"
+#include "directory/engine_assigner.h"
 
 #include <algorithm>
 #include <numeric>
@@ -56,13 +56,13 @@
   return engine == engines.end() ? 0 : versionOf(engine->second, model);
 }
 
-void EngineHomes::reset(Homes homes) {
-  m_homes = std::move(homes);
+void EngineAssigner::reset(EngineAssignments assignments) {
+  m_homes = std::move(assignments);
   m_reserving.clear();
 }
 
-void EngineHomes::assign(const DirectoryState& state, const ReportedEngines& engines,
-                         const std::map<std::string, double>& demand, base::TimePoint now) {
+void EngineAssigner::assign(const DirectoryState& state, const ReportedEngines& engines,
+                            const std::map<std::string, double>& demand, base::TimePoint now) {
   std::erase_if(m_homes, [&](const auto& home) { return !state.instances().contains(home.first); });
   m_engineCount = 0;
   for (const Service& service : state.configuration().services) {
@@ -72,33 +72,33 @@
   }
 }
 
-void EngineHomes::assignOf(const Service& service, const DirectoryState& state,
-                           const ReportedEngines& engines,
-                           const std::map<std::string, double>& demand, base::TimePoint now) {
+void EngineAssigner::assignOf(const Service& service, const DirectoryState& state,
+                              const ReportedEngines& engines,
+                              const std::map<std::string, double>& demand, base::TimePoint now) {
   std::map<std::string, std::size_t> counts;
   for (const std::string& model : service.models) {
     counts[model] = 0;
   }
-  std::vector<const InstanceRecord*> homeless;
+  std::vector<const InstanceRecord*> unassigned;
   std::size_t engineCount = 0;
   std::size_t places = 0;
-  base::SortedCursor homes(m_homes);
+  base::SortedCursor assignments(m_homes);
   for (const auto& [id, record] : state.instances()) {
     if (record.service != service.name || record.draining) {
       continue;
     }
     ++engineCount;
     places += record.slots;
-    const std::string* home = homes.find(id);
+    const std::string* home = assignments.find(id);
     if (home != nullptr && counts.contains(*home)) {
       ++counts[*home];
     } else {
-      homeless.push_back(&record);
+      unassigned.push_back(&record);
     }
   }
   m_engineCount += engineCount;
   const std::size_t slots = engineCount == 0 ? 1 : places / engineCount;
-  const auto wanted = enginesWanted(service, static_cast<std::uint32_t>(slots));
+  const auto wanted = requiredEngines(service, static_cast<std::uint32_t>(slots));
   const std::size_t wantedOfAll =
       std::accumulate(wanted.begin(), wanted.end(), std::size_t{0},
                       [](std::size_t sum, const auto& model) { return sum + model.second; });
@@ -124,7 +124,7 @@
   };
   // A new leader finds each engine's home in what the engine holds: the model nearest to its
   // published version, as long as that model has not had its share.
-  for (const InstanceRecord* record : homeless) {
+  for (const InstanceRecord* record : unassigned) {
     const auto key = [&](const auto& entry) {
       return std::tuple(!unknown && entry.second >= shares.at(entry.first),
                         backlog(*record, entry.first), entry.second);
@@ -140,11 +140,11 @@
   const bool empty = std::any_of(counts.begin(), counts.end(),
                                  [](const auto& entry) { return entry.second == 0; });
   if (!unknown || empty) {
-    moveOneHome(service, state, counts, shares, now);
+    rebalanceOne(service, state, counts, shares, now);
   }
 }
 
-std::map<std::string, double> EngineHomes::askedOf(
+std::map<std::string, double> EngineAssigner::askedOf(
     const Service& service, const std::map<std::string, double>& demand) const {
   double work = 0;
   double items = 0;
@@ -168,22 +168,22 @@
   return asked;
 }
 
-void EngineHomes::feedStarved(const ReportedEngines& engines,
-                              const std::map<std::string, std::size_t>& shares,
-                              std::map<std::string, std::size_t>& counts) {
+void EngineAssigner::feedStarved(const ReportedEngines& engines,
+                                 const std::map<std::string, std::size_t>& shares,
+                                 std::map<std::string, std::size_t>& counts) {
   for (const auto& [model, share] : shares) {
     const std::size_t least = share / 2;
     if (m_wanted.openItems(model) > 0 && counts[model] < least) {
-      moveHomes(model, least - counts[model], engines, shares, counts);
+      reassignEngines(model, least - counts[model], engines, shares, counts);
     }
   }
 }
 
-void EngineHomes::moveHomes(const std::string& model, std::size_t missing,
-                            const ReportedEngines& engines,
-                            const std::map<std::string, std::size_t>& shares,
-                            std::map<std::string, std::size_t>& counts) {
-  std::vector<std::pair<std::uint64_t, Homes::iterator>> candidates;
+void EngineAssigner::reassignEngines(const std::string& model, std::size_t missing,
+                                     const ReportedEngines& engines,
+                                     const std::map<std::string, std::size_t>& shares,
+                                     std::map<std::string, std::size_t>& counts) {
+  std::vector<std::pair<std::uint64_t, EngineAssignments::iterator>> candidates;
   for (auto home = m_homes.begin(); home != m_homes.end(); ++home) {
     if (shares.contains(home->second) && home->second != model) {
       candidates.emplace_back(versionOf(engines, home->first, model), home);
@@ -202,14 +202,14 @@
   }
 }
 
-bool EngineHomes::isHeard(const std::string& instance, const ReportedEngines& engines,
-                          base::TimePoint now) const {
+bool EngineAssigner::isHeard(const std::string& instance, const ReportedEngines& engines,
+                             base::TimePoint now) const {
   const auto engine = engines.find(instance);
   return engine != engines.end() && now - engine->second.heardAt <= m_silenceLimit;
 }
 
-std::map<std::string, std::size_t> EngineHomes::enginesWanted(const Service& service,
-                                                              std::uint32_t slots) const {
+std::map<std::string, std::size_t> EngineAssigner::requiredEngines(const Service& service,
+                                                                   std::uint32_t slots) const {
   std::map<std::string, std::size_t> wanted;
   for (const std::string& model : service.models) {
     wanted[model] = m_wanted.of(model, slots);
@@ -217,10 +217,10 @@
   return wanted;
 }
 
-void EngineHomes::assignFromReserve(const Service& service,
-                                    const std::map<std::string, std::size_t>& wanted,
-                                    const DirectoryState& state, const ReportedEngines& engines,
-                                    base::TimePoint now) {
+void EngineAssigner::assignFromReserve(const Service& service,
+                                       const std::map<std::string, std::size_t>& wanted,
+                                       const DirectoryState& state, const ReportedEngines& engines,
+                                       base::TimePoint now) {
   std::map<std::string, std::size_t> counts;
   for (const auto& [id, model] : m_homes) {
     const auto record = state.instances().find(id);
@@ -240,23 +240,23 @@
   }
 }
 
-void EngineHomes::takeFromReserve(const Service& service, const std::string& model,
-                                  std::size_t missing, const DirectoryState& state,
-                                  const ReportedEngines& engines, base::TimePoint now) {
+void EngineAssigner::takeFromReserve(const Service& service, const std::string& model,
+                                     std::size_t missing, const DirectoryState& state,
+                                     const ReportedEngines& engines, base::TimePoint now) {
   struct Candidate {
     std::uint64_t version = 0;
     std::size_t inZone = 0;  ///< engines of this model there, with those before it
     const std::string* id = nullptr;
   };
   std::map<std::pair<std::uint64_t, std::string>, std::size_t> byZone;  // of one version
-  std::map<std::string, std::size_t> homesByZone;
+  std::map<std::string, std::size_t> assignedByZone;
   std::vector<Candidate> candidates;
-  base::SortedCursor homes(m_homes);
+  base::SortedCursor assignments(m_homes);
   base::SortedCursor reports(engines);
   for (const auto& [id, record] : state.instances()) {
-    const std::string* home = homes.find(id);
+    const std::string* home = assignments.find(id);
     if (home != nullptr) {
-      homesByZone[record.zone] += *home == model ? 1 : 0;
+      assignedByZone[record.zone] += *home == model ? 1 : 0;
       continue;
     }
     const ReportedEngine* report = reports.find(id);
@@ -268,7 +268,7 @@
     candidates.push_back({held, byZone[{held, record.zone}]++, &id});
   }
   for (Candidate& candidate : candidates) {
-    candidate.inZone += homesByZone[state.instances().at(*candidate.id).zone];
+    candidate.inZone += assignedByZone[state.instances().at(*candidate.id).zone];
   }
   std::stable_sort(
       candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
@@ -279,7 +279,7 @@
   }
 }
 
-void EngineHomes::giveToReserve(const std::string& model, base::TimePoint now) {
+void EngineAssigner::giveToReserve(const std::string& model, base::TimePoint now) {
   if (now - m_movedAt < m_settings.moveInterval) {
     return;
   }
@@ -291,10 +291,10 @@
   }
 }
 
-void EngineHomes::moveOneHome(const Service& service, const DirectoryState& state,
-                              const std::map<std::string, std::size_t>& counts,
-                              const std::map<std::string, std::size_t>& shares,
-                              base::TimePoint now) {
+void EngineAssigner::rebalanceOne(const Service& service, const DirectoryState& state,
+                                  const std::map<std::string, std::size_t>& counts,
+                                  const std::map<std::string, std::size_t>& shares,
+                                  base::TimePoint now) {
   std::string from;
   std::string to;
   for (const auto& [model, count] : counts) {
--- a/src/directory/engine_homes.h
+++ b/src/directory/engine_assigner.h
@@ -10,7 +10,7 @@
 #include "base/time.h"
 #include "directory/directory_messages.h"
 #include "directory/directory_state.h"
-#include "directory/engines_wanted.h"
+#include "directory/engine_requirements.h"
 
 namespace tackpick::directory {
 
@@ -27,16 +27,16 @@
                                       const std::string& model);
 
 /// The model that each engine follows, its home.
-using Homes = std::map<std::string, std::string>;
+using EngineAssignments = std::map<std::string, std::string>;
 
-/// Knobs of EngineHomes.
-struct EngineHomesSettings {
+/// Knobs of EngineAssigner.
+struct EngineAssignerSettings {
   /// With less recent work than this (events of streams) demand is taken as unknown: engines keep
-  /// the homes that they have.
+  /// the assignments that they have.
   double leastDemand = 300;
   /// An engine changes its home at most this often.
   base::Duration moveInterval = base::seconds(3);
-  EnginesWantedSettings wanted;
+  EngineRequirementsSettings wanted;
 };
 
 /// When engines hold several trained models, each engine follows one of them; the others keep the
@@ -44,18 +44,18 @@
 /// more engines than all models want, each model gets what it wants, spread over zones, and the
 /// rest stay in reserve: without orders, and without work while others have room. Deterministic;
 /// owned by one thread.
-class EngineHomes {
+class EngineAssigner {
  public:
   /// Engines silent for longer than `silenceLimit` are not counted on.
-  EngineHomes(EngineHomesSettings settings, base::Duration silenceLimit)
+  EngineAssigner(EngineAssignerSettings settings, base::Duration silenceLimit)
       : m_settings(settings), m_silenceLimit(silenceLimit), m_wanted(settings.wanted) {}
 
-  void reset(Homes homes);
+  void reset(EngineAssignments assignments);
   void note(const OpenItems& items, base::TimePoint now) { m_wanted.note(items, now); }
-  /// Brings the homes up to date. `demand`: recent work by model.
+  /// Brings the assignments up to date. `demand`: recent work by model.
   void assign(const DirectoryState& state, const ReportedEngines& engines,
               const std::map<std::string, double>& demand, base::TimePoint now);
-  [[nodiscard]] const Homes& homes() const { return m_homes; }
+  [[nodiscard]] const EngineAssignments& assignments() const { return m_homes; }
   /// Engines of all services with models.
   [[nodiscard]] std::size_t engineCount() const { return m_engineCount; }
   /// True when no model needs the engine now.
@@ -75,18 +75,19 @@
                    std::map<std::string, std::size_t>& counts);
   /// `missing` engines of models with more than their share follow `model` from now on, those first
   /// that hold its newest weights.
-  void moveHomes(const std::string& model, std::size_t missing, const ReportedEngines& engines,
-                 const std::map<std::string, std::size_t>& shares,
-                 std::map<std::string, std::size_t>& counts);
+  void reassignEngines(const std::string& model, std::size_t missing,
+                       const ReportedEngines& engines,
+                       const std::map<std::string, std::size_t>& shares,
+                       std::map<std::string, std::size_t>& counts);
   /// By model, of engines with `slots` places each.
-  [[nodiscard]] std::map<std::string, std::size_t> enginesWanted(const Service& service,
-                                                                 std::uint32_t slots) const;
+  [[nodiscard]] std::map<std::string, std::size_t> requiredEngines(const Service& service,
+                                                                   std::uint32_t slots) const;
   /// Gives each model what it wants of more engines than all want.
   void assignFromReserve(const Service& service, const std::map<std::string, std::size_t>& wanted,
                          const DirectoryState& state, const ReportedEngines& engines,
                          base::TimePoint now);
-  /// Homes for `missing` more engines, those first that hold the newest weights of `model`, evenly
-  /// over the zones.
+  /// Assignments for `missing` more engines, those first that hold the newest weights of `model`,
+  /// evenly over the zones.
   void takeFromReserve(const Service& service, const std::string& model, std::size_t missing,
                        const DirectoryState& state, const ReportedEngines& engines,
                        base::TimePoint now);
@@ -94,16 +95,16 @@
   void giveToReserve(const std::string& model, base::TimePoint now);
   [[nodiscard]] bool isHeard(const std::string& instance, const ReportedEngines& engines,
                              base::TimePoint now) const;
-  void moveOneHome(const Service& service, const DirectoryState& state,
-                   const std::map<std::string, std::size_t>& counts,
-                   const std::map<std::string, std::size_t>& shares, base::TimePoint now);
+  void rebalanceOne(const Service& service, const DirectoryState& state,
+                    const std::map<std::string, std::size_t>& counts,
+                    const std::map<std::string, std::size_t>& shares, base::TimePoint now);
 
-  const EngineHomesSettings m_settings;
+  const EngineAssignerSettings m_settings;
   const base::Duration m_silenceLimit;
-  EnginesWanted m_wanted;
+  EngineRequirements m_wanted;
   std::set<std::string> m_reserving;  ///< services with more engines than their models want
   std::size_t m_engineCount = 0;
-  Homes m_homes;
+  EngineAssignments m_homes;
   base::TimePoint m_movedAt{};  ///< when an engine last changed its home
 };
 
--- a/src/directory/engines_wanted.cpp
+++ b/src/directory/engine_requirements.cpp
@@ -1,10 +1,10 @@
-#include "directory/engines_wanted.h"
+#include "directory/engine_requirements.h"
 
 #include <algorithm>
 
 namespace tackpick::directory {
 
-void EnginesWanted::note(const OpenItems& items, base::TimePoint now) {
+void EngineRequirements::note(const OpenItems& items, base::TimePoint now) {
   for (const auto& [model, open] : items) {
     noteModel(m_peaks[model], open, now);
   }
@@ -16,7 +16,7 @@
   std::erase_if(m_peaks, [](const auto& entry) { return entry.second.items == 0; });
 }
 
-void EnginesWanted::noteModel(Peak& peak, std::uint32_t open, base::TimePoint now) const {
+void EngineRequirements::noteModel(Peak& peak, std::uint32_t open, base::TimePoint now) const {
   if (open >= peak.items) {
     peak = {open, 0, now};
     return;
@@ -27,12 +27,12 @@
   }
 }
 
-std::uint32_t EnginesWanted::openItems(const std::string& model) const {
+std::uint32_t EngineRequirements::openItems(const std::string& model) const {
   const auto found = m_peaks.find(model);
   return found == m_peaks.end() ? 0 : found->second.items;
 }
 
-std::size_t EnginesWanted::of(const std::string& model, std::uint32_t slots) const {
+std::size_t EngineRequirements::of(const std::string& model, std::uint32_t slots) const {
   const auto found = m_peaks.find(model);
   if (found == m_peaks.end()) {
     return m_settings.leastEngines;
--- a/src/directory/engines_wanted.h
+++ b/src/directory/engine_requirements.h
@@ -14,8 +14,8 @@
 /// Open items of batches by model, as the ledgers' leader counts them.
 using OpenItems = std::map<std::string, std::uint32_t>;
 
-/// Knobs of EnginesWanted.
-struct EnginesWantedSettings {
+/// Knobs of EngineRequirements.
+struct EngineRequirementsSettings {
   /// Places for each open item at the peak, in percent: while half of a model's engines change
   /// their weights the others still hold three quarters of a step.
   std::uint32_t headroomPercent = 150;
@@ -29,9 +29,9 @@
 /// Every engine that follows a model costs an order and a load for each version, and is news to
 /// every node: in a large fleet only those that the items need should.
 /// Demand counts at once when it rises, and is forgotten slowly. Deterministic.
-class EnginesWanted {
+class EngineRequirements {
  public:
-  explicit EnginesWanted(EnginesWantedSettings settings) : m_settings(settings) {}
+  explicit EngineRequirements(EngineRequirementsSettings settings) : m_settings(settings) {}
 
   /// All that is open: a model that is not named has nothing.
   void note(const OpenItems& items, base::TimePoint now);
@@ -49,7 +49,7 @@
 
   void noteModel(Peak& peak, std::uint32_t open, base::TimePoint now) const;
 
-  const EnginesWantedSettings m_settings;
+  const EngineRequirementsSettings m_settings;
   std::map<std::string, Peak> m_peaks;  ///< by model
 };
 
--- a/src/directory/version_orders.cpp
+++ b/src/directory/version_orders.cpp
@@ -56,14 +56,14 @@
 
 VersionOrders::VersionOrders(VersionOrderSettings settings)
     : settings_(settings),
-      m_homes(settings.homes, settings.silenceLimit),
+      m_homes(settings.assignments, settings.silenceLimit),
       m_forecast(settings.forecast),
       m_budget(settings.budget),
       m_policy(makePolicy(settings)) {}
 
-void VersionOrders::reset(base::TimePoint ordersFrom, Homes homes) {
+void VersionOrders::reset(base::TimePoint ordersFrom, EngineAssignments assignments) {
   orders_from_ = ordersFrom;
-  m_homes.reset(std::move(homes));
+  m_homes.reset(std::move(assignments));
   m_forecast.reset();
   m_budget.reset();
   m_told.reset();
@@ -187,7 +187,7 @@
   base::SortedCursor records(state.instances());
   base::SortedCursor reports(engines);
   base::SortedCursor orders(given_);
-  for (const auto& [id, home] : homes()) {
+  for (const auto& [id, home] : assignments()) {
     const InstanceRecord* record = records.find(id);
     const ReportedEngine* report = reports.find(id);
     const Given* given = orders.find(id);
--- a/src/directory/version_orders.h
+++ b/src/directory/version_orders.h
@@ -15,7 +15,7 @@
 #include "base/time.h"
 #include "directory/directory_messages.h"
 #include "directory/directory_state.h"
-#include "directory/engine_homes.h"
+#include "directory/engine_assigner.h"
 #include "directory/load_budget.h"
 #include "directory/load_policy.h"
 #include "directory/step_forecast.h"
@@ -57,7 +57,7 @@
   base::Duration silenceLimit = base::seconds(4);
   /// How long a load takes, before any was seen.
   base::Duration usualLoad = base::seconds(1);
-  EngineHomesSettings homes;
+  EngineAssignerSettings assignments;
   StepForecastSettings forecast;
   LoadBudgetSettings budget;
 };
@@ -85,15 +85,15 @@
 [[nodiscard]] std::string_view toString(OrderOutcome outcome);
 
 /// The leading controller's. Deterministic; owned by one thread. Each engine gets the versions of
-/// the model that it follows (EngineHomes), so that a version costs as few loads as it can.
+/// the model that it follows (EngineAssigner), so that a version costs as few loads as it can.
 class VersionOrders {
  public:
   explicit VersionOrders(VersionOrderSettings settings);
 
   /// Call when this controller becomes leader. It gives no order before `ordersFrom`; engines keep
-  /// the `homes` that the former leader gave them.
-  void reset(base::TimePoint ordersFrom, Homes homes = {});
-  [[nodiscard]] const Homes& homes() const { return m_homes.homes(); }
+  /// the `assignments` that the former leader gave them.
+  void reset(base::TimePoint ordersFrom, EngineAssignments assignments = {});
+  [[nodiscard]] const EngineAssignments& assignments() const { return m_homes.assignments(); }
   /// Orders to give now.
   [[nodiscard]] std::vector<VersionOrder> step(const DirectoryState& state,
                                                const ReportedEngines& engines,
@@ -164,7 +164,7 @@
 
   const VersionOrderSettings settings_;
   base::TimePoint orders_from_{};
-  EngineHomes m_homes;
+  EngineAssigner m_homes;
   StepForecast m_forecast;
   LoadBudget m_budget;
   std::unique_ptr<const LoadPolicy> m_policy;
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -144,13 +144,13 @@
     controller.ask(heartbeat);
   }
   controller.run(base::seconds(1));
-  const auto homes = controller.role->state().homes();
-  cr_assert_eq(homes.size(), 4U);
+  const auto assignments = controller.role->state().assignments();
+  cr_assert_eq(assignments.size(), 4U);
   controller.ask(directory::PublishVersion{"n", 2});
   controller.run(base::milliseconds(10));
   controller.start();
   controller.run(base::seconds(2));
-  cr_assert(controller.role->state().homes() == homes);
+  cr_assert(controller.role->state().assignments() == assignments);
 }
 
 // A ledger that is lost for good after a retirement was accepted may leave fewer than are wanted:
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -380,8 +380,8 @@
   cr_assert_gt(fleet.inUseOfAll(), 250U);
 }
 
-Test(engines_wanted, demand_counts_at_once_and_is_forgotten_slowly) {
-  directory::EnginesWanted wanted({150, 10, base::seconds(20)});
+Test(engine_requirements, demand_counts_at_once_and_is_forgotten_slowly) {
+  directory::EngineRequirements wanted({150, 10, base::seconds(20)});
   base::TimePoint now{base::seconds(100)};
   cr_assert_eq(wanted.of("m", 6), 10U);
   wanted.note({{"m", 240}}, now);
@@ -483,15 +483,15 @@
 // weights for 24 s, and leases of its items 10 to 12 s after they were submitted.
 Test(version_orders, model_without_engines_gets_them_by_its_open_items) {
   OrdersFixture fixture(12, {"m", "n"});
-  directory::Homes homes;
+  directory::EngineAssignments assignments;
   for (const auto& [id, record] : fixture.state.instances()) {
-    homes[id] = "m";
+    assignments[id] = "m";
   }
-  fixture.orders.reset({}, homes);
+  fixture.orders.reset({}, assignments);
   fixture.orders.setOpenJobs(openJobs({{"m", 100}, {"n", 100}}), fixture.now);
   (void)fixture.orders.step(fixture.state, fixture.engines, {{"m", 5000.0}}, 3, fixture.now);
   const auto follow = [&](const std::string& model) {
-    return std::count_if(fixture.orders.homes().begin(), fixture.orders.homes().end(),
+    return std::count_if(fixture.orders.assignments().begin(), fixture.orders.assignments().end(),
                          [&](const auto& home) { return home.second == model; });
   };
   cr_assert_geq(follow("n"), 2, "half of what its items are due, at once");
--- a/test/directory/engines_wanted_test.cpp
+++ b/test/directory/engine_requirements_test.cpp
@@ -1,5 +1,5 @@
 /// How long the demand of a model is remembered.
-#include "directory/engines_wanted.h"
+#include "directory/engine_requirements.h"
 
 #include <criterion/criterion.h>
 
@@ -9,8 +9,8 @@
 namespace {
 
 /// What is open is told twice a second, for `time`.
-void tell(directory::EnginesWanted& wanted, const directory::OpenItems& items, base::Duration time,
-          base::TimePoint& now) {
+void tell(directory::EngineRequirements& wanted, const directory::OpenItems& items,
+          base::Duration time, base::TimePoint& now) {
   for (const base::TimePoint end = now + time; now < end; now += base::milliseconds(500)) {
     wanted.note(items, now);
   }
@@ -19,8 +19,8 @@
 }  // namespace
 
 // What is told names models with open jobs only.
-Test(engines_wanted, model_whose_trainer_has_gone_is_forgotten) {
-  directory::EnginesWanted wanted{{}};
+Test(engine_requirements, model_whose_trainer_has_gone_is_forgotten) {
+  directory::EngineRequirements wanted{{}};
   base::TimePoint now{base::seconds(100)};
   tell(wanted, {{"m", 800}, {"n", 100}}, base::seconds(10), now);
   tell(wanted, {{"m", 800}}, base::seconds(15), now);
--- a/test/directory/weights_plan_test.cpp
+++ b/test/directory/weights_plan_test.cpp
@@ -24,10 +24,10 @@
     apply(directory::ReplaceConfiguration{configuration});
     for (int i = 0; i < 12; ++i) {
       const std::string id = "e" + std::to_string(i);
-      homes[id] = i < 6 ? "m" : "n";
+      assignments[id] = i < 6 ? "m" : "n";
       add(id, static_cast<std::uint16_t>(i + 1));
     }
-    orders.reset({}, homes);
+    orders.reset({}, assignments);
   }
   void apply(const directory::DirectoryCommand& command) {
     (void)state.apply(1, base::encode(command));
@@ -98,7 +98,7 @@
 
   directory::DirectoryState state;
   directory::ReportedEngines engines;
-  directory::Homes homes;
+  directory::EngineAssignments assignments;
   jobs::OpenJobsByModel works;
   std::map<std::string, base::TimePoint> submittedAt;
   std::vector<directory::VersionOrder> log;
@@ -186,8 +186,8 @@
   cr_assert(fleet.ordered("m").empty());
 }
 
-// Between the plan of a leader and its orders: the next one is told what is open, finds homes in
-// the log and weights in the reports.
+// Between the plan of a leader and its orders: the next one is told what is open, finds assignments
+// in the log and weights in the reports.
 Test(weights_plan, next_leader_goes_on_without_orders_given_twice) {
   SharedFleet fleet;
   fleet.learn();
@@ -201,8 +201,8 @@
   fleet.load();
   fleet.log.clear();
 
-  const directory::Homes homes = fleet.orders.homes();
-  fleet.orders.reset(fleet.now + base::seconds(1), homes);
+  const directory::EngineAssignments assignments = fleet.orders.assignments();
+  fleet.orders.reset(fleet.now + base::seconds(1), assignments);
   fleet.tell();
   cr_assert(fleet.step().empty(), "not before the order lease is over");
   cr_assert_eq(fleet.orders.sight().models.at("m").neededVersion, 6U, "it is planned for already");
@@ -214,7 +214,7 @@
     cr_assert_eq(order.model, "m");
     cr_assert_not(first.contains(order.instance), "it holds version 7");
   }
-  cr_assert(fleet.orders.homes() == homes);
+  cr_assert(fleet.orders.assignments() == assignments);
 }
 
 Test(weights_plan, order_without_an_answer_holds_up_neither_budget_nor_engine) {
@@ -341,7 +341,7 @@
     }
     (void)fleet.step();
   }
-  for (const auto& [id, home] : fleet.orders.homes()) {
+  for (const auto& [id, home] : fleet.orders.assignments()) {
     cr_assert_geq(fleet.engines[id].versions[home] + 4, version, "%s of %s", id.c_str(),
                   home.c_str());
   }
