--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -44,7 +44,7 @@
     sight.versions = report == nullptr ? &kNoVersions : &report->versions;
     sight.silent = now - heardAt > settings_.instanceSilence;
     sight.loading = orders_.isLoading(id, reports_, now);
-    sight.reserve = orders_.isInReserve(record);
+    sight.reserve = orders_.isStandby(record);
     instances.push_back(sight);
   }
   return instances;
--- a/src/directory/engine_assigner.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -58,7 +58,7 @@
 
 void EngineAssigner::reset(EngineAssignments assignments) {
   m_homes = std::move(assignments);
-  m_reserving.clear();
+  m_servicesWithStandby.clear();
 }
 
 void EngineAssigner::assign(const DirectoryState& state, const ReportedEngines& engines,
@@ -103,11 +103,11 @@
       std::accumulate(wanted.begin(), wanted.end(), std::size_t{0},
                       [](std::size_t sum, const auto& model) { return sum + model.second; });
   if (wantedOfAll < engineCount) {
-    m_reserving.insert(service.name);
-    assignFromReserve(service, wanted, state, engines, now);
+    m_servicesWithStandby.insert(service.name);
+    balanceStandby(service, wanted, state, engines, now);
     return;
   }
-  m_reserving.erase(service.name);
+  m_servicesWithStandby.erase(service.name);
   double known = 0;
   for (const std::string& model : service.models) {
     const auto work = demand.find(model);
@@ -217,10 +217,10 @@
   return wanted;
 }
 
-void EngineAssigner::assignFromReserve(const Service& service,
-                                       const std::map<std::string, std::size_t>& wanted,
-                                       const DirectoryState& state, const ReportedEngines& engines,
-                                       base::TimePoint now) {
+void EngineAssigner::balanceStandby(const Service& service,
+                                    const std::map<std::string, std::size_t>& wanted,
+                                    const DirectoryState& state, const ReportedEngines& engines,
+                                    base::TimePoint now) {
   std::map<std::string, std::size_t> counts;
   for (const auto& [id, model] : m_homes) {
     const auto record = state.instances().find(id);
@@ -233,14 +233,14 @@
     // Some more than are wanted may stay, so that a model does not give and take in turn.
     constexpr std::size_t kQuarter = 4;
     if (counts[model] < most) {
-      takeFromReserve(service, model, most - counts[model], state, engines, now);
+      activateStandby(service, model, most - counts[model], state, engines, now);
     } else if (counts[model] > most + most / kQuarter) {
-      giveToReserve(model, now);
+      releaseToStandby(model, now);
     }
   }
 }
 
-void EngineAssigner::takeFromReserve(const Service& service, const std::string& model,
+void EngineAssigner::activateStandby(const Service& service, const std::string& model,
                                      std::size_t missing, const DirectoryState& state,
                                      const ReportedEngines& engines, base::TimePoint now) {
   struct Candidate {
@@ -279,7 +279,7 @@
   }
 }
 
-void EngineAssigner::giveToReserve(const std::string& model, base::TimePoint now) {
+void EngineAssigner::releaseToStandby(const std::string& model, base::TimePoint now) {
   if (now - m_movedAt < m_settings.moveInterval) {
     return;
   }
--- a/src/directory/engine_assigner.h
+++ b/src/directory/engine_assigner.h
@@ -59,8 +59,8 @@
   /// Engines of all services with models.
   [[nodiscard]] std::size_t engineCount() const { return m_engineCount; }
   /// True when no model needs the engine now.
-  [[nodiscard]] bool isInReserve(const InstanceRecord& engine) const {
-    return m_reserving.contains(engine.service) && !m_homes.contains(engine.id);
+  [[nodiscard]] bool isStandby(const InstanceRecord& engine) const {
+    return m_servicesWithStandby.contains(engine.service) && !m_homes.contains(engine.id);
   }
 
  private:
@@ -83,16 +83,16 @@
   [[nodiscard]] std::map<std::string, std::size_t> requiredEngines(const Service& service,
                                                                    std::uint32_t slots) const;
   /// Gives each model what it wants of more engines than all want.
-  void assignFromReserve(const Service& service, const std::map<std::string, std::size_t>& wanted,
-                         const DirectoryState& state, const ReportedEngines& engines,
-                         base::TimePoint now);
+  void balanceStandby(const Service& service, const std::map<std::string, std::size_t>& wanted,
+                      const DirectoryState& state, const ReportedEngines& engines,
+                      base::TimePoint now);
   /// Assignments for `missing` more engines, those first that hold the newest weights of `model`,
   /// evenly over the zones.
-  void takeFromReserve(const Service& service, const std::string& model, std::size_t missing,
+  void activateStandby(const Service& service, const std::string& model, std::size_t missing,
                        const DirectoryState& state, const ReportedEngines& engines,
                        base::TimePoint now);
   /// One engine that follows `model` goes back, now and then.
-  void giveToReserve(const std::string& model, base::TimePoint now);
+  void releaseToStandby(const std::string& model, base::TimePoint now);
   [[nodiscard]] bool isHeard(const std::string& instance, const ReportedEngines& engines,
                              base::TimePoint now) const;
   void rebalanceOne(const Service& service, const DirectoryState& state,
@@ -102,7 +102,8 @@
   const EngineAssignerSettings m_settings;
   const base::Duration m_silenceLimit;
   EngineRequirements m_wanted;
-  std::set<std::string> m_reserving;  ///< services with more engines than their models want
+  std::set<std::string>
+      m_servicesWithStandby;  ///< services with more engines than their models want
   std::size_t m_engineCount = 0;
   EngineAssignments m_homes;
   base::TimePoint m_movedAt{};  ///< when an engine last changed its home
--- a/src/directory/version_orders.h
+++ b/src/directory/version_orders.h
@@ -102,8 +102,8 @@
   /// What is open at the ledgers.
   void setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now);
   /// True when no model needs the engine now.
-  [[nodiscard]] bool isInReserve(const InstanceRecord& engine) const {
-    return m_homes.isInReserve(engine);
+  [[nodiscard]] bool isStandby(const InstanceRecord& engine) const {
+    return m_homes.isStandby(engine);
   }
   /// Engines to be asked for their versions now.
   [[nodiscard]] std::vector<std::string> dueReports(const ReportedEngines& engines,
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -106,7 +106,7 @@
                                            const std::set<std::string>& tried, base::Random& random,
                                            base::TimePoint now) const {
   // Lower is better: sound, then silent or just full or failed, then tried before.
-  enum Rank : std::uint8_t { kSound, kInReserve, kSilent, kAvoided, kTried, kRanks };
+  enum Rank : std::uint8_t { kSound, kStandby, kSilent, kAvoided, kTried, kRanks };
   std::array<std::vector<const InstanceEntry*>, kRanks> ranked;
   for (const auto& [id, entry] : instancesOf(need.service)) {
     if (!serves(*entry, need)) {
@@ -120,7 +120,7 @@
     } else if (entry->silent) {
       rank = kSilent;
     } else if (entry->reserve) {
-      rank = kInReserve;
+      rank = kStandby;
     }
     ranked.at(rank).push_back(entry);
   }
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -57,7 +57,7 @@
   }
   if (engine.told.reserve) {
     for (const auto& [model, version] : engine.told.versions) {
-      std::uint64_t& newest = m_newestInReserve[model];
+      std::uint64_t& newest = m_newestStandbyVersion[model];
       newest = std::max(newest, version);
     }
   }
@@ -103,7 +103,7 @@
 
 void EnginePlacement::forgetSearches() {
   m_candidates.clear();
-  m_reserveFrom.clear();
+  m_standbyCursor.clear();
 }
 
 void EnginePlacement::remove(const std::string& id) {
@@ -271,17 +271,17 @@
 
 std::string EnginePlacement::place(const ItemNeed& need) {
   std::string engine = placeInUse(need);
-  return engine.empty() ? placeInReserve(need.model, need.minimumVersion) : engine;
+  return engine.empty() ? placeOnStandby(need.model, need.minimumVersion) : engine;
 }
 
-std::string EnginePlacement::placeInReserve(const std::string& model,
+std::string EnginePlacement::placeOnStandby(const std::string& model,
                                             std::uint64_t minimumVersion) {
-  const auto newest = m_newestInReserve.find(model);
-  if (newest == m_newestInReserve.end() || newest->second < minimumVersion) {
+  const auto newest = m_newestStandbyVersion.find(model);
+  if (newest == m_newestStandbyVersion.end() || newest->second < minimumVersion) {
     return {};
   }
   // Engines only fill until the loads are told anew, so none is looked at twice.
-  const auto from = m_reserveFrom.try_emplace({model, minimumVersion}, m_engines.begin()).first;
+  const auto from = m_standbyCursor.try_emplace({model, minimumVersion}, m_engines.begin()).first;
   for (; from->second != m_engines.end(); ++from->second) {
     EngineWork& engine = from->second->second;
     if (engine.told.reserve && engine.told.takesItems && !engine.isFull() &&
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -93,16 +93,16 @@
   [[nodiscard]] SpeedTiers candidatesFor(const std::string& model, std::uint64_t minimumVersion);
   [[nodiscard]] SpeedTiers& candidatesOf(const std::string& model, std::uint64_t minimumVersion);
   [[nodiscard]] std::string placeInUse(const ItemNeed& need);
-  [[nodiscard]] std::string placeInReserve(const std::string& model, std::uint64_t minimumVersion);
+  [[nodiscard]] std::string placeOnStandby(const std::string& model, std::uint64_t minimumVersion);
 
   Engines m_engines;
   std::size_t m_taking = 0;                           ///< engines that take items
   EnginesById m_inUse;                                ///< those of them that are not in reserve
   std::map<std::string, EnginesById> m_inUseByModel;  ///< by model that they hold
   /// By model: no engine in reserve holds newer weights.
-  std::map<std::string, std::uint64_t> m_newestInReserve;
+  std::map<std::string, std::uint64_t> m_newestStandbyVersion;
   /// By model and minimum version: those in reserve before this one have no room.
-  std::map<std::pair<std::string, std::uint64_t>, Engines::iterator> m_reserveFrom;
+  std::map<std::pair<std::string, std::uint64_t>, Engines::iterator> m_standbyCursor;
   std::set<EngineWork*> m_loaded;  ///< engines with items
   /// By model and minimum version; made anew after loads or engines changed.
   std::map<std::pair<std::string, std::uint64_t>, SpeedTiers> m_candidates;
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -301,7 +301,7 @@
   std::map<std::string, std::size_t> inUse() {
     std::map<std::string, std::size_t> byZone;
     for (const auto& [id, record] : state.instances()) {
-      byZone[record.zone] += orders.isInReserve(record) ? 0 : 1;
+      byZone[record.zone] += orders.isStandby(record) ? 0 : 1;
     }
     return byZone;
   }
@@ -345,7 +345,7 @@
   fleet.now += base::seconds(5);
   std::size_t lost = 0;
   for (auto& [id, engine] : fleet.engines) {
-    const bool dies = !fleet.orders.isInReserve(fleet.state.instances().at(id)) && lost < 30;
+    const bool dies = !fleet.orders.isStandby(fleet.state.instances().at(id)) && lost < 30;
     engine.heardAt = dies ? fleet.now - base::seconds(5) : fleet.now;
     lost += dies ? 1 : 0;
   }
@@ -362,7 +362,7 @@
   fleet.now += base::seconds(10);
   cr_assert(fleet.step().empty(), "no engine must load");
   for (int i = 1000; i < 1064; ++i) {
-    cr_assert_not(fleet.orders.isInReserve(fleet.state.instances().at("e" + std::to_string(i))));
+    cr_assert_not(fleet.orders.isStandby(fleet.state.instances().at("e" + std::to_string(i))));
   }
 }
 
