--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// What a turn of VersionOrders costs the controllers' leader, by engines that follow a model.
+/// What a turn of LoadScheduler costs the controllers' leader, by engines that follow a model.
 #include <chrono>
 #include <cstdio>
 #include <string>
 
-#include "directory/version_orders.h"
+#include "directory/load_scheduler.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -54,11 +54,11 @@
 /// Mean microseconds of a turn in which engines load for the steps of six trainers.
 double measure(int engineCount, directory::LoadOrder order) {
   Fleet fleet(engineCount);
-  directory::VersionOrderSettings settings;
+  directory::LoadSchedulerSettings settings;
   settings.loadOrder = order;
   // Each engine follows a model: none is in reserve.
   settings.assignments.wanted.leastEngines = static_cast<std::size_t>(engineCount);
-  directory::VersionOrders orders(settings);
+  directory::LoadScheduler orders(settings);
   orders.reset({}, fleet.assignments);
   base::TimePoint now{base::seconds(100)};
   const auto items = static_cast<std::uint32_t>(engineCount) * kSlots / kModels;
@@ -78,7 +78,7 @@
       const auto begun = std::chrono::steady_clock::now();
       const auto given = orders.step(fleet.state, fleet.engines, {}, 1, now);
       spent += std::chrono::steady_clock::now() - begun;
-      for (const directory::VersionOrder& loaded : given) {
+      for (const directory::LoadCommand& loaded : given) {
         fleet.engines[loaded.instance].versions[loaded.model] = loaded.version;
       }
       now += kTurn;
--- a/src/config/cluster_settings.cpp
+++ b/src/config/cluster_settings.cpp
@@ -172,8 +172,8 @@
   settings.retention = readDuration(reader, "retention_s", base::seconds(1), settings.retention);
   settings.gracePeriod =
       readDuration(reader, "grace_period_s", base::seconds(1), settings.gracePeriod);
-  settings.orderLease =
-      readDuration(reader, "order_lease_ms", base::milliseconds(1), settings.orderLease);
+  settings.commandLease =
+      readDuration(reader, "order_lease_ms", base::milliseconds(1), settings.commandLease);
   settings.instanceHeartbeat = readDuration(reader, "instance_heartbeat_ms", base::milliseconds(1),
                                             settings.instanceHeartbeat);
   settings.configurationLag = readDuration(reader, "configuration_lag_ms", base::milliseconds(1),
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -33,7 +33,7 @@
   std::uint32_t lossesBorne = 1;                  ///< machines that may be lost at once
   base::Duration retention = base::seconds(120);  ///< of a batch, from its submission
   base::Duration gracePeriod = base::seconds(8);  ///< for a planned stop
-  base::Duration orderLease = base::milliseconds(3000);         ///< between orders of two leaders
+  base::Duration commandLease = base::milliseconds(3000);       ///< between orders of two leaders
   base::Duration instanceHeartbeat = base::milliseconds(1200);  ///< between two of an instance
   /// An accepted change of the configuration must be in force at every gateway after this time.
   base::Duration configurationLag = base::milliseconds(2000);
--- a/src/directory/order_lease.cpp
+++ b/src/directory/command_lease.cpp
@@ -1,10 +1,10 @@
-#include "directory/order_lease.h"
+#include "directory/command_lease.h"
 
 #include <algorithm>
 
 namespace tackpick::directory {
 
-void OrderLease::onNote(base::NodeId holder, consensus::LogIndex index, base::TimePoint now) {
+void CommandLease::onNote(base::NodeId holder, consensus::LogIndex index, base::TimePoint now) {
   if (base::nodeNumber(holder) == base::nodeNumber(m_self) && (!m_own || m_own->index < index)) {
     m_own = Note{holder, index, now};
   }
@@ -13,11 +13,11 @@
   }
 }
 
-bool OrderLease::wouldTakeTurns(const Note& other) const {
-  return m_own && givenBy(other) - givenBy(*m_own) <= m_settings.duration;
+bool CommandLease::wouldAlternate(const Note& other) const {
+  return m_own && latestCommandTime(other) - latestCommandTime(*m_own) <= m_settings.duration;
 }
 
-base::TimePoint OrderLease::freeFrom(base::TimePoint leadingSince) const {
+base::TimePoint CommandLease::freeFrom(base::TimePoint leadingSince) const {
   if (!m_newest || m_newest->holder == m_self) {
     return {};
   }
@@ -25,10 +25,10 @@
   if (base::nodeNumber(m_newest->holder) == base::nodeNumber(m_self)) {
     return arrived;
   }
-  return wouldTakeTurns(*m_newest) ? std::max(arrived, restOfLease()) : arrived;
+  return wouldAlternate(*m_newest) ? std::max(arrived, restOfLease()) : arrived;
 }
 
-base::TimePoint OrderLease::restOfLease() const {
+base::TimePoint CommandLease::restOfLease() const {
   if (!m_newest || m_newest->holder == m_self) {
     return {};
   }
@@ -36,7 +36,7 @@
   if (isOlderThanProcess(*m_newest) && m_settings.enginesCheckFences) {
     return {};
   }
-  return givenBy(*m_newest) + m_settings.duration;
+  return latestCommandTime(*m_newest) + m_settings.duration;
 }
 
 }  // namespace tackpick::directory
--- a/src/directory/order_lease.h
+++ b/src/directory/command_lease.h
@@ -10,8 +10,8 @@
 
 namespace tackpick::directory {
 
-/// Knobs of OrderLease.
-struct OrderLeaseSettings {
+/// Knobs of CommandLease.
+struct CommandLeaseSettings {
   /// Two holders must not take turns within this time.
   base::Duration duration = base::milliseconds(3100);
   /// A former leader gives no order once another leads, but the last one may still wait for its
@@ -26,11 +26,11 @@
 /// whether it would take turns with another: it gives orders, another does, and it does so again.
 /// Only then it waits for the rest of the other's lease; else until the former leader's orders have
 /// arrived. Deterministic; owned by one thread.
-class OrderLease {
+class CommandLease {
  public:
   /// `lastIndex`: of the log when this process started; notes up to there are older than it.
-  OrderLease(base::NodeId self, OrderLeaseSettings settings, consensus::LogIndex lastIndex,
-             base::TimePoint startedAt)
+  CommandLease(base::NodeId self, CommandLeaseSettings settings, consensus::LogIndex lastIndex,
+               base::TimePoint startedAt)
       : m_self(self), m_settings(settings), m_lastIndex(lastIndex), m_startedAt(startedAt) {}
 
   /// The newest note of a holder in the log, as it is applied.
@@ -52,14 +52,14 @@
     return note.index <= m_lastIndex;
   }
   /// When the orders of the note were given, at the latest.
-  [[nodiscard]] base::TimePoint givenBy(const Note& note) const {
+  [[nodiscard]] base::TimePoint latestCommandTime(const Note& note) const {
     return isOlderThanProcess(note) ? m_startedAt : note.notedAt;
   }
   /// This process gave orders so shortly before the other holder that it would take turns with it.
-  [[nodiscard]] bool wouldTakeTurns(const Note& other) const;
+  [[nodiscard]] bool wouldAlternate(const Note& other) const;
 
   const base::NodeId m_self;
-  const OrderLeaseSettings m_settings;
+  const CommandLeaseSettings m_settings;
   const consensus::LogIndex m_lastIndex;
   const base::TimePoint m_startedAt;
   std::optional<Note> m_newest;
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -377,7 +377,7 @@
 };
 
 /// `holder` is about to give orders to engines.
-struct NoteOrders {
+struct ClaimCommandLease {
   base::NodeId holder;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -412,7 +412,7 @@
 using DirectoryCommand =
     std::variant<ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances,
                  PublishVersion, FoundLedgers, BeginRetirement, CompleteRetirement, RecordVersions,
-                 NoteOrders, duties::BeginUsage, duties::NoteUsage, duties::DecideUsage,
+                 ClaimCommandLease, duties::BeginUsage, duties::NoteUsage, duties::DecideUsage,
                  duties::ConfirmUsage, RecordAssignments, quarantine::HoldRequest,
                  quarantine::NoteTrial, quarantine::ReleaseRequest, duties::NoteBaseline,
                  duties::SetCapacity, duties::ConfirmCapacity>;
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -31,8 +31,8 @@
       wall_(wall),
       replica_(self_.node, kDirectoryGroup, settings.replica, log, state_, random, now),
       service_(self_.node, replica_),
-      orders_(settings.orders),
-      order_lease_(self_.node, settings.orderLease, log.lastIndex(), now),
+      m_loadScheduler(settings.orders),
+      m_commandLease(self_.node, settings.commandLease, log.lastIndex(), now),
       usage_(settings.usage, random),
       m_capacity(settings.capacity, random),
       watches_(settings.watches) {}
@@ -56,16 +56,16 @@
   std::visit([&](const auto& typed) { onRequest(caller, typed, now); }, *request);
 }
 
-void DirectoryRole::onOrderOutcome(const VersionOrder& order, OrderOutcome outcome,
-                                   base::TimePoint now) {
-  if (outcome == OrderOutcome::kHolds) {
+void DirectoryRole::onLoadCommandOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
+                                         base::TimePoint now) {
+  if (outcome == LoadCommandOutcome::kHolds) {
     const auto report = reports_.find(order.instance);
     if (report != reports_.end()) {
       std::uint64_t& held = report->second.versions[order.model];
       held = std::max(held, order.version);
     }
   }
-  orders_.onOutcome(order, outcome, now);
+  m_loadScheduler.onOutcome(order, outcome, now);
 }
 
 void DirectoryRole::onReport(const std::string& instance,
@@ -92,7 +92,7 @@
   forgetSilent(now);
   recordVersions(now);
   releaseOutlived(now);
-  for (const std::string& id : orders_.dueReports(reports_, now)) {
+  for (const std::string& id : m_loadScheduler.dueReports(reports_, now)) {
     const auto record = state_.instances().find(id);
     if (record != state_.instances().end()) {
       actions_.reportsWanted.push_back(record->second);
@@ -100,8 +100,9 @@
   }
   stepUsage(now);
   stepCapacity(now);
-  giveNoted(orders_.step(state_, reports_, modelDemand(now), replica_.raft().currentTerm(), now),
-            now);
+  proposeCommands(
+      m_loadScheduler.step(state_, reports_, modelDemand(now), replica_.raft().currentTerm(), now),
+      now);
   recordAssignments(now);
 }
 
@@ -134,7 +135,7 @@
   }
   if (work.report) {
     const bool proposed = replica_.propose(
-        base::encode(DirectoryCommand{NoteOrders{self_.node}}), now,
+        base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
         [this, report = *work.report](const base::Bytes* result, consensus::LogIndex) {
           if (result != nullptr) {
             noted_reports_.push_back(report);
@@ -165,7 +166,7 @@
                                     work.decisions.end());
   if (work.call) {
     const bool proposed =
-        replica_.propose(base::encode(DirectoryCommand{NoteOrders{self_.node}}), now,
+        replica_.propose(base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
                          [this, call = *work.call](const base::Bytes* result, consensus::LogIndex) {
                            if (result != nullptr) {
                              m_notedScaleCalls.push_back(call);
@@ -178,19 +179,19 @@
 }
 
 void DirectoryRole::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
-  orders_.setOpenJobs(works, now);
+  m_loadScheduler.setOpenJobs(works, now);
   m_openJobs = {works, now};
 }
 
-void DirectoryRole::giveNoted(std::vector<VersionOrder> orders, base::TimePoint now) {
+void DirectoryRole::proposeCommands(std::vector<LoadCommand> orders, base::TimePoint now) {
   if (orders.empty()) {
     return;
   }
   replica_.propose(
-      base::encode(DirectoryCommand{NoteOrders{self_.node}}), now,
+      base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
       [this, orders = std::move(orders)](const base::Bytes* result, consensus::LogIndex) {
         if (result != nullptr) {
-          noted_orders_.insert(noted_orders_.end(), orders.begin(), orders.end());
+          m_committedCommands.insert(m_committedCommands.end(), orders.begin(), orders.end());
         }
       });
 }
@@ -275,13 +276,13 @@
 void DirectoryRole::recordAssignments(base::TimePoint now) {
   RecordAssignments changes;
   base::SortedCursor written(state_.assignments());
-  for (const auto& [id, model] : orders_.assignments()) {
+  for (const auto& [id, model] : m_loadScheduler.assignments()) {
     const std::string* known = written.find(id);
     if (known == nullptr || *known != model) {
       changes.changed.push_back({id, model});
     }
   }
-  base::SortedCursor followed(orders_.assignments());
+  base::SortedCursor followed(m_loadScheduler.assignments());
   for (const auto& [id, model] : state_.assignments()) {
     if (followed.find(id) == nullptr) {
       changes.changed.push_back({id, {}});
@@ -311,22 +312,22 @@
   for (const auto& [id, versions] : state_.heldVersions()) {
     reports_.try_emplace(id, ReportedEngine{leader_since_, versions});
   }
-  orders_.reset(order_lease_.freeFrom(leader_since_), state_.assignments());
+  m_loadScheduler.reset(m_commandLease.freeFrom(leader_since_), state_.assignments());
   // Which engines are in reserve must be known before the first view is told, or all would be news.
-  (void)orders_.step(state_, reports_, {}, replica_.raft().currentTerm(), now);
-  usage_.reset(state_.usage(), order_lease_.restOfLease());
-  m_capacity.reset(state_.capacity(), order_lease_.restOfLease(), now);
+  (void)m_loadScheduler.step(state_, reports_, {}, replica_.raft().currentTerm(), now);
+  usage_.reset(state_.usage(), m_commandLease.restOfLease());
+  m_capacity.reset(state_.capacity(), m_commandLease.restOfLease(), now);
   begun_ = true;
 }
 
 DirectoryActions DirectoryRole::finish(base::TimePoint now) {
   replica_.finish(now, actions_.messages);
   observeLeadership(now);
-  observeOrderNotes(now);
+  observeLeaseClaims(now);
   if (!begun_ && leads(now)) {
     beginLeading(now);
   }
-  const std::vector<VersionOrder> noted = std::exchange(noted_orders_, {});
+  const std::vector<LoadCommand> noted = std::exchange(m_committedCommands, {});
   const std::vector<duties::UsageReport> notedReports = std::exchange(noted_reports_, {});
   const std::vector<duties::ScaleCall> notedScaleCalls = std::exchange(m_notedScaleCalls, {});
   if (leads(now)) {
@@ -380,9 +381,9 @@
   observed_term_ = raft.currentTerm();
 }
 
-void DirectoryRole::observeOrderNotes(base::TimePoint now) {
-  for (const auto& [holder, index] : state_.orderNotes()) {
-    order_lease_.onNote(holder, index, now);
+void DirectoryRole::observeLeaseClaims(base::TimePoint now) {
+  for (const auto& [holder, index] : state_.commandLeaseClaims()) {
+    m_commandLease.onNote(holder, index, now);
   }
 }
 
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -10,11 +10,11 @@
 
 #include "cluster/group_service.h"
 #include "consensus/replica.h"
+#include "directory/command_lease.h"
 #include "directory/directory_messages.h"
 #include "directory/directory_state.h"
-#include "directory/order_lease.h"
+#include "directory/load_scheduler.h"
 #include "directory/scaled_services.h"
-#include "directory/version_orders.h"
 #include "directory/view_history.h"
 #include "directory/watch_queue.h"
 #include "duties/capacity_duty.h"
@@ -32,8 +32,8 @@
 /// Knobs of a DirectoryRole.
 struct DirectorySettings {
   consensus::ReplicaSettings replica;
-  VersionOrderSettings orders;
-  OrderLeaseSettings orderLease;
+  LoadSchedulerSettings orders;
+  CommandLeaseSettings commandLease;
   WatchPacing watches;
   duties::UsageDutySettings usage;
   duties::CapacityDutySettings capacity;
@@ -52,7 +52,7 @@
 /// What the driver must do after a turn.
 struct DirectoryActions {
   transport::Outbox messages;
-  std::vector<VersionOrder> orders;
+  std::vector<LoadCommand> orders;
   std::vector<InstanceRecord> reportsWanted;  ///< engines to be asked for their versions
   std::vector<duties::UsageReport> usageReports;
   std::vector<duties::ScaleCall> scaleCalls;
@@ -67,7 +67,8 @@
 
   void handle(base::NodeId from, const transport::RaftEnvelope& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::CommandRequest& message, base::TimePoint now);
-  void onOrderOutcome(const VersionOrder& order, OrderOutcome outcome, base::TimePoint now);
+  void onLoadCommandOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
+                            base::TimePoint now);
   void onUsageOutcome(const duties::UsageReport& report, duties::DutyOutcome outcome,
                       base::TimePoint now) {
     usage_.onOutcome(report, outcome, now);
@@ -89,7 +90,7 @@
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
   /// Where the weights of all models stand; nothing while this controller does not lead.
   [[nodiscard]] const WeightsSummary* weights() const {
-    return begun_ && replica_.raft().isLeader() ? &orders_.sight() : nullptr;
+    return begun_ && replica_.raft().isLeader() ? &m_loadScheduler.sight() : nullptr;
   }
   /// Numbers of instances, as this process last decided about them as leader.
   [[nodiscard]] const std::vector<duties::PoolSummary>& capacity() const {
@@ -153,9 +154,9 @@
   [[nodiscard]] std::vector<cluster::GroupNode> nodesOf(NodeRole role, base::TimePoint now) const;
 
   void observeLeadership(base::TimePoint now);
-  void observeOrderNotes(base::TimePoint now);
+  void observeLeaseClaims(base::TimePoint now);
   /// Has it noted in the log that this controller gives orders, and gives them then.
-  void giveNoted(std::vector<VersionOrder> orders, base::TimePoint now);
+  void proposeCommands(std::vector<LoadCommand> orders, base::TimePoint now);
   /// Reports the usage of windows that are over.
   void stepUsage(base::TimePoint now);
   /// Asks the platform for as many instances as are needed.
@@ -199,9 +200,9 @@
   bool forgetting_ = false;             ///< an entry with silent instances is on its way
   std::map<base::NodeId, HeardNode> nodes_;
   std::set<base::NodeId> ledger_voters_;  ///< as the ledgers' leader last reported them
-  VersionOrders orders_;
-  OrderLease order_lease_;
-  std::vector<VersionOrder> noted_orders_;  ///< to be given at the end of this turn
+  LoadScheduler m_loadScheduler;
+  CommandLease m_commandLease;
+  std::vector<LoadCommand> m_committedCommands;  ///< to be given at the end of this turn
   duties::ClusterClock clock_;
   duties::UsageDuty usage_;
   std::vector<duties::UsageReport> noted_reports_;  ///< to be sent at the end of this turn
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -180,12 +180,12 @@
   }
 }
 
-void DirectoryState::applyTyped(const NoteOrders& command) {
+void DirectoryState::applyTyped(const ClaimCommandLease& command) {
   constexpr std::size_t kHoldersKept = 16;
-  data_.orderNotes[command.holder] = applying_;
-  if (data_.orderNotes.size() > kHoldersKept) {
-    data_.orderNotes.erase(std::min_element(
-        data_.orderNotes.begin(), data_.orderNotes.end(),
+  data_.commandLeaseClaims[command.holder] = applying_;
+  if (data_.commandLeaseClaims.size() > kHoldersKept) {
+    data_.commandLeaseClaims.erase(std::min_element(
+        data_.commandLeaseClaims.begin(), data_.commandLeaseClaims.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; }));
   }
 }
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -43,8 +43,10 @@
   }
   /// Who has noted that it gives orders, with the index of its newest note. The few latest holders
   /// are kept.
-  using OrderNotes = std::map<base::NodeId, consensus::LogIndex>;
-  [[nodiscard]] const OrderNotes& orderNotes() const { return data_.orderNotes; }
+  using CommandLeaseClaims = std::map<base::NodeId, consensus::LogIndex>;
+  [[nodiscard]] const CommandLeaseClaims& commandLeaseClaims() const {
+    return data_.commandLeaseClaims;
+  }
   /// True when that instance has said that it leaves for good, another has its address, or it has
   /// started again since.
   [[nodiscard]] bool hasLeft(const std::string& id) const {
@@ -79,7 +81,7 @@
     std::map<std::string, std::uint64_t> versions;
     std::set<base::NodeId> ledgerFounders;
     std::map<std::string, Retirement> retirements;
-    OrderNotes orderNotes;
+    CommandLeaseClaims commandLeaseClaims;
     duties::UsageState usage;
     quarantine::QuarantineState quarantine;
     duties::CapacityState capacity;
@@ -87,7 +89,7 @@
     template <class Archive>
     void serialize(Archive& archive) {
       archive(revision, configuration, instances, heldVersions, assignments, leftInOrder, versions,
-              ledgerFounders, retirements, orderNotes, usage, quarantine, capacity);
+              ledgerFounders, retirements, commandLeaseClaims, usage, quarantine, capacity);
     }
   };
 
@@ -101,7 +103,7 @@
   void applyTyped(const CompleteRetirement& command);
   void applyTyped(const RecordVersions& command);
   void applyTyped(const RecordAssignments& command);
-  void applyTyped(const NoteOrders& command);
+  void applyTyped(const ClaimCommandLease& command);
   void applyTyped(const duties::BeginUsage& command) { data_.usage.apply(command); }
   void applyTyped(const duties::NoteUsage& command) { data_.usage.apply(command); }
   void applyTyped(const duties::DecideUsage& command) { data_.usage.apply(command); }
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -43,8 +43,8 @@
     sight.record = &record;
     sight.versions = report == nullptr ? &kNoVersions : &report->versions;
     sight.silent = now - heardAt > settings_.instanceSilence;
-    sight.loading = orders_.isLoading(id, reports_, now);
-    sight.reserve = orders_.isStandby(record);
+    sight.loading = m_loadScheduler.isLoading(id, reports_, now);
+    sight.reserve = m_loadScheduler.isStandby(record);
     instances.push_back(sight);
   }
   return instances;
--- a/src/directory/version_orders.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "directory/version_orders.h"
+#include "directory/load_scheduler.h"
 
 #include <algorithm>
 #include <utility>
@@ -29,7 +29,7 @@
       });
 }
 
-std::unique_ptr<const LoadPolicy> makePolicy(const VersionOrderSettings& settings) {
+std::unique_ptr<const LoadPolicy> makePolicy(const LoadSchedulerSettings& settings) {
   if (settings.loadOrder == LoadOrder::kOldestFirst) {
     return std::make_unique<OldestFirst>(settings.settlingTime);
   }
@@ -38,41 +38,41 @@
 
 }  // namespace
 
-std::string_view toString(OrderOutcome outcome) {
+std::string_view toString(LoadCommandOutcome outcome) {
   switch (outcome) {
-    case OrderOutcome::kTaken:
+    case LoadCommandOutcome::kTaken:
       return "taken";
-    case OrderOutcome::kHolds:
+    case LoadCommandOutcome::kHolds:
       return "holds";
-    case OrderOutcome::kBusy:
+    case LoadCommandOutcome::kBusy:
       return "busy";
-    case OrderOutcome::kRefused:
+    case LoadCommandOutcome::kRefused:
       return "refused";
-    case OrderOutcome::kUncertain:
+    case LoadCommandOutcome::kUncertain:
       return "uncertain";
   }
   return "unknown";
 }
 
-VersionOrders::VersionOrders(VersionOrderSettings settings)
+LoadScheduler::LoadScheduler(LoadSchedulerSettings settings)
     : settings_(settings),
       m_homes(settings.assignments, settings.silenceLimit),
       m_forecast(settings.forecast),
       m_budget(settings.budget),
       m_policy(makePolicy(settings)) {}
 
-void VersionOrders::reset(base::TimePoint ordersFrom, EngineAssignments assignments) {
-  orders_from_ = ordersFrom;
+void LoadScheduler::reset(base::TimePoint earliestCommandTime, EngineAssignments assignments) {
+  m_earliestCommandTime = earliestCommandTime;
   m_homes.reset(std::move(assignments));
   m_forecast.reset();
   m_budget.reset();
   m_told.reset();
   m_sight = {};
   published_.clear();
-  given_.clear();
+  m_issued.clear();
 }
 
-void VersionOrders::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
+void LoadScheduler::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
   OpenItems items;
   for (const auto& [model, open] : works) {
     items[model] = jobs::itemsOf(open);
@@ -81,16 +81,16 @@
   m_told = ToldWork{works, now};
 }
 
-void VersionOrders::noteTold(const DirectoryState& state) {
+void LoadScheduler::noteTold(const DirectoryState& state) {
   if (m_told) {
     m_forecast.note(m_told->works, state.versions(), m_told->at);
     m_told.reset();
   }
 }
 
-void VersionOrders::noteLoaded(const ReportedEngines& engines, base::TimePoint now) {
+void LoadScheduler::noteLoaded(const ReportedEngines& engines, base::TimePoint now) {
   base::SortedCursor reports(engines);
-  for (auto& [instance, given] : given_) {
+  for (auto& [instance, given] : m_issued) {
     const ReportedEngine* engine = reports.find(instance);
     if (!given.isDone && engine != nullptr && versionOf(*engine, given.model) >= given.version) {
       given.isDone = true;
@@ -102,8 +102,8 @@
   }
 }
 
-void VersionOrders::forgetGone(const DirectoryState& state) {
-  std::erase_if(given_, [&](const auto& given) {
+void LoadScheduler::forgetGone(const DirectoryState& state) {
+  std::erase_if(m_issued, [&](const auto& given) {
     const bool isGone = !state.instances().contains(given.first);
     if (isGone) {
       m_budget.onAbandoned(given.first);
@@ -112,15 +112,15 @@
   });
 }
 
-bool VersionOrders::isUnderWay(const Given& given, const ReportedEngine& engine,
+bool LoadScheduler::isUnderWay(const IssuedCommand& given, const ReportedEngine& engine,
                                base::TimePoint now) {
   return now < given.loadingUntil && versionOf(engine, given.model) < given.version;
 }
 
-bool VersionOrders::isLoading(const std::string& instance, const ReportedEngines& engines,
+bool LoadScheduler::isLoading(const std::string& instance, const ReportedEngines& engines,
                               base::TimePoint now) const {
-  const auto given = given_.find(instance);
-  if (given == given_.end()) {
+  const auto given = m_issued.find(instance);
+  if (given == m_issued.end()) {
     return false;
   }
   const auto engine = engines.find(instance);
@@ -128,7 +128,7 @@
                                  : isUnderWay(given->second, engine->second, now);
 }
 
-void VersionOrders::notePublished(const DirectoryState& state, base::TimePoint now) {
+void LoadScheduler::notePublished(const DirectoryState& state, base::TimePoint now) {
   for (const auto& [model, version] : state.versions()) {
     Published& published = published_[model];
     if (published.version != version) {
@@ -137,10 +137,10 @@
   }
 }
 
-std::vector<std::string> VersionOrders::dueReports(const ReportedEngines& engines,
+std::vector<std::string> LoadScheduler::dueReports(const ReportedEngines& engines,
                                                    base::TimePoint now) {
   std::vector<std::string> due;
-  for (auto& [instance, given] : given_) {
+  for (auto& [instance, given] : m_issued) {
     if (isLoading(instance, engines, now) && now >= given.reportAt) {
       given.reportAt = now + settings_.reportInterval;
       due.push_back(instance);
@@ -149,7 +149,7 @@
   return due;
 }
 
-std::size_t VersionOrders::mostLoads() const {
+std::size_t LoadScheduler::mostLoads() const {
   constexpr std::size_t kWholePercent = 100;
   const std::size_t share =
       (m_homes.engineCount() * static_cast<std::size_t>(settings_.concurrentPercent) +
@@ -158,7 +158,7 @@
   return std::max(settings_.concurrentLoads, share);
 }
 
-ModelLoadStates VersionOrders::modelStates(const DirectoryState& state, base::TimePoint now) const {
+ModelLoadStates LoadScheduler::modelStates(const DirectoryState& state, base::TimePoint now) const {
   ModelLoadStates models;
   for (const auto& [model, published] : published_) {
     models[model] = {published.version, published.seenAt, {}, {}, {}};
@@ -177,7 +177,7 @@
   return models;
 }
 
-VersionOrders::Fleet VersionOrders::observe(const DirectoryState& state,
+LoadScheduler::Fleet LoadScheduler::observe(const DirectoryState& state,
                                             const ReportedEngines& engines,
                                             base::TimePoint now) const {
   Fleet fleet;
@@ -186,11 +186,11 @@
                                  [](const auto& model) { return !model.second.needs.empty(); });
   base::SortedCursor records(state.instances());
   base::SortedCursor reports(engines);
-  base::SortedCursor orders(given_);
+  base::SortedCursor orders(m_issued);
   for (const auto& [id, home] : assignments()) {
     const InstanceRecord* record = records.find(id);
     const ReportedEngine* report = reports.find(id);
-    const Given* given = orders.find(id);
+    const IssuedCommand* given = orders.find(id);
     const bool loading = given != nullptr && (report == nullptr ? now < given->loadingUntil
                                                                 : isUnderWay(*given, *report, now));
     ModelEngines& ofModel = fleet.engines[home];
@@ -219,11 +219,11 @@
   return fleet;
 }
 
-std::vector<VersionOrder> VersionOrders::step(const DirectoryState& state,
-                                              const ReportedEngines& engines,
-                                              const std::map<std::string, double>& demand,
-                                              std::uint64_t term, base::TimePoint now) {
-  std::vector<VersionOrder> orders;
+std::vector<LoadCommand> LoadScheduler::step(const DirectoryState& state,
+                                             const ReportedEngines& engines,
+                                             const std::map<std::string, double>& demand,
+                                             std::uint64_t term, base::TimePoint now) {
+  std::vector<LoadCommand> orders;
   notePublished(state, now);
   noteTold(state);
   noteLoaded(engines, now);
@@ -232,7 +232,7 @@
   m_budget.setLeast(mostLoads());
   Fleet fleet = observe(state, engines, now);
   updateSummary(fleet, now);
-  if (now < orders_from_) {
+  if (now < m_earliestCommandTime) {
     return orders;
   }
   const base::Duration loadTime = m_budget.loadTime().value_or(settings_.usualLoad);
@@ -250,7 +250,7 @@
     }
     ++fleet.loading;
     ++ofModel.loading;
-    orders.push_back(giveOrder(state, *load.candidate, term, now));
+    orders.push_back(makeCommand(state, *load.candidate, term, now));
     if (!orders.back().finishRunsFirst) {
       m_budget.onBegun(orders.back().instance, fleet.loading, now);
     }
@@ -258,22 +258,22 @@
   return orders;
 }
 
-VersionOrder VersionOrders::giveOrder(const DirectoryState& state, const LoadCandidate& candidate,
-                                      std::uint64_t term, base::TimePoint now) {
+LoadCommand LoadScheduler::makeCommand(const DirectoryState& state, const LoadCandidate& candidate,
+                                       std::uint64_t term, base::TimePoint now) {
   const InstanceRecord& record = state.instances().at(*candidate.instance);
-  VersionOrder order{record.id,
-                     record.host,
-                     record.port,
-                     *candidate.model,
-                     state.versions().at(*candidate.model),
-                     term,
-                     wantsSingleVersion(state.configuration(), record.service)};
-  given_[record.id] = {order.model, order.version, now + settings_.orderTimeout,
-                       now + settings_.orderTimeout, now + settings_.firstReport};
+  LoadCommand order{record.id,
+                    record.host,
+                    record.port,
+                    *candidate.model,
+                    state.versions().at(*candidate.model),
+                    term,
+                    wantsSingleVersion(state.configuration(), record.service)};
+  m_issued[record.id] = {order.model, order.version, now + settings_.orderTimeout,
+                         now + settings_.orderTimeout, now + settings_.firstReport};
   return order;
 }
 
-void VersionOrders::updateSummary(const Fleet& fleet, base::TimePoint now) {
+void LoadScheduler::updateSummary(const Fleet& fleet, base::TimePoint now) {
   m_sight = {};
   m_sight.loading = fleet.loading;
   m_sight.budget = fleet.knowsSteps ? m_budget.most() : mostLoads();
@@ -293,25 +293,25 @@
   }
 }
 
-void VersionOrders::onOutcome(const VersionOrder& order, OrderOutcome outcome,
+void LoadScheduler::onOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
                               base::TimePoint now) {
-  const auto found = given_.find(order.instance);
-  if (found == given_.end() || found->second.version != order.version ||
+  const auto found = m_issued.find(order.instance);
+  if (found == m_issued.end() || found->second.version != order.version ||
       found->second.model != order.model) {
     return;
   }
   constexpr base::Duration kBusyRetry = base::milliseconds(700);
   constexpr base::Duration kRefusedRetry = base::seconds(2);
-  if (outcome != OrderOutcome::kTaken) {
+  if (outcome != LoadCommandOutcome::kTaken) {
     m_budget.onAbandoned(order.instance);
   }
-  if (outcome == OrderOutcome::kBusy) {
+  if (outcome == LoadCommandOutcome::kBusy) {
     found->second.retryAt = now + kBusyRetry;
     found->second.loadingUntil = found->second.retryAt;
-  } else if (outcome == OrderOutcome::kRefused) {
+  } else if (outcome == LoadCommandOutcome::kRefused) {
     found->second.retryAt = now + kRefusedRetry;
     found->second.loadingUntil = now;
-  } else if (outcome == OrderOutcome::kUncertain) {
+  } else if (outcome == LoadCommandOutcome::kUncertain) {
     found->second.loadingUntil = now + settings_.uncertainLoad;
   }
 }
--- a/src/directory/version_orders.h
+++ b/src/directory/load_scheduler.h
@@ -30,8 +30,8 @@
   kByNeed,       ///< for open and expected steps, where a service has several models
 };
 
-/// Knobs of VersionOrders.
-struct VersionOrderSettings {
+/// Knobs of LoadScheduler.
+struct LoadSchedulerSettings {
   /// Engines that may load at once, however few there are; a store of weights slows down when many
   /// do.
   std::size_t concurrentLoads = 2;
@@ -63,7 +63,7 @@
 };
 
 /// An order to change the weights of a model on one engine.
-struct VersionOrder {
+struct LoadCommand {
   std::string instance;
   std::string host;
   std::uint16_t port = 0;
@@ -74,7 +74,7 @@
 };
 
 /// What an engine answered to an order.
-enum class OrderOutcome : std::uint8_t {
+enum class LoadCommandOutcome : std::uint8_t {
   kTaken,      ///< under way
   kHolds,      ///< it has that version already
   kBusy,       ///< another is under way
@@ -82,23 +82,23 @@
   kUncertain,  ///< no answer: it may be taken, now or later
 };
 
-[[nodiscard]] std::string_view toString(OrderOutcome outcome);
+[[nodiscard]] std::string_view toString(LoadCommandOutcome outcome);
 
 /// The leading controller's. Deterministic; owned by one thread. Each engine gets the versions of
 /// the model that it follows (EngineAssigner), so that a version costs as few loads as it can.
-class VersionOrders {
+class LoadScheduler {
  public:
-  explicit VersionOrders(VersionOrderSettings settings);
+  explicit LoadScheduler(LoadSchedulerSettings settings);
 
-  /// Call when this controller becomes leader. It gives no order before `ordersFrom`; engines keep
-  /// the `assignments` that the former leader gave them.
-  void reset(base::TimePoint ordersFrom, EngineAssignments assignments = {});
+  /// Call when this controller becomes leader. It gives no order before `earliestCommandTime`;
+  /// engines keep the `assignments` that the former leader gave them.
+  void reset(base::TimePoint earliestCommandTime, EngineAssignments assignments = {});
   [[nodiscard]] const EngineAssignments& assignments() const { return m_homes.assignments(); }
   /// Orders to give now.
-  [[nodiscard]] std::vector<VersionOrder> step(const DirectoryState& state,
-                                               const ReportedEngines& engines,
-                                               const std::map<std::string, double>& demand,
-                                               std::uint64_t term, base::TimePoint now);
+  [[nodiscard]] std::vector<LoadCommand> step(const DirectoryState& state,
+                                              const ReportedEngines& engines,
+                                              const std::map<std::string, double>& demand,
+                                              std::uint64_t term, base::TimePoint now);
   /// What is open at the ledgers.
   void setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now);
   /// True when no model needs the engine now.
@@ -111,11 +111,11 @@
   /// True while an engine is expected to load.
   [[nodiscard]] bool isLoading(const std::string& instance, const ReportedEngines& engines,
                                base::TimePoint now) const;
-  void onOutcome(const VersionOrder& order, OrderOutcome outcome, base::TimePoint now);
+  void onOutcome(const LoadCommand& order, LoadCommandOutcome outcome, base::TimePoint now);
   [[nodiscard]] const WeightsSummary& sight() const { return m_sight; }
 
  private:
-  struct Given {
+  struct IssuedCommand {
     std::string model;
     std::uint64_t version = 0;
     base::TimePoint retryAt{};
@@ -156,21 +156,21 @@
                               base::TimePoint now) const;
   [[nodiscard]] ModelLoadStates modelStates(const DirectoryState& state, base::TimePoint now) const;
   /// True while the engine is expected to carry out the order.
-  [[nodiscard]] static bool isUnderWay(const Given& given, const ReportedEngine& engine,
+  [[nodiscard]] static bool isUnderWay(const IssuedCommand& given, const ReportedEngine& engine,
                                        base::TimePoint now);
-  [[nodiscard]] VersionOrder giveOrder(const DirectoryState& state, const LoadCandidate& candidate,
-                                       std::uint64_t term, base::TimePoint now);
+  [[nodiscard]] LoadCommand makeCommand(const DirectoryState& state, const LoadCandidate& candidate,
+                                        std::uint64_t term, base::TimePoint now);
   void updateSummary(const Fleet& fleet, base::TimePoint now);
 
-  const VersionOrderSettings settings_;
-  base::TimePoint orders_from_{};
+  const LoadSchedulerSettings settings_;
+  base::TimePoint m_earliestCommandTime{};
   EngineAssigner m_homes;
   StepForecast m_forecast;
   LoadBudget m_budget;
   std::unique_ptr<const LoadPolicy> m_policy;
   std::optional<ToldWork> m_told;
   WeightsSummary m_sight;
-  std::map<std::string, Given> given_;  ///< latest order by instance
+  std::map<std::string, IssuedCommand> m_issued;  ///< latest order by instance
   struct Published {
     std::uint64_t version = 0;
     base::TimePoint seenAt{};
--- a/src/edge/dialect.h
+++ b/src/edge/dialect.h
@@ -11,7 +11,7 @@
 #include <variant>
 
 #include "directory/directory_messages.h"
-#include "directory/version_orders.h"
+#include "directory/load_scheduler.h"
 #include "duties/capacity_messages.h"
 #include "duties/usage_duty.h"
 #include "forwarding/instance_table.h"
@@ -83,9 +83,9 @@
   [[nodiscard]] virtual std::optional<forwarding::ReportedLoad> load(
       std::string_view header) const = 0;
   /// The engine's call for an order; `holder` names the process that gives it.
-  [[nodiscard]] virtual http::UpstreamRequest orderRequest(const directory::VersionOrder& order,
-                                                           const std::string& holder) const = 0;
-  [[nodiscard]] virtual directory::OrderOutcome orderOutcome(int status) const = 0;
+  [[nodiscard]] virtual http::UpstreamRequest loadRequest(const directory::LoadCommand& order,
+                                                          const std::string& holder) const = 0;
+  [[nodiscard]] virtual directory::LoadCommandOutcome loadCommandOutcome(int status) const = 0;
   /// The platform's call for a report; `holder` names the process that makes it. Without an
   /// address.
   [[nodiscard]] virtual http::UpstreamRequest usageRequest(const duties::UsageReport& report,
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -196,8 +196,8 @@
   settings.instanceSilence = settings_.instanceHeartbeat + kHeartbeatSlack;
   settings.orders.silenceLimit = settings.instanceSilence;
   constexpr base::Duration kOrderMargin = base::milliseconds(100);
-  settings.orderLease.duration = settings_.orderLease + kOrderMargin;
-  settings.orderLease.enginesCheckFences = settings_.enginesCheckFences;
+  settings.commandLease.duration = settings_.commandLease + kOrderMargin;
+  settings.commandLease.enginesCheckFences = settings_.enginesCheckFences;
   constexpr double kMicrosPerSecond = 1e6;
   // Both duties share the rate, with others.
   constexpr double kShareOfRate = 0.5;
@@ -363,8 +363,8 @@
   if (directory_) {
     const directory::DirectoryActions actions = directory_->finish(now());
     sendAll(actions.messages);
-    for (const directory::VersionOrder& order : actions.orders) {
-      sendOrder(order);
+    for (const directory::LoadCommand& order : actions.orders) {
+      sendLoadCommand(order);
     }
     for (const directory::InstanceRecord& engine : actions.reportsWanted) {
       askForReport(engine);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -81,7 +81,7 @@
   void onMessage(base::NodeId from, const transport::InternalMessage& message);
   void onPeerLost(std::uint32_t number);
   void onView(const directory::DirectoryView& view);
-  void sendOrder(const directory::VersionOrder& order);
+  void sendLoadCommand(const directory::LoadCommand& order);
   void reportWeights();
   void sendUsageReport(const duties::UsageReport& report);
   void sendScaleCall(const duties::ScaleCall& call);
--- a/src/node/node_calls.cpp
+++ b/src/node/node_calls.cpp
@@ -15,7 +15,7 @@
 using telemetry::EventId;
 using telemetry::logEvent;
 
-void Node::sendOrder(const directory::VersionOrder& order) {
+void Node::sendLoadCommand(const directory::LoadCommand& order) {
   logEvent(EventId::kEngineOrdered, Detail()
                                         .add("instance", order.instance)
                                         .add("model", order.model)
@@ -26,11 +26,12 @@
   http::UpstreamEvents events;
   events.onHead = [status](int code, const http::HeaderList&) { *status = code; };
   events.onEnd = [this, order, status](const http::UpstreamEnd& end) {
-    const directory::OrderOutcome outcome =
-        end.complete ? dialect_.orderOutcome(*status) : directory::OrderOutcome::kUncertain;
+    const directory::LoadCommandOutcome outcome = end.complete
+                                                      ? dialect_.loadCommandOutcome(*status)
+                                                      : directory::LoadCommandOutcome::kUncertain;
     metrics_.count(CounterId::kOrdersGiven, directory::toString(outcome));
-    if (outcome == directory::OrderOutcome::kRefused ||
-        outcome == directory::OrderOutcome::kUncertain) {
+    if (outcome == directory::LoadCommandOutcome::kRefused ||
+        outcome == directory::LoadCommandOutcome::kUncertain) {
       logEvent(EventId::kEngineOrderFailed, Detail()
                                                 .add("instance", order.instance)
                                                 .add("outcome", directory::toString(outcome))
@@ -38,10 +39,10 @@
                                                 .add("error", end.error)
                                                 .text());
     }
-    directory_->onOrderOutcome(order, outcome, now());
+    directory_->onLoadCommandOutcome(order, outcome, now());
     wake();
   };
-  upstream_->start(dialect_.orderRequest(order, settings_.name), std::move(events));
+  upstream_->start(dialect_.loadRequest(order, settings_.name), std::move(events));
 }
 
 void Node::sendUsageReport(const duties::UsageReport& report) {
--- a/src/runtime/engine_link.cpp
+++ b/src/runtime/engine_link.cpp
@@ -110,7 +110,7 @@
   });
 }
 
-void EngineLink::sendOrder(base::EngineId engine, const engine::EngineOrder& order) {
+void EngineLink::sendLoadCommand(base::EngineId engine, const engine::EngineOrder& order) {
   http::ClientRequest call;
   call.method = "POST";
   call.url = url(engine, "/v1/orders");
--- a/src/runtime/engine_link.h
+++ b/src/runtime/engine_link.h
@@ -35,7 +35,7 @@
   void startAttempt(base::EngineId engine, const engine::GenerateRequest& request);
   void cancelAttempt(base::EngineId engine, base::AttemptId attempt);
   void readReport(base::EngineId engine);
-  void sendOrder(base::EngineId engine, const engine::EngineOrder& order);
+  void sendLoadCommand(base::EngineId engine, const engine::EngineOrder& order);
 
  private:
   struct RunningAttempt {
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -274,7 +274,7 @@
   }
   sendAll(messages);
   for (const engine::AddressedOrder& order : orders) {
-    sendOrder(order);
+    sendLoadCommand(order);
   }
   for (const gateway::Action& action : actions) {
     carryOut(action);
@@ -418,7 +418,7 @@
       delay, [this, epoch = epoch_, lost] { post(epoch, [this, lost] { onAttemptEnd(lost); }); });
 }
 
-void NodeHost::sendOrder(const engine::AddressedOrder& addressed) {
+void NodeHost::sendLoadCommand(const engine::AddressedOrder& addressed) {
   EngineHost* engine = environment_.engine(addressed.engine);
   const auto deliver = [engine, run = ProcessRun{this, epoch_}, order = addressed.order] {
     engine->order(run, order);
--- a/src/simulation/node_host.h
+++ b/src/simulation/node_host.h
@@ -110,7 +110,7 @@
   void loseAttempt(base::AttemptId attempt, base::Verdict verdict, base::Duration delay);
   void reply(base::CallerId caller, CallerReply reply);
   void noteFirstToken(base::CallerId caller);
-  void sendOrder(const engine::AddressedOrder& order);
+  void sendLoadCommand(const engine::AddressedOrder& order);
   void readMachineList();
   void finishPlannedStop();
   void toClient(EventLoop::Action action);
--- a/test/directory/order_lease_test.cpp
+++ b/test/directory/command_lease_test.cpp
@@ -1,5 +1,5 @@
 /// When a new leader may give orders.
-#include "directory/order_lease.h"
+#include "directory/command_lease.h"
 
 #include <criterion/criterion.h>
 
@@ -13,7 +13,7 @@
 constexpr base::Duration kLease = base::milliseconds(3100);
 constexpr base::Duration kTransit = base::milliseconds(700);
 
-directory::OrderLease orderLease(bool fenced, base::TimePoint startedAt) {
+directory::CommandLease commandLease(bool fenced, base::TimePoint startedAt) {
   return {kSelf, {kLease, kTransit, fenced}, 10, startedAt};
 }
 
@@ -21,9 +21,9 @@
 
 // Engines wait for new weights while nobody gives orders: a leader that has not given any before
 // cannot take turns with the former one, and waits for that one's last order only.
-Test(order_lease, a_leader_that_never_gave_orders_waits_for_those_under_way) {
+Test(command_lease, a_leader_that_never_gave_orders_waits_for_those_under_way) {
   const base::TimePoint start{base::seconds(100)};
-  directory::OrderLease lease = orderLease(false, start);
+  directory::CommandLease lease = commandLease(false, start);
   cr_assert(lease.freeFrom(start) <= start, "nobody gave orders");
   lease.onNote(kOtherLeader, 11, start + base::seconds(5));
   const base::TimePoint leading = start + base::seconds(6);
@@ -31,9 +31,9 @@
   cr_assert(lease.restOfLease() == start + base::seconds(5) + kLease, "for calls that come late");
 }
 
-Test(order_lease, holders_do_not_take_turns_within_the_lease) {
+Test(command_lease, holders_do_not_take_turns_within_the_lease) {
   const base::TimePoint start{base::seconds(100)};
-  directory::OrderLease lease = orderLease(false, start);
+  directory::CommandLease lease = commandLease(false, start);
   lease.onNote(kSelf, 11, start + base::seconds(5));
   cr_assert(lease.freeFrom(start + base::seconds(5)) <= start, "its own orders do not alternate");
   const base::TimePoint other = start + base::seconds(7);
@@ -43,9 +43,9 @@
   cr_assert(lease.freeFrom(other + kLease) == other + kLease + kTransit);
 }
 
-Test(order_lease, own_orders_of_long_ago_are_no_turn) {
+Test(command_lease, own_orders_of_long_ago_are_no_turn) {
   const base::TimePoint start{base::seconds(100)};
-  directory::OrderLease lease = orderLease(false, start);
+  directory::CommandLease lease = commandLease(false, start);
   lease.onNote(kSelf, 11, start + base::seconds(5));
   lease.onNote(kOtherLeader, 12, start + base::seconds(5) + kLease + base::milliseconds(1));
   const base::TimePoint leading = start + base::seconds(9);
@@ -53,11 +53,11 @@
 }
 
 // Engines know a holder by its name, which stays when the machine has lost its disk.
-Test(order_lease, a_machine_with_a_new_disk_does_not_take_turns_either) {
+Test(command_lease, a_machine_with_a_new_disk_does_not_take_turns_either) {
   const base::TimePoint start{base::seconds(100)};
   const base::TimePoint noted = start + base::milliseconds(10);
   const base::NodeId former = base::makeNodeId(base::nodeNumber(kSelf), 77);
-  directory::OrderLease lease{kSelf, {kLease, kTransit, false}, 0, start};
+  directory::CommandLease lease{kSelf, {kLease, kTransit, false}, 0, start};
   lease.onNote(former, 11, noted);
   cr_assert(lease.freeFrom(noted) == noted + kTransit, "it follows itself");
   lease.onNote(kOtherLeader, 12, noted + base::seconds(1));
@@ -65,18 +65,18 @@
 }
 
 // A process that was killed and started again may have given orders just before.
-Test(order_lease, notes_older_than_the_process_are_as_young_as_it) {
+Test(command_lease, notes_older_than_the_process_are_as_young_as_it) {
   const base::TimePoint start{base::seconds(100)};
   const base::TimePoint leading = start + base::seconds(1);
-  directory::OrderLease unfenced = orderLease(false, start);
+  directory::CommandLease unfenced = commandLease(false, start);
   unfenced.onNote(kSelf, 9, start + base::seconds(1));
   unfenced.onNote(kOtherLeader, 10, start + base::seconds(1));
   cr_assert(unfenced.freeFrom(leading) == start + kLease);
-  directory::OrderLease fenced = orderLease(true, start);
+  directory::CommandLease fenced = commandLease(true, start);
   fenced.onNote(kSelf, 9, start + base::seconds(1));
   fenced.onNote(kOtherLeader, 10, start + base::seconds(1));
   cr_assert(fenced.freeFrom(leading) == leading + kTransit);
-  directory::OrderLease never = orderLease(false, start);
+  directory::CommandLease never = commandLease(false, start);
   never.onNote(kOtherLeader, 10, start + base::seconds(1));
   cr_assert(never.freeFrom(leading) == leading + kTransit);
 }
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -77,7 +77,7 @@
   std::unique_ptr<storage::SegmentedLog> log;
   std::unique_ptr<directory::DirectoryRole> role;
   std::vector<transport::CommandResponse> answers;
-  std::vector<directory::VersionOrder> orders;
+  std::vector<directory::LoadCommand> orders;
   std::vector<tackpick::duties::UsageReport> reports;
   std::vector<tackpick::duties::ScaleCall> scaleCalls;
   tackpick::test::ManualWall wall;
@@ -125,8 +125,8 @@
   controller.ask(directory::PublishVersion{"m", 2});
   controller.run(base::seconds(2));
   cr_assert_geq(controller.orders.size(), 1U);
-  cr_assert_eq(controller.role->state().orderNotes().size(), 1U);
-  cr_assert_gt(controller.role->state().orderNotes().at(kSelf), 0U);
+  cr_assert_eq(controller.role->state().commandLeaseClaims().size(), 1U);
+  cr_assert_gt(controller.role->state().commandLeaseClaims().at(kSelf), 0U);
 }
 
 // Found by what engines hold, all would follow the model whose version is the older one.
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -5,9 +5,9 @@
 
 #include "directory/configuration.h"
 #include "directory/directory_state.h"
+#include "directory/load_scheduler.h"
 #include "directory/model_demand.h"
 #include "directory/route_table.h"
-#include "directory/version_orders.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -219,7 +219,7 @@
     orders.reset(now);
     now += base::seconds(10);
   }
-  std::vector<directory::VersionOrder> step() {
+  std::vector<directory::LoadCommand> step() {
     for (auto& [id, engine] : engines) {
       engine.heardAt = now;
     }
@@ -230,7 +230,7 @@
   std::map<std::string, directory::ReportedEngine> engines;
   std::map<std::string, double> demand;
   base::TimePoint now{};
-  directory::VersionOrders orders{directory::VersionOrderSettings{}};
+  directory::LoadScheduler orders{directory::LoadSchedulerSettings{}};
 };
 
 }  // namespace
@@ -243,7 +243,7 @@
   fixture.now += base::seconds(1);
   std::set<std::string> ordered;
   for (int round = 0; round < 3; ++round) {
-    for (const directory::VersionOrder& order : fixture.step()) {
+    for (const directory::LoadCommand& order : fixture.step()) {
       cr_assert_eq(order.fence, 3U);
       cr_assert(ordered.insert(order.instance).second);
       cr_assert(fixture.orders.isLoading(order.instance, fixture.engines, fixture.now));
@@ -270,7 +270,7 @@
   fixture.engines["e3"].versions["m"] = 1;
   fixture.engines["e5"].versions["m"] = 1;
   std::set<std::string> ordered;
-  for (const directory::VersionOrder& order : fixture.step()) {
+  for (const directory::LoadCommand& order : fixture.step()) {
     ordered.insert(order.instance);
   }
   cr_assert(ordered == (std::set<std::string>{"e3", "e5"}), "what needs version 2 waits for them");
@@ -330,7 +330,7 @@
   std::size_t orders = 0;
   for (int round = 0; round < 6; ++round) {
     fleet.now += base::seconds(1);
-    for (const directory::VersionOrder& order : fleet.step()) {
+    for (const directory::LoadCommand& order : fleet.step()) {
       ++orders;
       fleet.engines[order.instance].versions[order.model] = order.version;
     }
@@ -424,7 +424,7 @@
   apply(fixture.state, directory::PublishVersion{"n", 5});
   std::map<std::string, std::set<std::string>> models;
   for (int round = 0; round < 8; ++round) {
-    for (const directory::VersionOrder& order : fixture.step()) {
+    for (const directory::LoadCommand& order : fixture.step()) {
       models[order.model].insert(order.instance);
       fixture.engines[order.instance].versions[order.model] = order.version;
     }
@@ -445,7 +445,7 @@
     apply(fixture.state, directory::PublishVersion{"n", version});
     for (int round = 0; round < 6; ++round) {
       fixture.now += base::seconds(1);
-      for (const directory::VersionOrder& order : fixture.step()) {
+      for (const directory::LoadCommand& order : fixture.step()) {
         models[order.model].insert(order.instance);
         fixture.engines[order.instance].versions[order.model] = order.version;
       }
@@ -466,7 +466,7 @@
   std::map<std::string, std::set<std::string>> models;
   for (int round = 0; round < 4; ++round) {
     fixture.now += base::seconds(1);
-    for (const directory::VersionOrder& order : fixture.step()) {
+    for (const directory::LoadCommand& order : fixture.step()) {
       models[order.model].insert(order.instance);
       fixture.engines[order.instance].versions[order.model] = order.version;
     }
@@ -526,7 +526,7 @@
   apply(fixture.state, directory::PublishVersion{"m", 5});
   const auto orders = fixture.step();
   cr_assert_eq(orders.size(), 1U);
-  fixture.orders.onOutcome(orders[0], directory::OrderOutcome::kUncertain, fixture.now);
+  fixture.orders.onOutcome(orders[0], directory::LoadCommandOutcome::kUncertain, fixture.now);
   fixture.now += base::seconds(2);
   cr_assert(fixture.step().empty());
   fixture.now += base::seconds(3);
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -6,7 +6,7 @@
 
 #include "base/random.h"
 #include "directory/directory_state.h"
-#include "directory/version_orders.h"
+#include "directory/load_scheduler.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -49,7 +49,7 @@
 struct Engine {
   std::map<std::string, std::uint64_t> versions;
   std::vector<base::TimePoint> ends;  ///< of texts that run
-  std::optional<directory::VersionOrder> order;
+  std::optional<directory::LoadCommand> order;
   double loaded = 0;  ///< seconds of the load that are done at full pace
 };
 
@@ -107,8 +107,8 @@
  private:
   static constexpr std::uint32_t kSlots = 8;
 
-  static directory::VersionOrderSettings settingsFor(directory::LoadOrder order) {
-    directory::VersionOrderSettings settings;
+  static directory::LoadSchedulerSettings settingsFor(directory::LoadOrder order) {
+    directory::LoadSchedulerSettings settings;
     settings.loadOrder = order;
     return settings;
   }
@@ -274,7 +274,7 @@
   base::SeededRandom m_random;
   base::TimePoint m_now{};
   directory::DirectoryState m_state;
-  directory::VersionOrders m_orders;
+  directory::LoadScheduler m_orders;
   directory::ReportedEngines m_reports;
   std::map<std::string, Engine> m_engines;
   std::map<std::string, std::vector<Step>> m_steps;
--- a/test/directory/weights_plan_test.cpp
+++ b/test/directory/weights_plan_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "directory/directory_state.h"
-#include "directory/version_orders.h"
+#include "directory/load_scheduler.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -54,12 +54,12 @@
     }
     orders.setOpenJobs(works, now);
   }
-  std::vector<directory::VersionOrder> step() {
+  std::vector<directory::LoadCommand> step() {
     for (auto& [id, engine] : engines) {
       engine.heardAt = now;
     }
     auto given = orders.step(state, engines, {}, 3, now);
-    for (const directory::VersionOrder& order : given) {
+    for (const directory::LoadCommand& order : given) {
       log.push_back(order);
     }
     return given;
@@ -82,7 +82,7 @@
   /// Engines that were ordered to load weights of `model`.
   std::set<std::string> ordered(const std::string& model) const {
     std::set<std::string> ids;
-    for (const directory::VersionOrder& order : log) {
+    for (const directory::LoadCommand& order : log) {
       if (order.model == model) {
         ids.insert(order.instance);
       }
@@ -91,7 +91,7 @@
   }
   /// What was ordered is loaded.
   void load() {
-    for (const directory::VersionOrder& order : log) {
+    for (const directory::LoadCommand& order : log) {
       engines[order.instance].versions[order.model] = order.version;
     }
   }
@@ -101,10 +101,10 @@
   directory::EngineAssignments assignments;
   jobs::OpenJobsByModel works;
   std::map<std::string, base::TimePoint> submittedAt;
-  std::vector<directory::VersionOrder> log;
+  std::vector<directory::LoadCommand> log;
   std::uint64_t newest = 1;
   base::TimePoint now{base::seconds(100)};
-  directory::VersionOrders orders{directory::VersionOrderSettings{}};
+  directory::LoadScheduler orders{directory::LoadSchedulerSettings{}};
 };
 
 }  // namespace
@@ -210,7 +210,7 @@
   fleet.tell();
   (void)fleet.step();
   cr_assert_eq(fleet.log.size(), 2U);
-  for (const directory::VersionOrder& order : fleet.log) {
+  for (const directory::LoadCommand& order : fleet.log) {
     cr_assert_eq(order.model, "m");
     cr_assert_not(first.contains(order.instance), "it holds version 7");
   }
@@ -224,8 +224,8 @@
   fleet.submit("m", 6);
   fleet.submit("m", 7, 48);
   fleet.tell();
-  for (const directory::VersionOrder& order : fleet.step()) {
-    fleet.orders.onOutcome(order, directory::OrderOutcome::kUncertain, fleet.now);
+  for (const directory::LoadCommand& order : fleet.step()) {
+    fleet.orders.onOutcome(order, directory::LoadCommandOutcome::kUncertain, fleet.now);
   }
   const std::set<std::string> lost = fleet.ordered("m");
   fleet.log.clear();
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -450,7 +450,7 @@
   cr_assert_eq(
       std::get<directory::DeregisterInstance>(std::get<directory::DirectoryRequest>(bare)).id,
       "i-1");
-  const http::UpstreamRequest order = platform::PlatformDialect().orderRequest(
+  const http::UpstreamRequest order = platform::PlatformDialect().loadRequest(
       {heartbeat->record.id, "10.1.0.9", 8080, "m", 4, 1}, "c");
   cr_assert_eq(order.headers.value("Expected-Instance"), "i-1");
 }
