--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -115,7 +115,7 @@
   }
 }
 
-void Controller::onOrderReply(const engine::OrderReply& reply, base::TimePoint now) {
+void Controller::onCommandReply(const engine::EngineCommandReply& reply, base::TimePoint now) {
   rollout_.onReply(reply, now);
 }
 
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -36,7 +36,7 @@
 /// What the driver must do after a turn, besides syncing.
 struct ControllerActions {
   transport::Outbox messages;
-  std::vector<engine::AddressedOrder> orders;
+  std::vector<engine::OutgoingEngineCommand> orders;
 };
 
 /// Deterministic; owned by one thread. A change is answered as accepted only once it is in force
@@ -51,7 +51,7 @@
   void handle(base::NodeId from, const transport::MembershipRequest& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::WatchRequest& message, base::TimePoint now);
   void onMachineList(const std::vector<MachineListing>& machines, base::TimePoint now);
-  void onOrderReply(const engine::OrderReply& reply, base::TimePoint now);
+  void onCommandReply(const engine::EngineCommandReply& reply, base::TimePoint now);
   void tick(base::TimePoint now);
   /// Ends a turn: syncs, applies, and says what to send.
   [[nodiscard]] ControllerActions finish(base::TimePoint now);
--- a/src/control/weights_rollout.cpp
+++ b/src/control/weights_rollout.cpp
@@ -4,10 +4,10 @@
 
 namespace tackpick::control {
 
-std::vector<engine::AddressedOrder> WeightsRollout::step(
+std::vector<engine::OutgoingEngineCommand> WeightsRollout::step(
     const std::map<base::EngineId, EngineRecord>& engines,
     const std::map<std::string, WeightsRecord>& weights, std::uint64_t term, base::TimePoint now) {
-  std::vector<engine::AddressedOrder> orders;
+  std::vector<engine::OutgoingEngineCommand> orders;
   std::erase_if(observed_, [&](const auto& entry) { return !engines.contains(entry.first); });
   Progress progress = countOrdered(now);
   for (const auto& [id, record] : engines) {
@@ -25,9 +25,10 @@
     if (observed.active == target || !mayOrder(observed, now)) {
       continue;
     }
-    using engine::OrderKind;
+    using engine::EngineCommandKind;
     const bool prepared = observed.prepared == target;
-    const OrderKind kind = prepared ? OrderKind::kActivateWeights : OrderKind::kPrepareWeights;
+    const EngineCommandKind kind =
+        prepared ? EngineCommandKind::kActivateWeights : EngineCommandKind::kPrepareWeights;
     ModelProgress& model = progress.models[record.model];
     const bool room = prepared ? model.swapping < swapLimit(model.engines)
                                : progress.loading < settings_.concurrentLoads;
@@ -41,7 +42,7 @@
     observed.ordered = true;
     observed.orderedAt = now;
     observed.lastOrder = kind;
-    engine::EngineOrder order;
+    engine::EngineCommand order;
     order.fence = {term, ++sequence_};
     order.kind = kind;
     order.model = record.model;
@@ -51,9 +52,9 @@
   return orders;
 }
 
-void WeightsRollout::onReply(const engine::OrderReply& reply, base::TimePoint /*now*/) {
+void WeightsRollout::onReply(const engine::EngineCommandReply& reply, base::TimePoint /*now*/) {
   const auto found = observed_.find(reply.state.engine);
-  if (found == observed_.end() || reply.status == engine::OrderStatus::kStaleFence) {
+  if (found == observed_.end() || reply.status == engine::EngineCommandStatus::kStaleFence) {
     return;
   }
   Observed& observed = found->second;
@@ -80,9 +81,9 @@
     const bool underWay =
         observed.ordered &&
         now - observed.orderedAt < settings_.retryInterval * kIntervalsBeforeGivingUp;
-    if (underWay && observed.lastOrder == engine::OrderKind::kPrepareWeights) {
+    if (underWay && observed.lastOrder == engine::EngineCommandKind::kPrepareWeights) {
       ++progress.loading;
-    } else if (underWay && observed.lastOrder == engine::OrderKind::kActivateWeights) {
+    } else if (underWay && observed.lastOrder == engine::EngineCommandKind::kActivateWeights) {
       ++model.swapping;
     }
   }
--- a/src/control/weights_rollout.h
+++ b/src/control/weights_rollout.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 #include "control/control_delta.h"
-#include "engine/engine_orders.h"
+#include "engine/engine_commands.h"
 
 namespace tackpick::control {
 
@@ -32,10 +32,10 @@
   explicit WeightsRollout(WeightsRolloutSettings settings) : settings_(settings) {}
 
   /// Orders to send now. `term` is the leader's; it makes the fences.
-  [[nodiscard]] std::vector<engine::AddressedOrder> step(
+  [[nodiscard]] std::vector<engine::OutgoingEngineCommand> step(
       const std::map<base::EngineId, EngineRecord>& engines,
       const std::map<std::string, WeightsRecord>& weights, std::uint64_t term, base::TimePoint now);
-  void onReply(const engine::OrderReply& reply, base::TimePoint now);
+  void onReply(const engine::EngineCommandReply& reply, base::TimePoint now);
   /// Forgets what engines reported; call when this controller becomes leader.
   void reset() { observed_.clear(); }
   /// Engines of `model` that reported `version` as active.
@@ -50,7 +50,7 @@
     base::WeightsVersion prepared;
     base::TimePoint orderedAt{};
     bool ordered = false;
-    engine::OrderKind lastOrder = engine::OrderKind::kPrepareWeights;
+    engine::EngineCommandKind lastOrder = engine::EngineCommandKind::kPrepareWeights;
   };
 
   /// Engines of one model.
--- a/src/emulator/emulated_engine.cpp
+++ b/src/emulator/emulated_engine.cpp
@@ -98,7 +98,7 @@
   const auto parsed = base::recover([&] { return runtime::parseEngineOrder(request.body); },
                                     [&](const base::Error& error) {
                                       problem = error.message;
-                                      return engine::EngineOrder{};
+                                      return engine::EngineCommand{};
                                     });
   if (!problem.empty()) {
     responder->respond(kBadRequest, jsonHeaders(), Json{{"error", problem}}.dump());
--- a/src/engine/engine_orders.h
+++ b/src/engine/engine_commands.h
@@ -11,7 +11,7 @@
 
 namespace tackpick::engine {
 
-enum class OrderKind : std::uint8_t {
+enum class EngineCommandKind : std::uint8_t {
   kLoadModel,
   kLoadAdapter,
   kPrepareWeights,   ///< fetch a version from the weight store beside the active one
@@ -21,9 +21,9 @@
 
 /// An engine refuses an order whose fence is lower than the highest it has seen, so a controller
 /// that was replaced without knowing it cannot command anything.
-struct EngineOrder {
+struct EngineCommand {
   base::Fence fence;
-  OrderKind kind = OrderKind::kPrepareWeights;
+  EngineCommandKind kind = EngineCommandKind::kPrepareWeights;
   std::string model;    ///< kLoadModel
   std::string adapter;  ///< kLoadAdapter
   base::WeightsVersion version;
@@ -31,20 +31,20 @@
 };
 
 /// An order with the engine it is for.
-struct AddressedOrder {
+struct OutgoingEngineCommand {
   base::EngineId engine;
-  EngineOrder order;
+  EngineCommand order;
 };
 
-enum class OrderStatus : std::uint8_t {
+enum class EngineCommandStatus : std::uint8_t {
   kAccepted,     ///< carried out or begun; repeating it is harmless
   kStaleFence,   ///< a newer controller has given orders
   kNotPrepared,  ///< activation of a version that is not loaded
   kFailed,       ///< the swap failed partway: the engine is out of service
 };
 
-struct OrderReply {
-  OrderStatus status = OrderStatus::kAccepted;
+struct EngineCommandReply {
+  EngineCommandStatus status = EngineCommandStatus::kAccepted;
   EngineStatus state;  ///< after the order
 };
 
--- a/src/engine/engine_model.cpp
+++ b/src/engine/engine_model.cpp
@@ -196,42 +196,42 @@
   }
 }
 
-OrderReply EngineModel::order(const EngineOrder& order, base::TimePoint now) {
-  OrderReply reply;
+EngineCommandReply EngineModel::order(const EngineCommand& order, base::TimePoint now) {
+  EngineCommandReply reply;
   if (order.fence < highest_fence_ && !settings_.acceptLowerFence) {
-    reply.status = OrderStatus::kStaleFence;
+    reply.status = EngineCommandStatus::kStaleFence;
     reply.state = status();
     return reply;
   }
   highest_fence_ = order.fence;
   switch (order.kind) {
-    case OrderKind::kPrepareWeights:
+    case EngineCommandKind::kPrepareWeights:
       if (prepared_ != order.version && preparing_ != order.version) {
         preparing_ = order.version;
         prepared_at_ = store_.fetch(settings_.weightBytes, now);
       }
       break;
-    case OrderKind::kActivateWeights:
+    case EngineCommandKind::kActivateWeights:
       if (active_ == order.version || swapping_to_ == order.version) {
         break;
       }
       if (prepared_ != order.version) {
-        reply.status = OrderStatus::kNotPrepared;
+        reply.status = EngineCommandStatus::kNotPrepared;
         break;
       }
       activate(order.version, now);
       break;
-    case OrderKind::kLoadModel:
+    case EngineCommandKind::kLoadModel:
       settings_.model = order.model;
       break;
-    case OrderKind::kSetRole:
+    case EngineCommandKind::kSetRole:
       role_ = order.role;
       break;
-    case OrderKind::kLoadAdapter:
+    case EngineCommandKind::kLoadAdapter:
       break;
   }
-  if (reply.status == OrderStatus::kAccepted && last_swap_failed_) {
-    reply.status = OrderStatus::kFailed;
+  if (reply.status == EngineCommandStatus::kAccepted && last_swap_failed_) {
+    reply.status = EngineCommandStatus::kFailed;
   }
   reply.state = status();
   return reply;
--- a/src/engine/engine_model.h
+++ b/src/engine/engine_model.h
@@ -11,7 +11,7 @@
 
 #include "base/random.h"
 #include "base/time.h"
-#include "engine/engine_orders.h"
+#include "engine/engine_commands.h"
 #include "engine/engine_status.h"
 #include "engine/generation.h"
 #include "engine/prefix_cache.h"
@@ -82,7 +82,7 @@
   /// When advance() will next have something to do; nothing when idle.
   [[nodiscard]] std::optional<base::TimePoint> nextStepAt() const;
 
-  OrderReply order(const EngineOrder& order, base::TimePoint now);
+  EngineCommandReply order(const EngineCommand& order, base::TimePoint now);
   /// The engine's own flag: from now on it refuses new work.
   void startDraining() { leaving_ = true; }
   void failNextSwap() { fail_next_swap_ = true; }
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -217,7 +217,7 @@
   turn_scheduled_ = false;
   if (controller_) {
     const control::ControllerActions actions = controller_->finish(now());
-    for (const engine::AddressedOrder& order : actions.orders) {
+    for (const engine::OutgoingEngineCommand& order : actions.orders) {
       const control::EngineRecord& record = controller_->state().engines().at(order.engine);
       engine_link_->setAddress(order.engine, record.host, record.port);
       engine_link_->sendLoadCommand(order.engine, order.order);
@@ -272,12 +272,12 @@
     }
     wake();
   };
-  events.onOrderReply = [this](base::EngineId engine, const engine::OrderReply& reply) {
-    if (reply.status == engine::OrderStatus::kStaleFence) {
+  events.onCommandReply = [this](base::EngineId engine, const engine::EngineCommandReply& reply) {
+    if (reply.status == engine::EngineCommandStatus::kStaleFence) {
       logEvent(EventId::kEngineOrderFailed,
                "engine=" + std::to_string(engine.value) + " reason=stale_fence");
     }
-    controller_->onOrderReply(reply, now());
+    controller_->onCommandReply(reply, now());
     wake();
   };
   events.onOrderFailed = [](base::EngineId engine) {
--- a/src/runtime/engine_json.cpp
+++ b/src/runtime/engine_json.cpp
@@ -214,7 +214,7 @@
   return reader.firstProblem().empty() ? std::optional(std::move(report)) : std::nullopt;
 }
 
-std::string toJson(const engine::EngineOrder& order) {
+std::string toJson(const engine::EngineCommand& order) {
   return Json{{"fence_term", order.fence.term},
               {"fence_sequence", order.fence.sequence},
               {"kind", static_cast<int>(order.kind)},
@@ -225,16 +225,16 @@
       .dump();
 }
 
-base::Result<engine::EngineOrder> parseEngineOrder(const std::string& body) {
+base::Result<engine::EngineCommand> parseEngineOrder(const std::string& body) {
   BOOST_LEAF_AUTO(object, parseJson(body));
   JsonReader reader(object);
-  engine::EngineOrder order;
+  engine::EngineCommand order;
   const auto unsigned64 = [&](const char* key) {
     return static_cast<std::uint64_t>(reader.integer(key, 0, 0, kMaximumInteger));
   };
   order.fence = {unsigned64("fence_term"), unsigned64("fence_sequence")};
-  constexpr auto kLastKind = static_cast<std::int64_t>(engine::OrderKind::kSetRole);
-  order.kind = static_cast<engine::OrderKind>(reader.integer("kind", 0, 0, kLastKind));
+  constexpr auto kLastKind = static_cast<std::int64_t>(engine::EngineCommandKind::kSetRole);
+  order.kind = static_cast<engine::EngineCommandKind>(reader.integer("kind", 0, 0, kLastKind));
   order.model = reader.text("model");
   order.adapter = reader.text("adapter");
   order.version = {unsigned64("version")};
@@ -245,20 +245,21 @@
   return order;
 }
 
-std::string toJson(const engine::OrderReply& reply) {
+std::string toJson(const engine::EngineCommandReply& reply) {
   return Json{{"status", static_cast<int>(reply.status)}, {"state", statusJson(reply.state)}}
       .dump();
 }
 
-std::optional<engine::OrderReply> parseOrderReply(const std::string& body) {
+std::optional<engine::EngineCommandReply> parseOrderReply(const std::string& body) {
   const Json object = Json::parse(body, nullptr, false);
   if (!object.is_object() || !object.contains("state")) {
     return std::nullopt;
   }
   JsonReader reader(object);
-  engine::OrderReply reply;
-  constexpr auto kLastStatus = static_cast<std::int64_t>(engine::OrderStatus::kFailed);
-  reply.status = static_cast<engine::OrderStatus>(reader.integer("status", 0, 0, kLastStatus));
+  engine::EngineCommandReply reply;
+  constexpr auto kLastStatus = static_cast<std::int64_t>(engine::EngineCommandStatus::kFailed);
+  reply.status =
+      static_cast<engine::EngineCommandStatus>(reader.integer("status", 0, 0, kLastStatus));
   reply.state = readStatus(object["state"]);
   return reply;
 }
--- a/src/runtime/engine_json.h
+++ b/src/runtime/engine_json.h
@@ -36,10 +36,10 @@
 [[nodiscard]] std::string toJson(const EngineReport& report);
 [[nodiscard]] std::optional<EngineReport> parseEngineReport(const std::string& body);
 
-[[nodiscard]] std::string toJson(const engine::EngineOrder& order);
-[[nodiscard]] base::Result<engine::EngineOrder> parseEngineOrder(const std::string& body);
-[[nodiscard]] std::string toJson(const engine::OrderReply& reply);
-[[nodiscard]] std::optional<engine::OrderReply> parseOrderReply(const std::string& body);
+[[nodiscard]] std::string toJson(const engine::EngineCommand& order);
+[[nodiscard]] base::Result<engine::EngineCommand> parseEngineOrder(const std::string& body);
+[[nodiscard]] std::string toJson(const engine::EngineCommandReply& reply);
+[[nodiscard]] std::optional<engine::EngineCommandReply> parseOrderReply(const std::string& body);
 
 /// The platform's machine list.
 [[nodiscard]] std::string toJson(const std::vector<control::MachineListing>& machines);
--- a/src/runtime/engine_link.cpp
+++ b/src/runtime/engine_link.cpp
@@ -110,7 +110,7 @@
   });
 }
 
-void EngineLink::sendLoadCommand(base::EngineId engine, const engine::EngineOrder& order) {
+void EngineLink::sendLoadCommand(base::EngineId engine, const engine::EngineCommand& order) {
   http::ClientRequest call;
   call.method = "POST";
   call.url = url(engine, "/v1/orders");
@@ -120,7 +120,7 @@
   client_.start(call, nullptr, [this, engine](const http::ClientResult& result) {
     const auto reply = result.complete ? parseOrderReply(result.body) : std::nullopt;
     if (reply) {
-      events_.onOrderReply(engine, *reply);
+      events_.onCommandReply(engine, *reply);
     } else if (events_.onOrderFailed) {
       events_.onOrderFailed(engine);
     }
--- a/src/runtime/engine_link.h
+++ b/src/runtime/engine_link.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 #include "control/control_delta.h"
-#include "engine/engine_orders.h"
+#include "engine/engine_commands.h"
 #include "engine/generation.h"
 #include "http/client.h"
 #include "runtime/engine_json.h"
@@ -21,7 +21,7 @@
   std::function<void(const engine::Chunk&)> onChunk;
   std::function<void(const engine::AttemptEnd&)> onEnd;
   std::function<void(base::EngineId, const EngineReport&)> onReport;
-  std::function<void(base::EngineId, const engine::OrderReply&)> onOrderReply;
+  std::function<void(base::EngineId, const engine::EngineCommandReply&)> onCommandReply;
   std::function<void(base::EngineId)> onOrderFailed;
 };
 
@@ -35,7 +35,7 @@
   void startAttempt(base::EngineId engine, const engine::GenerateRequest& request);
   void cancelAttempt(base::EngineId engine, base::AttemptId attempt);
   void readReport(base::EngineId engine);
-  void sendLoadCommand(base::EngineId engine, const engine::EngineOrder& order);
+  void sendLoadCommand(base::EngineId engine, const engine::EngineCommand& order);
 
  private:
   struct RunningAttempt {
--- a/src/simulation/engine_host.cpp
+++ b/src/simulation/engine_host.cpp
@@ -126,17 +126,17 @@
   });
 }
 
-void EngineHost::order(ProcessRun controller, const engine::EngineOrder& order) {
+void EngineHost::order(ProcessRun controller, const engine::EngineCommand& order) {
   if (!model_) {
     return;
   }
   advance();
-  const engine::OrderReply reply = model_->order(order, environment_.loop.now());
+  const engine::EngineCommandReply reply = model_->order(order, environment_.loop.now());
   observeVersion();
   schedule();
   environment_.network.sendOrdered(machine_, controller.node->machine(), [controller, reply] {
     controller.node->post(controller.epoch,
-                          [controller, reply] { controller.node->onOrderReply(reply); });
+                          [controller, reply] { controller.node->onCommandReply(reply); });
   });
 }
 
--- a/src/simulation/engine_host.h
+++ b/src/simulation/engine_host.h
@@ -35,7 +35,7 @@
   void generate(ProcessRun gateway, const engine::GenerateRequest& request);
   void cancel(base::AttemptId attempt);
   void read(ProcessRun gateway);
-  void order(ProcessRun controller, const engine::EngineOrder& order);
+  void order(ProcessRun controller, const engine::EngineCommand& order);
   /// Tells the observations what the running incarnation ran.
   void reportRuns();
 
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -254,7 +254,7 @@
     return;
   }
   transport::Outbox messages;
-  std::vector<engine::AddressedOrder> orders;
+  std::vector<engine::OutgoingEngineCommand> orders;
   std::vector<gateway::Action> actions;
   if (controller_) {
     control::ControllerActions result = controller_->finish(localNow());
@@ -273,7 +273,7 @@
     orders.clear();
   }
   sendAll(messages);
-  for (const engine::AddressedOrder& order : orders) {
+  for (const engine::OutgoingEngineCommand& order : orders) {
     sendLoadCommand(order);
   }
   for (const gateway::Action& action : actions) {
@@ -418,7 +418,7 @@
       delay, [this, epoch = epoch_, lost] { post(epoch, [this, lost] { onAttemptEnd(lost); }); });
 }
 
-void NodeHost::sendLoadCommand(const engine::AddressedOrder& addressed) {
+void NodeHost::sendLoadCommand(const engine::OutgoingEngineCommand& addressed) {
   EngineHost* engine = environment_.engine(addressed.engine);
   const auto deliver = [engine, run = ProcessRun{this, epoch_}, order = addressed.order] {
     engine->order(run, order);
@@ -465,8 +465,8 @@
   }
 }
 
-void NodeHost::onOrderReply(const engine::OrderReply& answer) {
-  controller_->onOrderReply(answer, localNow());
+void NodeHost::onCommandReply(const engine::EngineCommandReply& answer) {
+  controller_->onCommandReply(answer, localNow());
 }
 
 void NodeHost::beginPlannedStop() {
--- a/src/simulation/node_host.h
+++ b/src/simulation/node_host.h
@@ -60,7 +60,7 @@
   void onAttemptEnd(const engine::AttemptEnd& end);
   void onReport(const engine::EngineStatus& status,
                 const std::vector<engine::NumberedCacheEvent>& events);
-  void onOrderReply(const engine::OrderReply& reply);
+  void onCommandReply(const engine::EngineCommandReply& reply);
 
   // Clients; the handlers run on the client's side.
   using CallerHandler = std::function<void(const CallerReply&)>;
@@ -110,7 +110,7 @@
   void loseAttempt(base::AttemptId attempt, base::Verdict verdict, base::Duration delay);
   void reply(base::CallerId caller, CallerReply reply);
   void noteFirstToken(base::CallerId caller);
-  void sendLoadCommand(const engine::AddressedOrder& order);
+  void sendLoadCommand(const engine::OutgoingEngineCommand& order);
   void readMachineList();
   void finishPlannedStop();
   void toClient(EventLoop::Action action);
--- a/test/engine/engine_model_test.cpp
+++ b/test/engine/engine_model_test.cpp
@@ -27,9 +27,9 @@
     model.advance(end, output);
     return output;
   }
-  engine::OrderReply order(engine::OrderKind kind, std::uint64_t version, base::Fence fence,
-                           base::TimePoint now) {
-    engine::EngineOrder command;
+  engine::EngineCommandReply order(engine::EngineCommandKind kind, std::uint64_t version,
+                                   base::Fence fence, base::TimePoint now) {
+    engine::EngineCommand command;
     command.kind = kind;
     command.version = {version};
     command.fence = fence;
@@ -73,18 +73,18 @@
 
 Test(engine_model, lower_fences_are_refused) {
   EngineFixture fixture;
-  using Kind = engine::OrderKind;
+  using Kind = engine::EngineCommandKind;
   cr_assert(fixture.order(Kind::kPrepareWeights, 2, {3, 1}, kStart).status ==
-            engine::OrderStatus::kAccepted);
+            engine::EngineCommandStatus::kAccepted);
   cr_assert(fixture.order(Kind::kPrepareWeights, 1, {2, 9}, kStart).status ==
-            engine::OrderStatus::kStaleFence);
+            engine::EngineCommandStatus::kStaleFence);
   cr_assert(fixture.order(Kind::kActivateWeights, 2, {3, 2}, kStart).status ==
-            engine::OrderStatus::kNotPrepared);
+            engine::EngineCommandStatus::kNotPrepared);
 }
 
 Test(engine_model, failed_swap_leaves_it_out_of_service_until_a_swap_succeeds) {
   EngineFixture fixture;
-  using Kind = engine::OrderKind;
+  using Kind = engine::EngineCommandKind;
   fixture.order(Kind::kPrepareWeights, 2, {1, 1}, kStart);
   fixture.runUntil(kStart + base::seconds(1));
   fixture.model.failNextSwap();
