--- a/src/directory/load_budget.cpp
+++ b/src/directory/load_limiter.cpp
@@ -1,10 +1,10 @@
-#include "directory/load_budget.h"
+#include "directory/load_limiter.h"
 
 #include <algorithm>
 
 namespace tackpick::directory {
 
-void LoadBudget::reset() {
+void LoadLimiter::reset() {
   m_most = m_least;
   m_begun.clear();
   m_samples = 0;
@@ -14,12 +14,12 @@
   m_saturatedAt.reset();
 }
 
-void LoadBudget::setLeast(std::size_t least) {
+void LoadLimiter::setLeast(std::size_t least) {
   m_least = least;
   m_most = std::clamp(m_most, m_least, m_least * m_settings.mostTimesLeast);
 }
 
-void LoadBudget::onBegun(const std::string& instance, std::size_t running, base::TimePoint now) {
+void LoadLimiter::onBegun(const std::string& instance, std::size_t running, base::TimePoint now) {
   const bool full = running >= m_most;
   m_begun[instance] = {now, full};
   if (!full) {
@@ -30,7 +30,7 @@
   }
 }
 
-void LoadBudget::onLoaded(const std::string& instance, base::TimePoint now) {
+void LoadLimiter::onLoaded(const std::string& instance, base::TimePoint now) {
   const auto found = m_begun.find(instance);
   if (found == m_begun.end()) {
     return;
@@ -52,7 +52,7 @@
   }
 }
 
-void LoadBudget::judge(base::Duration mean, base::TimePoint now) {
+void LoadLimiter::judge(base::Duration mean, base::TimePoint now) {
   const base::Duration shortest = m_shortest.value_or(mean);
   const auto tolerated = std::chrono::duration_cast<base::Duration>(
       std::chrono::duration<double, base::Duration::period>(static_cast<double>(shortest.count()) *
--- a/src/directory/load_budget.h
+++ b/src/directory/load_limiter.h
@@ -11,8 +11,8 @@
 
 namespace tackpick::directory {
 
-/// Knobs of LoadBudget.
-struct LoadBudgetSettings {
+/// Knobs of LoadLimiter.
+struct LoadLimiterSettings {
   /// Loads are never more than this many times those that the settings allow.
   std::size_t mostTimesLeast = 3;
   /// Loads that take longer than the shortest by more than this share mean that the store is
@@ -24,9 +24,9 @@
 
 /// Learns from the time that loads take how many the store of weights bears: as long as they take
 /// no longer, one more is tried; when they do, one fewer. Deterministic; owned by one thread.
-class LoadBudget {
+class LoadLimiter {
  public:
-  explicit LoadBudget(LoadBudgetSettings settings) : m_settings(settings) {}
+  explicit LoadLimiter(LoadLimiterSettings settings) : m_settings(settings) {}
 
   void reset();
   /// What the settings allow now; the budget is never below it.
@@ -51,7 +51,7 @@
   /// As many loads as the budget allows at once have ended, of which all ran beside each other.
   void judge(base::Duration mean, base::TimePoint now);
 
-  const LoadBudgetSettings m_settings;
+  const LoadLimiterSettings m_settings;
   std::size_t m_least = 1;
   std::size_t m_most = 1;
   std::map<std::string, Begun> m_begun;  ///< by instance
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -16,7 +16,7 @@
 #include "directory/directory_messages.h"
 #include "directory/directory_state.h"
 #include "directory/engine_assigner.h"
-#include "directory/load_budget.h"
+#include "directory/load_limiter.h"
 #include "directory/load_policy.h"
 #include "directory/step_forecast.h"
 #include "directory/weights_summary.h"
@@ -59,7 +59,7 @@
   base::Duration usualLoad = base::seconds(1);
   EngineAssignerSettings assignments;
   StepForecastSettings forecast;
-  LoadBudgetSettings budget;
+  LoadLimiterSettings budget;
 };
 
 /// An order to change the weights of a model on one engine.
@@ -166,7 +166,7 @@
   base::TimePoint m_earliestCommandTime{};
   EngineAssigner m_homes;
   StepForecast m_forecast;
-  LoadBudget m_budget;
+  LoadLimiter m_budget;
   std::unique_ptr<const LoadPolicy> m_policy;
   std::optional<ToldWork> m_told;
   WeightsSummary m_sight;
--- a/test/directory/step_forecast_test.cpp
+++ b/test/directory/step_forecast_test.cpp
@@ -3,7 +3,7 @@
 
 #include <criterion/criterion.h>
 
-#include "directory/load_budget.h"
+#include "directory/load_limiter.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -138,7 +138,7 @@
       budget.onLoaded("e" + std::to_string(i), now);
     }
   }
-  directory::LoadBudget budget{directory::LoadBudgetSettings{}};
+  directory::LoadLimiter budget{directory::LoadLimiterSettings{}};
   base::TimePoint now{base::seconds(100)};
 
  private:
