--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -412,9 +412,9 @@
 using DirectoryCommand =
     std::variant<ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances,
                  PublishVersion, FoundLedgers, BeginRetirement, CompleteRetirement, RecordVersions,
-                 ClaimCommandLease, duties::BeginUsage, duties::NoteUsage, duties::DecideUsage,
+                 ClaimCommandLease, duties::BeginUsage, duties::RecordUsage, duties::FinalizeUsage,
                  duties::ConfirmUsage, RecordAssignments, quarantine::HoldRequest,
-                 quarantine::NoteTrial, quarantine::ReleaseRequest, duties::NoteBaseline,
+                 quarantine::NoteTrial, quarantine::ReleaseRequest, duties::RecordBaseline,
                  duties::SetCapacity, duties::ConfirmCapacity>;
 
 }  // namespace tackpick::directory
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -110,7 +110,7 @@
   if (state_.configuration().tenants.empty()) {
     return;
   }
-  duties::UsageDuty::Present present;
+  duties::UsageReporter::Present present;
   std::map<std::uint32_t, const HeardNode*> newest;  // a gateway that started anew tells no more
   for (const auto& [node, heard] : nodes_) {
     const HeardNode*& known = newest[base::nodeNumber(node)];
@@ -128,7 +128,7 @@
   present.fence = replica_.raft().currentTerm();
   present.wall = clusterTime(now);
   present.now = now;
-  duties::UsageWork work = usage_.step(state_.usage(), present);
+  duties::UsageReporterActions work = usage_.step(state_.usage(), present);
   for (auto& command : work.commands) {
     std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
                command);
@@ -151,13 +151,13 @@
   if (!m_capacity.enabled()) {
     return;
   }
-  duties::CapacityDuty::Present present;
+  duties::Autoscaler::Present present;
   present.settled = now - leader_since_ > settings_.repair.silenceLimit;
   present.fence = replica_.raft().currentTerm();
   present.now = now;
   present.services =
       scaledServices(state_, presentInstances(now), m_openJobs, modelDemand(now), now);
-  duties::CapacityWork work = m_capacity.step(state_.capacity(), present);
+  duties::AutoscalerActions work = m_capacity.step(state_.capacity(), present);
   for (auto& command : work.commands) {
     std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
                command);
@@ -349,7 +349,7 @@
                              const std::vector<duties::ScaleCall>& scaleCalls,
                              base::TimePoint now) {
   for (const duties::UsageReport& report : reports) {
-    usage_.onOutcome(report, duties::DutyOutcome::kUncertain, now);
+    usage_.onOutcome(report, duties::UsageReportOutcome::kUncertain, now);
   }
   for (const duties::ScaleCall& call : scaleCalls) {
     m_capacity.onOutcome(call, duties::ScaleOutcome::kBusy, now);
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -17,9 +17,9 @@
 #include "directory/scaled_services.h"
 #include "directory/view_history.h"
 #include "directory/watch_queue.h"
-#include "duties/capacity_duty.h"
+#include "duties/autoscaler.h"
 #include "duties/cluster_time.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_reporter.h"
 #include "quarantine/crash_tally.h"
 
 namespace tackpick::directory {
@@ -35,8 +35,8 @@
   LoadSchedulerSettings orders;
   CommandLeaseSettings commandLease;
   WatchPacing watches;
-  duties::UsageDutySettings usage;
-  duties::CapacityDutySettings capacity;
+  duties::UsageReporterSettings usage;
+  duties::AutoscalerSettings capacity;
   /// An instance silent for longer is told as silent. More than the time between two heartbeats.
   base::Duration instanceSilence = base::seconds(4);
   cluster::GroupRepairSettings repair;
@@ -69,7 +69,7 @@
   void handle(base::NodeId from, const transport::CommandRequest& message, base::TimePoint now);
   void onLoadCommandOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
                             base::TimePoint now);
-  void onUsageOutcome(const duties::UsageReport& report, duties::DutyOutcome outcome,
+  void onUsageOutcome(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
                       base::TimePoint now) {
     usage_.onOutcome(report, outcome, now);
   }
@@ -204,9 +204,9 @@
   CommandLease m_commandLease;
   std::vector<LoadCommand> m_committedCommands;  ///< to be given at the end of this turn
   duties::ClusterClock clock_;
-  duties::UsageDuty usage_;
+  duties::UsageReporter usage_;
   std::vector<duties::UsageReport> noted_reports_;  ///< to be sent at the end of this turn
-  duties::CapacityDuty m_capacity;
+  duties::Autoscaler m_capacity;
   std::vector<duties::ScaleCall> m_notedScaleCalls;  ///< to be sent at the end of this turn
   ReportedOpenJobs m_openJobs;
   quarantine::CrashTally m_crashes;
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -105,10 +105,10 @@
   void applyTyped(const RecordAssignments& command);
   void applyTyped(const ClaimCommandLease& command);
   void applyTyped(const duties::BeginUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::NoteUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::DecideUsage& command) { data_.usage.apply(command); }
+  void applyTyped(const duties::RecordUsage& command) { data_.usage.apply(command); }
+  void applyTyped(const duties::FinalizeUsage& command) { data_.usage.apply(command); }
   void applyTyped(const duties::ConfirmUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::NoteBaseline& command) { data_.capacity.apply(command); }
+  void applyTyped(const duties::RecordBaseline& command) { data_.capacity.apply(command); }
   void applyTyped(const duties::SetCapacity& command) { data_.capacity.apply(command); }
   void applyTyped(const duties::ConfirmCapacity& command) { data_.capacity.apply(command); }
   void applyTyped(const quarantine::HoldRequest& command) { data_.quarantine.apply(command); }
--- a/src/directory/scaled_services.h
+++ b/src/directory/scaled_services.h
@@ -9,7 +9,7 @@
 
 #include "directory/directory_state.h"
 #include "directory/view_history.h"
-#include "duties/capacity_duty.h"
+#include "duties/autoscaler.h"
 #include "jobs/open_jobs.h"
 
 namespace tackpick::directory {
--- a/src/duties/capacity_duty.cpp
+++ b/src/duties/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "duties/capacity_duty.h"
+#include "duties/autoscaler.h"
 
 #include <algorithm>
 #include <tuple>
@@ -26,8 +26,7 @@
 
 }  // namespace
 
-void CapacityDuty::reset(const CapacityState& state, base::TimePoint callsFrom,
-                         base::TimePoint now) {
+void Autoscaler::reset(const CapacityState& state, base::TimePoint callsFrom, base::TimePoint now) {
   m_plans.clear();
   m_subjects.clear();
   m_wishes.clear();
@@ -41,9 +40,9 @@
   m_retry = {};
 }
 
-PoolCounts CapacityDuty::poolCounts(const CapacitySubject& subject, RegisteredKind registered,
-                                    const CapacityState& state, base::Duration startTime,
-                                    base::TimePoint now) {
+PoolCounts Autoscaler::poolCounts(const InstancePool& subject, RegisteredKind registered,
+                                  const CapacityState& state, base::Duration startTime,
+                                  base::TimePoint now) {
   Subject& known = m_subjects[subject];
   known.lost = known.lost || registered.there < known.seen.there ||
                registered.draining < known.seen.draining;
@@ -65,16 +64,16 @@
   return sight;
 }
 
-std::vector<ZoneCounts> CapacityDuty::zonesOf(const ScaledService& service,
-                                              const CapacityState& state, base::TimePoint now) {
+std::vector<ZoneCounts> Autoscaler::zonesOf(const ScaledService& service,
+                                            const CapacityState& state, base::TimePoint now) {
   std::map<std::string, RegisteredInstances> zones = service.zones;
   for (const std::string& zone : state.zones(service.name)) {
     zones.try_emplace(zone);
   }
   std::vector<ZoneCounts> sights;
   for (const auto& [zone, registered] : zones) {
-    const CapacitySubject onDemand{service.name, zone, InstanceKind::kOnDemand};
-    const CapacitySubject preemptible{service.name, zone, InstanceKind::kPreemptible};
+    const InstancePool onDemand{service.name, zone, InstanceKind::kOnDemand};
+    const InstancePool preemptible{service.name, zone, InstanceKind::kPreemptible};
     if (registered.preemptibleDraining > 0) {
       Subject& withdrawn = m_subjects[preemptible];
       withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
@@ -102,11 +101,11 @@
   return sights;
 }
 
-void CapacityDuty::noteBaselines(const ScaledService& service, const CapacityState& state,
-                                 CapacityWork& work) {
-  const auto note = [&](const CapacitySubject& subject, std::uint32_t there) {
+void Autoscaler::noteBaselines(const ScaledService& service, const CapacityState& state,
+                               AutoscalerActions& work) {
+  const auto note = [&](const InstancePool& subject, std::uint32_t there) {
     if (!state.desired(subject) && there > state.baseline(subject)) {
-      work.commands.emplace_back(NoteBaseline{subject, there});
+      work.commands.emplace_back(RecordBaseline{subject, there});
     }
   };
   for (const auto& [zone, registered] : service.zones) {
@@ -115,8 +114,8 @@
   }
 }
 
-bool CapacityDuty::propose(const CapacitySubject& subject, std::uint32_t count, base::TimePoint now,
-                           CapacityWork& work) {
+bool Autoscaler::propose(const InstancePool& subject, std::uint32_t count, base::TimePoint now,
+                         AutoscalerActions& work) {
   Subject& known = m_subjects[subject];
   if (known.proposed == count && now - known.proposedAt < m_settings.noteTime) {
     return false;
@@ -127,8 +126,8 @@
   return true;
 }
 
-void CapacityDuty::noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
-                                 base::TimePoint now, CapacityWork& work) {
+void Autoscaler::noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
+                               base::TimePoint now, AutoscalerActions& work) {
   for (const ZoneCounts& zone : zones) {
     const PoolCounts& kind = zone.preemptible;
     if (kind.unavailable && kind.desired > kind.there) {
@@ -137,8 +136,8 @@
   }
 }
 
-void CapacityDuty::decide(CapacityDecision decision, const CapacityState& state,
-                          base::TimePoint now, CapacityWork& work) {
+void Autoscaler::decide(CapacityDecision decision, const CapacityState& state, base::TimePoint now,
+                        AutoscalerActions& work) {
   const auto noted = state.desired(decision.subject);
   if (noted && noted->count == decision.count) {
     return;
@@ -152,8 +151,8 @@
   }
 }
 
-void CapacityDuty::plan(const ScaledService& service, const CapacityState& state,
-                        const Present& present, CapacityWork& work) {
+void Autoscaler::plan(const ScaledService& service, const CapacityState& state,
+                      const Present& present, AutoscalerActions& work) {
   noteBaselines(service, state, work);
   CapacityInputs inputs;
   inputs.scaling = service.scaling;
@@ -163,7 +162,7 @@
   inputs.settled = present.settled;
   inputs.now = present.now;
   noteWithdrawn(service, inputs.zones, present.now, work);
-  CapacityPlan& plan = m_plans.try_emplace(service.name, m_settings.plan).first->second;
+  CapacityPlanner& plan = m_plans.try_emplace(service.name, m_settings.plan).first->second;
   const CapacityDecision common = decisionFrom(service);
   for (const CapacityTarget& target : plan.step(inputs)) {
     CapacityDecision decision = common;
@@ -178,8 +177,8 @@
   }
 }
 
-bool CapacityDuty::isDue(const CapacitySubject& subject, const Wish& wish,
-                         const CapacityState& state, base::TimePoint now) {
+bool Autoscaler::isDue(const InstancePool& subject, const Wish& wish, const CapacityState& state,
+                       base::TimePoint now) {
   const Subject& known = m_subjects[subject];
   const auto noted = state.desired(subject);
   if (!noted || noted->count != wish.target.count || now < known.availableFrom) {
@@ -194,8 +193,8 @@
 }
 
 /// A call without an answer may have been carried out after a newer one.
-std::optional<ScaleCall> CapacityDuty::assertedCall(const CapacityState& state,
-                                                    const Present& present) {
+std::optional<ScaleCall> Autoscaler::assertedCall(const CapacityState& state,
+                                                  const Present& present) {
   for (auto& [subject, known] : m_subjects) {
     if (!known.uncertain || present.now < known.uncertainUntil) {
       continue;
@@ -210,8 +209,7 @@
   return std::nullopt;
 }
 
-std::optional<ScaleCall> CapacityDuty::nextCall(const CapacityState& state,
-                                                const Present& present) {
+std::optional<ScaleCall> Autoscaler::nextCall(const CapacityState& state, const Present& present) {
   const bool calling = m_calling && present.now - m_calling->since < m_settings.callLimit;
   if (calling || present.now < m_callAt || present.fence == m_refusedFence) {
     return std::nullopt;
@@ -233,7 +231,7 @@
   return next ? next : assertedCall(state, present);
 }
 
-void CapacityDuty::onSent(const ScaleCall& call, base::TimePoint now) {
+void Autoscaler::onSent(const ScaleCall& call, base::TimePoint now) {
   m_calling = CallUnderWay{call.fence, now};
   Subject& known = m_subjects[call.subject];
   known.askedAt = now;
@@ -242,8 +240,8 @@
   known.repeat = std::clamp(known.repeat * 2, m_settings.firstRepeat, m_settings.longestRepeat);
 }
 
-CapacityWork CapacityDuty::step(const CapacityState& state, const Present& present) {
-  CapacityWork work;
+AutoscalerActions Autoscaler::step(const CapacityState& state, const Present& present) {
+  AutoscalerActions work;
   if (!enabled()) {
     return work;
   }
@@ -262,7 +260,7 @@
   return work;
 }
 
-void CapacityDuty::noteUnavailable(Subject& subject, base::TimePoint now) const {
+void Autoscaler::noteUnavailable(Subject& subject, base::TimePoint now) const {
   subject.pause = std::clamp(subject.pause * 2, m_settings.firstPause, m_settings.longestPause);
   subject.availableFrom = now + subject.pause;
   subject.askedAt.reset();
@@ -270,7 +268,7 @@
   ++subject.refusals;
 }
 
-void CapacityDuty::pauseCalls(base::TimePoint now) {
+void Autoscaler::pauseCalls(base::TimePoint now) {
   m_retry = std::clamp(m_retry * 2, m_settings.firstRetry, m_settings.longestRetry);
   // Half of the pause is drawn, so that calls do not meet others in step.
   const auto half = m_retry.count() / 2;
@@ -278,7 +276,7 @@
                                              m_random.below(static_cast<std::uint64_t>(half) + 1)));
 }
 
-void CapacityDuty::onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now) {
+void Autoscaler::onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now) {
   if (!m_calling || call.fence != m_calling->fence) {
     return;  // of a former term: what it asked for is asked for anew
   }
--- a/src/duties/capacity_duty.h
+++ b/src/duties/autoscaler.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "base/random.h"
-#include "duties/capacity_plan.h"
+#include "duties/capacity_planner.h"
 #include "duties/capacity_state.h"
 
 namespace tackpick::duties {
 
-/// Knobs of a CapacityDuty.
-struct CapacityDutySettings {
-  CapacityPlanSettings plan;
+/// Knobs of an Autoscaler.
+struct AutoscalerSettings {
+  CapacityPlannerSettings plan;
   /// Between two calls at least; the platform limits the rate of all of them.
   base::Duration callInterval = base::milliseconds(100);
   /// A call without an answer is repeated after this time, and then after twice as long each time.
@@ -61,7 +61,7 @@
 
 /// A new number of instances, and what it was decided from.
 struct CapacityDecision {
-  CapacitySubject subject;
+  InstancePool subject;
   std::uint32_t count = 0;
   std::uint32_t before = 0;  ///< the count that was asked for until now
   std::uint32_t there = 0;
@@ -74,18 +74,18 @@
 };
 
 /// What the leader is to do now.
-struct CapacityWork {
+struct AutoscalerActions {
   /// To be written to the log.
-  std::vector<std::variant<NoteBaseline, SetCapacity, ConfirmCapacity>> commands;
+  std::vector<std::variant<RecordBaseline, SetCapacity, ConfirmCapacity>> commands;
   std::optional<ScaleCall> call;  ///< to be sent
   std::vector<CapacityDecision> decisions;
 };
 
 /// Deterministic; owned by one thread. A count stands in the log before the platform is first asked
 /// for it. One call is under way at a time; a fence that was refused is not used again.
-class CapacityDuty {
+class Autoscaler {
  public:
-  CapacityDuty(CapacityDutySettings settings, base::Random& random)
+  Autoscaler(AutoscalerSettings settings, base::Random& random)
       : m_settings(settings), m_random(random) {}
 
   /// Call when this controller becomes leader. It makes no call before `callsFrom`, nor before the
@@ -98,7 +98,7 @@
     std::uint64_t fence = 0;
     base::TimePoint now;
   };
-  [[nodiscard]] CapacityWork step(const CapacityState& state, const Present& present);
+  [[nodiscard]] AutoscalerActions step(const CapacityState& state, const Present& present);
   void onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now);
 
   [[nodiscard]] const std::vector<PoolSummary>& sights() const { return m_sights; }
@@ -134,23 +134,23 @@
 
   [[nodiscard]] std::vector<ZoneCounts> zonesOf(const ScaledService& service,
                                                 const CapacityState& state, base::TimePoint now);
-  [[nodiscard]] PoolCounts poolCounts(const CapacitySubject& subject, RegisteredKind registered,
+  [[nodiscard]] PoolCounts poolCounts(const InstancePool& subject, RegisteredKind registered,
                                       const CapacityState& state, base::Duration startTime,
                                       base::TimePoint now);
   static void noteBaselines(const ScaledService& service, const CapacityState& state,
-                            CapacityWork& work);
+                            AutoscalerActions& work);
   /// What was withdrawn or refused is not counted on.
   void noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
-                     base::TimePoint now, CapacityWork& work);
+                     base::TimePoint now, AutoscalerActions& work);
   /// Writes a count to the log; false when that is under way.
-  [[nodiscard]] bool propose(const CapacitySubject& subject, std::uint32_t count,
-                             base::TimePoint now, CapacityWork& work);
+  [[nodiscard]] bool propose(const InstancePool& subject, std::uint32_t count, base::TimePoint now,
+                             AutoscalerActions& work);
   void plan(const ScaledService& service, const CapacityState& state, const Present& present,
-            CapacityWork& work);
+            AutoscalerActions& work);
   /// `decision.before` is not known yet.
   void decide(CapacityDecision decision, const CapacityState& state, base::TimePoint now,
-              CapacityWork& work);
-  [[nodiscard]] bool isDue(const CapacitySubject& subject, const Wish& wish,
+              AutoscalerActions& work);
+  [[nodiscard]] bool isDue(const InstancePool& subject, const Wish& wish,
                            const CapacityState& state, base::TimePoint now);
   [[nodiscard]] std::optional<ScaleCall> nextCall(const CapacityState& state,
                                                   const Present& present);
@@ -160,11 +160,11 @@
   void noteUnavailable(Subject& subject, base::TimePoint now) const;
   void pauseCalls(base::TimePoint now);
 
-  const CapacityDutySettings m_settings;
+  const AutoscalerSettings m_settings;
   base::Random& m_random;
-  std::map<std::string, CapacityPlan> m_plans;  ///< by service
-  std::map<CapacitySubject, Subject> m_subjects;
-  std::map<CapacitySubject, Wish> m_wishes;  ///< of the present step
+  std::map<std::string, CapacityPlanner> m_plans;  ///< by service
+  std::map<InstancePool, Subject> m_subjects;
+  std::map<InstancePool, Wish> m_wishes;  ///< of the present step
   std::vector<PoolSummary> m_sights;
   std::vector<ConfirmCapacity> m_confirm;  ///< to be written to the log
   struct CallUnderWay {
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -21,12 +21,12 @@
 [[nodiscard]] std::string_view toString(InstanceKind kind);
 
 /// What one call sets: the platform counts each kind of a service's instances in a zone.
-struct CapacitySubject {
+struct InstancePool {
   std::string service;
   std::string zone;
   InstanceKind kind = InstanceKind::kOnDemand;
 
-  auto operator<=>(const CapacitySubject&) const = default;
+  auto operator<=>(const InstancePool&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -46,7 +46,7 @@
 
 /// What an operator is shown of one kind of a service's instances in a zone.
 struct PoolSummary {
-  CapacitySubject subject;
+  InstancePool subject;
   std::uint32_t desired = 0;  ///< asked for; zero: nothing was
   bool taken = false;         ///< by the platform
   std::uint32_t there = 0;
@@ -63,8 +63,8 @@
 // Through the controllers' log.
 
 /// So many instances run without any call of the duty.
-struct NoteBaseline {
-  CapacitySubject subject;
+struct RecordBaseline {
+  InstancePool subject;
   std::uint32_t count = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -74,7 +74,7 @@
 
 /// The platform is going to be asked for so many. Written before the first such call.
 struct SetCapacity {
-  CapacitySubject subject;
+  InstancePool subject;
   std::uint32_t count = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -84,7 +84,7 @@
 
 /// The platform has taken the call for that count.
 struct ConfirmCapacity {
-  CapacitySubject subject;
+  InstancePool subject;
   std::uint32_t count = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -96,7 +96,7 @@
 
 /// A call that only the present holder of the duty may make.
 struct ScaleCall {
-  CapacitySubject subject;
+  InstancePool subject;
   std::uint32_t count = 0;
   std::uint64_t fence = 0;  ///< rises with each holder
 };
--- a/src/duties/capacity_plan.cpp
+++ b/src/duties/capacity_planner.cpp
@@ -1,4 +1,4 @@
-#include "duties/capacity_plan.h"
+#include "duties/capacity_planner.h"
 
 #include <algorithm>
 #include <numeric>
@@ -43,7 +43,7 @@
 }  // namespace
 
 /// What a zone gets, as far as it is decided.
-struct CapacityPlan::ZonePlan {
+struct CapacityPlanner::ZonePlan {
   const ZoneCounts* sight = nullptr;
   double price = 1;
   std::uint32_t floor = 0;  ///< of on-demand instances
@@ -53,11 +53,11 @@
   [[nodiscard]] std::uint32_t total() const { return onDemand + preemptible; }
 };
 
-bool CapacityPlan::longIdle(const CapacityInputs& inputs) const {
+bool CapacityPlanner::longIdle(const CapacityInputs& inputs) const {
   return inputs.demand && m_idleSince && inputs.now - *m_idleSince >= m_settings.longIdle;
 }
 
-bool CapacityPlan::isResting(const CapacityInputs& inputs) {
+bool CapacityPlanner::isResting(const CapacityInputs& inputs) {
   const bool hasWork = inputs.demand && !inputs.demand->idle();
   return !hasWork &&
          std::any_of(inputs.zones.begin(), inputs.zones.end(), [&](const ZoneCounts& zone) {
@@ -66,20 +66,20 @@
          });
 }
 
-std::uint32_t CapacityPlan::keptOf(std::uint32_t baseline, const PoolCounts& kind,
-                                   const CapacityInputs& inputs) const {
+std::uint32_t CapacityPlanner::keptOf(std::uint32_t baseline, const PoolCounts& kind,
+                                      const CapacityInputs& inputs) const {
   if (longIdle(inputs)) {
     return 0;
   }
   return kind.asked && isResting(inputs) ? std::min(baseline, kind.desired) : baseline;
 }
 
-std::uint32_t CapacityPlan::floorOf(const ZoneCounts& zone, const CapacityInputs& inputs) const {
+std::uint32_t CapacityPlanner::floorOf(const ZoneCounts& zone, const CapacityInputs& inputs) const {
   const std::uint32_t kept = keptOf(zone.baseline, zone.onDemand, inputs);
   return std::clamp(kept, inputs.scaling.minimum, inputs.scaling.maximum);
 }
 
-std::uint32_t CapacityPlan::keptOf(const CapacityInputs& inputs) const {
+std::uint32_t CapacityPlanner::keptOf(const CapacityInputs& inputs) const {
   std::uint32_t kept = 0;
   for (const ZoneCounts& zone : inputs.zones) {
     const std::uint32_t preemptible = keptOf(zone.preemptibleBaseline, zone.preemptible, inputs);
@@ -89,7 +89,7 @@
 }
 
 /// What there is, what was there before the first call, and one for each that seems lost.
-std::vector<CapacityPlan::ZonePlan> CapacityPlan::hold(const CapacityInputs& inputs) const {
+std::vector<CapacityPlanner::ZonePlan> CapacityPlanner::hold(const CapacityInputs& inputs) const {
   const bool replaceSilent = silenceIsCredible(inputs);
   std::vector<ZonePlan> plans;
   for (const ZoneCounts& zone : inputs.zones) {
@@ -109,7 +109,7 @@
   return plans;
 }
 
-void CapacityPlan::noteDemand(const CapacityInputs& inputs) {
+void CapacityPlanner::noteDemand(const CapacityInputs& inputs) {
   if (!inputs.demand || !inputs.demand->idle()) {
     m_idleSince.reset();
   } else if (!m_idleSince) {
@@ -117,7 +117,7 @@
   }
 }
 
-std::uint32_t CapacityPlan::wantedNow(const CapacityInputs& inputs) {
+std::uint32_t CapacityPlanner::wantedNow(const CapacityInputs& inputs) {
   const std::uint32_t kept = keptOf(inputs);
   std::uint32_t asked = 0;
   for (const ZoneCounts& zone : inputs.zones) {
@@ -134,8 +134,8 @@
 }
 
 /// One instance after the other, each in the next zone by price, so that no zone carries them all.
-void CapacityPlan::add(std::vector<ZonePlan>& plans, std::uint32_t missing,
-                       const CapacityInputs& inputs) const {
+void CapacityPlanner::add(std::vector<ZonePlan>& plans, std::uint32_t missing,
+                          const CapacityInputs& inputs) const {
   std::uint32_t preemptible = 0;
   std::uint32_t share = 0;
   for (const ZonePlan& plan : plans) {
@@ -169,7 +169,7 @@
 }
 
 /// Ordinary ones of the dearest zone first.
-std::optional<CapacityTarget> CapacityPlan::dearest(const std::vector<ZonePlan>& plans) {
+std::optional<CapacityTarget> CapacityPlanner::dearest(const std::vector<ZonePlan>& plans) {
   for (auto plan = plans.rbegin(); plan != plans.rend(); ++plan) {
     const std::uint32_t onDemand = plan->sight->onDemand.there;
     if (onDemand > plan->floor) {
@@ -185,8 +185,8 @@
   return std::nullopt;
 }
 
-std::optional<CapacityTarget> CapacityPlan::giveBack(const std::vector<ZonePlan>& plans,
-                                                     const CapacityInputs& inputs) {
+std::optional<CapacityTarget> CapacityPlanner::giveBack(const std::vector<ZonePlan>& plans,
+                                                        const CapacityInputs& inputs) {
   std::uint32_t there = 0;
   bool quiet = inputs.settled && inputs.demand.has_value();
   for (const ZonePlan& plan : plans) {
@@ -220,7 +220,7 @@
   return m_givingBack;
 }
 
-std::vector<CapacityTarget> CapacityPlan::step(const CapacityInputs& inputs) {
+std::vector<CapacityTarget> CapacityPlanner::step(const CapacityInputs& inputs) {
   if (m_policy == nullptr) {
     return {};
   }
--- a/src/duties/capacity_plan.h
+++ b/src/duties/capacity_planner.h
@@ -59,8 +59,8 @@
   bool operator==(const CapacityTarget&) const = default;
 };
 
-/// Knobs of a CapacityPlan.
-struct CapacityPlanSettings {
+/// Knobs of a CapacityPlanner.
+struct CapacityPlannerSettings {
   CapacityMode mode = CapacityMode::kHold;
   /// Ordered beyond the baseline at most, which bounds what a misjudged demand can cost.
   std::uint32_t mostExtraPercent = 50;
@@ -74,9 +74,9 @@
 };
 
 /// Deterministic; one for each service. Never names fewer than there are, but to give one back.
-class CapacityPlan {
+class CapacityPlanner {
  public:
-  explicit CapacityPlan(CapacityPlanSettings settings)
+  explicit CapacityPlanner(CapacityPlannerSettings settings)
       : m_settings(settings), m_policy(CapacityPolicy::make(settings.mode)) {}
 
   /// Targets that differ from what is there or coming.
@@ -106,7 +106,7 @@
   [[nodiscard]] std::optional<CapacityTarget> giveBack(const std::vector<ZonePlan>& plans,
                                                        const CapacityInputs& inputs);
 
-  const CapacityPlanSettings m_settings;
+  const CapacityPlannerSettings m_settings;
   const std::unique_ptr<CapacityPolicy> m_policy;
   std::uint32_t m_wanted = 0;
   std::optional<base::TimePoint> m_idleSince;    ///< there is no open work since then
--- a/src/duties/capacity_state.cpp
+++ b/src/duties/capacity_state.cpp
@@ -4,7 +4,7 @@
 
 namespace tackpick::duties {
 
-void CapacityState::apply(const NoteBaseline& command) {
+void CapacityState::apply(const RecordBaseline& command) {
   std::uint32_t& count = m_baselines[command.subject];
   count = std::max(count, command.count);
 }
@@ -20,12 +20,12 @@
   }
 }
 
-std::optional<DesiredCapacity> CapacityState::desired(const CapacitySubject& subject) const {
+std::optional<DesiredCapacity> CapacityState::desired(const InstancePool& subject) const {
   const auto known = m_desired.find(subject);
   return known == m_desired.end() ? std::nullopt : std::optional(known->second);
 }
 
-std::uint32_t CapacityState::baseline(const CapacitySubject& subject) const {
+std::uint32_t CapacityState::baseline(const InstancePool& subject) const {
   const auto known = m_baselines.find(subject);
   return known == m_baselines.end() ? 0 : known->second;
 }
--- a/src/duties/capacity_state.h
+++ b/src/duties/capacity_state.h
@@ -25,16 +25,14 @@
 /// Deterministic.
 class CapacityState {
  public:
-  void apply(const NoteBaseline& command);
+  void apply(const RecordBaseline& command);
   void apply(const SetCapacity& command);
   void apply(const ConfirmCapacity& command);
 
-  [[nodiscard]] const std::map<CapacitySubject, DesiredCapacity>& desired() const {
-    return m_desired;
-  }
-  [[nodiscard]] std::optional<DesiredCapacity> desired(const CapacitySubject& subject) const;
+  [[nodiscard]] const std::map<InstancePool, DesiredCapacity>& desired() const { return m_desired; }
+  [[nodiscard]] std::optional<DesiredCapacity> desired(const InstancePool& subject) const;
   /// Instances that ran before the first call about them; zero when none were seen.
-  [[nodiscard]] std::uint32_t baseline(const CapacitySubject& subject) const;
+  [[nodiscard]] std::uint32_t baseline(const InstancePool& subject) const;
   /// Zones of `service` in which instances ran before the first call.
   [[nodiscard]] std::set<std::string> zones(const std::string& service) const;
 
@@ -44,8 +42,8 @@
   }
 
  private:
-  std::map<CapacitySubject, std::uint32_t> m_baselines;
-  std::map<CapacitySubject, DesiredCapacity> m_desired;
+  std::map<InstancePool, std::uint32_t> m_baselines;
+  std::map<InstancePool, DesiredCapacity> m_desired;
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/usage_messages.h
+++ b/src/duties/usage_messages.h
@@ -64,7 +64,7 @@
 };
 
 /// What a gateway has told, so that it outlives the gateway and the leader.
-struct NoteUsage {
+struct RecordUsage {
   base::NodeId gateway;
   std::vector<WindowUsage> windows;
   template <class Archive>
@@ -74,7 +74,7 @@
 };
 
 /// The counts of a window from now on, whoever leads. Windows are decided in turn.
-struct DecideUsage {
+struct FinalizeUsage {
   WindowUsage usage;
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/duties/usage_duty.cpp
+++ b/src/duties/usage_reporter.cpp
@@ -1,25 +1,25 @@
-#include "duties/usage_duty.h"
+#include "duties/usage_reporter.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace tackpick::duties {
 
-std::string_view toString(DutyOutcome outcome) {
+std::string_view toString(UsageReportOutcome outcome) {
   switch (outcome) {
-    case DutyOutcome::kTaken:
+    case UsageReportOutcome::kTaken:
       return "taken";
-    case DutyOutcome::kRefused:
+    case UsageReportOutcome::kRefused:
       return "refused";
-    case DutyOutcome::kBusy:
+    case UsageReportOutcome::kBusy:
       return "busy";
-    case DutyOutcome::kUncertain:
+    case UsageReportOutcome::kUncertain:
       return "uncertain";
   }
   return "unknown";
 }
 
-void UsageDuty::reset(const UsageState& state, base::TimePoint callsFrom) {
+void UsageReporter::reset(const UsageState& state, base::TimePoint callsFrom) {
   m_told = state.noted();
   m_presentAt.clear();
   m_unnoted.clear();
@@ -31,7 +31,7 @@
   m_retry = {};
 }
 
-void UsageDuty::onTold(base::NodeId gateway, const GatewayUsage& usage) {
+void UsageReporter::onTold(base::NodeId gateway, const GatewayUsage& usage) {
   WindowNumber& presentAt = m_presentAt[gateway];
   presentAt = std::max(presentAt, usage.present);
   for (const WindowUsage& told : usage.windows) {
@@ -44,7 +44,7 @@
   }
 }
 
-bool UsageDuty::isComplete(WindowNumber window, const Present& present) const {
+bool UsageReporter::isComplete(WindowNumber window, const Present& present) const {
   const auto told = [&](base::NodeId gateway) {
     const auto at = m_presentAt.find(gateway);
     return at != m_presentAt.end() && at->second > window;
@@ -52,8 +52,8 @@
   return present.settled && std::all_of(present.gateways.begin(), present.gateways.end(), told);
 }
 
-std::optional<DecideUsage> UsageDuty::decide(const UsageState& state,
-                                             const Present& present) const {
+std::optional<FinalizeUsage> UsageReporter::decide(const UsageState& state,
+                                                   const Present& present) const {
   const WindowNumber window = *state.next();
   constexpr int kWholePercent = 100;
   const base::WallTime end = endOf(window, m_settings.window);
@@ -63,7 +63,7 @@
   if (!late && !(settled && isComplete(window, present))) {
     return std::nullopt;
   }
-  DecideUsage decision;
+  FinalizeUsage decision;
   decision.usage.window = window;
   const auto told = m_told.find(window);
   if (told == m_told.end()) {
@@ -77,7 +77,8 @@
   return decision;
 }
 
-void UsageDuty::note(const UsageState& state, const Present& present, UsageWork& work) {
+void UsageReporter::note(const UsageState& state, const Present& present,
+                         UsageReporterActions& work) {
   std::size_t counts = 0;
   for (const auto& [window, gateways] : m_told) {
     for (const auto& [gateway, usage] : gateways) {
@@ -92,7 +93,7 @@
   }
   m_notedAt = present.now;
   for (const base::NodeId gateway : std::exchange(m_unnoted, {})) {
-    NoteUsage note{gateway, {}};
+    RecordUsage note{gateway, {}};
     for (const auto& [window, gateways] : m_told) {
       const auto usage = gateways.find(gateway);
       if (window >= *state.next() && usage != gateways.end()) {
@@ -105,7 +106,8 @@
   }
 }
 
-std::optional<UsageReport> UsageDuty::nextReport(const UsageState& state, const Present& present) {
+std::optional<UsageReport> UsageReporter::nextReport(const UsageState& state,
+                                                     const Present& present) {
   if (m_calling || present.now < m_callAt || present.fence == m_refusedFence) {
     return std::nullopt;
   }
@@ -118,8 +120,8 @@
   return std::nullopt;
 }
 
-UsageWork UsageDuty::step(const UsageState& state, const Present& present) {
-  UsageWork work;
+UsageReporterActions UsageReporter::step(const UsageState& state, const Present& present) {
+  UsageReporterActions work;
   if (m_settings.window == base::Duration{0}) {
     return work;
   }
@@ -145,16 +147,17 @@
   return work;
 }
 
-void UsageDuty::onOutcome(const UsageReport& report, DutyOutcome outcome, base::TimePoint now) {
+void UsageReporter::onOutcome(const UsageReport& report, UsageReportOutcome outcome,
+                              base::TimePoint now) {
   m_calling = false;
   m_callAt = now + m_settings.callInterval;
-  if (outcome == DutyOutcome::kTaken) {
+  if (outcome == UsageReportOutcome::kTaken) {
     m_retry = {};
     m_taken.insert(report.usage.window);
     m_confirm = report.usage.window;
     return;
   }
-  if (outcome == DutyOutcome::kRefused) {
+  if (outcome == UsageReportOutcome::kRefused) {
     m_refusedFence = report.fence;
     return;
   }
--- a/src/duties/usage_duty.h
+++ b/src/duties/usage_reporter.h
@@ -15,8 +15,8 @@
 
 namespace tackpick::duties {
 
-/// Knobs of a UsageDuty.
-struct UsageDutySettings {
+/// Knobs of a UsageReporter.
+struct UsageReporterSettings {
   base::Duration window{0};  ///< length; zero: there is no such duty
   /// A window's report is due so long after its end.
   base::Duration delay = base::seconds(10);
@@ -38,28 +38,28 @@
 };
 
 /// What the platform answered to a call.
-enum class DutyOutcome : std::uint8_t {
+enum class UsageReportOutcome : std::uint8_t {
   kTaken,
   kRefused,    ///< a higher fence was seen: another holds the duty
   kBusy,       ///< too many calls
   kUncertain,  ///< no answer, or none that says more
 };
 
-[[nodiscard]] std::string_view toString(DutyOutcome outcome);
+[[nodiscard]] std::string_view toString(UsageReportOutcome outcome);
 
 /// What the leader is to do now.
-struct UsageWork {
+struct UsageReporterActions {
   /// To be written to the log.
-  std::vector<std::variant<BeginUsage, NoteUsage, DecideUsage, ConfirmUsage>> commands;
+  std::vector<std::variant<BeginUsage, RecordUsage, FinalizeUsage, ConfirmUsage>> commands;
   std::optional<UsageReport> report;  ///< to be sent
 };
 
 /// Deterministic; owned by one thread. Counts are decided in the log before they are first sent,
 /// and sent unchanged ever after, whoever leads. One call is under way at a time. A fence that was
 /// refused is not used again.
-class UsageDuty {
+class UsageReporter {
  public:
-  UsageDuty(UsageDutySettings settings, base::Random& random)
+  UsageReporter(UsageReporterSettings settings, base::Random& random)
       : m_settings(settings), m_random(random) {}
 
   /// Call when this controller becomes leader. It makes no call before `callsFrom`.
@@ -74,18 +74,18 @@
     base::WallTime wall;  ///< true time
     base::TimePoint now;
   };
-  [[nodiscard]] UsageWork step(const UsageState& state, const Present& present);
-  void onOutcome(const UsageReport& report, DutyOutcome outcome, base::TimePoint now);
+  [[nodiscard]] UsageReporterActions step(const UsageState& state, const Present& present);
+  void onOutcome(const UsageReport& report, UsageReportOutcome outcome, base::TimePoint now);
 
  private:
-  [[nodiscard]] std::optional<DecideUsage> decide(const UsageState& state,
-                                                  const Present& present) const;
+  [[nodiscard]] std::optional<FinalizeUsage> decide(const UsageState& state,
+                                                    const Present& present) const;
   [[nodiscard]] bool isComplete(WindowNumber window, const Present& present) const;
-  void note(const UsageState& state, const Present& present, UsageWork& work);
+  void note(const UsageState& state, const Present& present, UsageReporterActions& work);
   [[nodiscard]] std::optional<UsageReport> nextReport(const UsageState& state,
                                                       const Present& present);
 
-  const UsageDutySettings m_settings;
+  const UsageReporterSettings m_settings;
   base::Random& m_random;
   std::map<WindowNumber, UsageState::ByGateway> m_told;  ///< of windows that are not decided
   std::map<base::NodeId, WindowNumber> m_presentAt;      ///< by gateway: the window it was in
--- a/src/duties/usage_state.cpp
+++ b/src/duties/usage_state.cpp
@@ -18,7 +18,7 @@
   }
 }
 
-void UsageState::apply(const NoteUsage& command) {
+void UsageState::apply(const RecordUsage& command) {
   for (const WindowUsage& usage : command.windows) {
     if (m_next && usage.window >= *m_next) {
       mergeUsage(m_noted[usage.window][command.gateway], usage);
@@ -26,7 +26,7 @@
   }
 }
 
-void UsageState::apply(const DecideUsage& command) {
+void UsageState::apply(const FinalizeUsage& command) {
   if (m_next != command.usage.window) {
     return;
   }
--- a/src/duties/usage_state.h
+++ b/src/duties/usage_state.h
@@ -16,8 +16,8 @@
   using ByGateway = std::map<base::NodeId, WindowUsage>;
 
   void apply(const BeginUsage& command);
-  void apply(const NoteUsage& command);
-  void apply(const DecideUsage& command);
+  void apply(const RecordUsage& command);
+  void apply(const FinalizeUsage& command);
   void apply(const ConfirmUsage& command);
 
   /// The next window to be decided; nothing before usage began.
--- a/src/edge/dialect.h
+++ b/src/edge/dialect.h
@@ -13,7 +13,7 @@
 #include "directory/directory_messages.h"
 #include "directory/load_scheduler.h"
 #include "duties/capacity_messages.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_reporter.h"
 #include "forwarding/instance_table.h"
 #include "http/exchange_server.h"
 #include "http/upstream_client.h"
@@ -90,7 +90,7 @@
   /// address.
   [[nodiscard]] virtual http::UpstreamRequest usageRequest(const duties::UsageReport& report,
                                                            const std::string& holder) const = 0;
-  [[nodiscard]] virtual duties::DutyOutcome dutyOutcome(int status) const = 0;
+  [[nodiscard]] virtual duties::UsageReportOutcome usageReportOutcome(int status) const = 0;
   /// The platform's call that sets a number of instances. Without an address.
   [[nodiscard]] virtual http::UpstreamRequest scaleRequest(const duties::ScaleCall& call,
                                                            const std::string& holder) const = 0;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,10 +6,10 @@
 #include "base/random.h"
 #include "directory/incarnation.h"
 #include "node/control_front.h"
-#include "node/duty_caller.h"
 #include "node/gateway_front.h"
 #include "node/metrics_front.h"
 #include "node/open_jobs_sender.h"
+#include "node/platform_client.h"
 #include "node/tick_interval.h"
 #include "runtime/node_identity.h"
 #include "storage/posix_file_system.h"
@@ -211,7 +211,7 @@
       kMicrosPerSecond / (settings_.dutyCallsPerSecond * kCapacityShareOfRate)));
   directory_ = std::make_unique<directory::DirectoryRole>(ownRecord(), settings, *log_, *random_,
                                                           wall_clock_, now());
-  duty_caller_ = std::make_unique<DutyCaller>(*this);
+  m_platformClient = std::make_unique<PlatformClient>(*this);
   return {};
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -25,7 +25,7 @@
 namespace tackpick::node {
 
 class ControlFront;
-class DutyCaller;
+class PlatformClient;
 class GatewayFront;
 class MetricsFront;
 class OpenJobsSender;
@@ -118,7 +118,7 @@
   std::unique_ptr<cluster::ClusterMember> member_;
   std::unique_ptr<transport::PeerNetwork> network_;
   std::unique_ptr<http::UpstreamClient> upstream_;
-  std::unique_ptr<DutyCaller> duty_caller_;
+  std::unique_ptr<PlatformClient> m_platformClient;
   std::unique_ptr<OpenJobsSender> m_openJobsSender;  ///< at ledgers
   std::unique_ptr<ControlFront> control_front_;
   std::unique_ptr<GatewayFront> gateway_front_;
--- a/src/node/node_calls.cpp
+++ b/src/node/node_calls.cpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <utility>
 
-#include "node/duty_caller.h"
 #include "node/node.h"
+#include "node/platform_client.h"
 #include "telemetry/log.h"
 
 namespace tackpick::node {
@@ -46,14 +46,14 @@
 }
 
 void Node::sendUsageReport(const duties::UsageReport& report) {
-  duty_caller_->send(report, [this, report](duties::DutyOutcome outcome) {
+  m_platformClient->send(report, [this, report](duties::UsageReportOutcome outcome) {
     directory_->onUsageOutcome(report, outcome, now());
     wake();
   });
 }
 
 void Node::sendScaleCall(const duties::ScaleCall& call) {
-  duty_caller_->send(call, [this, call](duties::ScaleOutcome outcome) {
+  m_platformClient->send(call, [this, call](duties::ScaleOutcome outcome) {
     directory_->onScaleOutcome(call, outcome, now());
     wake();
   });
--- a/src/node/duty_caller.cpp
+++ b/src/node/platform_client.cpp
@@ -1,4 +1,4 @@
-#include "node/duty_caller.h"
+#include "node/platform_client.h"
 
 #include <numeric>
 #include <utility>
@@ -21,7 +21,7 @@
 }  // namespace
 
 /// One call on its way.
-struct DutyCaller::Call {
+struct PlatformClient::Call {
   Call(asio::io_context& context, std::function<void(const CallEnd&)> done)
       : callback(std::move(done)), deadline(context) {}
 
@@ -31,18 +31,18 @@
   int status = 0;
 };
 
-void DutyCaller::send(const duties::UsageReport& report, Callback callback) {
+void PlatformClient::send(const duties::UsageReport& report, Callback callback) {
   start(m_node.dialect().usageRequest(report, m_node.settings().name),
         [this, report, callback = std::move(callback)](const CallEnd& end) {
-          const duties::DutyOutcome outcome = end.complete
-                                                  ? m_node.dialect().dutyOutcome(end.status)
-                                                  : duties::DutyOutcome::kUncertain;
+          const duties::UsageReportOutcome outcome =
+              end.complete ? m_node.dialect().usageReportOutcome(end.status)
+                           : duties::UsageReportOutcome::kUncertain;
           tell(report, outcome, end);
           callback(outcome);
         });
 }
 
-void DutyCaller::send(const duties::ScaleCall& call, ScaleCallback callback) {
+void PlatformClient::send(const duties::ScaleCall& call, ScaleCallback callback) {
   start(m_node.dialect().scaleRequest(call, m_node.settings().name),
         [this, call, callback = std::move(callback)](const CallEnd& end) {
           const duties::ScaleOutcome outcome = end.complete
@@ -53,8 +53,8 @@
         });
 }
 
-void DutyCaller::start(http::UpstreamRequest request,
-                       std::function<void(const CallEnd&)> callback) {
+void PlatformClient::start(http::UpstreamRequest request,
+                           std::function<void(const CallEnd&)> callback) {
   auto call = std::make_shared<Call>(m_node.context(), std::move(callback));
   const transport::Endpoint& platform = m_node.settings().dutyPlatform;
   request.address = {platform.host, platform.port};
@@ -75,17 +75,18 @@
   });
 }
 
-void DutyCaller::onEnd(const std::shared_ptr<Call>& call, bool complete, const std::string& error) {
+void PlatformClient::onEnd(const std::shared_ptr<Call>& call, bool complete,
+                           const std::string& error) {
   const auto callback = std::exchange(call->callback, nullptr);
   if (callback) {  // else the answer and the deadline came in one turn
     callback({complete, call->status, error});
   }
 }
 
-void DutyCaller::tell(const duties::UsageReport& report, duties::DutyOutcome outcome,
-                      const CallEnd& end) {
+void PlatformClient::tell(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
+                          const CallEnd& end) {
   m_node.metrics().count(telemetry::CounterId::kDutyCalls, duties::toString(outcome));
-  telemetry::logEvent(outcome == duties::DutyOutcome::kTaken
+  telemetry::logEvent(outcome == duties::UsageReportOutcome::kTaken
                           ? telemetry::EventId::kUsageReported
                           : telemetry::EventId::kUsageReportFailed,
                       telemetry::Detail()
@@ -98,8 +99,8 @@
                           .text());
 }
 
-void DutyCaller::tell(const duties::ScaleCall& call, duties::ScaleOutcome outcome,
-                      const CallEnd& end) {
+void PlatformClient::tell(const duties::ScaleCall& call, duties::ScaleOutcome outcome,
+                          const CallEnd& end) {
   m_node.metrics().count(telemetry::CounterId::kScaleCalls, duties::toString(outcome));
   telemetry::logEvent(outcome == duties::ScaleOutcome::kTaken
                           ? telemetry::EventId::kCapacityAsked
--- a/src/node/duty_caller.h
+++ b/src/node/platform_client.h
@@ -7,19 +7,19 @@
 #include <memory>
 
 #include "duties/capacity_messages.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_reporter.h"
 #include "http/upstream_client.h"
 
 namespace tackpick::node {
 
 class Node;
 
-/// Thin: UsageDuty and CapacityDuty decide when to call and what an outcome means.
-class DutyCaller {
+/// Thin: UsageReporter and Autoscaler decide when to call and what an outcome means.
+class PlatformClient {
  public:
-  explicit DutyCaller(Node& node) : m_node(node) {}
+  explicit PlatformClient(Node& node) : m_node(node) {}
 
-  using Callback = std::function<void(duties::DutyOutcome outcome)>;
+  using Callback = std::function<void(duties::UsageReportOutcome outcome)>;
   void send(const duties::UsageReport& report, Callback callback);
   using ScaleCallback = std::function<void(duties::ScaleOutcome outcome)>;
   void send(const duties::ScaleCall& call, ScaleCallback callback);
@@ -35,7 +35,8 @@
 
   void start(http::UpstreamRequest request, std::function<void(const CallEnd&)> callback);
   static void onEnd(const std::shared_ptr<Call>& call, bool complete, const std::string& error);
-  void tell(const duties::UsageReport& report, duties::DutyOutcome outcome, const CallEnd& end);
+  void tell(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
+            const CallEnd& end);
   void tell(const duties::ScaleCall& call, duties::ScaleOutcome outcome, const CallEnd& end);
 
   Node& m_node;
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -183,7 +183,7 @@
   world.demand.emplace();
   world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kBusy; };
   world.run(base::seconds(100));
-  const duties::CapacitySubject subject = world.sent.back().subject;
+  const duties::InstancePool subject = world.sent.back().subject;
   world.platform.zones[{subject.zone, subject.kind}].there += 3;
   world.answer = nullptr;
   world.run(base::seconds(10));
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -74,7 +74,7 @@
 }
 
 void CapacityWorld::elect(base::Duration wait) {
-  duty = std::make_unique<duties::CapacityDuty>(settings, random);
+  duty = std::make_unique<duties::Autoscaler>(settings, random);
   duty->reset(state, now + wait, now);
   ++fence;
 }
@@ -93,7 +93,7 @@
   if (service.demand) {
     service.demand->activeSlots = platform.total() * service.slots;
   }
-  const duties::CapacityWork work = duty->step(state, {{service}, settled, fence, now});
+  const duties::AutoscalerActions work = duty->step(state, {{service}, settled, fence, now});
   for (const auto& command : work.commands) {
     std::visit([this](const auto& typed) { state.apply(typed); }, command);
   }
--- a/test/duties/capacity_world.h
+++ b/test/duties/capacity_world.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "duties/capacity_duty.h"
+#include "duties/autoscaler.h"
 
 namespace tackpick::test {
 
@@ -62,9 +62,9 @@
   base::SeededRandom random{1};
   duties::Scaling scaling;
   FakePlatform platform{base::seconds(4)};
-  duties::CapacityDutySettings settings;
+  duties::AutoscalerSettings settings;
   duties::CapacityState state;
-  std::unique_ptr<duties::CapacityDuty> duty;
+  std::unique_ptr<duties::Autoscaler> duty;
   std::optional<duties::CapacityDemand> demand;
   bool settled = true;
   std::uint64_t fence = 0;
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -16,8 +16,8 @@
 constexpr base::Duration kDue = base::milliseconds(7500);
 constexpr base::Duration kTick = base::milliseconds(50);
 
-duties::CapacityDutySettings settingsOf(duties::CapacityMode mode) {
-  duties::CapacityDutySettings settings;
+duties::AutoscalerSettings settingsOf(duties::CapacityMode mode) {
+  duties::AutoscalerSettings settings;
   settings.plan.mode = mode;
   return settings;
 }
@@ -194,7 +194,7 @@
 }
 
 void EngineLoad::decide() {
-  const duties::CapacityWork work = m_duty.step(m_state, {{sight()}, true, 1, m_now});
+  const duties::AutoscalerActions work = m_duty.step(m_state, {{sight()}, true, 1, m_now});
   for (const auto& command : work.commands) {
     std::visit([this](const auto& typed) { m_state.apply(typed); }, command);
   }
--- a/test/duties/engine_load.h
+++ b/test/duties/engine_load.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "duties/capacity_duty.h"
+#include "duties/autoscaler.h"
 
 namespace tackpick::test {
 
@@ -68,7 +68,7 @@
   const base::TimePoint m_begun = m_now;
   duties::Scaling m_scaling;
   duties::CapacityState m_state;
-  duties::CapacityDuty m_duty;
+  duties::Autoscaler m_duty;
   std::vector<Engine> m_engines;
   std::vector<std::vector<Item>> m_queues;
   std::vector<base::TimePoint> m_lastStep;
--- a/test/duties/usage_test.cpp
+++ b/test/duties/usage_test.cpp
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 
 #include "duties/usage_counter.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_reporter.h"
 
 namespace base = tackpick::base;
 namespace duties = tackpick::duties;
@@ -32,7 +32,7 @@
 
   /// Another leader takes over.
   void begin() {
-    duty = std::make_unique<duties::UsageDuty>(settings, random);
+    duty = std::make_unique<duties::UsageReporter>(settings, random);
     duty->reset(state, now);
     ++fence;
   }
@@ -40,7 +40,8 @@
   /// One step at this time of the day, which is also that of the monotonic clock.
   void step(double seconds) {
     now = base::TimePoint{at(seconds).time_since_epoch()};
-    const duties::UsageWork work = duty->step(state, {gateways, settled, fence, at(seconds), now});
+    const duties::UsageReporterActions work =
+        duty->step(state, {gateways, settled, fence, at(seconds), now});
     for (const auto& command : work.commands) {
       std::visit([this](const auto& typed) { state.apply(typed); }, command);
     }
@@ -53,12 +54,12 @@
       step(seconds);
     }
   }
-  void answer(duties::DutyOutcome outcome) { duty->onOutcome(sent.back(), outcome, now); }
+  void answer(duties::UsageReportOutcome outcome) { duty->onOutcome(sent.back(), outcome, now); }
 
-  duties::UsageDutySettings settings;
+  duties::UsageReporterSettings settings;
   base::SeededRandom random{1};
   duties::UsageState state;
-  std::unique_ptr<duties::UsageDuty> duty;
+  std::unique_ptr<duties::UsageReporter> duty;
   std::set<base::NodeId> gateways = {kFirst};
   bool settled = true;
   std::uint64_t fence = 4;
@@ -162,7 +163,8 @@
   for (int tries = 0; tries < 6; ++tries) {
     const std::size_t before = leader.sent.size();
     const base::TimePoint failedAt = leader.now;
-    leader.answer(tries % 2 == 0 ? duties::DutyOutcome::kUncertain : duties::DutyOutcome::kBusy);
+    leader.answer(tries % 2 == 0 ? duties::UsageReportOutcome::kUncertain
+                                 : duties::UsageReportOutcome::kBusy);
     double seconds = base::toSeconds(leader.now.time_since_epoch());
     while (leader.sent.size() == before && seconds < 60) {
       seconds += 0.05;
@@ -181,7 +183,7 @@
   leader.step(0.1);
   leader.duty->onTold(kFirst, told(1, 0, {{"a", 2}}));
   leader.steps(5, 6);
-  leader.answer(duties::DutyOutcome::kRefused);
+  leader.answer(duties::UsageReportOutcome::kRefused);
   leader.steps(6, 30);
   cr_assert_eq(leader.sent.size(), 1U);
   leader.begin();
@@ -194,7 +196,7 @@
   leader.step(0.1);
   leader.duty->onTold(kFirst, told(9, 0, {{"a", 2}}));
   leader.steps(5, 6);
-  leader.answer(duties::DutyOutcome::kTaken);
+  leader.answer(duties::UsageReportOutcome::kTaken);
   leader.steps(6, 11);
   cr_assert_eq(leader.sent.size(), 2U);
   cr_assert_eq(leader.sent[1].usage.window, 1U);
@@ -215,16 +217,16 @@
 
 Test(usage_state, window_is_decided_once_and_in_turn) {
   duties::UsageState state;
-  state.apply(duties::DecideUsage{{7, {{"a", 1}}}});
+  state.apply(duties::FinalizeUsage{{7, {{"a", 1}}}});
   cr_assert(state.unreported().empty(), "usage has not begun");
   state.apply(duties::BeginUsage{7});
   state.apply(duties::BeginUsage{3});
-  state.apply(duties::DecideUsage{{8, {{"a", 1}}}});
+  state.apply(duties::FinalizeUsage{{8, {{"a", 1}}}});
   cr_assert(state.unreported().empty());
-  state.apply(duties::DecideUsage{{7, {{"a", 1}}}});
-  state.apply(duties::DecideUsage{{7, {{"a", 2}}}});
+  state.apply(duties::FinalizeUsage{{7, {{"a", 1}}}});
+  state.apply(duties::FinalizeUsage{{7, {{"a", 2}}}});
   cr_assert_eq(state.unreported().at(7).counts.at("a"), 1U);
-  state.apply(duties::NoteUsage{kFirst, {{7, {{"a", 5}}}, {8, {{"a", 5}}}}});
+  state.apply(duties::RecordUsage{kFirst, {{7, {{"a", 5}}}, {8, {{"a", 5}}}}});
   cr_assert_eq(state.noted().size(), 1U);
   cr_assert(state.noted().contains(8));
 }
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -353,11 +353,11 @@
   cr_assert_eq(Json::parse(call.body), Json::parse(R"({"windowNumber":7,"counts":{"a":3}})"));
   const http::UpstreamRequest idle = dialect.usageRequest({{8, {}}, 12}, "core-1");
   cr_assert_eq(Json::parse(idle.body), Json::parse(R"({"windowNumber":8,"counts":{}})"));
-  using tackpick::duties::DutyOutcome;
-  cr_assert(dialect.dutyOutcome(200) == DutyOutcome::kTaken);
-  cr_assert(dialect.dutyOutcome(409) == DutyOutcome::kRefused);
-  cr_assert(dialect.dutyOutcome(429) == DutyOutcome::kBusy);
-  cr_assert(dialect.dutyOutcome(503) == DutyOutcome::kUncertain);
+  using tackpick::duties::UsageReportOutcome;
+  cr_assert(dialect.usageReportOutcome(200) == UsageReportOutcome::kTaken);
+  cr_assert(dialect.usageReportOutcome(409) == UsageReportOutcome::kRefused);
+  cr_assert(dialect.usageReportOutcome(429) == UsageReportOutcome::kBusy);
+  cr_assert(dialect.usageReportOutcome(503) == UsageReportOutcome::kUncertain);
 }
 
 namespace {
