--- a/src/node/control_front.cpp
+++ b/src/node/control_server.cpp
@@ -1,4 +1,4 @@
-#include "node/control_front.h"
+#include "node/control_server.h"
 
 #include <utility>
 
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-ControlFront::ControlFront(Node& node)
+ControlServer::ControlServer(Node& node)
     : node_(node),
       relay_({}),
       server_(
@@ -50,8 +50,8 @@
             onRequest(request, exchange);
           }) {}
 
-void ControlFront::onRequest(const http::RawRequest& request,
-                             const std::shared_ptr<http::Exchange>& exchange) {
+void ControlServer::onRequest(const http::RawRequest& request,
+                              const std::shared_ptr<http::Exchange>& exchange) {
   std::optional<edge::ControlCall> own = edge::quarantineCall(request);
   if (!own) {
     own = edge::capacityCall(request);
@@ -90,7 +90,7 @@
   node_.wake();
 }
 
-void ControlFront::onUnreadable(const http::RawRequest& request, const edge::MalformedCall& call) {
+void ControlServer::onUnreadable(const http::RawRequest& request, const edge::MalformedCall& call) {
   node_.metrics().count(telemetry::CounterId::kUnreadableCalls, call.why);
   if (const auto times = m_unreadable.note(node_.now())) {
     telemetry::logEvent(telemetry::EventId::kChangeRefused, telemetry::Detail()
@@ -101,7 +101,7 @@
   }
 }
 
-void ControlFront::answerWork(const std::shared_ptr<http::Exchange>& exchange) {
+void ControlServer::answerWork(const std::shared_ptr<http::Exchange>& exchange) {
   readWork(node_, kCallDeadline,
            [this, exchange, begun = node_.now()](const edge::WorkAnswers& answers) {
              const edge::Answer answer = edge::workAnswer(answers);
@@ -110,7 +110,7 @@
            });
 }
 
-void ControlFront::onWorkRead(const edge::WorkAnswers& answers, int status, base::Duration took) {
+void ControlServer::onWorkRead(const edge::WorkAnswers& answers, int status, base::Duration took) {
   node_.metrics().count(telemetry::CounterId::kControlCalls,
                         std::string(kReadWork) + "_" + std::to_string(status));
   node_.metrics().observe(telemetry::HistogramId::kControlCallTime, took);
@@ -122,8 +122,8 @@
   }
 }
 
-bool ControlFront::answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
-                                   const std::shared_ptr<http::Exchange>& exchange) {
+bool ControlServer::answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
+                                    const std::shared_ptr<http::Exchange>& exchange) {
   using Verdict = directory::HeartbeatRelay::Verdict;
   const Verdict verdict =
       relay_.take(node_.directory().state(), heartbeat, node_.member().heardAt(), node_.now());
@@ -139,8 +139,8 @@
   return true;
 }
 
-edge::Answer ControlFront::answerFor(const directory::DirectoryRequest& request,
-                                     directory::DirectoryReply reply) const {
+edge::Answer ControlServer::answerFor(const directory::DirectoryRequest& request,
+                                      directory::DirectoryReply reply) const {
   if (const auto own = edge::quarantineAnswer(request, reply)) {
     return *own;
   }
@@ -155,7 +155,7 @@
   return node_.dialect().controlAnswer(request, reply);
 }
 
-void ControlFront::tick() {
+void ControlServer::tick() {
   const auto relayed = relay_.due(node_.now());
   if (!relayed) {
     return;
@@ -165,9 +165,9 @@
       [this](const directory::DirectoryReply* reply) { relay_.onTold(reply != nullptr); });
 }
 
-void ControlFront::onReply(const directory::DirectoryRequest& request,
-                           const directory::DirectoryReply* reply, int status,
-                           base::Duration took) {
+void ControlServer::onReply(const directory::DirectoryRequest& request,
+                            const directory::DirectoryReply* reply, int status,
+                            base::Duration took) {
   const directory::CallName name = directory::nameOf(request);
   node_.metrics().count(telemetry::CounterId::kControlCalls,
                         std::string(name.call) + "_" + std::to_string(status));
--- a/src/node/control_front.h
+++ b/src/node/control_server.h
@@ -17,9 +17,9 @@
 
 /// Passes calls to the leading controller, which may be this process. Heartbeats that change
 /// nothing are answered here.
-class ControlFront {
+class ControlServer {
  public:
-  explicit ControlFront(Node& node);
+  explicit ControlServer(Node& node);
 
   void tick();
 
--- a/src/node/gateway_front.cpp
+++ b/src/node/gateway_server.cpp
@@ -1,4 +1,4 @@
-#include "node/gateway_front.h"
+#include "node/gateway_server.h"
 
 #include <algorithm>
 #include <utility>
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-GatewayFront::GatewayFront(Node& node)
+GatewayServer::GatewayServer(Node& node)
     : node_(node),
       configuration_(std::make_unique<directory::Configuration>()),
       instances_(instanceSettings(node)),
@@ -81,7 +81,7 @@
   node_.member().reportWork([this] { return items_.demand().recent(node_.now()); });
 }
 
-void GatewayFront::onView(const directory::DirectoryView& view) {
+void GatewayServer::onView(const directory::DirectoryView& view) {
   usage_.onView(view);
   m_guard.onView(view);
   if (view.whole) {
@@ -92,7 +92,7 @@
   items_.onView(view);
 }
 
-void GatewayFront::onConfiguration(const directory::Configuration& newest) {
+void GatewayServer::onConfiguration(const directory::Configuration& newest) {
   // Routes in use are copied by those that use them, so the old configuration may go.
   configuration_ = std::make_unique<directory::Configuration>(newest);
   routes_ = directory::RouteTable(*configuration_);
@@ -102,12 +102,12 @@
                       "version=" + std::to_string(configuration_->version));
 }
 
-void GatewayFront::onReadiness(const std::shared_ptr<http::Exchange>& exchange) const {
+void GatewayServer::onReadiness(const std::shared_ptr<http::Exchange>& exchange) const {
   exchange->respond(ready() ? kOk : kUnavailable, {}, {});
 }
 
-void GatewayFront::onRequest(http::RawRequest request,
-                             const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayServer::onRequest(http::RawRequest request,
+                              const std::shared_ptr<http::Exchange>& exchange) {
   if (configuration_->version == 0) {
     respondLater(*exchange);
     return;
@@ -133,7 +133,7 @@
   }
 }
 
-void GatewayFront::refuseUnknown(int status, const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayServer::refuseUnknown(int status, const std::shared_ptr<http::Exchange>& exchange) {
   const std::optional<base::TimePoint> confirmedAt = node_.member().confirmedAt();
   const bool final =
       m_refusalPolicy.judge(confirmedAt, node_.now()) == directory::RefusalVerdict::kFinal;
@@ -148,7 +148,7 @@
   }
 }
 
-std::optional<std::string> GatewayFront::identifyTenant(
+std::optional<std::string> GatewayServer::identifyTenant(
     const http::RawRequest& request, const directory::Route* route,
     const std::shared_ptr<http::Exchange>& exchange) {
   const bool needsKey = route == nullptr || !route->open;
@@ -161,14 +161,14 @@
   return std::nullopt;
 }
 
-bool GatewayFront::isTenantField(std::string_view name) const {
+bool GatewayServer::isTenantField(std::string_view name) const {
   const edge::HeaderNames& names = node_.dialect().headers();
   return tenants_.hasTenants() &&
          (http::sameHeaderName(name, names.credential) || http::sameHeaderName(name, names.tenant));
 }
 
-void GatewayFront::takeJobCall(jobs::JobRequest request, const std::string& tenant,
-                               const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayServer::takeJobCall(jobs::JobRequest request, const std::string& tenant,
+                                const std::shared_ptr<http::Exchange>& exchange) {
   jobs::setTenant(request, tenant);
   if (auto* submission = std::get_if<jobs::SubmitJob>(&request)) {
     for (jobs::Item& item : submission->job.items) {
@@ -178,8 +178,8 @@
   callLedgers(request, exchange);
 }
 
-void GatewayFront::callLedgers(const jobs::JobRequest& request,
-                               const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayServer::callLedgers(const jobs::JobRequest& request,
+                                const std::shared_ptr<http::Exchange>& exchange) {
   const base::TimePoint begun = node_.now();
   const auto onReply = [this, request, exchange, begun](const jobs::JobReply* reply) {
     const edge::Answer answer = reply == nullptr ? edge::unansweredJobCall(request)
@@ -194,8 +194,8 @@
   }
 }
 
-void GatewayFront::onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
-                              const edge::Answer& answer, base::Duration took) {
+void GatewayServer::onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
+                               const edge::Answer& answer, base::Duration took) {
   const jobs::CallName name = jobs::nameOf(request);
   node_.metrics().count(telemetry::CounterId::kLedgerCalls,
                         std::string(name.call) + "_" + std::to_string(answer.status));
@@ -218,7 +218,7 @@
   }
 }
 
-void GatewayFront::reportFigures(telemetry::Metrics& metrics) const {
+void GatewayServer::reportFigures(telemetry::Metrics& metrics) const {
   std::map<std::string, double> states = {
       {"ready", 0}, {"leaving", 0}, {"loading", 0}, {"avoided", 0}, {"reserve", 0}};
   for (const auto& [id, entry] : instances_.entries()) {
@@ -241,13 +241,13 @@
   items_.reportFigures(metrics);
 }
 
-void GatewayFront::beginStop() {
+void GatewayServer::beginStop() {
   stopping_ = true;
   stop_begun_ = node_.now();
   items_.beginStop();
 }
 
-void GatewayFront::tick() {
+void GatewayServer::tick() {
   items_.tick();
   usage_.tick();
   m_guard.tick();
@@ -268,7 +268,7 @@
   }
 }
 
-void GatewayFront::logSlowReaders() {
+void GatewayServer::logSlowReaders() {
   const http::UnreadAnswers unread = traffic_.unreadAnswers();
   for (; m_toldCuts < unread.cutCount; ++m_toldCuts) {
     node_.metrics().count(telemetry::CounterId::kSlowReaders, "cut");
@@ -280,13 +280,13 @@
   }
 }
 
-base::Duration GatewayFront::longestStop() const {
+base::Duration GatewayServer::longestStop() const {
   constexpr int kSixths = 6;
   constexpr int kUsedSixths = 5;
   return node_.settings().gracePeriod * kUsedSixths / kSixths;
 }
 
-bool GatewayFront::stopComplete() const {
+bool GatewayServer::stopComplete() const {
   const base::Duration stopped = node_.now() - stop_begun_;
   const bool quiet = traffic_.openExchanges() == 0 && items_.idle() && usage_.isTold();
   return stopped > longestStop() || (draining_ && quiet);
--- a/src/node/gateway_front.h
+++ b/src/node/gateway_server.h
@@ -22,9 +22,9 @@
 
 class Node;
 
-class GatewayFront {
+class GatewayServer {
  public:
-  explicit GatewayFront(Node& node);
+  explicit GatewayServer(Node& node);
 
   void onView(const directory::DirectoryView& view);
   void onConfiguration(const directory::Configuration& newest);
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -18,7 +18,7 @@
 #include "jobs/run_decisions.h"
 #include "jobs/run_event_interval.h"
 #include "node/request_guard.h"
-#include "node/score_caller.h"
+#include "node/scoring_client.h"
 #include "node/tick_interval.h"
 #include "telemetry/metric.h"
 
@@ -158,7 +158,7 @@
   jobs::LedgerClient& ledgers_;
   jobs::ProgressSaver progress_;
   RequestGuard& m_guard;
-  ScoreCaller scores_;
+  ScoringClient scores_;
   std::map<jobs::ItemKey, std::unique_ptr<Running>> items_;
   std::uint32_t sharers_ = 1;  ///< gateways that run items
   bool sharers_told_ = false;  ///< ... as the ledgers say; until then all gateways count
--- a/src/node/metrics_front.cpp
+++ b/src/node/metrics_server.cpp
@@ -1,4 +1,4 @@
-#include "node/metrics_front.h"
+#include "node/metrics_server.h"
 
 #include <utility>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-MetricsFront::MetricsFront(Node& node)
+MetricsServer::MetricsServer(Node& node)
     : m_node(node),
       m_server(
           node.context(), node.settings().metrics.host, node.settings().metrics.port, {},
@@ -24,8 +24,8 @@
             onRequest(request, exchange);
           }) {}
 
-void MetricsFront::onRequest(const http::RawRequest& request,
-                             const std::shared_ptr<http::Exchange>& exchange) {
+void MetricsServer::onRequest(const http::RawRequest& request,
+                              const std::shared_ptr<http::Exchange>& exchange) {
   if (request.method != "GET" || request.path() != kMetricsPath) {
     exchange->respond(http::status::kNotFound, {}, {});
     return;
@@ -37,7 +37,7 @@
   exchange->respond(http::status::kOk, headers, m_node.metrics().text());
 }
 
-void MetricsFront::refresh() {
+void MetricsServer::refresh() {
   telemetry::PrometheusMetrics& metrics = m_node.metrics();
   const auto tell = [&](CounterId id, std::uint64_t& told, std::uint64_t value) {
     metrics.count(id, {}, value - std::exchange(told, value));
--- a/src/node/metrics_front.h
+++ b/src/node/metrics_server.h
@@ -12,9 +12,9 @@
 class Node;
 
 /// Figures that other modules count themselves are read when a scraper asks.
-class MetricsFront {
+class MetricsServer {
  public:
-  explicit MetricsFront(Node& node);
+  explicit MetricsServer(Node& node);
 
  private:
   /// What was told last of figures that are counted elsewhere.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -5,9 +5,9 @@
 
 #include "base/random.h"
 #include "directory/incarnation.h"
-#include "node/control_front.h"
-#include "node/gateway_front.h"
-#include "node/metrics_front.h"
+#include "node/control_server.h"
+#include "node/gateway_server.h"
+#include "node/metrics_server.h"
 #include "node/open_jobs_sender.h"
 #include "node/platform_client.h"
 #include "node/tick_interval.h"
@@ -154,8 +154,8 @@
   member_->reportClock(wall_clock_);
   member_->onView([this](const directory::DirectoryView& view) { onView(view); });
   member_->onConfiguration([this](const directory::Configuration& newest) {
-    if (gateway_front_) {
-      gateway_front_->onConfiguration(newest);
+    if (m_gatewayServer) {
+      m_gatewayServer->onConfiguration(newest);
     }
     if (ledger_) {
       ledger_->setTenantPriorities(jobs::TenantPriorities(newest.tenants));
@@ -251,12 +251,12 @@
           onMessage(from, message);
         });
     if (settings_.role == directory::NodeRole::kController) {
-      control_front_ = std::make_unique<ControlFront>(*this);
+      m_controlServer = std::make_unique<ControlServer>(*this);
     } else if (settings_.role == directory::NodeRole::kGateway) {
-      gateway_front_ = std::make_unique<GatewayFront>(*this);
+      m_gatewayServer = std::make_unique<GatewayServer>(*this);
     }
     if (!settings_.metrics.host.empty()) {
-      metrics_front_ = std::make_unique<MetricsFront>(*this);
+      m_metricsServer = std::make_unique<MetricsServer>(*this);
     }
   } catch (const std::exception& error) {
     return base::fail(base::ErrorCode::kNetwork, std::string("cannot listen: ") + error.what());
@@ -299,8 +299,8 @@
   stopping_ = true;
   stop_begun_ = now();
   logEvent(EventId::kProcessStopping, "");
-  if (gateway_front_) {
-    gateway_front_->beginStop();
+  if (m_gatewayServer) {
+    m_gatewayServer->beginStop();
   }
   if (directory_) {
     directory_->prepareStop(now());
@@ -312,8 +312,8 @@
 }
 
 bool Node::stopComplete() const {
-  if (gateway_front_) {
-    return gateway_front_->stopComplete();
+  if (m_gatewayServer) {
+    return m_gatewayServer->stopComplete();
   }
   return now() - stop_begun_ > kReplicaStop;
 }
@@ -328,11 +328,11 @@
     m_openJobsSender->tick(*ledger_);
   }
   member_->tick(at);
-  if (control_front_) {
-    control_front_->tick();
+  if (m_controlServer) {
+    m_controlServer->tick();
   }
-  if (gateway_front_) {
-    gateway_front_->tick();
+  if (m_gatewayServer) {
+    m_gatewayServer->tick();
   }
   turn();
   observe();
@@ -422,8 +422,8 @@
 }
 
 void Node::onView(const directory::DirectoryView& view) {
-  if (gateway_front_) {
-    gateway_front_->onView(view);
+  if (m_gatewayServer) {
+    m_gatewayServer->onView(view);
   }
   if (settings_.role != directory::NodeRole::kLedger) {
     return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -24,10 +24,10 @@
 
 namespace tackpick::node {
 
-class ControlFront;
+class ControlServer;
 class PlatformClient;
-class GatewayFront;
-class MetricsFront;
+class GatewayServer;
+class MetricsServer;
 class OpenJobsSender;
 
 /// Thin: decisions are made by DirectoryRole, JobRole and the modules of the gateway; this class
@@ -120,9 +120,9 @@
   std::unique_ptr<http::UpstreamClient> upstream_;
   std::unique_ptr<PlatformClient> m_platformClient;
   std::unique_ptr<OpenJobsSender> m_openJobsSender;  ///< at ledgers
-  std::unique_ptr<ControlFront> control_front_;
-  std::unique_ptr<GatewayFront> gateway_front_;
-  std::unique_ptr<MetricsFront> metrics_front_;
+  std::unique_ptr<ControlServer> m_controlServer;
+  std::unique_ptr<GatewayServer> m_gatewayServer;
+  std::unique_ptr<MetricsServer> m_metricsServer;
 
   base::Timer ticker_;
   asio::signal_set signals_;
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -2,7 +2,7 @@
 /// What a Node tells of itself: events when something changed, figures when a scraper asks.
 #include <algorithm>
 
-#include "node/gateway_front.h"
+#include "node/gateway_server.h"
 #include "node/node.h"
 #include "telemetry/log.h"
 
@@ -163,8 +163,8 @@
       metrics_.set(GaugeId::kLengthForecastError, model, error);
     }
   }
-  if (gateway_front_) {
-    gateway_front_->reportFigures(metrics_);
+  if (m_gatewayServer) {
+    m_gatewayServer->reportFigures(metrics_);
   }
 }
 
--- a/src/node/score_caller.cpp
+++ b/src/node/scoring_client.cpp
@@ -1,4 +1,4 @@
-#include "node/score_caller.h"
+#include "node/scoring_client.h"
 
 #include <algorithm>
 #include <utility>
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-void ScoreCaller::add(const jobs::LeasedItem& leased, base::TimePoint deadline, Callback callback) {
+void ScoringClient::add(const jobs::LeasedItem& leased, base::TimePoint deadline,
+                        Callback callback) {
   Call& call = m_calls[leased.key];
   call.request = *leased.item.scoring;
   call.deadline = deadline;
@@ -31,7 +32,7 @@
   call.tenant = leased.tenant;
 }
 
-void ScoreCaller::cancel(const jobs::ItemKey& key) {
+void ScoringClient::cancel(const jobs::ItemKey& key) {
   const auto found = m_calls.find(key);
   if (found == m_calls.end()) {
     return;
@@ -40,7 +41,7 @@
   m_calls.erase(found);
 }
 
-void ScoreCaller::breakOff(Call& call, SendOutcome outcome, base::TimePoint now) {
+void ScoringClient::breakOff(Call& call, SendOutcome outcome, base::TimePoint now) {
   if (!call.exchange.valid()) {
     return;
   }
@@ -50,7 +51,7 @@
   m_window.onEnded(outcome == SendOutcome::kFailed, now);
 }
 
-void ScoreCaller::start(base::TimePoint now) {
+void ScoringClient::start(base::TimePoint now) {
   for (auto& [key, call] : m_calls) {
     if (call.exchange.valid() && now - call.sentAt > call.patience) {
       breakOff(call, SendOutcome::kFailed, now);
@@ -62,7 +63,7 @@
   }
 }
 
-const quarantine::RequestFingerprint& ScoreCaller::fingerprintOf(Call& call) const {
+const quarantine::RequestFingerprint& ScoringClient::fingerprintOf(Call& call) const {
   if (!call.fingerprint) {
     call.fingerprint = m_guard.fingerprint(
         {"POST", call.request.host, call.request.path, call.tenant, call.request.body});
@@ -70,7 +71,7 @@
   return *call.fingerprint;
 }
 
-bool ScoreCaller::admit(Call& call) {
+bool ScoringClient::admit(Call& call) {
   call.trial = false;
   if (m_guard.idle()) {
     return true;
@@ -80,7 +81,7 @@
   return admission != RequestGuard::RunAdmission::kWait;
 }
 
-void ScoreCaller::send(const jobs::ItemKey& key, Call& call, base::TimePoint now) {
+void ScoringClient::send(const jobs::ItemKey& key, Call& call, base::TimePoint now) {
   const directory::Route* route = m_routes.find(call.request.host, call.request.path);
   if (route == nullptr) {
     return;  // it may come back with the next configuration
@@ -126,7 +127,7 @@
   call.exchange = m_node.upstream().start(std::move(request), std::move(events));
 }
 
-void ScoreCaller::onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers) {
+void ScoringClient::onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers) {
   const auto found = m_calls.find(key);
   if (found == m_calls.end()) {
     return;
@@ -143,7 +144,7 @@
   }
 }
 
-SendOutcome ScoreCaller::outcomeOf(const Call& call) {
+SendOutcome ScoringClient::outcomeOf(const Call& call) {
   if (!call.answer.complete) {
     return call.answer.notRun ? SendOutcome::kUnreached : SendOutcome::kFailed;
   }
@@ -158,8 +159,8 @@
                                                           : SendOutcome::kServed;
 }
 
-void ScoreCaller::noteFailure(const jobs::ItemKey& key, const Call& call, SendOutcome outcome,
-                              base::TimePoint now) {
+void ScoringClient::noteFailure(const jobs::ItemKey& key, const Call& call, SendOutcome outcome,
+                                base::TimePoint now) {
   telemetry::logEvent(telemetry::EventId::kScoringCallFailed,
                       telemetry::Detail()
                           .add("job", key.job)
@@ -171,7 +172,7 @@
                           .text());
 }
 
-void ScoreCaller::onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end) {
+void ScoringClient::onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end) {
   const auto found = m_calls.find(key);
   if (found == m_calls.end()) {
     return;
--- a/src/node/score_caller.h
+++ b/src/node/scoring_client.h
@@ -23,13 +23,13 @@
 
 /// Thin: ScoringAttempts, CallWindow and InstanceTable decide. Scorers may share their servers with
 /// callers, who go first: calls wait here while a server has requests waiting.
-class ScoreCaller {
+class ScoringClient {
  public:
   /// Gets the score; nothing when the scorer has failed too often.
   using Callback = std::function<void(const std::string* score)>;
 
-  ScoreCaller(Node& node, forwarding::InstanceTable& instances, const directory::RouteTable& routes,
-              RequestGuard& guard)
+  ScoringClient(Node& node, forwarding::InstanceTable& instances,
+                const directory::RouteTable& routes, RequestGuard& guard)
       : m_node(node), m_instances(instances), m_routes(routes), m_guard(guard) {}
 
   /// Calls the item's scorer, from start() on, until it answers or `deadline` has passed.
