--- a/apps/tackpickd/main.cpp
+++ b/apps/tackpickd/main.cpp
@@ -11,7 +11,7 @@
 #include "config/cluster_settings.h"
 #include "config/process_settings.h"
 #include "node/run_until_stopped.h"
-#include "platform_dialect.h"
+#include "platform_adapter.h"
 #include "runtime/daemon.h"
 #include "telemetry/log.h"
 #include "telemetry/metric.h"
@@ -102,7 +102,7 @@
     std::cout << options.settingsFile << ": valid\n";
     return 0;
   }
-  static const tackpick::platform::PlatformDialect kDialect;
+  static const tackpick::platform::PlatformAdapter kDialect;
   return tackpick::node::runUntilStopped(settings, kDialect);
 }
 
--- a/src/edge/dialect.h
+++ b/src/edge/api_adapter.h
@@ -1,6 +1,7 @@
 /// \file
 /// What callers, engines, servers, trainers and operators of one kind of site say over HTTP, as
-/// typed calls of the product. A dialect only translates: it keeps no state and decides nothing.
+/// typed calls of the product. An API adapter only translates: it keeps no state and decides
+/// nothing.
 #pragma once
 
 #include <cstdint>
@@ -64,9 +65,9 @@
 using ControlCall =
     std::variant<directory::DirectoryRequest, MalformedCall, UnknownCall, ReadWorkCall>;
 
-class Dialect {
+class ApiAdapter {
  public:
-  virtual ~Dialect() = default;
+  virtual ~ApiAdapter() = default;
   [[nodiscard]] virtual const HeaderNames& headers() const = 0;
 
   /// The key that a request brings; empty when it brings none.
--- a/src/edge/capacity_call.h
+++ b/src/edge/capacity_call.h
@@ -5,7 +5,7 @@
 
 #include <optional>
 
-#include "edge/dialect.h"
+#include "edge/api_adapter.h"
 
 namespace tackpick::edge {
 
--- a/src/edge/unanswered.h
+++ b/src/edge/unanswered.h
@@ -2,7 +2,7 @@
 /// Answers to callers whose call found no leader in time.
 #pragma once
 
-#include "edge/dialect.h"
+#include "edge/api_adapter.h"
 
 namespace tackpick::edge {
 
--- a/src/edge/work_call.h
+++ b/src/edge/work_call.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "directory/weights_summary.h"
-#include "edge/dialect.h"
+#include "edge/api_adapter.h"
 #include "jobs/work_report.h"
 
 namespace tackpick::edge {
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -59,7 +59,7 @@
   if (!own) {
     own = edge::workCall(request);
   }
-  edge::ControlCall call = own ? *own : node_.dialect().controlCall(request);
+  edge::ControlCall call = own ? *own : node_.apiAdapter().controlCall(request);
   if (std::holds_alternative<edge::UnknownCall>(call)) {
     exchange->respond(kNotFound, {}, {});
     return;
@@ -152,7 +152,7 @@
     const transport::Endpoint& own = node_.settings().control;
     reply.text = own.host + ":" + std::to_string(own.port);
   }
-  return node_.dialect().controlAnswer(request, reply);
+  return node_.apiAdapter().controlAnswer(request, reply);
 }
 
 void ControlServer::tick() {
--- a/src/node/control_server.h
+++ b/src/node/control_server.h
@@ -6,7 +6,7 @@
 
 #include "directory/directory_messages.h"
 #include "directory/heartbeat_relay.h"
-#include "edge/dialect.h"
+#include "edge/api_adapter.h"
 #include "edge/work_call.h"
 #include "http/exchange_server.h"
 #include "telemetry/log_limiter.h"
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -83,7 +83,7 @@
   };
 
   [[nodiscard]] base::TimePoint callerDeadline() const {
-    const auto told = parseInteger(request_.headers.value(node_.dialect().headers().deadline));
+    const auto told = parseInteger(request_.headers.value(node_.apiAdapter().headers().deadline));
     return request_.receivedAt + (told ? base::milliseconds(*told) : route_.timeout);
   }
 
@@ -207,7 +207,7 @@
 }
 
 http::UpstreamRequest ForwardedRequest::upstreamRequest(const forwarding::InstanceEntry& to) const {
-  const edge::HeaderNames& names = node_.dialect().headers();
+  const edge::HeaderNames& names = node_.apiAdapter().headers();
   http::UpstreamRequest upstream;
   upstream.address = {to.record.host, to.record.port};
   upstream.method = request_.method;
@@ -275,11 +275,11 @@
   send.headers = headers;
   send.headers.removeConnectionFields();
   m_guard.onAnswered(send.instance, send.sentAt);
-  if (const auto load = node_.dialect().load(headers.value(node_.dialect().headers().load))) {
+  if (const auto load = node_.apiAdapter().load(headers.value(node_.apiAdapter().headers().load))) {
     instances_.onLoad(send.instance, *load, node_.now());
   }
   const bool turnedAway =
-      status == kMisdirected || headers.has(node_.dialect().headers().notExecuted);
+      status == kMisdirected || headers.has(node_.apiAdapter().headers().notExecuted);
   if (!turnedAway) {
     // The head of a stream comes with its first piece; other answers come when they are done.
     usage_.onBegan(tenant_, route_.streaming ? node_.now() : send.sentAt);
@@ -313,7 +313,7 @@
   if (send.status == kMisdirected) {
     return {AttemptResult::kNotRun, SendOutcome::kGone};
   }
-  if (send.headers.has(node_.dialect().headers().notExecuted)) {
+  if (send.headers.has(node_.apiAdapter().headers().notExecuted)) {
     return {AttemptResult::kNotRun, SendOutcome::kFull};
   }
   if (send.status >= kFirstServerError) {
@@ -361,7 +361,7 @@
 void ForwardedRequest::onBroken(const Send& send) {
   m_broken = true;
   m_guard.onBroken({fingerprint(), need_.service, send.instance},
-                   request_.headers.value(node_.dialect().headers().requestId), send.sentAt);
+                   request_.headers.value(node_.apiAdapter().headers().requestId), send.sentAt);
 }
 
 void ForwardedRequest::countAnswer(int status) {
@@ -411,7 +411,7 @@
   telemetry::logEvent(
       telemetry::EventId::kRequestGivenUp,
       telemetry::Detail()
-          .add("request", request_.headers.value(node_.dialect().headers().requestId))
+          .add("request", request_.headers.value(node_.apiAdapter().headers().requestId))
           .add("route", route_.name)
           .add("status", static_cast<std::uint64_t>(status))
           .add("sends", std::uint64_t{policy_.sends()})
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -113,7 +113,7 @@
     return;
   }
   const directory::Route* route = routes_.find(request.headers.value("Host"), request.target);
-  edge::GatewayCall call = node_.dialect().gatewayCall(request, route);
+  edge::GatewayCall call = node_.apiAdapter().gatewayCall(request, route);
   if (route == nullptr && std::holds_alternative<edge::ForwardCall>(call)) {
     refuseUnknown(kNotFound, exchange);
     return;
@@ -153,7 +153,7 @@
     const std::shared_ptr<http::Exchange>& exchange) {
   const bool needsKey = route == nullptr || !route->open;
   const tenancy::TenantTable::Verdict verdict =
-      tenants_.judge(node_.dialect().apiKey(request.headers), needsKey);
+      tenants_.judge(node_.apiAdapter().apiKey(request.headers), needsKey);
   if (verdict.allowed) {
     return verdict.tenant;
   }
@@ -162,7 +162,7 @@
 }
 
 bool GatewayServer::isTenantField(std::string_view name) const {
-  const edge::HeaderNames& names = node_.dialect().headers();
+  const edge::HeaderNames& names = node_.apiAdapter().headers();
   return tenants_.hasTenants() &&
          (http::sameHeaderName(name, names.credential) || http::sameHeaderName(name, names.tenant));
 }
@@ -183,7 +183,7 @@
   const base::TimePoint begun = node_.now();
   const auto onReply = [this, request, exchange, begun](const jobs::JobReply* reply) {
     const edge::Answer answer = reply == nullptr ? edge::unansweredJobCall(request)
-                                                 : node_.dialect().jobAnswer(request, *reply);
+                                                 : node_.apiAdapter().jobAnswer(request, *reply);
     exchange->respond(answer.status, answer.headers, answer.body);
     onJobReply(request, reply, answer, node_.now() - begun);
   };
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -196,7 +196,7 @@
     if (items_.contains(leased.key)) {
       continue;
     }
-    auto item = std::make_unique<Running>(leased, node_.dialect().headers().weightsField);
+    auto item = std::make_unique<Running>(leased, node_.apiAdapter().headers().weightsField);
     item->leasedAt = now;
     item->next = leased.engine;
     item->whole = item->run.isWhole();
@@ -256,8 +256,8 @@
   if (item.tried.contains(entry->record.id)) {
     item.tried.clear();
   }
-  http::UpstreamRequest request = node_.dialect().itemRequest(leased, item.run.lastEvent());
-  const edge::HeaderNames& names = node_.dialect().headers();
+  http::UpstreamRequest request = node_.apiAdapter().itemRequest(leased, item.run.lastEvent());
+  const edge::HeaderNames& names = node_.apiAdapter().headers();
   request.address = {entry->record.host, entry->record.port};
   request.headers.set(names.expectedInstance, directory::instanceName(entry->record.id));
   request.headers.set(names.urgency, std::to_string(jobs::urgencyOf(sightOf(item, now))));
@@ -317,12 +317,12 @@
     return;
   }
   Running& item = *found->second;
-  const edge::HeaderNames& names = node_.dialect().headers();
+  const edge::HeaderNames& names = node_.apiAdapter().headers();
   item.status = status;
   item.lastByteAt = node_.now();
   item.notExecuted = headers.has(names.notExecuted);
   m_guard.onAnswered(item.instance, item.sentAt);
-  if (const auto load = node_.dialect().load(headers.value(names.load))) {
+  if (const auto load = node_.apiAdapter().load(headers.value(names.load))) {
     instances_.onLoad(item.instance, *load, node_.now());
   }
   const std::string version = headers.value(names.weightsVersion);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -57,9 +57,9 @@
 
 }  // namespace
 
-Node::Node(config::ClusterSettings settings, const edge::Dialect& dialect)
+Node::Node(config::ClusterSettings settings, const edge::ApiAdapter& apiAdapter)
     : settings_(std::move(settings)),
-      dialect_(dialect),
+      m_apiAdapter(apiAdapter),
       random_(std::make_unique<base::SeededRandom>(runtime::randomNumber())),
       ticker_(context_),
       signals_(context_, SIGINT, SIGTERM, SIGHUP) {}
@@ -67,8 +67,8 @@
 Node::~Node() = default;
 
 base::Result<std::unique_ptr<Node>> Node::create(const config::ClusterSettings& settings,
-                                                 const edge::Dialect& dialect) {
-  std::unique_ptr<Node> node(new Node(settings, dialect));
+                                                 const edge::ApiAdapter& apiAdapter) {
+  std::unique_ptr<Node> node(new Node(settings, apiAdapter));
   BOOST_LEAF_CHECK(node->open());
   return node;
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -12,7 +12,7 @@
 #include "cluster/cluster_member.h"
 #include "config/cluster_settings.h"
 #include "directory/directory_role.h"
-#include "edge/dialect.h"
+#include "edge/api_adapter.h"
 #include "http/exchange_server.h"
 #include "http/upstream_client.h"
 #include "jobs/job_role.h"
@@ -35,7 +35,7 @@
 class Node {
  public:
   [[nodiscard]] static base::Result<std::unique_ptr<Node>> create(
-      const config::ClusterSettings& settings, const edge::Dialect& dialect);
+      const config::ClusterSettings& settings, const edge::ApiAdapter& apiAdapter);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
@@ -51,7 +51,7 @@
   [[nodiscard]] const base::WallTimeSource& wallClock() const { return wall_clock_; }
   [[nodiscard]] base::Random& random() { return *random_; }
   [[nodiscard]] const config::ClusterSettings& settings() const { return settings_; }
-  [[nodiscard]] const edge::Dialect& dialect() const { return dialect_; }
+  [[nodiscard]] const edge::ApiAdapter& apiAdapter() const { return m_apiAdapter; }
   [[nodiscard]] cluster::ClusterMember& member() { return *member_; }
   /// On controllers only.
   [[nodiscard]] const directory::DirectoryRole& directory() const { return *directory_; }
@@ -64,7 +64,7 @@
   void wake();
 
  private:
-  Node(config::ClusterSettings settings, const edge::Dialect& dialect);
+  Node(config::ClusterSettings settings, const edge::ApiAdapter& apiAdapter);
 
   [[nodiscard]] base::Result<void> open();
   [[nodiscard]] base::Result<base::NodeId> openIdentity();
@@ -102,7 +102,7 @@
   [[nodiscard]] bool stopComplete() const;
 
   const config::ClusterSettings settings_;
-  const edge::Dialect& dialect_;
+  const edge::ApiAdapter& m_apiAdapter;
   asio::io_context context_;
   base::MonotonicTimeSource clock_;
   base::SystemWallTimeSource wall_clock_;
--- a/src/node/node_calls.cpp
+++ b/src/node/node_calls.cpp
@@ -27,7 +27,7 @@
   events.onHead = [status](int code, const http::HeaderList&) { *status = code; };
   events.onEnd = [this, order, status](const http::UpstreamEnd& end) {
     const directory::LoadCommandOutcome outcome = end.complete
-                                                      ? dialect_.loadCommandOutcome(*status)
+                                                      ? m_apiAdapter.loadCommandOutcome(*status)
                                                       : directory::LoadCommandOutcome::kUncertain;
     metrics_.count(CounterId::kOrdersGiven, directory::toString(outcome));
     if (outcome == directory::LoadCommandOutcome::kRefused ||
@@ -42,7 +42,7 @@
     directory_->onLoadCommandOutcome(order, outcome, now());
     wake();
   };
-  upstream_->start(dialect_.loadRequest(order, settings_.name), std::move(events));
+  upstream_->start(m_apiAdapter.loadRequest(order, settings_.name), std::move(events));
 }
 
 void Node::sendUsageReport(const duties::UsageReport& report) {
@@ -64,13 +64,13 @@
   http::UpstreamEvents events;
   events.onData = [body](std::string_view data) { body->append(data); };
   events.onEnd = [this, body, id = engine.id](const http::UpstreamEnd& end) {
-    const auto versions = end.complete ? dialect_.reportedVersions(*body) : std::nullopt;
+    const auto versions = end.complete ? m_apiAdapter.reportedVersions(*body) : std::nullopt;
     if (versions) {
       directory_->onReport(id, *versions, now());
       wake();
     }
   };
-  upstream_->start(dialect_.reportRequest(engine), std::move(events));
+  upstream_->start(m_apiAdapter.reportRequest(engine), std::move(events));
 }
 
 }  // namespace tackpick::node
--- a/src/node/platform_client.cpp
+++ b/src/node/platform_client.cpp
@@ -32,10 +32,10 @@
 };
 
 void PlatformClient::send(const duties::UsageReport& report, Callback callback) {
-  start(m_node.dialect().usageRequest(report, m_node.settings().name),
+  start(m_node.apiAdapter().usageRequest(report, m_node.settings().name),
         [this, report, callback = std::move(callback)](const CallEnd& end) {
           const duties::UsageReportOutcome outcome =
-              end.complete ? m_node.dialect().usageReportOutcome(end.status)
+              end.complete ? m_node.apiAdapter().usageReportOutcome(end.status)
                            : duties::UsageReportOutcome::kUncertain;
           tell(report, outcome, end);
           callback(outcome);
@@ -43,11 +43,11 @@
 }
 
 void PlatformClient::send(const duties::ScaleCall& call, ScaleCallback callback) {
-  start(m_node.dialect().scaleRequest(call, m_node.settings().name),
+  start(m_node.apiAdapter().scaleRequest(call, m_node.settings().name),
         [this, call, callback = std::move(callback)](const CallEnd& end) {
-          const duties::ScaleOutcome outcome = end.complete
-                                                   ? m_node.dialect().scaleOutcome(call, end.status)
-                                                   : duties::ScaleOutcome::kUncertain;
+          const duties::ScaleOutcome outcome =
+              end.complete ? m_node.apiAdapter().scaleOutcome(call, end.status)
+                           : duties::ScaleOutcome::kUncertain;
           tell(call, outcome, end);
           callback(outcome);
         });
--- a/src/node/run_until_stopped.cpp
+++ b/src/node/run_until_stopped.cpp
@@ -15,8 +15,8 @@
 
 /// One life of the node: its exit code, or nothing when its disk failed.
 base::Result<std::optional<int>> runOnce(const config::ClusterSettings& settings,
-                                         const edge::Dialect& dialect) {
-  BOOST_LEAF_AUTO(node, Node::create(settings, dialect));
+                                         const edge::ApiAdapter& apiAdapter) {
+  BOOST_LEAF_AUTO(node, Node::create(settings, apiAdapter));
   const int code = node->run();
   return node->diskFailed() ? std::optional<int>() : std::optional<int>(code);
 }
@@ -24,11 +24,11 @@
 }  // namespace
 
 base::Result<int> runUntilStopped(const config::ClusterSettings& settings,
-                                  const edge::Dialect& dialect) {
+                                  const edge::ApiAdapter& apiAdapter) {
   while (true) {
     std::optional<base::Error> refusal;
     const std::optional<int> code =
-        base::recover([&] { return runOnce(settings, dialect); },
+        base::recover([&] { return runOnce(settings, apiAdapter); },
                       [&](const base::Error& error) -> std::optional<int> {
                         refusal = error;
                         return std::nullopt;
--- a/src/node/run_until_stopped.h
+++ b/src/node/run_until_stopped.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "config/cluster_settings.h"
-#include "edge/dialect.h"
+#include "edge/api_adapter.h"
 
 namespace tackpick::node {
 
@@ -12,6 +12,6 @@
 /// meanwhile, and whoever restarts processes need not. Fails when the folder is damaged or belongs
 /// to another node, which waiting does not mend.
 [[nodiscard]] base::Result<int> runUntilStopped(const config::ClusterSettings& settings,
-                                                const edge::Dialect& dialect);
+                                                const edge::ApiAdapter& apiAdapter);
 
 }  // namespace tackpick::node
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -109,8 +109,8 @@
   call.patience = std::max(kLeastPatience, route->targetLatency * kPatienceFactor);
   call.answer = {};
   call.crowded = false;
-  const edge::HeaderNames& names = m_node.dialect().headers();
-  http::UpstreamRequest request = m_node.dialect().scoringRequest(call.request, call.tenant);
+  const edge::HeaderNames& names = m_node.apiAdapter().headers();
+  http::UpstreamRequest request = m_node.apiAdapter().scoringRequest(call.request, call.tenant);
   request.address = {entry->record.host, entry->record.port};
   request.headers.set(names.expectedInstance, directory::instanceName(entry->record.id));
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - now);
@@ -133,12 +133,12 @@
     return;
   }
   Call& call = found->second;
-  const edge::HeaderNames& names = m_node.dialect().headers();
+  const edge::HeaderNames& names = m_node.apiAdapter().headers();
   call.answer.status = status;
   call.answer.notRun = headers.has(names.notExecuted) || status == http::status::kMisdirected;
   call.answer.signature = headers.value(names.signature);
   m_guard.onAnswered(call.instance, call.sentAt);
-  if (const auto load = m_node.dialect().load(headers.value(names.load))) {
+  if (const auto load = m_node.apiAdapter().load(headers.value(names.load))) {
     m_instances.onLoad(call.instance, *load, m_node.now());
     call.crowded = load->waiting > 0;
   }
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -8,7 +8,7 @@
 #include "configuration_json.h"
 #include "directory/incarnation.h"
 #include "instance_json.h"
-#include "platform_dialect.h"
+#include "platform_adapter.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -187,11 +187,11 @@
 }
 
 Test(platform_dialect, calls_at_a_gateway) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   const auto configuration = platform::parseConfiguration(kConfiguration);
   const directory::Route* batch = &configuration->routes[0];
   const auto call = [&](const http::RawRequest& raw, const directory::Route* route) {
-    return dialect.gatewayCall(raw, route);
+    return apiAdapter.gatewayCall(raw, route);
   };
   cr_assert(std::holds_alternative<edge::ForwardCall>(
       call(request("GET", "/q/1"), &configuration->routes[1])));
@@ -209,21 +209,21 @@
 }
 
 Test(platform_dialect, answers_promise_no_more_than_is_known) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   jobs::JobReply reply;
-  cr_assert_eq(dialect.jobAnswer(jobs::SubmitJob{}, reply).status, 202);
+  cr_assert_eq(apiAdapter.jobAnswer(jobs::SubmitJob{}, reply).status, 202);
   reply.status = jobs::JobStatus::kNotFound;
-  cr_assert_eq(dialect.jobAnswer(jobs::ReadJob{}, reply).status, 404);
+  cr_assert_eq(apiAdapter.jobAnswer(jobs::ReadJob{}, reply).status, 404);
   directory::DirectoryReply invalid{directory::DirectoryStatus::kInvalid, "why", std::nullopt};
-  cr_assert_eq(dialect.controlAnswer(directory::ReplaceConfiguration{}, invalid).status, 400);
+  cr_assert_eq(apiAdapter.controlAnswer(directory::ReplaceConfiguration{}, invalid).status, 400);
 }
 
 Test(platform_dialect, calls_at_a_controller) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   const auto typed = [&](const std::string& method, const std::string& target,
                          const std::string& body = "") {
     return std::get<directory::DirectoryRequest>(
-        dialect.controlCall(request(method, target, body)));
+        apiAdapter.controlCall(request(method, target, body)));
   };
   cr_assert(std::holds_alternative<directory::ReplaceConfiguration>(
       typed("POST", "/Configuration.Replace", kConfiguration)));
@@ -233,24 +233,24 @@
                "i-1");
   cr_assert_eq(std::get<directory::RetireNode>(typed("POST", "/Retire.Start/n", "{}")).name, "n");
   cr_assert_eq(std::get<directory::ReadRetirement>(typed("GET", "/Retire.Read/n")).name, "n");
-  cr_assert(
-      std::holds_alternative<edge::UnknownCall>(dialect.controlCall(request("GET", "/elsewhere"))));
+  cr_assert(std::holds_alternative<edge::UnknownCall>(
+      apiAdapter.controlCall(request("GET", "/elsewhere"))));
   cr_assert(std::holds_alternative<edge::MalformedCall>(
-      dialect.controlCall(request("POST", "/Configuration.Replace", "{"))));
+      apiAdapter.controlCall(request("POST", "/Configuration.Replace", "{"))));
 }
 
 Test(platform_dialect, load_header) {
-  const platform::PlatformDialect dialect;
-  const auto load = dialect.load("3,1,8");
+  const platform::PlatformAdapter apiAdapter;
+  const auto load = apiAdapter.load("3,1,8");
   cr_assert(load.has_value());
   cr_assert_eq(load->waiting, 1U);
   cr_assert_eq(load->slowdownPercent, 100U);
-  const auto longer = dialect.load("3,1,8,250");
+  const auto longer = apiAdapter.load("3,1,8,250");
   cr_assert(longer.has_value(), "some services tell a fourth figure");
   cr_assert_eq(longer->slots, 8U);
   cr_assert_eq(longer->slowdownPercent, 250U);
   for (const char* bad : {"", "3", "3,1", "3,1,x", "a,b,c"}) {
-    cr_assert_not(dialect.load(bad).has_value());
+    cr_assert_not(apiAdapter.load(bad).has_value());
   }
 }
 
@@ -259,8 +259,8 @@
    "scoringCall":{"identifier":"c","host":"s.example","path":"/score/1","body":"q83vEjRWeJA="}}]})";
   const auto job = platform::parseJob("j", "h", {}, body);
   cr_assert(job && job->items.at(0).scoring);
-  const platform::PlatformDialect dialect;
-  const http::UpstreamRequest call = dialect.scoringRequest(*job->items[0].scoring, "acme");
+  const platform::PlatformAdapter apiAdapter;
+  const http::UpstreamRequest call = apiAdapter.scoringRequest(*job->items[0].scoring, "acme");
   cr_assert_eq(call.method, "POST");
   cr_assert_eq(call.target, "/score/1");
   cr_assert_eq(call.headers.value("Host"), "s.example");
@@ -295,11 +295,11 @@
 }
 
 Test(platform_dialect, key_is_read_from_its_scheme_only) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   const auto keyOf = [&](const std::string& name, const std::string& value) {
     http::HeaderList headers;
     headers.add(name, value);
-    return dialect.apiKey(headers);
+    return apiAdapter.apiKey(headers);
   };
   cr_assert_eq(keyOf("Authorization", "Token k1"), "k1");
   cr_assert_eq(keyOf("authorization", "Token k1"), "k1");
@@ -309,13 +309,13 @@
 }
 
 Test(platform_dialect, item_goes_out_under_its_tenant) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   jobs::LeasedItem leased;
   leased.item.id = "i";
-  cr_assert_not(dialect.itemRequest(leased, std::nullopt).headers.has("Tenant"));
+  cr_assert_not(apiAdapter.itemRequest(leased, std::nullopt).headers.has("Tenant"));
   leased.tenant = "acme";
   leased.item.headers = {{"tenant", "other"}};
-  const http::UpstreamRequest call = dialect.itemRequest(leased, std::nullopt);
+  const http::UpstreamRequest call = apiAdapter.itemRequest(leased, std::nullopt);
   cr_assert_eq(call.headers.value("Tenant"), "acme");
   cr_assert_eq(std::count_if(call.headers.fields().begin(), call.headers.fields().end(),
                              [](const http::HeaderField& field) {
@@ -325,39 +325,39 @@
 }
 
 Test(platform_dialect, number_of_instances) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   namespace duties = tackpick::duties;
   const duties::ScaleCall onDemand{{"e", "z", duties::InstanceKind::kOnDemand}, 6, 12};
-  const http::UpstreamRequest call = dialect.scaleRequest(onDemand, "core-1");
+  const http::UpstreamRequest call = apiAdapter.scaleRequest(onDemand, "core-1");
   cr_assert_eq(call.method, "POST");
   cr_assert_eq(call.target, "/scale");
   cr_assert_eq(call.headers.value("Duty-Holder"), "core-1");
   cr_assert_eq(call.headers.value("Fencing-Token"), "12");
   cr_assert(Json::parse(call.body) == Json({{"service", "e"}, {"zone", "z"}, {"desiredCount", 6}}));
   const duties::ScaleCall preemptible{{"e", "z", duties::InstanceKind::kPreemptible}, 2, 12};
-  cr_assert(Json::parse(dialect.scaleRequest(preemptible, "core-1").body).at("spot") == true);
-  cr_assert(dialect.scaleOutcome(onDemand, 200) == duties::ScaleOutcome::kTaken);
-  cr_assert(dialect.scaleOutcome(onDemand, 409) == duties::ScaleOutcome::kRefused);
-  cr_assert(dialect.scaleOutcome(preemptible, 409) == duties::ScaleOutcome::kNoneAvailable);
-  cr_assert(dialect.scaleOutcome(onDemand, 429) == duties::ScaleOutcome::kBusy);
-  cr_assert(dialect.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUncertain);
+  cr_assert(Json::parse(apiAdapter.scaleRequest(preemptible, "core-1").body).at("spot") == true);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 200) == duties::ScaleOutcome::kTaken);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 409) == duties::ScaleOutcome::kRefused);
+  cr_assert(apiAdapter.scaleOutcome(preemptible, 409) == duties::ScaleOutcome::kNoneAvailable);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 429) == duties::ScaleOutcome::kBusy);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUncertain);
 }
 
 Test(platform_dialect, usage_report) {
-  const platform::PlatformDialect dialect;
-  const http::UpstreamRequest call = dialect.usageRequest({{7, {{"a", 3}}}, 12}, "core-1");
+  const platform::PlatformAdapter apiAdapter;
+  const http::UpstreamRequest call = apiAdapter.usageRequest({{7, {{"a", 3}}}, 12}, "core-1");
   cr_assert_eq(call.method, "POST");
   cr_assert_eq(call.target, "/usage");
   cr_assert_eq(call.headers.value("Duty-Holder"), "core-1");
   cr_assert_eq(call.headers.value("Fencing-Token"), "12");
   cr_assert_eq(Json::parse(call.body), Json::parse(R"({"windowNumber":7,"counts":{"a":3}})"));
-  const http::UpstreamRequest idle = dialect.usageRequest({{8, {}}, 12}, "core-1");
+  const http::UpstreamRequest idle = apiAdapter.usageRequest({{8, {}}, 12}, "core-1");
   cr_assert_eq(Json::parse(idle.body), Json::parse(R"({"windowNumber":8,"counts":{}})"));
   using tackpick::duties::UsageReportOutcome;
-  cr_assert(dialect.usageReportOutcome(200) == UsageReportOutcome::kTaken);
-  cr_assert(dialect.usageReportOutcome(409) == UsageReportOutcome::kRefused);
-  cr_assert(dialect.usageReportOutcome(429) == UsageReportOutcome::kBusy);
-  cr_assert(dialect.usageReportOutcome(503) == UsageReportOutcome::kUncertain);
+  cr_assert(apiAdapter.usageReportOutcome(200) == UsageReportOutcome::kTaken);
+  cr_assert(apiAdapter.usageReportOutcome(409) == UsageReportOutcome::kRefused);
+  cr_assert(apiAdapter.usageReportOutcome(429) == UsageReportOutcome::kBusy);
+  cr_assert(apiAdapter.usageReportOutcome(503) == UsageReportOutcome::kUncertain);
 }
 
 namespace {
@@ -369,7 +369,7 @@
  "adapters":[]}],"sequence":4,"born":1764720000123})";
 
 edge::ControlCall heartbeatCall(const std::string& body, const std::string& path = kHeartbeatPath) {
-  return platform::PlatformDialect().controlCall(request("POST", path, body));
+  return platform::PlatformAdapter().controlCall(request("POST", path, body));
 }
 
 std::optional<directory::InstanceHeartbeat> heartbeatOf(const edge::ControlCall& call) {
@@ -441,16 +441,16 @@
   cr_assert_eq(incarnation.name, "i-1");
   cr_assert_eq(incarnation.born, 1764720000123U);
   cr_assert_eq(heartbeatOf(heartbeatCall(heartbeatWithout("born")))->record.id, "i-1");
-  const auto leave = platform::PlatformDialect().controlCall(
+  const auto leave = platform::PlatformAdapter().controlCall(
       request("POST", "/Instances.Leave/i-1", R"({"born":1764720000123})"));
   const auto& typed = std::get<directory::DirectoryRequest>(leave);
   cr_assert_eq(std::get<directory::DeregisterInstance>(typed).id, heartbeat->record.id);
   const auto bare =
-      platform::PlatformDialect().controlCall(request("POST", "/Instances.Leave/i-1"));
+      platform::PlatformAdapter().controlCall(request("POST", "/Instances.Leave/i-1"));
   cr_assert_eq(
       std::get<directory::DeregisterInstance>(std::get<directory::DirectoryRequest>(bare)).id,
       "i-1");
-  const http::UpstreamRequest order = platform::PlatformDialect().loadRequest(
+  const http::UpstreamRequest order = platform::PlatformAdapter().loadRequest(
       {heartbeat->record.id, "10.1.0.9", 8080, "m", 4, 1}, "c");
   cr_assert_eq(order.headers.value("Expected-Instance"), "i-1");
 }
@@ -507,7 +507,7 @@
 
 /// Decodes damaged bodies of every kind; what is accepted must be usable.
 void decodeDamaged(base::Random& random) {
-  const platform::PlatformDialect dialect;
+  const platform::PlatformAdapter apiAdapter;
   if (const auto heartbeat = heartbeatOf(heartbeatCall(damaged(kHeartbeat, random)))) {
     cr_assert(heartbeat->record.slots >= 1 && heartbeat->record.slots <= 100'000);
     cr_assert_neq(heartbeat->record.port, 0);
@@ -532,12 +532,12 @@
   }
   (void)platform::parseVersion(damaged(R"({"model":"m","version":8})", random));
   (void)platform::parseReport(damaged(kHeartbeat, random));
-  (void)dialect.load(damaged("3,0,8", random));
-  (void)dialect.controlCall(
+  (void)apiAdapter.load(damaged("3,0,8", random));
+  (void)apiAdapter.controlCall(
       request("POST", "/Instances.Leave/i-1", damaged(R"({"born":5})", random)));
   http::RawRequest read = request("GET", damaged("/lots/j?afterRevision=12", random));
   read.headers.add("Wait-Milliseconds", damaged("1000", random));
-  (void)dialect.gatewayCall(read, &configuration->routes[0]);
+  (void)apiAdapter.gatewayCall(read, &configuration->routes[0]);
 }
 
 }  // namespace
