--- a/bench/placement/main.cpp
+++ b/bench/placement/main.cpp
@@ -59,7 +59,7 @@
   return reports;
 }
 
-jobs::ItemNeed needOf(std::uint32_t item) {
+jobs::ItemRequirements requirementsOf(std::uint32_t item) {
   constexpr std::uint32_t kMostEvents = 150;
   return {"model" + std::to_string(item % kModels), 1, 1.0 + item % kMostEvents,
           base::milliseconds(7500)};
@@ -87,12 +87,12 @@
     const Timer planning;
     placement.setLoads({}, now);
     for (std::uint32_t model = 0; model < kModels; ++model) {
-      (void)placement.place(needOf(model));
+      (void)placement.place(requirementsOf(model));
     }
     plansUs += planning.micros();
     const Timer placing;
     for (std::uint32_t item = 0; item < kItemsPerPlan; ++item) {
-      (void)placement.place(needOf(item));
+      (void)placement.place(requirementsOf(item));
     }
     placesUs += placing.micros();
   }
--- a/src/directory/refusal_policy.h
+++ b/src/directory/rejection_policy.h
@@ -10,20 +10,20 @@
 
 namespace tackpick::directory {
 
-enum class RefusalVerdict : std::uint8_t {
+enum class RejectionKind : std::uint8_t {
   kFinal,  ///< the route or key is not there
   kLater,  ///< it may be there by now: the caller should come again
 };
 
-class RefusalPolicy {
+class RejectionPolicy {
  public:
   /// `mostBehind`: an accepted change is in force everywhere after this time.
-  explicit RefusalPolicy(base::Duration mostBehind) : m_mostBehind(mostBehind) {}
+  explicit RejectionPolicy(base::Duration mostBehind) : m_mostBehind(mostBehind) {}
 
   /// `confirmedAt`: up to when the configuration held is known to have been the newest; nothing
   /// when that was never known.
-  [[nodiscard]] RefusalVerdict judge(std::optional<base::TimePoint> confirmedAt,
-                                     base::TimePoint now) const;
+  [[nodiscard]] RejectionKind judge(std::optional<base::TimePoint> confirmedAt,
+                                    base::TimePoint now) const;
 
  private:
   base::Duration m_mostBehind;
--- a/src/forwarding/call_window.cpp
+++ b/src/forwarding/concurrency_limiter.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/call_window.h"
+#include "forwarding/concurrency_limiter.h"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void CallWindow::onEnded(bool crowded, base::TimePoint now) {
+void ConcurrencyLimiter::onEnded(bool crowded, base::TimePoint now) {
   m_running -= m_running > 0 ? 1 : 0;
   if (!crowded) {
     m_size = std::min(m_settings.most, m_size + 1.0 / m_size);
--- a/src/forwarding/call_window.h
+++ b/src/forwarding/concurrency_limiter.h
@@ -8,8 +8,8 @@
 
 namespace tackpick::forwarding {
 
-/// Knobs of CallWindow.
-struct CallWindowSettings {
+/// Knobs of ConcurrencyLimiter.
+struct ConcurrencyLimiterSettings {
   double initial = 4;
   double least = 1;
   double most = 32;
@@ -19,9 +19,9 @@
 
 /// Additive increase, multiplicative decrease, by what answers tell of the servers' load: requests
 /// that wait there delay callers too. Deterministic.
-class CallWindow {
+class ConcurrencyLimiter {
  public:
-  explicit CallWindow(CallWindowSettings settings = {})
+  explicit ConcurrencyLimiter(ConcurrencyLimiterSettings settings = {})
       : m_settings(settings), m_size(settings.initial) {}
 
   [[nodiscard]] bool hasFreeSlot() const { return m_running < static_cast<std::uint32_t>(m_size); }
@@ -31,7 +31,7 @@
   void onEnded(bool crowded, base::TimePoint now);
 
  private:
-  const CallWindowSettings m_settings;
+  const ConcurrencyLimiterSettings m_settings;
   double m_size;
   std::uint32_t m_running = 0;
   base::TimePoint m_shrunkAt{};
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 const InstanceEntry* InstanceTable::drawCheaper(const std::vector<const InstanceEntry*>& candidates,
-                                                int draws, const InstanceNeed& need,
+                                                int draws, const InstanceRequirements& need,
                                                 base::Random& random, base::TimePoint now) const {
   const InstanceEntry* best = nullptr;
   for (int draw = 0; draw < draws && !candidates.empty(); ++draw) {
@@ -28,16 +28,16 @@
   return best;
 }
 
-const InstanceEntry* InstanceTable::findFaster(const InstanceNeed& need, const std::string& current,
-                                               double gain, base::Random& random,
-                                               base::TimePoint now) const {
+const InstanceEntry* InstanceTable::findFaster(const InstanceRequirements& need,
+                                               const std::string& current, double gain,
+                                               base::Random& random, base::TimePoint now) const {
   const InstanceEntry* here = find(current);
   return here == nullptr || here->eventIntervalMs <= 0
              ? nullptr
              : findWithinInterval(need, current, here->eventIntervalMs / gain, random, now);
 }
 
-const InstanceEntry* InstanceTable::findWithinInterval(const InstanceNeed& need,
+const InstanceEntry* InstanceTable::findWithinInterval(const InstanceRequirements& need,
                                                        const std::string& current,
                                                        double maxEventIntervalMs,
                                                        base::Random& random,
@@ -57,7 +57,7 @@
   return drawCheaper(faster, kDraws, need, random, now);
 }
 
-const InstanceEntry* InstanceTable::findIdle(const InstanceNeed& need,
+const InstanceEntry* InstanceTable::findIdle(const InstanceRequirements& need,
                                              const std::set<std::string>& tried,
                                              base::Random& random, base::TimePoint now) const {
   std::vector<const InstanceEntry*> idle;
@@ -71,7 +71,7 @@
 }
 
 const InstanceEntry* InstanceTable::selectFavourite(std::vector<const InstanceEntry*> candidates,
-                                                    const InstanceNeed& need,
+                                                    const InstanceRequirements& need,
                                                     base::TimePoint now) const {
   if (!need.model.empty() || candidates.size() <= settings_.fewInstances) {
     return nullptr;
@@ -102,7 +102,7 @@
   return least == candidates.end() ? nullptr : *least;
 }
 
-const InstanceEntry* InstanceTable::select(const InstanceNeed& need,
+const InstanceEntry* InstanceTable::select(const InstanceRequirements& need,
                                            const std::set<std::string>& tried, base::Random& random,
                                            base::TimePoint now) const {
   // Lower is better: sound, then silent or just full or failed, then tried before.
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -29,19 +29,19 @@
 
 }  // namespace
 
-std::string_view toString(SendOutcome outcome) {
+std::string_view toString(AttemptOutcome outcome) {
   switch (outcome) {
-    case SendOutcome::kServed:
+    case AttemptOutcome::kServed:
       return "served";
-    case SendOutcome::kFailed:
+    case AttemptOutcome::kFailed:
       return "failed";
-    case SendOutcome::kUnreached:
+    case AttemptOutcome::kUnreached:
       return "unreached";
-    case SendOutcome::kFull:
+    case AttemptOutcome::kFull:
       return "full";
-    case SendOutcome::kGone:
+    case AttemptOutcome::kGone:
       return "gone";
-    case SendOutcome::kAbandoned:
+    case AttemptOutcome::kAbandoned:
       return "abandoned";
   }
   return "unknown";
@@ -186,7 +186,7 @@
   }
 }
 
-bool InstanceTable::serves(const InstanceEntry& entry, const InstanceNeed& need) {
+bool InstanceTable::serves(const InstanceEntry& entry, const InstanceRequirements& need) {
   return entry.record.service == need.service && !entry.record.draining && !entry.gone &&
          (need.model.empty() || entry.version(need.model) >= need.minimumVersion);
 }
@@ -204,7 +204,7 @@
   return fresh ? entry.load.slowdownPercent / kUsualPercent : 1.0;
 }
 
-double InstanceTable::cost(const InstanceEntry& entry, const InstanceNeed& need,
+double InstanceTable::cost(const InstanceEntry& entry, const InstanceRequirements& need,
                            base::TimePoint now) const {
   const double slots = std::max<double>(1.0, entry.record.slots);
   const double occupied = (busyness(entry, now) + 1.0) / slots;
@@ -217,7 +217,7 @@
   return jobs::engineCost(entry.eventIntervalMs, occupied);
 }
 
-bool InstanceTable::isSound(const InstanceEntry& entry, const InstanceNeed& need,
+bool InstanceTable::isSound(const InstanceEntry& entry, const InstanceRequirements& need,
                             base::TimePoint now) {
   const bool loads = entry.loading && !need.model.empty();
   return serves(entry, need) && !loads && now >= entry.avoidUntil;
@@ -227,7 +227,7 @@
   return busyness(entry, now) + 1 <= entry.record.slots;
 }
 
-bool InstanceTable::isUsable(const std::string& id, const InstanceNeed& need,
+bool InstanceTable::isUsable(const std::string& id, const InstanceRequirements& need,
                              base::TimePoint now) const {
   const InstanceEntry* entry = find(id);
   return entry != nullptr && isSound(*entry, need, now);
@@ -240,7 +240,7 @@
   }
 }
 
-void InstanceTable::onEnded(const std::string& id, SendOutcome outcome, base::Duration took,
+void InstanceTable::onEnded(const std::string& id, AttemptOutcome outcome, base::Duration took,
                             base::TimePoint now) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) {
@@ -249,7 +249,7 @@
   InstanceEntry& entry = found->second;
   entry.inFlight -= entry.inFlight > 0 ? 1 : 0;
   switch (outcome) {
-    case SendOutcome::kServed: {
+    case AttemptOutcome::kServed: {
       const double sample = base::toMilliseconds(took);
       entry.latencyMs = entry.latencyMs > 0
                             ? entry.latencyMs + kLatencyWeight * (sample - entry.latencyMs)
@@ -257,24 +257,24 @@
       entry.failures = 0;
       break;
     }
-    case SendOutcome::kFailed:
-    case SendOutcome::kUnreached: {
+    case AttemptOutcome::kFailed:
+    case AttemptOutcome::kUnreached: {
       const unsigned doublings = std::min(entry.failures, 4U);
       ++entry.failures;
       entry.avoidUntil =
           now + std::min(settings_.ejectionTime * (1U << doublings), settings_.longestEjection);
       break;
     }
-    case SendOutcome::kFull:
+    case AttemptOutcome::kFull:
       entry.avoidUntil = std::max(
           entry.avoidUntil, now + (busyness(entry, now) < entry.record.slots ? settings_.loadingTime
                                                                              : settings_.fullTime));
       break;
-    case SendOutcome::kGone:
+    case AttemptOutcome::kGone:
       removeSlots(entry);
       entry.gone = true;
       break;
-    case SendOutcome::kAbandoned:
+    case AttemptOutcome::kAbandoned:
       break;
   }
 }
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -38,7 +38,7 @@
 };
 
 /// How one send to an instance ended.
-enum class SendOutcome : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   kServed,     ///< it answered
   kFailed,     ///< it answered with a failure of its own, or broke off
   kUnreached,  ///< no connection
@@ -47,7 +47,7 @@
   kAbandoned,  ///< we broke off
 };
 
-[[nodiscard]] std::string_view toString(SendOutcome outcome);
+[[nodiscard]] std::string_view toString(AttemptOutcome outcome);
 
 /// What an instance says of its load in an answer.
 struct ReportedLoad {
@@ -59,7 +59,7 @@
 };
 
 /// What a request needs of an instance.
-struct InstanceNeed {
+struct InstanceRequirements {
   std::string service;
   std::string model;                 ///< empty: any
   std::uint64_t minimumVersion = 0;  ///< of that model's weights
@@ -110,11 +110,11 @@
               const std::vector<std::string>& removed);
   /// The instance to send to, or nothing when none may be used. Instances in `tried` come last and
   /// only when `repeat` holds. Of two drawn at random the less loaded one is taken.
-  [[nodiscard]] const InstanceEntry* select(const InstanceNeed& need,
+  [[nodiscard]] const InstanceEntry* select(const InstanceRequirements& need,
                                             const std::set<std::string>& tried,
                                             base::Random& random, base::TimePoint now) const;
   void onSent(const std::string& id);
-  void onEnded(const std::string& id, SendOutcome outcome, base::Duration took,
+  void onEnded(const std::string& id, AttemptOutcome outcome, base::Duration took,
                base::TimePoint now);
   /// Events of a stream came so far apart on average. Passed over while the engine changes its
   /// weights, which slows it for a moment.
@@ -123,24 +123,24 @@
   /// with room. Of two drawn at random the cheaper one, so that gateways do not all choose the
   /// same. Nothing when there is none.
   /// Nothing while `current` only changes its weights.
-  [[nodiscard]] const InstanceEntry* findFaster(const InstanceNeed& need,
+  [[nodiscard]] const InstanceEntry* findFaster(const InstanceRequirements& need,
                                                 const std::string& current, double gain,
                                                 base::Random& random, base::TimePoint now) const;
   /// The same where a stream is at most `maxEventIntervalMs` milliseconds from event to event.
-  [[nodiscard]] const InstanceEntry* findWithinInterval(const InstanceNeed& need,
+  [[nodiscard]] const InstanceEntry* findWithinInterval(const InstanceRequirements& need,
                                                         const std::string& current,
                                                         double maxEventIntervalMs,
                                                         base::Random& random,
                                                         base::TimePoint now) const;
   /// An instance with room that has not been tried and refuses nothing now; nothing when there is
   /// none.
-  [[nodiscard]] const InstanceEntry* findIdle(const InstanceNeed& need,
+  [[nodiscard]] const InstanceEntry* findIdle(const InstanceRequirements& need,
                                               const std::set<std::string>& tried,
                                               base::Random& random, base::TimePoint now) const;
   /// True when what runs at that instance is over, since it has started again.
   [[nodiscard]] bool hasEnded(const std::string& id) const;
   /// True when the instance may be sent to now.
-  [[nodiscard]] bool isUsable(const std::string& id, const InstanceNeed& need,
+  [[nodiscard]] bool isUsable(const std::string& id, const InstanceRequirements& need,
                               base::TimePoint now) const;
   void onLoad(const std::string& id, const ReportedLoad& load, base::TimePoint now);
   /// The ledgers told how many items of all gateways run at an engine.
@@ -162,19 +162,19 @@
   [[nodiscard]] const std::map<std::string, InstanceEntry>& entries() const { return entries_; }
 
  private:
-  [[nodiscard]] static bool serves(const InstanceEntry& entry, const InstanceNeed& need);
+  [[nodiscard]] static bool serves(const InstanceEntry& entry, const InstanceRequirements& need);
   /// Requests at an instance, as far as this gateway knows.
   [[nodiscard]] static double busyness(const InstanceEntry& entry, base::TimePoint now);
   /// How long work takes there now; 1: as usual, or not known.
   [[nodiscard]] static double slowdown(const InstanceEntry& entry, base::TimePoint now);
-  [[nodiscard]] static bool isSound(const InstanceEntry& entry, const InstanceNeed& need,
+  [[nodiscard]] static bool isSound(const InstanceEntry& entry, const InstanceRequirements& need,
                                     base::TimePoint now);
   [[nodiscard]] static bool hasFreeSlot(const InstanceEntry& entry, base::TimePoint now);
   /// Of two drawn at random the cheaper one.
   [[nodiscard]] const InstanceEntry* drawCheaper(
-      const std::vector<const InstanceEntry*>& candidates, int draws, const InstanceNeed& need,
-      base::Random& random, base::TimePoint now) const;
-  [[nodiscard]] double cost(const InstanceEntry& entry, const InstanceNeed& need,
+      const std::vector<const InstanceEntry*>& candidates, int draws,
+      const InstanceRequirements& need, base::Random& random, base::TimePoint now) const;
+  [[nodiscard]] double cost(const InstanceEntry& entry, const InstanceRequirements& need,
                             base::TimePoint now) const;
 
   /// Places by version of one model.
@@ -183,7 +183,7 @@
   /// The cheapest of this gateway's favourites; nothing when they are busy, or there are so few
   /// candidates that any may be drawn.
   [[nodiscard]] const InstanceEntry* selectFavourite(std::vector<const InstanceEntry*> candidates,
-                                                     const InstanceNeed& need,
+                                                     const InstanceRequirements& need,
                                                      base::TimePoint now) const;
   [[nodiscard]] static const InstanceEntry* leastBusy(
       const std::vector<const InstanceEntry*>& candidates, base::TimePoint now);
--- a/src/forwarding/attempt_policy.cpp
+++ b/src/forwarding/retry_policy.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/attempt_policy.h"
+#include "forwarding/retry_policy.h"
 
 #include <algorithm>
 
@@ -13,14 +13,14 @@
 
 }  // namespace
 
-AttemptPolicy::AttemptPolicy(const directory::Route& route, base::TimePoint receivedAt,
-                             base::TimePoint deadline)
+RetryPolicy::RetryPolicy(const directory::Route& route, base::TimePoint receivedAt,
+                         base::TimePoint deadline)
     : repeatable_(route.kind == directory::RouteKind::kRepeatable && !route.streaming),
       attempts_(route.attempts),
       target_(route.targetLatency),
       deadline_(std::min(deadline, receivedAt + route.timeout)) {}
 
-base::Verdict AttemptPolicy::onResult(AttemptResult result) {
+base::Verdict RetryPolicy::onResult(AttemptResult result) {
   running_ -= running_ > 0 ? 1 : 0;
   const base::Verdict one = [&] {
     switch (result) {
@@ -36,14 +36,14 @@
   return verdict_;
 }
 
-bool AttemptPolicy::maySend(base::TimePoint now) const {
+bool RetryPolicy::maySend(base::TimePoint now) const {
   if (sends_ >= attempts_ || now + kShortestAttempt >= deadline_) {
     return false;
   }
   return repeatable_ || (running_ == 0 && verdict_ == base::Verdict::kNotRun);
 }
 
-std::optional<base::TimePoint> AttemptPolicy::hedgeAt(base::TimePoint sentAt) const {
+std::optional<base::TimePoint> RetryPolicy::hedgeAt(base::TimePoint sentAt) const {
   if (!repeatable_ || sends_ >= attempts_ || target_ <= base::Duration{0}) {
     return std::nullopt;
   }
--- a/src/forwarding/attempt_policy.h
+++ b/src/forwarding/retry_policy.h
@@ -20,11 +20,10 @@
 };
 
 /// What one request has been through. Deterministic.
-class AttemptPolicy {
+class RetryPolicy {
  public:
   /// `deadline` is the earlier of the caller's and the route's.
-  AttemptPolicy(const directory::Route& route, base::TimePoint receivedAt,
-                base::TimePoint deadline);
+  RetryPolicy(const directory::Route& route, base::TimePoint receivedAt, base::TimePoint deadline);
 
   void onSend() {
     ++sends_;
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -258,7 +258,7 @@
   return found->second;
 }
 
-std::string EnginePlacement::placeInUse(const ItemNeed& need) {
+std::string EnginePlacement::placeInUse(const ItemRequirements& need) {
   SpeedTiers& candidates = candidatesOf(need.model, need.minimumVersion);
   EngineWork* engine = candidates.choose(need);
   if (engine == nullptr) {
@@ -269,7 +269,7 @@
   return engine->told.id;
 }
 
-std::string EnginePlacement::place(const ItemNeed& need) {
+std::string EnginePlacement::place(const ItemRequirements& need) {
   std::string engine = placeInUse(need);
   return engine.empty() ? placeOnStandby(need.model, need.minimumVersion) : engine;
 }
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -16,7 +16,7 @@
 #include "base/identifiers.h"
 #include "base/time.h"
 #include "jobs/event_interval_table.h"
-#include "jobs/item_need.h"
+#include "jobs/item_requirements.h"
 #include "jobs/placement_engine.h"
 #include "jobs/speed_tiers.h"
 #include "jobs/work_summary.h"
@@ -60,7 +60,7 @@
   /// The engine that will have run an item soonest, counting the item there from now on. A few
   /// items more than an engine has places wait there, so that it never stands idle between a result
   /// and the next lease. Empty when every engine that may run the item is full.
-  [[nodiscard]] std::string place(const ItemNeed& need);
+  [[nodiscard]] std::string place(const ItemRequirements& need);
 
   /// The item was not leased after all.
   void takeBack(const std::string& engine);
@@ -92,7 +92,7 @@
   [[nodiscard]] std::size_t speedTierOf(double eventIntervalMs) const;
   [[nodiscard]] SpeedTiers candidatesFor(const std::string& model, std::uint64_t minimumVersion);
   [[nodiscard]] SpeedTiers& candidatesOf(const std::string& model, std::uint64_t minimumVersion);
-  [[nodiscard]] std::string placeInUse(const ItemNeed& need);
+  [[nodiscard]] std::string placeInUse(const ItemRequirements& need);
   [[nodiscard]] std::string placeOnStandby(const std::string& model, std::uint64_t minimumVersion);
 
   Engines m_engines;
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -15,7 +15,7 @@
   const LengthModel& lengths;
   double eventIntervalMs = 0;
   bool late = false;                   ///< the job cannot be whole in time
-  ItemNeed need;                       ///< of the next item
+  ItemRequirements need;               ///< of the next item
   std::vector<bool> seen;              ///< an item that was put back may stand there twice
   std::vector<std::uint32_t> planned;  ///< in their order
 
--- a/src/jobs/item_need.h
+++ b/src/jobs/item_requirements.h
@@ -10,7 +10,7 @@
 namespace tackpick::jobs {
 
 /// What is left of an item, and until when.
-struct ItemNeed {
+struct ItemRequirements {
   std::string model;
   std::uint64_t minimumVersion = 0;  ///< of that model's weights
   /// Events that are still expected of its text; zero: unknown.
--- a/src/jobs/speed_tiers.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -52,7 +52,7 @@
   ++m_added;
 }
 
-EngineWork* SpeedTiers::choose(const ItemNeed& need) {
+EngineWork* SpeedTiers::choose(const ItemRequirements& need) {
   for (SpeedTier& each : m_classes) {
     each.settle();
   }
@@ -73,7 +73,7 @@
   m_chosen->push(candidate);
 }
 
-bool SpeedTiers::isSafe(const EngineWork& engine, const ItemNeed& need) {
+bool SpeedTiers::isSafe(const EngineWork& engine, const ItemRequirements& need) {
   if (engine.load >= engine.told.slots) {
     return false;
   }
@@ -82,7 +82,7 @@
   return delayMs + runMs <= base::toMilliseconds(need.untilDue);
 }
 
-SpeedTiers::SpeedTier* SpeedTiers::slowestSafe(const ItemNeed& need) {
+SpeedTiers::SpeedTier* SpeedTiers::slowestSafe(const ItemRequirements& need) {
   if (!need.isKnown()) {
     return nullptr;
   }
@@ -101,14 +101,15 @@
   return slowest;
 }
 
-std::pair<double, std::size_t> SpeedTiers::endOf(const SpeedTier& of, const ItemNeed& need) {
+std::pair<double, std::size_t> SpeedTiers::endOf(const SpeedTier& of,
+                                                 const ItemRequirements& need) {
   const Candidate& front = of.front();
   const double delayMs = base::toMilliseconds(front.engine->momentaryDelay);
   const double runMs = need.isKnown() ? need.restEvents * front.cost + delayMs : front.cost;
   return {runMs, front.index};
 }
 
-SpeedTiers::SpeedTier* SpeedTiers::soonest(const ItemNeed& need) {
+SpeedTiers::SpeedTier* SpeedTiers::soonest(const ItemRequirements& need) {
   SpeedTier* best = nullptr;
   for (SpeedTier& each : m_classes) {
     const bool better =
--- a/src/jobs/speed_tiers.h
+++ b/src/jobs/speed_tiers.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "jobs/item_need.h"
+#include "jobs/item_requirements.h"
 #include "jobs/placement_engine.h"
 
 namespace tackpick::jobs {
@@ -21,7 +21,7 @@
   void add(EngineWork& engine);
   /// The engine that is to run the item; null when all are full. onPlaced() follows once the item
   /// counts there.
-  [[nodiscard]] EngineWork* choose(const ItemNeed& need);
+  [[nodiscard]] EngineWork* choose(const ItemRequirements& need);
   void onPlaced();
 
  private:
@@ -51,15 +51,15 @@
 
   /// The item ends in time there, also when its text is much longer than expected, and need not
   /// wait for a place.
-  [[nodiscard]] static bool isSafe(const EngineWork& engine, const ItemNeed& need);
+  [[nodiscard]] static bool isSafe(const EngineWork& engine, const ItemRequirements& need);
   /// When a class's front will have run the item, to compare; of equals the first added is less.
   [[nodiscard]] static std::pair<double, std::size_t> endOf(const SpeedTier& of,
-                                                            const ItemNeed& need);
+                                                            const ItemRequirements& need);
   /// The slowest class whose front is safe, slower ones only while places at the faster are short;
   /// null: none is, or the need is not known.
-  [[nodiscard]] SpeedTier* slowestSafe(const ItemNeed& need);
+  [[nodiscard]] SpeedTier* slowestSafe(const ItemRequirements& need);
   /// The class whose front will have run the item soonest; null: all are full.
-  [[nodiscard]] SpeedTier* soonest(const ItemNeed& need);
+  [[nodiscard]] SpeedTier* soonest(const ItemRequirements& need);
 
   std::array<SpeedTier, kSpeedTiers> m_classes;  ///< fastest first
   std::size_t m_added = 0;
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -9,7 +9,7 @@
 #include "base/timer.h"
 #include "directory/incarnation.h"
 #include "directory/route_table.h"
-#include "forwarding/attempt_policy.h"
+#include "forwarding/retry_policy.h"
 #include "http/status.h"
 #include "http/stream_relay.h"
 #include "node/node.h"
@@ -20,8 +20,8 @@
 
 using namespace http::status;
 
+using forwarding::AttemptOutcome;
 using forwarding::AttemptResult;
-using forwarding::SendOutcome;
 
 constexpr int kFirstError = 400;
 constexpr int kFirstServerError = 500;
@@ -100,8 +100,8 @@
   void onHead(std::uint64_t number, int status, const http::HeaderList& headers);
   void onData(std::uint64_t number, std::string_view data);
   void onEnd(std::uint64_t number, const http::UpstreamEnd& end);
-  [[nodiscard]] std::pair<AttemptResult, SendOutcome> classify(const Send& send,
-                                                               const http::UpstreamEnd& end) const;
+  [[nodiscard]] std::pair<AttemptResult, AttemptOutcome> classify(
+      const Send& send, const http::UpstreamEnd& end) const;
   [[nodiscard]] const quarantine::RequestFingerprint& fingerprint();
   /// The instance broke off under the request.
   void onBroken(const Send& send);
@@ -113,7 +113,7 @@
   void giveUp();
   void onDeadline();
   void onCallerGone();
-  void finish(SendOutcome outcomeOfRunning);
+  void finish(AttemptOutcome outcomeOfRunning);
 
   Node& node_;
   forwarding::InstanceTable& instances_;
@@ -126,8 +126,8 @@
   const std::string tenant_;  ///< empty: nobody in particular
   base::Timer deadline_timer_;
   base::Timer hedge_timer_;
-  forwarding::AttemptPolicy policy_;
-  forwarding::InstanceNeed need_;
+  forwarding::RetryPolicy policy_;
+  forwarding::InstanceRequirements need_;
   std::set<std::string> tried_;
   std::string tries_;                    ///< instances and how the sends there ended, for the log
   std::map<std::uint64_t, Send> sends_;  ///< running ones
@@ -190,7 +190,7 @@
   headers.add("Content-Type", "text/plain");
   countAnswer(kBadGateway);
   exchange_->respond(kBadGateway, headers, "held back: instances ended while they ran it\n");
-  finish(SendOutcome::kFailed);
+  finish(AttemptOutcome::kFailed);
 }
 
 void ForwardedRequest::sendOrGiveUp() {
@@ -303,23 +303,23 @@
   }
 }
 
-std::pair<AttemptResult, SendOutcome> ForwardedRequest::classify(
+std::pair<AttemptResult, AttemptOutcome> ForwardedRequest::classify(
     const Send& send, const http::UpstreamEnd& end) const {
   if (!end.complete) {
     return end.verdict == base::Verdict::kNotRun
-               ? std::pair(AttemptResult::kNotRun, SendOutcome::kUnreached)
-               : std::pair(AttemptResult::kBroken, SendOutcome::kFailed);
+               ? std::pair(AttemptResult::kNotRun, AttemptOutcome::kUnreached)
+               : std::pair(AttemptResult::kBroken, AttemptOutcome::kFailed);
   }
   if (send.status == kMisdirected) {
-    return {AttemptResult::kNotRun, SendOutcome::kGone};
+    return {AttemptResult::kNotRun, AttemptOutcome::kGone};
   }
   if (send.headers.has(node_.apiAdapter().headers().notExecuted)) {
-    return {AttemptResult::kNotRun, SendOutcome::kFull};
+    return {AttemptResult::kNotRun, AttemptOutcome::kFull};
   }
   if (send.status >= kFirstServerError) {
-    return {AttemptResult::kServerFailed, SendOutcome::kFailed};
+    return {AttemptResult::kServerFailed, AttemptOutcome::kFailed};
   }
-  return {AttemptResult::kAnswered, SendOutcome::kServed};
+  return {AttemptResult::kAnswered, AttemptOutcome::kServed};
 }
 
 void ForwardedRequest::onEnd(std::uint64_t number, const http::UpstreamEnd& end) {
@@ -345,7 +345,7 @@
     } else {
       exchange_->abort();
     }
-    finish(SendOutcome::kAbandoned);
+    finish(AttemptOutcome::kAbandoned);
     return;
   }
   if (result == AttemptResult::kAnswered) {
@@ -372,7 +372,7 @@
 void ForwardedRequest::deliver(const Send& send) {
   countAnswer(send.status);
   exchange_->respond(send.status, send.headers, send.body);
-  finish(SendOutcome::kAbandoned);
+  finish(AttemptOutcome::kAbandoned);
 }
 
 void ForwardedRequest::giveUp() {
@@ -423,16 +423,16 @@
           .text());
   countAnswer(status);
   exchange_->respond(status, headers, {});
-  finish(SendOutcome::kFailed);
+  finish(AttemptOutcome::kFailed);
 }
 
 void ForwardedRequest::onCallerGone() {
   if (!done_) {
-    finish(SendOutcome::kAbandoned);
+    finish(AttemptOutcome::kAbandoned);
   }
 }
 
-void ForwardedRequest::finish(SendOutcome outcomeOfRunning) {
+void ForwardedRequest::finish(AttemptOutcome outcomeOfRunning) {
   done_ = true;
   deadline_timer_.cancel();
   hedge_timer_.cancel();
--- a/src/node/forwarder.h
+++ b/src/node/forwarder.h
@@ -14,7 +14,7 @@
 
 class Node;
 
-/// Thin: AttemptPolicy and InstanceTable decide; each request is a ForwardedRequest of its own.
+/// Thin: RetryPolicy and InstanceTable decide; each request is a ForwardedRequest of its own.
 class Forwarder {
  public:
   Forwarder(Node& node, forwarding::InstanceTable& instances, UsageSender& usage,
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -136,7 +136,7 @@
 void GatewayServer::refuseUnknown(int status, const std::shared_ptr<http::Exchange>& exchange) {
   const std::optional<base::TimePoint> confirmedAt = node_.member().confirmedAt();
   const bool final =
-      m_refusalPolicy.judge(confirmedAt, node_.now()) == directory::RefusalVerdict::kFinal;
+      m_refusalPolicy.judge(confirmedAt, node_.now()) == directory::RejectionKind::kFinal;
   const int answered = final ? status : kUnavailable;
   const auto age = confirmedAt ? std::optional(node_.now() - *confirmedAt) : std::nullopt;
   m_refusals.note(answered, configuration_->version, age, node_.now());
--- a/src/node/gateway_server.h
+++ b/src/node/gateway_server.h
@@ -5,14 +5,14 @@
 #include <memory>
 #include <optional>
 
-#include "directory/refusal_policy.h"
+#include "directory/rejection_policy.h"
 #include "directory/route_table.h"
 #include "forwarding/instance_table.h"
 #include "http/exchange_server.h"
 #include "node/forwarder.h"
 #include "node/item_runner.h"
 #include "node/member_ledger_client.h"
-#include "node/refusal_log.h"
+#include "node/rejection_log.h"
 #include "node/request_guard.h"
 #include "node/usage_sender.h"
 #include "telemetry/log_limiter.h"
@@ -62,8 +62,8 @@
   directory::RouteTable routes_;
   tenancy::TenantTable tenants_;
   forwarding::InstanceTable instances_;
-  const directory::RefusalPolicy m_refusalPolicy;
-  RefusalLog m_refusals;
+  const directory::RejectionPolicy m_refusalPolicy;
+  RejectionLog m_refusals;
   telemetry::LogLimiter m_cutReaders{base::seconds(1)};
   std::uint64_t m_toldCuts = 0;
   UsageSender usage_;
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -14,7 +14,7 @@
 
 using namespace http::status;
 
-using forwarding::SendOutcome;
+using forwarding::AttemptOutcome;
 using telemetry::CounterId;
 using telemetry::Detail;
 using telemetry::EventId;
@@ -297,13 +297,13 @@
   return sight;
 }
 
-forwarding::InstanceNeed ItemRunner::needOf(const Running& item) const {
+forwarding::InstanceRequirements ItemRunner::requirementsOf(const Running& item) const {
   const jobs::LeasedItem& leased = item.run.leased();
   return {item.service, leased.model, leased.minimumVersion, isLong(item), item.trial};
 }
 
 const forwarding::InstanceEntry* ItemRunner::chooseInstance(Running& item, base::TimePoint now) {
-  const forwarding::InstanceNeed need = needOf(item);
+  const forwarding::InstanceRequirements need = requirementsOf(item);
   const std::string next = std::exchange(item.next, {});
   if (!next.empty() && !item.trial && instances_.isUsable(next, need, now)) {
     return instances_.find(next);
@@ -371,20 +371,21 @@
     if (!unreached) {
       onBroken(item);
     }
-    onAttemptFailed(key, item, unreached ? SendOutcome::kUnreached : SendOutcome::kFailed, {});
+    onAttemptFailed(key, item, unreached ? AttemptOutcome::kUnreached : AttemptOutcome::kFailed,
+                    {});
   } else if (item.status == kMisdirected) {
-    onAttemptFailed(key, item, SendOutcome::kGone, {});
+    onAttemptFailed(key, item, AttemptOutcome::kGone, {});
   } else if (item.notExecuted) {
-    onAttemptFailed(key, item, SendOutcome::kFull, kRetryDelay);
+    onAttemptFailed(key, item, AttemptOutcome::kFull, kRetryDelay);
   } else if (item.status == kOk && isWhole(item)) {
-    instances_.onEnded(item.instance, SendOutcome::kServed, now - item.sentAt, now);
-    node_.metrics().count(CounterId::kItemAttemptsEnded, toString(SendOutcome::kServed));
+    instances_.onEnded(item.instance, AttemptOutcome::kServed, now - item.sentAt, now);
+    node_.metrics().count(CounterId::kItemAttemptsEnded, toString(AttemptOutcome::kServed));
     if (item.fingerprint) {
       m_guard.onBorne(*item.fingerprint);
     }
     onWhole(key, item);
   } else {
-    onAttemptFailed(key, item, SendOutcome::kFailed, kRetryDelay);
+    onAttemptFailed(key, item, AttemptOutcome::kFailed, kRetryDelay);
     if (item.status == kUnprocessable || (item.status == kServerError && item.run.onFailure())) {
       finishItem(key, item, jobs::ItemState::kTerminated);
     }
@@ -419,13 +420,13 @@
   return !item.unusable && !item.parser.hasRest() && item.run.lastEvent();
 }
 
-void ItemRunner::onAttemptFailed(const jobs::ItemKey& key, Running& item, SendOutcome outcome,
+void ItemRunner::onAttemptFailed(const jobs::ItemKey& key, Running& item, AttemptOutcome outcome,
                                  base::Duration delay) {
   const base::TimePoint now = node_.now();
   instances_.onEnded(item.instance, outcome, now - item.sentAt, now);
   node_.metrics().count(CounterId::kItemAttemptsEnded, toString(outcome));
   // Refusals for want of room are many and repeated soon: they are counted only.
-  if (outcome != SendOutcome::kFull) {
+  if (outcome != AttemptOutcome::kFull) {
     telemetry::logEvent(EventId::kAttemptFailed,
                         Detail()
                             .add("job", key.job)
@@ -448,7 +449,7 @@
   if (item.exchange.valid()) {
     node_.upstream().cancel(item.exchange);
     item.exchange = {};
-    instances_.onEnded(item.instance, SendOutcome::kAbandoned, base::Duration{0}, node_.now());
+    instances_.onEnded(item.instance, AttemptOutcome::kAbandoned, base::Duration{0}, node_.now());
   }
 }
 
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -126,7 +126,7 @@
   /// Sends items elsewhere that wait at a full engine while another has room.
   void moveFromQueues(base::TimePoint now);
   [[nodiscard]] jobs::RunState sightOf(const Running& item, base::TimePoint now) const;
-  [[nodiscard]] forwarding::InstanceNeed needOf(const Running& item) const;
+  [[nodiscard]] forwarding::InstanceRequirements requirementsOf(const Running& item) const;
   /// Continues texts elsewhere whose engine makes no events of them any more.
   void moveFromStalls(base::TimePoint now);
   /// Continues texts elsewhere that do not end before their engine does.
@@ -139,7 +139,7 @@
   void recordEventInterval(Running& item, base::TimePoint now);
   [[nodiscard]] bool isLong(const Running& item) const;
   /// A run ended without the whole text: notes why, and when the next may begin.
-  void onAttemptFailed(const jobs::ItemKey& key, Running& item, forwarding::SendOutcome outcome,
+  void onAttemptFailed(const jobs::ItemKey& key, Running& item, forwarding::AttemptOutcome outcome,
                        base::Duration delay);
   void cancelAttempt(Running& item);
   /// The text is whole: asks its scorer, or finishes the item when it needs no score.
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -10,7 +10,7 @@
 namespace tackpick::node {
 namespace {
 
-using forwarding::SendOutcome;
+using forwarding::AttemptOutcome;
 using telemetry::CounterId;
 using telemetry::Detail;
 using telemetry::EventId;
@@ -39,8 +39,8 @@
       if (ended) {
         onBroken(*item);
       }
-      onAttemptFailed(key, *item, item->unusable ? SendOutcome::kAbandoned : SendOutcome::kFailed,
-                      {});
+      onAttemptFailed(key, *item,
+                      item->unusable ? AttemptOutcome::kAbandoned : AttemptOutcome::kFailed, {});
     }
   }
 }
@@ -82,7 +82,7 @@
 const forwarding::InstanceEntry* ItemRunner::findFaster(const Running& item,
                                                         base::TimePoint now) const {
   const jobs::RunOutlook outlook = outlookOf(item, now);
-  const forwarding::InstanceNeed need = needOf(item);
+  const forwarding::InstanceRequirements need = requirementsOf(item);
   if (!outlook.isKnown()) {
     const bool ranLong = now - item.firstSentAt > kLongRun;
     return ranLong ? instances_.findFaster(need, item.instance, jobs::kLeastMoveGain,
@@ -115,7 +115,7 @@
     if (!waits) {
       continue;
     }
-    const auto* idle = instances_.findIdle(needOf(*item), item->tried, node_.random(), now);
+    const auto* idle = instances_.findIdle(requirementsOf(*item), item->tried, node_.random(), now);
     if (idle != nullptr) {
       ++item->queueMoves;
       moveTo(key, *item, idle->record.id, "full");
@@ -128,7 +128,8 @@
     if (item->trial || !jobs::isStalled(sightOf(*item, now))) {
       continue;
     }
-    const auto* idle = instances_.findIdle(needOf(*item), {item->instance}, node_.random(), now);
+    const auto* idle =
+        instances_.findIdle(requirementsOf(*item), {item->instance}, node_.random(), now);
     if (idle != nullptr) {
       ++item->queueMoves;
       moveTo(key, *item, idle->record.id, "stalled");
@@ -175,7 +176,8 @@
     if (!jobs::mustMoveOn(run)) {
       continue;
     }
-    const auto* idle = instances_.findIdle(needOf(*item), {item->instance}, node_.random(), now);
+    const auto* idle =
+        instances_.findIdle(requirementsOf(*item), {item->instance}, node_.random(), now);
     moveTo(key, *item, idle == nullptr ? std::string() : idle->record.id, "leaving");
   }
 }
--- a/src/node/refusal_log.cpp
+++ b/src/node/rejection_log.cpp
@@ -1,11 +1,11 @@
-#include "node/refusal_log.h"
+#include "node/rejection_log.h"
 
 #include "telemetry/log.h"
 
 namespace tackpick::node {
 
-void RefusalLog::note(int status, std::uint64_t version, std::optional<base::Duration> age,
-                      base::TimePoint now) {
+void RejectionLog::note(int status, std::uint64_t version, std::optional<base::Duration> age,
+                        base::TimePoint now) {
   const std::optional<std::uint64_t> requests = m_limiter.note(now);
   if (!requests) {
     return;
--- a/src/node/refusal_log.h
+++ b/src/node/rejection_log.h
@@ -11,7 +11,7 @@
 namespace tackpick::node {
 
 /// Callers decide how often this happens, so there is at most one line a second.
-class RefusalLog {
+class RejectionLog {
  public:
   /// `version`: of the configuration that decided; `age`: since a controller confirmed that it is
   /// the newest, nothing when none did.
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -11,7 +11,7 @@
 namespace tackpick::node {
 namespace {
 
-using forwarding::SendOutcome;
+using forwarding::AttemptOutcome;
 using telemetry::CounterId;
 
 /// A silent call is broken off after so many times the latency that its route aims at.
@@ -37,24 +37,24 @@
   if (found == m_calls.end()) {
     return;
   }
-  breakOff(found->second, SendOutcome::kAbandoned, m_node.now());
+  breakOff(found->second, AttemptOutcome::kAbandoned, m_node.now());
   m_calls.erase(found);
 }
 
-void ScoringClient::breakOff(Call& call, SendOutcome outcome, base::TimePoint now) {
+void ScoringClient::breakOff(Call& call, AttemptOutcome outcome, base::TimePoint now) {
   if (!call.exchange.valid()) {
     return;
   }
   m_node.upstream().cancel(call.exchange);
   call.exchange = {};
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
-  m_window.onEnded(outcome == SendOutcome::kFailed, now);
+  m_window.onEnded(outcome == AttemptOutcome::kFailed, now);
 }
 
 void ScoringClient::start(base::TimePoint now) {
   for (auto& [key, call] : m_calls) {
     if (call.exchange.valid() && now - call.sentAt > call.patience) {
-      breakOff(call, SendOutcome::kFailed, now);
+      breakOff(call, AttemptOutcome::kFailed, now);
     }
     const bool due = !call.exchange.valid() && now >= call.notBefore && now < call.deadline;
     if (due && m_window.hasFreeSlot()) {
@@ -91,7 +91,7 @@
     return;
   }
   call.service = directory::drawService(*route, m_node.random());
-  const forwarding::InstanceNeed need{call.service, {}, 0, false, call.trial};
+  const forwarding::InstanceRequirements need{call.service, {}, 0, false, call.trial};
   const auto* entry = m_instances.select(need, call.tried, m_node.random(), now);
   if (entry == nullptr) {
     return;
@@ -144,22 +144,22 @@
   }
 }
 
-SendOutcome ScoringClient::outcomeOf(const Call& call) {
+AttemptOutcome ScoringClient::outcomeOf(const Call& call) {
   if (!call.answer.complete) {
-    return call.answer.notRun ? SendOutcome::kUnreached : SendOutcome::kFailed;
+    return call.answer.notRun ? AttemptOutcome::kUnreached : AttemptOutcome::kFailed;
   }
   if (call.answer.status == http::status::kMisdirected) {
-    return SendOutcome::kGone;
+    return AttemptOutcome::kGone;
   }
   if (call.answer.notRun) {
-    return SendOutcome::kFull;
+    return AttemptOutcome::kFull;
   }
   // Some texts are never judged: their failures say nothing of the server.
-  return call.answer.status >= http::status::kServerError ? SendOutcome::kAbandoned
-                                                          : SendOutcome::kServed;
+  return call.answer.status >= http::status::kServerError ? AttemptOutcome::kAbandoned
+                                                          : AttemptOutcome::kServed;
 }
 
-void ScoringClient::noteFailure(const jobs::ItemKey& key, const Call& call, SendOutcome outcome,
+void ScoringClient::noteFailure(const jobs::ItemKey& key, const Call& call, AttemptOutcome outcome,
                                 base::TimePoint now) {
   telemetry::logEvent(telemetry::EventId::kScoringCallFailed,
                       telemetry::Detail()
@@ -190,9 +190,9 @@
   } else if (call.fingerprint && !call.answer.notRun) {
     m_guard.onBorne(*call.fingerprint);
   }
-  const SendOutcome outcome = outcomeOf(call);
+  const AttemptOutcome outcome = outcomeOf(call);
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
-  m_window.onEnded(call.crowded || outcome == SendOutcome::kFull, now);
+  m_window.onEnded(call.crowded || outcome == AttemptOutcome::kFull, now);
   m_node.metrics().count(CounterId::kScoringCallsEnded, toString(outcome));
   const jobs::ScoringStep step = call.attempts->onAnswer(call.answer);
   if (step != jobs::ScoringStep::kScored) {
--- a/src/node/scoring_client.h
+++ b/src/node/scoring_client.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "directory/route_table.h"
-#include "forwarding/call_window.h"
+#include "forwarding/concurrency_limiter.h"
 #include "forwarding/instance_table.h"
 #include "http/upstream_client.h"
 #include "jobs/job_messages.h"
@@ -21,8 +21,8 @@
 
 class Node;
 
-/// Thin: ScoringAttempts, CallWindow and InstanceTable decide. Scorers may share their servers with
-/// callers, who go first: calls wait here while a server has requests waiting.
+/// Thin: ScoringAttempts, ConcurrencyLimiter and InstanceTable decide. Scorers may share their
+/// servers with callers, who go first: calls wait here while a server has requests waiting.
 class ScoringClient {
  public:
   /// Gets the score; nothing when the scorer has failed too often.
@@ -67,15 +67,15 @@
   void onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers);
   void onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end);
   static void noteFailure(const jobs::ItemKey& key, const Call& call,
-                          forwarding::SendOutcome outcome, base::TimePoint now);
-  void breakOff(Call& call, forwarding::SendOutcome outcome, base::TimePoint now);
-  [[nodiscard]] static forwarding::SendOutcome outcomeOf(const Call& call);
+                          forwarding::AttemptOutcome outcome, base::TimePoint now);
+  void breakOff(Call& call, forwarding::AttemptOutcome outcome, base::TimePoint now);
+  [[nodiscard]] static forwarding::AttemptOutcome outcomeOf(const Call& call);
 
   Node& m_node;
   forwarding::InstanceTable& m_instances;
   const directory::RouteTable& m_routes;
   RequestGuard& m_guard;
-  forwarding::CallWindow m_window;
+  forwarding::ConcurrencyLimiter m_window;
   std::map<jobs::ItemKey, Call> m_calls;
 };
 
--- a/test/directory/refusal_policy_test.cpp
+++ b/test/directory/rejection_policy_test.cpp
@@ -1,11 +1,11 @@
 /// What a gateway may refuse for good, by how old its knowledge is.
-#include "directory/refusal_policy.h"
+#include "directory/rejection_policy.h"
 
 #include <criterion/criterion.h>
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
-using directory::RefusalVerdict;
+using directory::RejectionKind;
 
 namespace {
 
@@ -14,11 +14,11 @@
 
 }  // namespace
 
-Test(refusal_policy, knowledge_older_than_a_change_may_take_refuses_nothing_for_good) {
-  const directory::RefusalPolicy policy(kMostBehind);
-  cr_assert(policy.judge(kNow - base::milliseconds(500), kNow) == RefusalVerdict::kFinal);
-  cr_assert(policy.judge(kNow - kMostBehind, kNow) == RefusalVerdict::kFinal);
+Test(rejection_policy, knowledge_older_than_a_change_may_take_refuses_nothing_for_good) {
+  const directory::RejectionPolicy policy(kMostBehind);
+  cr_assert(policy.judge(kNow - base::milliseconds(500), kNow) == RejectionKind::kFinal);
+  cr_assert(policy.judge(kNow - kMostBehind, kNow) == RejectionKind::kFinal);
   cr_assert(policy.judge(kNow - kMostBehind - base::milliseconds(1), kNow) ==
-            RefusalVerdict::kLater);
-  cr_assert(policy.judge(std::nullopt, kNow) == RefusalVerdict::kLater);
+            RejectionKind::kLater);
+  cr_assert(policy.judge(std::nullopt, kNow) == RejectionKind::kLater);
 }
--- a/test/forwarding/call_window_test.cpp
+++ b/test/forwarding/concurrency_limiter_test.cpp
@@ -1,13 +1,13 @@
 /// Calls that give way to callers.
-#include "forwarding/call_window.h"
+#include "forwarding/concurrency_limiter.h"
 
 #include <criterion/criterion.h>
 
 namespace base = tackpick::base;
 namespace forwarding = tackpick::forwarding;
 
-Test(call_window, shrinks_once_for_a_burst_and_never_closes) {
-  forwarding::CallWindow window;
+Test(concurrency_limiter, shrinks_once_for_a_burst_and_never_closes) {
+  forwarding::ConcurrencyLimiter window;
   base::TimePoint now{base::seconds(1)};
   const double before = window.size();
   window.onEnded(true, now);
@@ -24,8 +24,8 @@
   cr_assert_not(window.hasFreeSlot());
 }
 
-Test(call_window, grows_while_servers_have_room) {
-  forwarding::CallWindow window;
+Test(concurrency_limiter, grows_while_servers_have_room) {
+  forwarding::ConcurrencyLimiter window;
   const base::TimePoint now{base::seconds(1)};
   int sent = 0;
   for (int i = 0; i < 1000; ++i) {
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -5,15 +5,15 @@
 #include <ctime>
 
 #include "directory/incarnation.h"
-#include "forwarding/attempt_policy.h"
 #include "forwarding/instance_table.h"
+#include "forwarding/retry_policy.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
 namespace forwarding = tackpick::forwarding;
 namespace jobs = tackpick::jobs;
+using forwarding::AttemptOutcome;
 using forwarding::AttemptResult;
-using forwarding::SendOutcome;
 
 namespace {
 
@@ -30,7 +30,7 @@
     table.update(views);
   }
   /// Ids chosen in many draws.
-  std::set<std::string> chosen(const forwarding::InstanceNeed& need,
+  std::set<std::string> chosen(const forwarding::InstanceRequirements& need,
                                const std::set<std::string>& tried = {}) {
     std::set<std::string> ids;
     for (int i = 0; i < 200; ++i) {
@@ -46,7 +46,7 @@
   forwarding::InstanceTable table{{"z", "gateway"}};
 };
 
-const forwarding::InstanceNeed kNeed{"s", "", 0};
+const forwarding::InstanceRequirements kNeed{"s", "", 0};
 
 directory::Route route(directory::RouteKind kind) {
   directory::Route made;
@@ -64,7 +64,7 @@
   draining.record.draining = true;
   Fixture fixture({view("a", 3), view("old", 2), draining});
   cr_assert(fixture.chosen({"s", "m", 3}) == std::set<std::string>{"a"});
-  fixture.table.onEnded("a", SendOutcome::kGone, {}, fixture.now);
+  fixture.table.onEnded("a", AttemptOutcome::kGone, {}, fixture.now);
   cr_assert(fixture.chosen({"s", "m", 3}).empty());
   cr_assert(fixture.chosen({"other", "", 0}).empty());
 }
@@ -100,7 +100,7 @@
     cr_assert(room.take("m", 3));
   }
   cr_assert_not(room.take("m", 1), "a leaves, b is gone");
-  fixture.table.onEnded("b", SendOutcome::kServed, {}, fixture.now);
+  fixture.table.onEnded("b", AttemptOutcome::kServed, {}, fixture.now);
   fixture.table.change({}, {"c"});
   cr_assert_null(fixture.table.find("b"));
   cr_assert(fixture.chosen({"s", "m", 1}) == std::set<std::string>{"d"});
@@ -110,11 +110,11 @@
   auto reserve = view("reserve", 5);
   reserve.reserve = true;
   Fixture fixture({reserve, view("used")});
-  const forwarding::InstanceNeed need{"s", "m", 1};
+  const forwarding::InstanceRequirements need{"s", "m", 1};
   cr_assert(fixture.chosen(need) == std::set<std::string>{"used"});
   cr_assert(fixture.chosen({"s", "m", 5}) == std::set<std::string>{"reserve"});
   cr_assert_null(fixture.table.findIdle(need, {"used"}, fixture.random, fixture.now));
-  fixture.table.onEnded("used", SendOutcome::kUnreached, {}, fixture.now);
+  fixture.table.onEnded("used", AttemptOutcome::kUnreached, {}, fixture.now);
   cr_assert(fixture.chosen(need) == std::set<std::string>{"reserve"});
   jobs::FreeSlots room = fixture.table.freeSlots({{"s", {"m"}}});
   cr_assert_not(room.take("m", 5), "items are leased for those in use");
@@ -153,7 +153,7 @@
       cr_assert_eq(entry->record.zone, "z");
       const std::string id = entry->record.id;
       table.onSent(id);
-      table.onEnded(id, SendOutcome::kServed, base::milliseconds(25), now);
+      table.onEnded(id, AttemptOutcome::kServed, base::milliseconds(25), now);
       used.insert(id);
     }
     pairs += used.size();
@@ -175,11 +175,11 @@
   base::SeededRandom random{1};
   const std::string first = table.select(kNeed, {}, random, now)->record.id;
   table.onSent(first);
-  table.onEnded(first, SendOutcome::kFailed, {}, now);
+  table.onEnded(first, AttemptOutcome::kFailed, {}, now);
   const std::string second = table.select(kNeed, {}, random, now)->record.id;
   cr_assert_neq(second, first);
   table.onSent(second);
-  table.onEnded(second, SendOutcome::kServed, base::milliseconds(400), now);
+  table.onEnded(second, AttemptOutcome::kServed, base::milliseconds(400), now);
   const std::string third = table.select(kNeed, {}, random, now)->record.id;
   cr_assert_neq(third, second);
   cr_assert_neq(third, first);
@@ -197,7 +197,7 @@
   const forwarding::ServiceModels models{{"s", {"m"}}};
   Fixture fixture({view("a"), view("b")});
   fixture.table.onVersion("a", "m", 5);
-  fixture.table.onEnded("b", SendOutcome::kGone, {}, fixture.now);
+  fixture.table.onEnded("b", AttemptOutcome::kGone, {}, fixture.now);
   jobs::FreeSlots room = fixture.table.freeSlots(models);
   for (int places = 0; places < 4; ++places) {
     cr_assert(room.take("m", 5));
@@ -226,8 +226,8 @@
 
 Test(instance_table, failing_full_and_loading_instances_are_avoided_for_a_while) {
   Fixture fixture({view("a"), view("b")});
-  for (const SendOutcome outcome :
-       {SendOutcome::kFailed, SendOutcome::kUnreached, SendOutcome::kFull}) {
+  for (const AttemptOutcome outcome :
+       {AttemptOutcome::kFailed, AttemptOutcome::kUnreached, AttemptOutcome::kFull}) {
     fixture.table.onEnded("a", outcome, {}, fixture.now);
     cr_assert(fixture.chosen(kNeed) == std::set<std::string>{"b"});
     fixture.now += base::seconds(5);
@@ -255,7 +255,7 @@
   Fixture fixture({view("slow"), view("fast")});
   fixture.table.onEventInterval("slow", base::milliseconds(80), fixture.now);
   fixture.table.onEventInterval("fast", base::milliseconds(40), fixture.now);
-  const forwarding::InstanceNeed need{"s", "m", 1, true};
+  const forwarding::InstanceRequirements need{"s", "m", 1, true};
   const auto* faster = fixture.table.findFaster(need, "slow", 1.25, fixture.random, fixture.now);
   cr_assert_not_null(faster);
   cr_assert_eq(faster->record.id, "fast");
@@ -274,7 +274,7 @@
   fixture.table.update({view("a"), view("b")});
   fixture.table.onEventInterval("a", base::milliseconds(80), fixture.now);
   fixture.table.onEventInterval("b", base::milliseconds(40), fixture.now);
-  const forwarding::InstanceNeed need{"s", "m", 1, true};
+  const forwarding::InstanceRequirements need{"s", "m", 1, true};
   cr_assert_not_null(fixture.table.findFaster(need, "a", 1.25, fixture.random, fixture.now));
   fixture.table.update({loading, view("b")});
   cr_assert_null(fixture.table.findFaster(need, "a", 1.25, fixture.random, fixture.now));
@@ -312,7 +312,7 @@
   Fixture fixture({view("a"), view("b"), view("c")});
   fixture.table.onEventInterval("a", base::milliseconds(140), fixture.now);
   fixture.table.onEventInterval("b", base::milliseconds(90), fixture.now);
-  const forwarding::InstanceNeed need{"s", "m", 1, true};
+  const forwarding::InstanceRequirements need{"s", "m", 1, true};
   cr_assert_null(fixture.table.findWithinInterval(need, "a", 60, fixture.random, fixture.now));
   cr_assert_eq(
       fixture.table.findWithinInterval(need, "a", 100, fixture.random, fixture.now)->record.id,
@@ -322,7 +322,7 @@
 
 Test(instance_table, items_of_other_gateways_count) {
   Fixture fixture({view("a"), view("b")});
-  const forwarding::InstanceNeed need{"s", "m", 1, false};
+  const forwarding::InstanceRequirements need{"s", "m", 1, false};
   fixture.table.onSharedLoad("a", 4, fixture.now);
   for (int draw = 0; draw < 20; ++draw) {
     const auto* idle = fixture.table.findIdle(need, {}, fixture.random, fixture.now);
@@ -332,14 +332,14 @@
 
 Test(instance_table, waiting_items_find_an_instance_with_room) {
   Fixture fixture({view("full"), view("idle"), view("tried")});
-  const forwarding::InstanceNeed need{"s", "m", 1, false};
+  const forwarding::InstanceRequirements need{"s", "m", 1, false};
   fixture.table.onLoad("full", {4, 2, 4}, fixture.now);
   for (int draw = 0; draw < 20; ++draw) {
     const auto* idle = fixture.table.findIdle(need, {"tried"}, fixture.random, fixture.now);
     cr_assert_not_null(idle);
     cr_assert_eq(idle->record.id, "idle");
   }
-  fixture.table.onEnded("idle", forwarding::SendOutcome::kFull, {}, fixture.now);
+  fixture.table.onEnded("idle", forwarding::AttemptOutcome::kFull, {}, fixture.now);
   cr_assert_null(fixture.table.findIdle(need, {"tried"}, fixture.random, fixture.now));
   cr_assert(fixture.table.isUsable("tried", need, fixture.now));
   cr_assert_not(fixture.table.isUsable("idle", need, fixture.now));
@@ -347,8 +347,8 @@
 
 Test(attempt_policy, once_only_requests_are_repeated_only_when_not_run) {
   const base::TimePoint start{};
-  forwarding::AttemptPolicy policy(route(directory::RouteKind::kOnce), start,
-                                   start + base::seconds(2));
+  forwarding::RetryPolicy policy(route(directory::RouteKind::kOnce), start,
+                                 start + base::seconds(2));
   cr_assert(policy.maySend(start));
   policy.onSend();
   cr_assert_not(policy.maySend(start));
@@ -362,8 +362,8 @@
 
 Test(attempt_policy, verdict_is_not_taken_back) {
   const base::TimePoint start{};
-  forwarding::AttemptPolicy policy(route(directory::RouteKind::kRepeatable), start,
-                                   start + base::seconds(2));
+  forwarding::RetryPolicy policy(route(directory::RouteKind::kRepeatable), start,
+                                 start + base::seconds(2));
   policy.onSend();
   policy.onResult(AttemptResult::kBroken);
   policy.onSend();
@@ -372,8 +372,8 @@
 
 Test(attempt_policy, sends_are_bounded_by_attempts_and_time) {
   const base::TimePoint start{};
-  forwarding::AttemptPolicy policy(route(directory::RouteKind::kRepeatable), start,
-                                   start + base::seconds(2));
+  forwarding::RetryPolicy policy(route(directory::RouteKind::kRepeatable), start,
+                                 start + base::seconds(2));
   cr_assert_eq(policy.deadline().time_since_epoch().count(),
                base::Duration(base::seconds(1)).count(), "the route's is earlier");
   cr_assert_not(policy.maySend(start + base::seconds(1)));
@@ -397,7 +397,7 @@
   };
   table.update({view(first)});
   table.onSent(first);
-  table.onEnded(first, forwarding::SendOutcome::kFailed, {}, base::TimePoint{});
+  table.onEnded(first, forwarding::AttemptOutcome::kFailed, {}, base::TimePoint{});
   table.onSent(first);
   cr_assert_not(table.hasEnded(first));
   table.change({view(second)}, {first});
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "base/random.h"
-#include "forwarding/attempt_policy.h"
 #include "forwarding/instance_table.h"
+#include "forwarding/retry_policy.h"
 
 namespace base = tackpick::base;
 namespace directory = tackpick::directory;
@@ -55,7 +55,7 @@
   void request(const std::string& tenant) {
     Tally& tally = tallies[tenant];
     ++tally.asked;
-    forwarding::AttemptPolicy policy(route, now, now + base::seconds(1));
+    forwarding::RetryPolicy policy(route, now, now + base::seconds(1));
     std::set<std::string> tried;
     while (policy.maySend(now)) {
       const forwarding::InstanceEntry* to = table.select({"s", "", 0}, tried, random, now);
@@ -67,7 +67,7 @@
         ++tally.served;
         return;
       }
-      table.onEnded(id, forwarding::SendOutcome::kFull, base::Duration{0}, now);
+      table.onEnded(id, forwarding::AttemptOutcome::kFull, base::Duration{0}, now);
       policy.onResult(forwarding::AttemptResult::kNotRun);
     }
   }
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -21,7 +21,7 @@
   return {id, kSlots, {{"m", 1}}, zone};
 }
 
-jobs::ItemNeed need(double restEvents, base::Duration untilDue = kDue) {
+jobs::ItemRequirements need(double restEvents, base::Duration untilDue = kDue) {
   return {"m", 1, restEvents, untilDue};
 }
 
@@ -91,8 +91,8 @@
 }
 
 Test(placement_by_need, without_an_estimate_or_a_due_time_the_cheapest_is_taken) {
-  for (const jobs::ItemNeed& unknown :
-       {need(0), need(15, base::Duration::max()), jobs::ItemNeed{"m", 1}}) {
+  for (const jobs::ItemRequirements& unknown :
+       {need(0), need(15, base::Duration::max()), jobs::ItemRequirements{"m", 1}}) {
     Fixture fixture;
     fixture.fillFast();
     cr_assert_eq(fixture.placement.place(unknown), "fast");
@@ -115,7 +115,7 @@
       placement.recordEventIntervals({{id, {eventIntervals[id]}}}, kNow);
     }
     placement.setLoads(loads, kNow);
-    const jobs::ItemNeed text =
+    const jobs::ItemRequirements text =
         need(1 + 150 * random.uniform(), base::milliseconds(random.below(15'000)));
     const auto inTime = [&](const std::string& id) {
       const double occupied = (loads[id] + 1.0) / kSlots;
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -198,7 +198,7 @@
     m_placement.setLoads(loads, m_now);
     while (!m_waiting.empty()) {
       Text& text = m_waiting.front();
-      jobs::ItemNeed need{"m", 1};
+      jobs::ItemRequirements need{"m", 1};
       if (m_load.byNeed) {
         need.restEvents = text.estimate;
         need.untilDue = text.due - m_now;
