--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -103,7 +103,7 @@
 
 /// Plans one after the other, while the engines are full but for what one gateway in a hundred gave
 /// back.
-PlanCost measurePlans(std::uint32_t items, std::uint32_t engines, jobs::WorkOrderPolicy policy) {
+PlanCost measurePlans(std::uint32_t items, std::uint32_t engines, jobs::SchedulerPolicy policy) {
   constexpr std::uint32_t kPlans = 100;
   constexpr std::uint32_t kGivingBack = 100;
   const std::uint32_t places = engines * (kSlots + 1);
@@ -142,7 +142,7 @@
   return cost;
 }
 
-void printPlans(const char* name, jobs::WorkOrderPolicy policy) {
+void printPlans(const char* name, jobs::SchedulerPolicy policy) {
   std::printf("\nmicroseconds a plan, %s: mean (worst)\n%8s %18s %18s %18s\n", name, "items", "100",
               "1000", "10000");
   for (const std::uint32_t items : {1000U, 10000U}) {
@@ -164,7 +164,7 @@
     std::printf("%8u %8.1f %8.1f %8.1f\n", items, measure(items, 30), measure(items, 300),
                 measure(items, 3000));
   }
-  printPlans("oldest first", jobs::WorkOrderPolicy::kOldestFirst);
-  printPlans("by slack", jobs::WorkOrderPolicy::kBySlack);
+  printPlans("oldest first", jobs::SchedulerPolicy::kOldestFirst);
+  printPlans("by slack", jobs::SchedulerPolicy::kBySlack);
   return 0;
 }
--- a/src/jobs/oldest_first_order.h
+++ b/src/jobs/fifo_scheduler.h
@@ -2,12 +2,12 @@
 /// Items of the oldest job first.
 #pragma once
 
-#include "jobs/work_order.h"
+#include "jobs/job_scheduler.h"
 
 namespace tackpick::jobs {
 
 /// The order where one tenant's jobs of one model are all there is. Deterministic.
-class OldestFirstOrder final : public WorkOrder {
+class FifoScheduler final : public JobScheduler {
  public:
   void begin(const std::vector<QueuedWork>& work) override {
     m_jobs = work.size();
--- a/src/jobs/gateway_roster.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -1,15 +1,15 @@
-#include "jobs/gateway_roster.h"
+#include "jobs/gateway_selector.h"
 
 #include <algorithm>
 #include <tuple>
 
 namespace tackpick::jobs {
 
-bool GatewayRoster::Rank::operator<(const Rank& other) const {
+bool GatewaySelector::Rank::operator<(const Rank& other) const {
   return std::tuple(slow, other.size, gateway) < std::tuple(other.slow, size, other.gateway);
 }
 
-void GatewayRoster::setSlots(const std::map<std::string, std::uint32_t>& slotsByZone) {
+void GatewaySelector::setSlots(const std::map<std::string, std::uint32_t>& slotsByZone) {
   for (const auto& [name, places] : slotsByZone) {
     Zone& zone = m_zones[name];
     zone.outdated = zone.outdated || places > zone.places;
@@ -17,8 +17,8 @@
   }
 }
 
-void GatewayRoster::note(base::NodeId gateway, const std::string& zone, bool takesItems,
-                         base::TimePoint now, const GatewayCapacity& capacity) {
+void GatewaySelector::note(base::NodeId gateway, const std::string& zone, bool takesItems,
+                           base::TimePoint now, const GatewayCapacity& capacity) {
   Zone& home = m_zones[zone];
   if (!takesItems) {
     const auto known = home.gateways.find(gateway);
@@ -39,8 +39,8 @@
   asking.active = isActive(gateway, home, now);
 }
 
-void GatewayRoster::measure(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
-                            base::TimePoint now) const {
+void GatewaySelector::measure(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
+                              base::TimePoint now) const {
   const std::uint32_t size = jobs::slotsFor(capacity).value_or(m_settings.slotsPerGateway);
   const bool wasSlow = gateway.slow.isSlow();
   const bool first = gateway.askedAt == base::TimePoint{};
@@ -54,7 +54,7 @@
   gateway.size = size;
 }
 
-void GatewayRoster::findUsualLateness(Zone& zone, base::TimePoint now) {
+void GatewaySelector::findUsualLateness(Zone& zone, base::TimePoint now) {
   constexpr base::Duration kInterval = base::milliseconds(500);
   if (now - zone.latenessFoundAt < kInterval) {
     return;
@@ -74,12 +74,12 @@
   zone.usualLateness = *middle;
 }
 
-void GatewayRoster::rank(Zone& zone, base::NodeId node, const Gateway& gateway) {
+void GatewaySelector::rank(Zone& zone, base::NodeId node, const Gateway& gateway) {
   zone.ranked.insert({gateway.slow.isSlow(), gateway.size, node});
   ++zone.sizes[gateway.size];
 }
 
-void GatewayRoster::unrank(Zone& zone, base::NodeId node, const Gateway& gateway) {
+void GatewaySelector::unrank(Zone& zone, base::NodeId node, const Gateway& gateway) {
   zone.ranked.erase({gateway.slow.isSlow(), gateway.size, node});
   const auto size = zone.sizes.find(gateway.size);
   if (--size->second == 0) {
@@ -87,13 +87,13 @@
   }
 }
 
-void GatewayRoster::erase(Zone& zone, std::map<base::NodeId, Gateway>::iterator gateway) {
+void GatewaySelector::erase(Zone& zone, std::map<base::NodeId, Gateway>::iterator gateway) {
   unrank(zone, gateway->first, gateway->second);
   zone.gateways.erase(gateway);
   zone.outdated = true;
 }
 
-void GatewayRoster::forget(std::uint32_t gatewayNumber) {
+void GatewaySelector::forget(std::uint32_t gatewayNumber) {
   for (auto& [name, zone] : m_zones) {
     auto known = zone.gateways.lower_bound(base::makeNodeId(gatewayNumber, 0));
     while (known != zone.gateways.end() && base::nodeNumber(known->first) == gatewayNumber) {
@@ -102,19 +102,19 @@
   }
 }
 
-std::uint32_t GatewayRoster::slotsFor(const Zone& zone, const Gateway& gateway) const {
+std::uint32_t GatewaySelector::slotsFor(const Zone& zone, const Gateway& gateway) const {
   const bool equal = zone.sizes.size() <= 1;
   const std::uint32_t places = equal ? m_settings.slotsPerGateway : gateway.size;
   return gateway.slow.isSlow() ? std::max(places / m_settings.slowDivisor, 1U) : places;
 }
 
-bool GatewayRoster::isSound(const Gateway& gateway, base::TimePoint now) const {
+bool GatewaySelector::isSound(const Gateway& gateway, base::TimePoint now) const {
   const base::Duration limit =
       gateway.active ? m_settings.activeSilence : m_settings.standbySilence;
   return now - gateway.askedAt < limit;
 }
 
-void GatewayRoster::findActive(Zone& zone, base::TimePoint now) const {
+void GatewaySelector::findActive(Zone& zone, base::TimePoint now) const {
   constexpr base::Duration kLongestUse = base::milliseconds(20);
   if (!zone.outdated && now - zone.foundAt < kLongestUse) {
     return;
@@ -141,17 +141,17 @@
   zone.enough = places >= zone.places && spare == m_settings.spareGateways;
 }
 
-bool GatewayRoster::isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const {
+bool GatewaySelector::isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const {
   findActive(zone, now);
   return !zone.enough || zone.active.contains(gateway);
 }
 
-bool GatewayRoster::isActive(base::NodeId gateway, const std::string& zone, base::TimePoint now) {
+bool GatewaySelector::isActive(base::NodeId gateway, const std::string& zone, base::TimePoint now) {
   const auto found = m_zones.find(zone);
   return found == m_zones.end() || isActive(gateway, found->second, now);
 }
 
-std::uint32_t GatewayRoster::activeCount(base::TimePoint now) {
+std::uint32_t GatewaySelector::activeCount(base::TimePoint now) {
   std::uint32_t count = 0;
   for (auto& [name, zone] : m_zones) {
     findActive(zone, now);
@@ -160,8 +160,9 @@
   return std::max(count, 1U);
 }
 
-std::optional<std::uint32_t> GatewayRoster::mostItems(base::NodeId gateway, const std::string& zone,
-                                                      base::TimePoint now) {
+std::optional<std::uint32_t> GatewaySelector::mostItems(base::NodeId gateway,
+                                                        const std::string& zone,
+                                                        base::TimePoint now) {
   const auto home = m_zones.find(zone);
   if (home == m_zones.end()) {
     return std::nullopt;
@@ -178,7 +179,7 @@
   return slotsFor(home->second, known->second) * m_settings.itemsPerSlot;
 }
 
-std::vector<ActiveGateway> GatewayRoster::activeIn(const std::string& zone, base::TimePoint now) {
+std::vector<ActiveGateway> GatewaySelector::activeIn(const std::string& zone, base::TimePoint now) {
   std::vector<ActiveGateway> active;
   const auto found = m_zones.find(zone);
   if (found == m_zones.end()) {
@@ -191,7 +192,7 @@
   return active;
 }
 
-std::vector<GatewaySummary> GatewayRoster::sight() const {
+std::vector<GatewaySummary> GatewaySelector::sight() const {
   std::vector<GatewaySummary> sight;
   for (const auto& [name, zone] : m_zones) {
     for (const auto& [node, gateway] : zone.gateways) {
--- a/src/jobs/gateway_roster.h
+++ b/src/jobs/gateway_selector.h
@@ -13,12 +13,12 @@
 #include "base/time.h"
 #include "jobs/engine_affinity.h"
 #include "jobs/gateway_capacity.h"
-#include "jobs/slow_watch.h"
+#include "jobs/slowness_detector.h"
 
 namespace tackpick::jobs {
 
-/// Knobs of a GatewayRoster.
-struct GatewayRosterSettings {
+/// Knobs of a GatewaySelector.
+struct GatewaySelectorSettings {
   /// Places at engines that one gateway serves where all are of the same size: an item costs a
   /// gateway about half a millisecond of processor time and runs for half a second and more, so
   /// this is far from its limit.
@@ -36,7 +36,7 @@
   /// Items that a gateway may hold for each of its places: some wait at engines, and the gateways
   /// of a zone may be fewer than their share.
   std::uint32_t itemsPerSlot = 2;
-  SlowWatchSettings slow;
+  SlownessDetectorSettings slow;
 };
 
 /// What is known of one gateway.
@@ -53,9 +53,9 @@
 /// others stand by and ask seldom, which saves calls, connections to engines and commits. Able
 /// gateways go before small ones, and slow ones come last; of equals those with the lowest numbers
 /// are taken. Deterministic.
-class GatewayRoster {
+class GatewaySelector {
  public:
-  explicit GatewayRoster(GatewayRosterSettings settings = {}) : m_settings(settings) {}
+  explicit GatewaySelector(GatewaySelectorSettings settings = {}) : m_settings(settings) {}
 
   void clear() { m_zones.clear(); }
   /// Places of all engines in each zone; the most that was told counts, since engines that change
@@ -84,7 +84,7 @@
     bool active = false;
     std::uint32_t size = 0;  ///< places by its capacity
     base::Duration lateness{0};
-    SlowWatch slow;
+    SlownessDetector slow;
   };
   /// The order in which gateways are chosen.
   struct Rank {
@@ -120,7 +120,7 @@
   static void unrank(Zone& zone, base::NodeId node, const Gateway& gateway);
   static void erase(Zone& zone, std::map<base::NodeId, Gateway>::iterator gateway);
 
-  GatewayRosterSettings m_settings;
+  GatewaySelectorSettings m_settings;
   std::map<std::string, Zone> m_zones;
 };
 
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <limits>
 
-#include "jobs/oldest_first_order.h"
-#include "jobs/slack_order.h"
+#include "jobs/fifo_scheduler.h"
+#include "jobs/slack_scheduler.h"
 
 namespace tackpick::jobs {
 namespace {
@@ -31,8 +31,8 @@
   affinity_.clear();
   m_engineAffinity.clear();
   m_models.clear();
-  roster_.clear();
-  roster_.setSlots(placement_.slotsByZone());
+  m_gatewaySelector.clear();
+  m_gatewaySelector.setSlots(placement_.slotsByZone());
   first_seen_.clear();
   come_again_.clear();
   seen_items_.clear();
@@ -69,13 +69,13 @@
   return true;
 }
 
-std::unique_ptr<WorkOrder> ItemLeases::makeOrder() const {
-  const bool bySlack = m_orderPolicy == WorkOrderPolicy::kBySlack ||
-                       (m_orderPolicy == WorkOrderPolicy::kAutomatic && m_kinds.size() > 1);
+std::unique_ptr<JobScheduler> ItemLeases::makeOrder() const {
+  const bool bySlack = m_orderPolicy == SchedulerPolicy::kBySlack ||
+                       (m_orderPolicy == SchedulerPolicy::kAutomatic && m_kinds.size() > 1);
   if (bySlack) {
-    return std::make_unique<SlackOrder>();
+    return std::make_unique<SlackScheduler>();
   }
-  return std::make_unique<OldestFirstOrder>();
+  return std::make_unique<FifoScheduler>();
 }
 
 void ItemLeases::observeKind(const JobSubmission& job) {
@@ -121,7 +121,7 @@
 }
 
 void ItemLeases::observeEngines() {
-  roster_.setSlots(placement_.slotsByZone());
+  m_gatewaySelector.setSlots(placement_.slotsByZone());
   plan_outdated_ = true;
 }
 
@@ -242,7 +242,7 @@
 void ItemLeases::onGatewayLost(std::uint32_t gatewayNumber, base::Duration grace,
                                base::TimePoint now) {
   affinity_.forget(gatewayNumber);
-  roster_.forget(gatewayNumber);
+  m_gatewaySelector.forget(gatewayNumber);
   for (auto it = leases_by_gateway_.lower_bound(base::makeNodeId(gatewayNumber, 0));
        it != leases_by_gateway_.end() && base::nodeNumber(it->first) == gatewayNumber; ++it) {
     for (const ItemKey& key : it->second) {
@@ -315,14 +315,14 @@
   call.room = std::move(wanted);
   const auto owned = leases_by_gateway_.find(gateway);
   const std::size_t held = owned == leases_by_gateway_.end() ? 0 : owned->second.size();
-  const std::size_t most = roster_.mostItems(gateway, call.zone, now)
+  const std::size_t most = m_gatewaySelector.mostItems(gateway, call.zone, now)
                                .value_or(std::numeric_limits<std::uint32_t>::max());
   call.itemsLeft = most - std::min(most, held);
   return call;
 }
 
 std::vector<GatewaySummary> ItemLeases::gateways() const {
-  std::vector<GatewaySummary> gateways = roster_.sight();
+  std::vector<GatewaySummary> gateways = m_gatewaySelector.sight();
   for (GatewaySummary& sight : gateways) {
     const auto owned = leases_by_gateway_.find(sight.gateway);
     sight.held =
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -13,15 +13,15 @@
 #include "base/time.h"
 #include "jobs/engine_affinity.h"
 #include "jobs/engine_placement.h"
-#include "jobs/gateway_roster.h"
+#include "jobs/gateway_selector.h"
 #include "jobs/item_queue.h"
+#include "jobs/job_scheduler.h"
 #include "jobs/job_state.h"
 #include "jobs/lease_order.h"
 #include "jobs/lease_plan.h"
 #include "jobs/length_forecast.h"
 #include "jobs/model_event_intervals.h"
 #include "jobs/tenant_priorities.h"
-#include "jobs/work_order.h"
 #include "jobs/work_summary.h"
 #include "jobs/zone_affinity.h"
 
@@ -34,7 +34,7 @@
   std::string engine;  ///< where it should run; empty: all are full
 };
 
-/// Deterministic. Items are leased in the order of a WorkOrder and, within a job, in that of
+/// Deterministic. Items are leased in the order of a JobScheduler and, within a job, in that of
 /// leaseOrder(). A lease that its gateway stops renewing returns to the front of the queue. An item
 /// may run twice (the first result counts), so nothing here needs to be durable.
 ///
@@ -44,7 +44,7 @@
 class ItemLeases {
  public:
   explicit ItemLeases(base::Duration leaseTime, base::Duration planInterval = {},
-                      WorkOrderPolicy orderPolicy = WorkOrderPolicy::kAutomatic,
+                      SchedulerPolicy orderPolicy = SchedulerPolicy::kAutomatic,
                       EngineAffinitySettings affinity = {})
       : lease_time_(leaseTime),
         plan_interval_(planInterval),
@@ -75,15 +75,15 @@
   void onAsked(base::NodeId gateway, const std::string& zone, bool takesItems, base::TimePoint now,
                const GatewayCapacity& capacity = {}) {
     affinity_.note(gateway, zone, takesItems, now);
-    roster_.note(gateway, zone, takesItems, now, capacity);
+    m_gatewaySelector.note(gateway, zone, takesItems, now, capacity);
   }
   /// Which gateways run items.
-  [[nodiscard]] GatewayRoster& roster() { return roster_; }
+  [[nodiscard]] GatewaySelector& gatewaySelector() { return m_gatewaySelector; }
   /// All gateways that ask for items.
   [[nodiscard]] std::vector<GatewaySummary> gateways() const;
   /// Leases items to `gateway` that should run at engines in its zone, as many as find a place in
-  /// `wanted`, and whole texts that only their score is missing of. The caller asks the roster
-  /// first whether the gateway runs items.
+  /// `wanted`, and whole texts that only their score is missing of. The caller asks the gateway
+  /// selector first whether the gateway runs items.
   [[nodiscard]] std::vector<GrantedItem> lease(base::NodeId gateway, FreeSlots wanted,
                                                const JobState& state, base::TimePoint now);
   /// Leased items by the engine where they run or were placed.
@@ -166,7 +166,7 @@
   /// Goes on to the next item that waits for an engine; false when none does.
   bool advance(JobPlan& plan);
   [[nodiscard]] Urgency urgencyOf(JobPlan& plan);
-  [[nodiscard]] std::unique_ptr<WorkOrder> makeOrder() const;
+  [[nodiscard]] std::unique_ptr<JobScheduler> makeOrder() const;
   void observeKind(const JobSubmission& job);
   /// Tells the engines' affinity for which engines items are planned.
   void observePlan(base::TimePoint now);
@@ -187,7 +187,7 @@
   ZoneAffinity affinity_;
   EngineAffinity m_engineAffinity;
   std::set<std::string> m_models;  ///< of all jobs that were seen
-  GatewayRoster roster_;
+  GatewaySelector m_gatewaySelector;
   ItemQueue queue_;
   LeasePlan plan_;
   base::TimePoint planned_at_{};
@@ -200,9 +200,9 @@
   std::map<std::string, std::set<std::string>> come_again_;  ///< groups, by job
   std::map<std::string, ItemOrder> m_itemOrders;             ///< by job
   std::set<std::string> m_lateJobs;                          ///< that cannot be whole in time
-  const WorkOrderPolicy m_orderPolicy;
+  const SchedulerPolicy m_orderPolicy;
   std::set<JobKind> m_kinds;  ///< of the jobs seen
-  std::unique_ptr<WorkOrder> m_order;
+  std::unique_ptr<JobScheduler> m_order;
   TenantPriorities m_priorities;
   LengthForecast m_forecast;
   ModelEventIntervals m_eventIntervals;
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -54,7 +54,7 @@
         ++items[item.engine];
       }
     }
-    m_engineAffinity.setGateways(zone, roster_.activeIn(zone, now));
+    m_engineAffinity.setGateways(zone, m_gatewaySelector.activeIn(zone, now));
     m_engineAffinity.onPlanned(zone, items, now);
   }
 }
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -100,8 +100,8 @@
     leases_.giveBack(caller.node, request.held, state_);
   }
   leases_.onAsked(caller.node, request.zone, !request.wanted.empty(), now, request.capacity);
-  reply.standby = !leases_.roster().isActive(caller.node, request.zone, now);
-  reply.sharers = leases_.roster().activeCount(now);
+  reply.standby = !leases_.gatewaySelector().isActive(caller.node, request.zone, now);
+  reply.activeGateways = leases_.gatewaySelector().activeCount(now);
   if (!reply.standby) {
     for (const GrantedItem& granted : leases_.lease(caller.node, request.wanted, state_, now)) {
       reply.leased.push_back(describe(granted, now));
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -12,8 +12,8 @@
 #include "consensus/replica.h"
 #include "jobs/item_leases.h"
 #include "jobs/job_state.h"
+#include "jobs/long_poll_policy.h"
 #include "jobs/open_jobs.h"
-#include "jobs/read_gathering.h"
 
 namespace tackpick::jobs {
 
@@ -32,10 +32,10 @@
   /// Least time between two plans of what runs where: a plan costs about as much as the answers to
   /// ten calls of gateways, which come each 80 ms and more.
   base::Duration planInterval = base::milliseconds(5);
-  WorkOrderPolicy workOrder = WorkOrderPolicy::kAutomatic;
+  SchedulerPolicy workOrder = SchedulerPolicy::kAutomatic;
   /// Results in one answer.
   std::size_t answerBytes = 900U << 10U;
-  ReadGatheringSettings gathering;
+  LongPollSettings gathering;
   /// More than this is left to the replica that the reader names as near.
   std::size_t directBytes = 4U << 10U;
 };
@@ -142,7 +142,7 @@
   consensus::Replica replica_;
   cluster::GroupService service_;
   ItemLeases leases_;
-  ReadGathering gathering_;
+  LongPollPolicy gathering_;
   std::vector<cluster::GroupNode> nodes_;
   bool was_leader_ = false;
   consensus::Term observed_term_ = 0;
--- a/src/jobs/work_order.cpp
+++ b/src/jobs/job_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "jobs/work_order.h"
+#include "jobs/job_scheduler.h"
 
 #include <algorithm>
 
--- a/src/jobs/work_order.h
+++ b/src/jobs/job_scheduler.h
@@ -14,7 +14,7 @@
 namespace tackpick::jobs {
 
 /// Which order holds.
-enum class WorkOrderPolicy : std::uint8_t {
+enum class SchedulerPolicy : std::uint8_t {
   kAutomatic,  ///< by slack as soon as jobs of several models, tenants or priorities were seen
   kOldestFirst,
   kBySlack,
@@ -46,12 +46,12 @@
 };
 
 /// Plans one item after the other. Deterministic.
-class WorkOrder {
+class JobScheduler {
  public:
-  WorkOrder() = default;
-  WorkOrder(const WorkOrder&) = delete;
-  WorkOrder& operator=(const WorkOrder&) = delete;
-  virtual ~WorkOrder() = default;
+  JobScheduler() = default;
+  JobScheduler(const JobScheduler&) = delete;
+  JobScheduler& operator=(const JobScheduler&) = delete;
+  virtual ~JobScheduler() = default;
 
   /// Begins a plan over `work`, oldest job first. What was planned and not leased is planned anew.
   virtual void begin(const std::vector<QueuedWork>& work) = 0;
--- a/src/jobs/read_gathering.cpp
+++ b/src/jobs/long_poll_policy.cpp
@@ -1,4 +1,4 @@
-#include "jobs/read_gathering.h"
+#include "jobs/long_poll_policy.h"
 
 #include <algorithm>
 #include <iterator>
@@ -6,16 +6,16 @@
 
 namespace tackpick::jobs {
 
-void ReadGathering::reset() { m_jobs.clear(); }
+void LongPollPolicy::reset() { m_jobs.clear(); }
 
-void ReadGathering::addJob(const std::string& id, const Job& job,
-                           const std::set<std::string>& comesAgain) {
+void LongPollPolicy::addJob(const std::string& id, const Job& job,
+                            const std::set<std::string>& comesAgain) {
   if (!job.settled()) {
     m_jobs.try_emplace(id, job.submission, comesAgain);
   }
 }
 
-void ReadGathering::observe(const JobState& state, const AgeOf& ageOf) {
+void LongPollPolicy::observe(const JobState& state, const AgeOf& ageOf) {
   for (auto entry = m_jobs.begin(); entry != m_jobs.end();) {
     auto& [id, groups] = *entry;
     const Job* job = state.find(id);
@@ -30,7 +30,7 @@
   }
 }
 
-void ReadGathering::noteTaken(const std::string& model, base::Duration age) {
+void LongPollPolicy::noteTaken(const std::string& model, base::Duration age) {
   std::deque<base::Duration>& taken = m_taken[model];
   taken.push_back(age);
   if (taken.size() > m_settings.remembered) {
@@ -38,7 +38,7 @@
   }
 }
 
-std::optional<base::Duration> ReadGathering::expected(const JobSubmission& job) const {
+std::optional<base::Duration> LongPollPolicy::expected(const JobSubmission& job) const {
   const auto found = m_taken.find(job.model);
   if (found == m_taken.end()) {
     return job.resultDeadline > base::Duration{0} ? std::optional(job.resultDeadline)
@@ -49,8 +49,8 @@
   return sorted[sorted.size() / 2];
 }
 
-bool ReadGathering::holds(const std::string& id, const Job& job, base::Duration age,
-                          base::Duration asked, base::Duration left) const {
+bool LongPollPolicy::holds(const std::string& id, const Job& job, base::Duration age,
+                           base::Duration asked, base::Duration left) const {
   const std::optional<base::Duration> whole = expected(job.submission);
   if (!m_jobs.contains(id) || !whole || *whole - age > left) {
     return false;
--- a/src/jobs/read_gathering.h
+++ b/src/jobs/long_poll_policy.h
@@ -13,8 +13,8 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of a ReadGathering.
-struct ReadGatheringSettings {
+/// Knobs of a LongPollPolicy.
+struct LongPollSettings {
   /// Results are told so long after they were due at the latest.
   base::Duration lateness = base::milliseconds(300);
   /// Jobs of a model from which the time of the next is told.
@@ -26,9 +26,9 @@
 /// second: 0.5 to 0.9 s of a step of 8 s. So a read is held, within the wait that its caller asked
 /// for, when the job's wanted groups are expected to be whole by its end. Expected is what the last
 /// jobs of the model took. Deterministic; in the memory of the ledgers' leader only.
-class ReadGathering {
+class LongPollPolicy {
  public:
-  explicit ReadGathering(ReadGatheringSettings settings) : m_settings(settings) {}
+  explicit LongPollPolicy(LongPollSettings settings) : m_settings(settings) {}
 
   void reset();
   void addJob(const std::string& id, const Job& job, const std::set<std::string>& comesAgain);
@@ -48,7 +48,7 @@
   /// the job's results are due. Nothing: unknown.
   [[nodiscard]] std::optional<base::Duration> expected(const JobSubmission& job) const;
 
-  const ReadGatheringSettings m_settings;
+  const LongPollSettings m_settings;
   std::map<std::string, WantedGroups> m_jobs;                 ///< whose wanted groups are not whole
   std::map<std::string, std::deque<base::Duration>> m_taken;  ///< by model, the latest last
 };
--- a/src/jobs/slack_order.cpp
+++ b/src/jobs/slack_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "jobs/slack_order.h"
+#include "jobs/slack_scheduler.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,27 +19,27 @@
 
 }  // namespace
 
-MinimumShares<SlackOrder::Id>& SlackOrder::Shares::tenantsOf(std::uint32_t priority) {
+MinimumShares<SlackScheduler::Id>& SlackScheduler::Shares::tenantsOf(std::uint32_t priority) {
   return m_tenants.try_emplace(priority, kTenantShare).first->second;
 }
 
-MinimumShares<SlackOrder::Id>& SlackOrder::Shares::jobsOf(TenantKey tenant) {
+MinimumShares<SlackScheduler::Id>& SlackScheduler::Shares::jobsOf(TenantKey tenant) {
   return m_jobs.try_emplace(tenant, kJobShare).first->second;
 }
 
-void SlackOrder::Shares::enter(const Owner& owner) {
+void SlackScheduler::Shares::enter(const Owner& owner) {
   m_priorities.enter(owner.tenant.first);
   tenantsOf(owner.tenant.first).enter(owner.tenant.second);
   jobsOf(owner.tenant).enter(owner.job);
 }
 
-void SlackOrder::Shares::charge(const Owner& owner) {
+void SlackScheduler::Shares::charge(const Owner& owner) {
   m_priorities.charge(owner.tenant.first);
   tenantsOf(owner.tenant.first).charge(owner.tenant.second);
   jobsOf(owner.tenant).charge(owner.job);
 }
 
-void SlackOrder::Shares::keepOnly(const std::vector<Entry>& waiting) {
+void SlackScheduler::Shares::keepOnly(const std::vector<Entry>& waiting) {
   std::vector<std::uint32_t> priorities;
   std::vector<TenantKey> tenants;
   std::vector<std::pair<TenantKey, Id>> jobs;  // one may have come from another priority
@@ -64,7 +64,7 @@
   }
 }
 
-SlackOrder::Owner SlackOrder::ownerOf(const QueuedWork& work) {
+SlackScheduler::Owner SlackScheduler::ownerOf(const QueuedWork& work) {
   const auto [tenant, newTenant] = m_tenantIds.try_emplace(work.tenant, m_lastId + 1);
   m_lastId += newTenant ? 1 : 0;
   const auto [known, added] = m_waiting.try_emplace(work.job);
@@ -76,12 +76,12 @@
   return known->second.owner;
 }
 
-std::size_t SlackOrder::positionOf(Id job) const {
+std::size_t SlackScheduler::positionOf(Id job) const {
   return std::lower_bound(m_positions.begin(), m_positions.end(), std::pair(job, std::size_t{0}))
       ->second;
 }
 
-void SlackOrder::begin(const std::vector<QueuedWork>& work) {
+void SlackScheduler::begin(const std::vector<QueuedWork>& work) {
   ++m_plan;
   m_entries.clear();
   m_byPriority.clear();
@@ -102,19 +102,19 @@
   m_planned = m_leased;
 }
 
-void SlackOrder::rank(std::size_t job) {
+void SlackScheduler::rank(std::size_t job) {
   const Entry& entry = m_entries[job];
   m_byPriority[entry.owner.tenant.first].emplace(entry.urgency, job);
   m_byTenant[entry.owner.tenant].emplace(entry.urgency, job);
 }
 
-void SlackOrder::unrank(std::size_t job) {
+void SlackScheduler::unrank(std::size_t job) {
   const Entry& entry = m_entries[job];
   m_byPriority[entry.owner.tenant.first].erase({entry.urgency, job});
   m_byTenant[entry.owner.tenant].erase({entry.urgency, job});
 }
 
-std::optional<std::size_t> SlackOrder::next() {
+std::optional<std::size_t> SlackScheduler::next() {
   if (m_byPriority.empty()) {
     return std::nullopt;
   }
@@ -122,7 +122,7 @@
   return nextOfPriority(owed.value_or(m_byPriority.begin()->first));
 }
 
-std::size_t SlackOrder::nextOfPriority(std::uint32_t priority) {
+std::size_t SlackScheduler::nextOfPriority(std::uint32_t priority) {
   if (const auto owed = m_planned.tenantsOf(priority).owed()) {
     const TenantKey tenant{priority, *owed};
     return nextOfTenant(tenant, m_byTenant.at(tenant).begin()->second);
@@ -131,12 +131,12 @@
   return nextOfTenant(m_entries[mostUrgent].owner.tenant, mostUrgent);
 }
 
-std::size_t SlackOrder::nextOfTenant(TenantKey tenant, std::size_t preferred) {
+std::size_t SlackScheduler::nextOfTenant(TenantKey tenant, std::size_t preferred) {
   const auto owed = m_planned.jobsOf(tenant).owed();
   return owed ? positionOf(*owed) : preferred;
 }
 
-void SlackOrder::onPlanned(std::size_t job, const Urgency& urgency) {
+void SlackScheduler::onPlanned(std::size_t job, const Urgency& urgency) {
   Entry& entry = m_entries[job];
   m_planned.charge(entry.owner);
   if (entry.urgency != urgency) {
@@ -146,7 +146,7 @@
   }
 }
 
-void SlackOrder::onExhausted(std::size_t job) {
+void SlackScheduler::onExhausted(std::size_t job) {
   const Owner& owner = m_entries[job].owner;
   unrank(job);
   m_planned.leaveJob(owner);
@@ -160,7 +160,7 @@
   }
 }
 
-void SlackOrder::onLeased(const std::string& job) {
+void SlackScheduler::onLeased(const std::string& job) {
   const auto waiting = m_waiting.find(job);
   if (waiting != m_waiting.end()) {
     m_leased.charge(waiting->second.owner);
--- a/src/jobs/slack_order.h
+++ b/src/jobs/slack_scheduler.h
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
+#include "jobs/job_scheduler.h"
 #include "jobs/minimum_shares.h"
-#include "jobs/work_order.h"
 
 namespace tackpick::jobs {
 
@@ -18,7 +18,7 @@
 /// first. Bounded in three steps: each priority, each tenant of a priority and each job of a tenant
 /// that waits gets a minimum of what is leased, whatever the others' urgency. The estimates behind
 /// the urgency err, so nothing may depend on it alone. Deterministic.
-class SlackOrder final : public WorkOrder {
+class SlackScheduler final : public JobScheduler {
  public:
   void begin(const std::vector<QueuedWork>& work) override;
   [[nodiscard]] std::optional<std::size_t> next() override;
--- a/src/jobs/slow_watch.cpp
+++ b/src/jobs/slowness_detector.cpp
@@ -1,10 +1,10 @@
-#include "jobs/slow_watch.h"
+#include "jobs/slowness_detector.h"
 
 #include <algorithm>
 
 namespace tackpick::jobs {
 
-void SlowWatch::note(base::Duration lateness, base::Duration usual, base::TimePoint now) {
+void SlownessDetector::note(base::Duration lateness, base::Duration usual, base::TimePoint now) {
   const bool late = lateness > std::max(m_settings.late, usual * m_settings.timesUsual);
   if (late == isSlow()) {
     m_otherSince.reset();
@@ -26,7 +26,7 @@
   }
 }
 
-void SlowWatch::beginSlow(base::TimePoint now) {
+void SlownessDetector::beginSlow(base::TimePoint now) {
   const bool again = m_recoveredAt && now - *m_recoveredAt < m_settings.forgive;
   const base::Duration doubled = std::min(m_recover * 2, m_settings.longestRecover);
   m_recover = again ? doubled : m_settings.recover;
--- a/src/jobs/slow_watch.h
+++ b/src/jobs/slowness_detector.h
@@ -8,8 +8,8 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of a SlowWatch.
-struct SlowWatchSettings {
+/// Knobs of a SlownessDetector.
+struct SlownessDetectorSettings {
   /// Two ticks of an event loop: less is the usual jitter.
   base::Duration late = base::milliseconds(40);
   /// When all gateways are late, as on a full host, none of them is slow.
@@ -24,9 +24,9 @@
 };
 
 /// Deterministic. Fed with each call of the gateway.
-class SlowWatch {
+class SlownessDetector {
  public:
-  explicit SlowWatch(SlowWatchSettings settings = {}) : m_settings(settings) {}
+  explicit SlownessDetector(SlownessDetectorSettings settings = {}) : m_settings(settings) {}
 
   /// `lateness` is the gateway's, `usual` that of the gateways around it.
   void note(base::Duration lateness, base::Duration usual, base::TimePoint now);
@@ -36,7 +36,7 @@
  private:
   void beginSlow(base::TimePoint now);
 
-  SlowWatchSettings m_settings;
+  SlownessDetectorSettings m_settings;
   /// Since when it has not been what it counts as.
   std::optional<base::TimePoint> m_otherSince;
   std::optional<base::TimePoint> m_slowSince;
--- a/src/jobs/work_report.h
+++ b/src/jobs/work_report.h
@@ -11,7 +11,7 @@
 #include "base/identifiers.h"
 #include "base/serialization.h"
 #include "base/time.h"
-#include "jobs/gateway_roster.h"
+#include "jobs/gateway_selector.h"
 #include "jobs/work_summary.h"
 
 namespace tackpick::jobs {
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -49,8 +49,8 @@
 
 void ItemRunner::onView(const directory::DirectoryView& view) {
   recordDraining(view, node_.now());
-  if (!sharers_told_) {
-    sharers_ = std::max(view.gateways, 1U);
+  if (!m_activeGatewaysKnown) {
+    m_activeGateways = std::max(view.gateways, 1U);
   }
   engine_models_.clear();
   for (const directory::Service& service : node_.member().configuration().services) {
@@ -83,8 +83,8 @@
   if (standby_ && items_.empty()) {
     return kStandbyInterval;
   }
-  const base::Duration shared =
-      std::min(kLongestLeaseInterval, kLeaseIntervalPerGateway * static_cast<int>(sharers_));
+  const base::Duration shared = std::min(
+      kLongestLeaseInterval, kLeaseIntervalPerGateway * static_cast<int>(m_activeGateways));
   return std::max(shared, items_.empty() ? kIdleLeaseInterval : kLeaseInterval);
 }
 
@@ -93,7 +93,7 @@
     return {};
   }
   jobs::FreeSlots wanted = instances_.freeSlots(engine_models_);
-  wanted.share(sharers_, kOvercommitPercent);
+  wanted.share(m_activeGateways, kOvercommitPercent);
   for (const auto& [key, item] : items_) {
     if (needsEngine(*item)) {
       wanted.occupy(item->run.leased().model, item->run.leased().minimumVersion);
@@ -179,9 +179,9 @@
     }
   }
   standby_ = reply.standby;
-  if (reply.sharers > 0) {
-    sharers_ = reply.sharers;
-    sharers_told_ = true;
+  if (reply.activeGateways > 0) {
+    m_activeGateways = reply.activeGateways;
+    m_activeGatewaysKnown = true;
   }
   const base::TimePoint now = node_.now();
   if (reply.wantsEventIntervals && !instances_.eventIntervals(now).empty()) {
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -160,9 +160,9 @@
   RequestGuard& m_guard;
   ScoringClient scores_;
   std::map<jobs::ItemKey, std::unique_ptr<Running>> items_;
-  std::uint32_t sharers_ = 1;  ///< gateways that run items
-  bool sharers_told_ = false;  ///< ... as the ledgers say; until then all gateways count
-  bool standby_ = false;       ///< others run the items of this gateway's zone
+  std::uint32_t m_activeGateways = 1;  ///< gateways that run items
+  bool m_activeGatewaysKnown = false;  ///< ... as the ledgers say; until then all gateways count
+  bool standby_ = false;               ///< others run the items of this gateway's zone
   forwarding::ServiceModels engine_models_;
   std::map<std::string, base::TimePoint> m_endings;  ///< of engines that say when they end
   bool leasing_ = false;
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -54,7 +54,7 @@
  public:
   ZoneRun(jobs::EngineAffinitySettings settings, std::uint64_t seed)
       : m_random(seed),
-        m_leases(kLeaseTime, base::milliseconds(5), jobs::WorkOrderPolicy::kAutomatic, settings) {
+        m_leases(kLeaseTime, base::milliseconds(5), jobs::SchedulerPolicy::kAutomatic, settings) {
     std::vector<jobs::PlacementEngine> engines;
     for (std::uint32_t i = 0; i < kEngines; ++i) {
       engines.push_back({"e" + std::to_string(i), kSlots, {{"m", 1}, {"n", 1}}, "a"});
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -7,7 +7,7 @@
 #include <limits>
 
 #include "base/random.h"
-#include "jobs/slow_watch.h"
+#include "jobs/slowness_detector.h"
 
 namespace base = tackpick::base;
 namespace jobs = tackpick::jobs;
@@ -36,7 +36,7 @@
     }
   }
 
-  jobs::SlowWatch watch;
+  jobs::SlownessDetector watch;
   base::TimePoint now{base::seconds(1)};
   int changes = 0;
 };
--- /dev/null
+++ b/test/jobs/gateway_selector_test.cpp
@@ -0,0 +1,241 @@
+/// Which gateways run items.
+#include "jobs/gateway_selector.h"
+
+#include <criterion/criterion.h>
+
+#include <algorithm>
+#include <ctime>
+#include <functional>
+#include <set>
+
+namespace base = tackpick::base;
+namespace jobs = tackpick::jobs;
+
+namespace {
+
+const base::TimePoint kNow{base::seconds(1)};
+
+base::NodeId gateway(std::uint32_t number) { return base::makeNodeId(number, 1); }
+
+void askAll(jobs::GatewaySelector& gatewaySelector, std::uint32_t count, base::TimePoint now) {
+  for (std::uint32_t i = 1; i <= count; ++i) {
+    gatewaySelector.note(gateway(i), "a", true, now);
+  }
+}
+
+std::uint32_t activeAmong(jobs::GatewaySelector& gatewaySelector, std::uint32_t count,
+                          base::TimePoint now) {
+  std::uint32_t active = 0;
+  for (std::uint32_t i = 1; i <= count; ++i) {
+    active += gatewaySelector.isActive(gateway(i), "a", now) ? 1 : 0;
+  }
+  return active;
+}
+
+/// One zone with places for three gateways, and one to spare.
+jobs::GatewaySelector makeFourGateways() {
+  jobs::GatewaySelectorSettings settings;
+  settings.slotsPerGateway = 10;
+  settings.spareGateways = 1;
+  jobs::GatewaySelector gatewaySelector(settings);
+  gatewaySelector.setSlots({{"a", 30}});
+  return gatewaySelector;
+}
+
+}  // namespace
+
+Test(gateway_selector, as_many_as_the_engines_need_and_a_spare) {
+  jobs::GatewaySelector gatewaySelector = makeFourGateways();
+  askAll(gatewaySelector, 10, kNow);
+  cr_assert_eq(activeAmong(gatewaySelector, 10, kNow), 4U);
+  cr_assert_eq(gatewaySelector.activeCount(kNow), 4U);
+  gatewaySelector.setSlots({{"a", 5}});
+  cr_assert_eq(activeAmong(gatewaySelector, 10, kNow), 4U, "engines that load count still");
+}
+
+Test(gateway_selector, few_gateways_all_run_items) {
+  jobs::GatewaySelector gatewaySelector = makeFourGateways();
+  askAll(gatewaySelector, 3, kNow);
+  cr_assert_eq(activeAmong(gatewaySelector, 3, kNow), 3U);
+  cr_assert_eq(gatewaySelector.activeCount(kNow), 3U);
+  cr_assert(gatewaySelector.isActive(gateway(9), "elsewhere", kNow),
+            "nothing is known of its zone");
+}
+
+Test(gateway_selector, others_step_in_for_those_that_leave_or_fall_silent) {
+  jobs::GatewaySelector gatewaySelector = makeFourGateways();
+  askAll(gatewaySelector, 10, kNow);
+  cr_assert_not(gatewaySelector.isActive(gateway(5), "a", kNow));
+  gatewaySelector.note(gateway(1), "a", false, kNow);
+  cr_assert(gatewaySelector.isActive(gateway(5), "a", kNow));
+  gatewaySelector.forget(2);
+  cr_assert(gatewaySelector.isActive(gateway(6), "a", kNow));
+  // Those that run items ask often; those that stand by may be silent for longer.
+  const base::TimePoint later = kNow + base::milliseconds(700);
+  gatewaySelector.note(gateway(4), "a", true, later);
+  cr_assert(gatewaySelector.isActive(gateway(7), "a", later), "3 is silent");
+  cr_assert_not(gatewaySelector.isActive(gateway(9), "a", later));
+}
+
+namespace {
+
+jobs::GatewayCapacity cores(double count) {
+  jobs::GatewayCapacity capacity;
+  capacity.processorCores = count;
+  return capacity;
+}
+
+/// Places for the engines of one zone of a real size.
+jobs::GatewaySelector makeMixedZone() {
+  jobs::GatewaySelector gatewaySelector;
+  gatewaySelector.setSlots({{"a", 88}});
+  return gatewaySelector;
+}
+
+/// The gateways 1 to `count` call each 100 ms; `capacity` is that of a number.
+void callFor(jobs::GatewaySelector& gatewaySelector, std::uint32_t count, base::Duration time,
+             base::TimePoint& now, const std::function<jobs::GatewayCapacity(std::uint32_t)>& of) {
+  for (const base::TimePoint until = now + time; now < until; now += base::milliseconds(100)) {
+    for (std::uint32_t i = 1; i <= count; ++i) {
+      gatewaySelector.note(gateway(i), "a", true, now, of(i));
+    }
+  }
+}
+
+std::set<std::uint32_t> numbers(std::initializer_list<std::uint32_t> list) { return list; }
+
+std::set<std::uint32_t> active(jobs::GatewaySelector& gatewaySelector, std::uint32_t count,
+                               base::TimePoint now) {
+  std::set<std::uint32_t> found;
+  for (std::uint32_t i = 1; i <= count; ++i) {
+    if (gatewaySelector.isActive(gateway(i), "a", now)) {
+      found.insert(i);
+    }
+  }
+  return found;
+}
+
+}  // namespace
+
+Test(gateway_selector, equal_gateways_are_chosen_as_if_their_size_were_unknown) {
+  const std::set<std::uint32_t> lowest{1, 2, 3, 4, 5, 6};
+  for (const double size : {0.0, 0.05, 0.12, 4.0}) {
+    jobs::GatewaySelector gatewaySelector = makeMixedZone();
+    base::TimePoint now = kNow;
+    callFor(gatewaySelector, 20, base::milliseconds(200), now,
+            [&](std::uint32_t) { return cores(size); });
+    cr_assert(active(gatewaySelector, 20, now) == lowest, "%f", size);
+    cr_assert_not(gatewaySelector.mostItems(gateway(1), "a", now).has_value());
+  }
+}
+
+Test(gateway_selector, few_and_able_gateways_go_before_many_small_ones) {
+  jobs::GatewaySelector gatewaySelector = makeMixedZone();
+  base::TimePoint now = kNow;
+  const auto size = [](std::uint32_t i) { return cores(i > 15 ? 0.3 : 0.09); };
+  callFor(gatewaySelector, 20, base::milliseconds(200), now, size);
+  cr_assert(active(gatewaySelector, 20, now) == numbers({16, 17, 18, 19}));
+  cr_assert_eq(gatewaySelector.activeCount(now), 4U);
+  // Without the able ones more of the small ones are needed.
+  const std::uint32_t able = *gatewaySelector.mostItems(gateway(16), "a", now);
+  for (std::uint32_t i = 16; i <= 20; ++i) {
+    gatewaySelector.forget(i);
+  }
+  gatewaySelector.note(gateway(20), "a", true, now, cores(0.3));
+  cr_assert_gt(active(gatewaySelector, 20, now).size(), 5U);
+  cr_assert_lt(*gatewaySelector.mostItems(gateway(1), "a", now), able);
+}
+
+Test(gateway_selector, slow_gateway_gets_less_and_more_again_when_it_recovers) {
+  jobs::GatewaySelector gatewaySelector = makeMixedZone();
+  base::TimePoint now = kNow;
+  bool slow = false;
+  const auto size = [&](std::uint32_t i) {
+    jobs::GatewayCapacity capacity = cores(0.12);
+    capacity.tickLateness = base::milliseconds(slow && i == 2 ? 120 : 5);
+    return capacity;
+  };
+  callFor(gatewaySelector, 10, base::seconds(1), now, size);
+  cr_assert(gatewaySelector.isActive(gateway(2), "a", now));
+  slow = true;
+  callFor(gatewaySelector, 10, base::milliseconds(1500), now, size);
+  cr_assert(active(gatewaySelector, 10, now) == numbers({1, 3, 4, 5, 6, 7}));
+  for (const jobs::GatewaySummary& sight : gatewaySelector.sight()) {
+    const bool second = sight.gateway == gateway(2);
+    cr_assert_eq(sight.slowSince.has_value(), second);
+    cr_assert_eq(sight.places, second ? 6U : 24U);
+    cr_assert_eq(sight.zone, "a");
+  }
+  slow = false;
+  callFor(gatewaySelector, 10, base::seconds(4), now, size);
+  cr_assert(active(gatewaySelector, 10, now) == numbers({1, 2, 3, 4, 5, 6}));
+}
+
+Test(gateway_selector, slow_gateway_goes_on_where_no_other_is) {
+  jobs::GatewaySelector gatewaySelector = makeMixedZone();
+  base::TimePoint now = kNow;
+  const auto size = [](std::uint32_t i) {
+    jobs::GatewayCapacity capacity = cores(0.12);
+    capacity.tickLateness = base::milliseconds(i == 2 ? 120 : 5);
+    return capacity;
+  };
+  callFor(gatewaySelector, 3, base::seconds(3), now, size);
+  cr_assert(active(gatewaySelector, 3, now) == numbers({1, 2, 3}));
+  cr_assert_not(gatewaySelector.mostItems(gateway(2), "a", now).has_value(), "all are needed");
+}
+
+Test(gateway_selector, gateway_whose_calls_come_late_is_slow) {
+  jobs::GatewaySelector gatewaySelector = makeMixedZone();
+  base::TimePoint now = kNow;
+  for (int round = 0; round < 40; ++round) {
+    now += base::milliseconds(100);
+    for (std::uint32_t i = 1; i <= 10; ++i) {
+      if (i != 2 || round % 5 == 0) {
+        gatewaySelector.note(gateway(i), "a", true, now, cores(0.12));
+      }
+    }
+  }
+  cr_assert_not(gatewaySelector.isActive(gateway(2), "a", now));
+}
+
+// A new leader knows no capacities, and gateways tell theirs one after the other.
+Test(gateway_selector, new_leader_chooses_by_number_until_it_is_told) {
+  jobs::GatewaySelector gatewaySelector = makeMixedZone();
+  base::TimePoint now = kNow;
+  const auto size = [](std::uint32_t i) { return cores(i > 15 ? 0.3 : 0.09); };
+  callFor(gatewaySelector, 20, base::milliseconds(200), now, size);
+  gatewaySelector.clear();
+  gatewaySelector.setSlots({{"a", 88}});
+  cr_assert_eq(active(gatewaySelector, 20, now).size(), 20U, "nothing is known");
+  callFor(gatewaySelector, 20, base::milliseconds(200), now,
+          {[](std::uint32_t) { return cores(0); }});
+  cr_assert(active(gatewaySelector, 20, now) == numbers({1, 2, 3, 4, 5, 6}));
+  callFor(gatewaySelector, 20, base::milliseconds(200), now, size);
+  cr_assert(active(gatewaySelector, 20, now) == numbers({16, 17, 18, 19}));
+}
+
+Test(gateway_selector, nonsense_counts_as_an_unknown_size) {
+  jobs::GatewaySelector gatewaySelector = makeMixedZone();
+  base::TimePoint now = kNow;
+  const auto size = [](std::uint32_t i) { return cores(i == 9 ? -7 : 0); };
+  callFor(gatewaySelector, 10, base::milliseconds(200), now, size);
+  cr_assert(active(gatewaySelector, 10, now) == numbers({1, 2, 3, 4, 5, 6}));
+}
+
+// Counting all gateways at each call would grow with their square.
+Test(gateway_selector, calls_cost_the_same_with_a_thousand_gateways) {
+  jobs::GatewaySelector gatewaySelector = makeFourGateways();
+  constexpr std::uint32_t kGateways = 1000;
+  constexpr int kRounds = 100;
+  base::TimePoint now = kNow;
+  const std::clock_t begun = std::clock();
+  for (int round = 0; round < kRounds; ++round) {
+    for (std::uint32_t i = 1; i <= kGateways; ++i) {
+      now += base::microseconds(500);
+      gatewaySelector.note(gateway(i), "a", true, now);
+      cr_assert_eq(gatewaySelector.isActive(gateway(i), "a", now), i <= 4);
+      cr_assert_eq(gatewaySelector.activeCount(now), round == 0 ? std::min(i, 4U) : 4U);
+    }
+  }
+  cr_assert_lt(static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC, 0.5);
+}
--- a/test/jobs/work_order_test.cpp
+++ b/test/jobs/job_scheduler_test.cpp
@@ -3,9 +3,9 @@
 
 #include <numeric>
 
+#include "jobs/fifo_scheduler.h"
 #include "jobs/minimum_shares.h"
-#include "jobs/oldest_first_order.h"
-#include "jobs/slack_order.h"
+#include "jobs/slack_scheduler.h"
 #include "jobs/tenant_priorities.h"
 
 namespace base = tackpick::base;
@@ -19,7 +19,7 @@
 
 /// Plans and leases `count` items one after the other, each in a plan of its own; the urgency of a
 /// job never changes. Returns the items by job.
-std::vector<std::uint32_t> leaseOneByOne(jobs::WorkOrder& order,
+std::vector<std::uint32_t> leaseOneByOne(jobs::JobScheduler& order,
                                          const std::vector<jobs::QueuedWork>& work,
                                          std::uint32_t count) {
   std::vector<std::uint32_t> leased(work.size());
@@ -33,7 +33,7 @@
 }
 
 /// The same in one plan.
-std::vector<std::uint32_t> planAtOnce(jobs::WorkOrder& order,
+std::vector<std::uint32_t> planAtOnce(jobs::JobScheduler& order,
                                       const std::vector<jobs::QueuedWork>& work,
                                       std::uint32_t count) {
   std::vector<std::uint32_t> planned(work.size());
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-Test(work_order, slack_classes_are_finer_near_the_due_time) {
+Test(job_scheduler, slack_classes_are_finer_near_the_due_time) {
   cr_assert_eq(jobs::slackClassOf(base::seconds(-5)), 0U);
   cr_assert_eq(jobs::slackClassOf(base::milliseconds(499)), 0U);
   cr_assert_eq(jobs::slackClassOf(base::milliseconds(600)), 1U);
@@ -58,8 +58,8 @@
                jobs::slackClassOf(base::seconds(100'000)));
 }
 
-Test(work_order, oldest_first_empties_one_job_after_the_other) {
-  jobs::OldestFirstOrder order;
+Test(job_scheduler, oldest_first_empties_one_job_after_the_other) {
+  jobs::FifoScheduler order;
   order.begin({{"a", "", 1, kRelaxed}, {"b", "", 0, kUrgent}});
   cr_assert_eq(*order.next(), 0U);
   order.onPlanned(0, kRelaxed);
@@ -70,8 +70,8 @@
   cr_assert_not(order.next().has_value());
 }
 
-Test(work_order, equally_urgent_jobs_go_oldest_first) {
-  jobs::SlackOrder order;
+Test(job_scheduler, equally_urgent_jobs_go_oldest_first) {
+  jobs::SlackScheduler order;
   order.begin({{"a", "t", 0, kRelaxed}, {"b", "t", 0, kRelaxed}});
   for (int i = 0; i < 3; ++i) {
     cr_assert_eq(*order.next(), 0U);
@@ -81,8 +81,8 @@
   cr_assert_eq(*order.next(), 1U);
 }
 
-Test(work_order, items_of_several_jobs_go_by_their_urgency) {
-  jobs::SlackOrder order;
+Test(job_scheduler, items_of_several_jobs_go_by_their_urgency) {
+  jobs::SlackScheduler order;
   const jobs::Urgency late{true, false, 0};
   const jobs::Urgency spare{false, true, 0};
   order.begin({{"late", "t", 0, late}, {"spare", "t", 0, spare}, {"long", "t", 0, kUrgent}});
@@ -95,12 +95,12 @@
   cr_assert_eq(*order.next(), 0U, "a late job goes on when nothing else waits");
 }
 
-Test(work_order, higher_priority_first_and_the_lowest_goes_on) {
+Test(job_scheduler, higher_priority_first_and_the_lowest_goes_on) {
   const std::vector<jobs::QueuedWork> work{
       {"low", "x", 2, kUrgent}, {"high", "y", 0, kRelaxed}, {"middle", "z", 1, kUrgent}};
   constexpr std::uint32_t kItems = 480;
   for (const bool atOnce : {false, true}) {
-    jobs::SlackOrder order;
+    jobs::SlackScheduler order;
     const auto leased =
         atOnce ? planAtOnce(order, work, kItems) : leaseOneByOne(order, work, kItems);
     cr_assert_geq(leased[1], kItems * 9 / 10);
@@ -109,7 +109,7 @@
   }
 }
 
-Test(work_order, each_tenant_and_each_job_gets_a_quarter_of_its_share) {
+Test(job_scheduler, each_tenant_and_each_job_gets_a_quarter_of_its_share) {
   std::vector<jobs::QueuedWork> work;
   constexpr std::uint32_t kSmallTenants = 75;
   constexpr std::uint32_t kLargeTenants = 4;
@@ -127,7 +127,7 @@
   constexpr std::uint32_t kTenants = kSmallTenants + kLargeTenants;
   constexpr std::uint32_t kShare = 20;  // items of each tenant if all shared alike
   for (const bool atOnce : {false, true}) {
-    jobs::SlackOrder order;
+    jobs::SlackScheduler order;
     const auto leased = atOnce ? planAtOnce(order, work, kTenants * kShare)
                                : leaseOneByOne(order, work, kTenants * kShare);
     for (std::size_t job = 0; job < work.size(); ++job) {
@@ -139,19 +139,19 @@
   }
 }
 
-Test(work_order, large_tenants_do_not_push_out_small_ones_of_equal_urgency) {
+Test(job_scheduler, large_tenants_do_not_push_out_small_ones_of_equal_urgency) {
   std::vector<jobs::QueuedWork> work;
   for (int job = 0; job < 50; ++job) {
     work.push_back({"l" + std::to_string(job), "large", 0, kUrgent});
   }
   work.push_back({"s", "small", 0, kUrgent});
-  jobs::SlackOrder order;
+  jobs::SlackScheduler order;
   const auto leased = leaseOneByOne(order, work, 80);
   cr_assert_geq(leased.back(), 80U / 2 / 4 - 1);
 }
 
-Test(work_order, job_without_a_place_does_not_hold_up_the_others) {
-  jobs::SlackOrder order;
+Test(job_scheduler, job_without_a_place_does_not_hold_up_the_others) {
+  jobs::SlackScheduler order;
   const std::vector<jobs::QueuedWork> work{{"a", "x", 0, kUrgent}, {"b", "y", 0, kRelaxed}};
   // "b" is owed items for long, and has no engine.
   for (int i = 0; i < 1000; ++i) {
@@ -170,8 +170,8 @@
   cr_assert_geq(leased[1], 40U / 8U);
 }
 
-Test(work_order, change_of_priority_holds_for_the_next_plan) {
-  jobs::SlackOrder order;
+Test(job_scheduler, change_of_priority_holds_for_the_next_plan) {
+  jobs::SlackScheduler order;
   std::vector<jobs::QueuedWork> work{{"a", "x", 0, kUrgent}, {"b", "y", 1, kUrgent}};
   order.begin(work);
   cr_assert_eq(*order.next(), 0U);
@@ -182,8 +182,8 @@
 
 // A job that had moved to another priority stayed owed at the former one, where other jobs of its
 // tenant waited: it was named after it was exhausted.
-Test(work_order, job_that_changes_its_priority_is_owed_nothing_at_the_former_one) {
-  jobs::SlackOrder order;
+Test(job_scheduler, job_that_changes_its_priority_is_owed_nothing_at_the_former_one) {
+  jobs::SlackScheduler order;
   std::vector<jobs::QueuedWork> work{{"a", "x", 1, kRelaxed}, {"b", "x", 1, kUrgent}};
   order.begin(work);
   work[0].priority = 0;
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -44,7 +44,7 @@
   base::Duration shortageTime = base::seconds(2);
   base::Duration shortageInterval = base::seconds(10);
   bool enginePerModel = false;  ///< each engine holds one model only
-  jobs::WorkOrderPolicy policy = jobs::WorkOrderPolicy::kOldestFirst;
+  jobs::SchedulerPolicy policy = jobs::SchedulerPolicy::kOldestFirst;
   std::uint64_t seed = 1;
 };
 
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -16,7 +16,7 @@
 
 /// Jobs and their leases; each lease call leaves room for everything.
 struct Ledger {
-  explicit Ledger(jobs::WorkOrderPolicy policy = jobs::WorkOrderPolicy::kAutomatic)
+  explicit Ledger(jobs::SchedulerPolicy policy = jobs::SchedulerPolicy::kAutomatic)
       : leases(base::milliseconds(1500), base::milliseconds(5), policy) {
     leases.reset(1, now, base::Duration{0});
   }
@@ -115,8 +115,8 @@
   bool ordersDiffer = false;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<std::vector<jobs::ItemKey>> orders;
-    for (const auto policy : {jobs::WorkOrderPolicy::kOldestFirst,
-                              jobs::WorkOrderPolicy::kAutomatic, jobs::WorkOrderPolicy::kBySlack}) {
+    for (const auto policy : {jobs::SchedulerPolicy::kOldestFirst,
+                              jobs::SchedulerPolicy::kAutomatic, jobs::SchedulerPolicy::kBySlack}) {
       base::SeededRandom random(seed);
       Ledger ledger(policy);
       ledger.setEngines(3);
--- a/test/jobs/read_gathering_test.cpp
+++ b/test/jobs/long_poll_policy_test.cpp
@@ -1,5 +1,5 @@
 /// When a held read of results is answered.
-#include "jobs/read_gathering.h"
+#include "jobs/long_poll_policy.h"
 
 #include <criterion/criterion.h>
 
@@ -48,7 +48,7 @@
   }
 
   jobs::JobState state;
-  jobs::ReadGathering gathering{jobs::ReadGatheringSettings{}};
+  jobs::LongPollPolicy gathering{jobs::LongPollSettings{}};
 
  private:
   void apply(const jobs::JobCommand& command) {
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-Test(read_gathering, until_a_job_was_whole_the_due_time_counts) {
+Test(long_poll_policy, until_a_job_was_whole_the_due_time_counts) {
   Fixture fixture;
   fixture.submit("j");
   fixture.list("j", 0, base::seconds(1));
@@ -66,7 +66,7 @@
   cr_assert(fixture.holds("j", base::seconds(7), base::seconds(7)));
 }
 
-Test(read_gathering, read_is_held_when_the_rest_is_near) {
+Test(long_poll_policy, read_is_held_when_the_rest_is_near) {
   Fixture fixture;
   fixture.wholeAfter("first", base::milliseconds(7200));
   fixture.submit("j");
@@ -77,7 +77,7 @@
   cr_assert(fixture.holds("j", base::milliseconds(7300), base::milliseconds(7300)), "overdue");
 }
 
-Test(read_gathering, wanted_groups_that_are_whole_end_it) {
+Test(long_poll_policy, wanted_groups_that_are_whole_end_it) {
   Fixture fixture;
   fixture.wholeAfter("first", base::milliseconds(7200));
   fixture.submit("j");
@@ -88,7 +88,7 @@
   cr_assert_not(fixture.holds("j", base::seconds(7), base::seconds(7)));
 }
 
-Test(read_gathering, groups_that_come_again_are_waited_for) {
+Test(long_poll_policy, groups_that_come_again_are_waited_for) {
   Fixture fixture;
   fixture.wholeAfter("first", base::milliseconds(7200));
   fixture.submit("j", {"b"});
@@ -100,7 +100,7 @@
   cr_assert_not(fixture.holds("j", base::seconds(7), base::seconds(7)));
 }
 
-Test(read_gathering, what_is_due_is_told_whatever_is_missing) {
+Test(long_poll_policy, what_is_due_is_told_whatever_is_missing) {
   Fixture fixture;
   fixture.wholeAfter("first", base::milliseconds(7200));
   fixture.submit("j");
--- a/test/jobs/work_order_load_test.cpp
+++ b/test/jobs/work_order_load_test.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Mean share of groups that were whole in time.
-double inTime(test::LoadOptions options, jobs::WorkOrderPolicy policy) {
+double inTime(test::LoadOptions options, jobs::SchedulerPolicy policy) {
   options.policy = policy;
   double sum = 0;
   for (options.seed = 1; options.seed <= kSeeds; ++options.seed) {
@@ -40,8 +40,8 @@
 };
 
 Comparison compare(const char* name, const test::LoadOptions& options) {
-  const Comparison found{inTime(options, jobs::WorkOrderPolicy::kOldestFirst),
-                         inTime(options, jobs::WorkOrderPolicy::kAutomatic)};
+  const Comparison found{inTime(options, jobs::SchedulerPolicy::kOldestFirst),
+                         inTime(options, jobs::SchedulerPolicy::kAutomatic)};
   std::printf("%s: groups in time %.3f oldest first, %.3f by slack\n", name, found.oldestFirst,
               found.bySlack);
   return found;
@@ -91,7 +91,7 @@
   }
   const Comparison found = compare("79 tenants", options);
   cr_assert_geq(found.bySlack, found.oldestFirst);
-  options.policy = jobs::WorkOrderPolicy::kAutomatic;
+  options.policy = jobs::SchedulerPolicy::kAutomatic;
   options.seed = 1;
   const test::LoadOutcome outcome = test::LeaseLoad(options).run();
   cr_assert_eq(outcome.jobsOfTenant.size(), 79U, "nobody is left out");
