--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -34,7 +34,7 @@
   m_gatewaySelector.clear();
   m_gatewaySelector.setSlots(placement_.slotsByZone());
   first_seen_.clear();
-  come_again_.clear();
+  m_resubmittedGroups.clear();
   seen_items_.clear();
   m_itemOrders.clear();
   m_lateJobs.clear();
@@ -51,14 +51,14 @@
     return true;
   }
   m_models.insert(job.submission.model);
-  std::set<std::string>& comesAgain = come_again_[id];
+  std::set<std::string>& resubmitted = m_resubmittedGroups[id];
   for (const Item& item : job.submission.items) {
     if (!seen_items_.insert(item.id).second) {
-      comesAgain.insert(item.group);
+      resubmitted.insert(item.group);
     }
   }
   observeKind(job.submission);
-  const ItemOrder& order = m_itemOrders[id] = itemOrderOf(job.submission, comesAgain);
+  const ItemOrder& order = m_itemOrders[id] = itemOrderOf(job.submission, resubmitted);
   for (const std::uint32_t item : order.items) {
     const ItemKey key{id, item};
     if (!job.listed[item] && !leases_.contains(key)) {
@@ -91,9 +91,9 @@
   plan_outdated_ = true;
 }
 
-std::set<std::string> ItemLeases::groupsThatComeAgain(const std::string& job) const {
-  const auto found = come_again_.find(job);
-  return found == come_again_.end() ? std::set<std::string>{} : found->second;
+std::set<std::string> ItemLeases::resubmittedGroupsOf(const std::string& job) const {
+  const auto found = m_resubmittedGroups.find(job);
+  return found == m_resubmittedGroups.end() ? std::set<std::string>{} : found->second;
 }
 
 bool ItemLeases::isOpen(const JobState& state, const ItemKey& key) {
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -61,7 +61,7 @@
   /// Takes effect with the next plan; leases stay.
   void setTenantPriorities(TenantPriorities priorities);
   /// Groups of a job that an earlier one left unfinished.
-  [[nodiscard]] std::set<std::string> groupsThatComeAgain(const std::string& job) const;
+  [[nodiscard]] std::set<std::string> resubmittedGroupsOf(const std::string& job) const;
   /// Ends leases of jobs that are settled or gone, and returns expired ones to the queue.
   void refresh(const JobState& state, base::TimePoint now);
   /// Renews what `gateway` holds. Returns the items it holds that need not run any more.
@@ -118,7 +118,7 @@
   }
   void forgetJob(const std::string& job) {
     first_seen_.erase(job);
-    come_again_.erase(job);
+    m_resubmittedGroups.erase(job);
     m_itemOrders.erase(job);
     m_lateJobs.erase(job);
   }
@@ -196,10 +196,10 @@
   std::map<base::NodeId, std::set<ItemKey>> leases_by_gateway_;
   std::map<std::string, std::uint32_t> items_by_engine_;
   std::map<std::string, base::TimePoint> first_seen_;
-  std::set<std::string> seen_items_;                         ///< ids, to know those that come again
-  std::map<std::string, std::set<std::string>> come_again_;  ///< groups, by job
-  std::map<std::string, ItemOrder> m_itemOrders;             ///< by job
-  std::set<std::string> m_lateJobs;                          ///< that cannot be whole in time
+  std::set<std::string> seen_items_;  ///< ids, to know those that come again
+  std::map<std::string, std::set<std::string>> m_resubmittedGroups;  ///< groups, by job
+  std::map<std::string, ItemOrder> m_itemOrders;                     ///< by job
+  std::set<std::string> m_lateJobs;  ///< that cannot be whole in time
   const SchedulerPolicy m_orderPolicy;
   std::set<JobKind> m_kinds;  ///< of the jobs seen
   std::unique_ptr<JobScheduler> m_order;
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -60,7 +60,7 @@
   std::string host;
   std::string model;
   std::uint64_t minimumVersion = 0;  ///< oldest weights that may make its texts
-  std::uint32_t wantedGroups = 0;    ///< whole groups that the caller waits for; zero: all
+  std::uint32_t requiredGroups = 0;  ///< whole groups that the caller waits for; zero: all
   std::uint32_t attempts = 1;        ///< answers of failure after which an item may be given up
   base::Duration queueTimeout{0};    ///< an item may be given up so long after the submission
   base::Duration resultDeadline{0};  ///< results are due so long after the submission; zero: none
@@ -70,7 +70,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, tenant, host, model, minimumVersion, wantedGroups, attempts, queueTimeout,
+    archive(id, tenant, host, model, minimumVersion, requiredGroups, attempts, queueTimeout,
             resultDeadline, singleVersion, priority, items);
   }
 };
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -311,7 +311,7 @@
   for (const auto* entry : state_.bySubmission()) {
     const auto& [id, job] = *entry;
     if (leases_.addJob(id, job, m_submissions.at(id).appliedAt) && submittedHere) {
-      gathering_.addJob(id, job, leases_.groupsThatComeAgain(id));
+      gathering_.addJob(id, job, leases_.resubmittedGroupsOf(id));
     }
   }
 }
--- a/src/jobs/lease_order.cpp
+++ b/src/jobs/lease_order.cpp
@@ -8,20 +8,20 @@
 
 namespace tackpick::jobs {
 
-std::set<std::string> spareGroups(const JobSubmission& job,
-                                  const std::set<std::string>& comesAgain) {
+std::set<std::string> optionalGroups(const JobSubmission& job,
+                                     const std::set<std::string>& resubmitted) {
   std::map<std::string, std::uint32_t> longest;  // item of each group
   for (const Item& item : job.items) {
     longest[item.group] = std::max(longest[item.group], item.expectedTokens);
   }
   std::vector<std::pair<std::uint32_t, std::string>> ranked;
   for (const auto& [group, tokens] : longest) {
-    if (!comesAgain.contains(group)) {
+    if (!resubmitted.contains(group)) {
       ranked.emplace_back(tokens, group);
     }
   }
   std::sort(ranked.rbegin(), ranked.rend());
-  const std::size_t wanted = job.wantedGroups == 0 ? longest.size() : job.wantedGroups;
+  const std::size_t wanted = job.requiredGroups == 0 ? longest.size() : job.requiredGroups;
   const std::size_t spare = longest.size() - std::min(longest.size(), wanted);
   std::set<std::string> groups;
   for (std::size_t i = 0; i < std::min(spare, ranked.size()); ++i) {
@@ -30,14 +30,14 @@
   return groups;
 }
 
-ItemOrder itemOrderOf(const JobSubmission& job, const std::set<std::string>& comesAgain) {
-  const std::set<std::string> spare = spareGroups(job, comesAgain);
+ItemOrder itemOrderOf(const JobSubmission& job, const std::set<std::string>& resubmitted) {
+  const std::set<std::string> spare = optionalGroups(job, resubmitted);
   ItemOrder order;
   for (const Item& item : job.items) {
     order.spare.push_back(spare.contains(item.group));
   }
   const auto rank = [&](std::uint32_t item) {
-    if (comesAgain.contains(job.items[item].group)) {
+    if (resubmitted.contains(job.items[item].group)) {
       return 0;
     }
     return order.spare[item] ? 2 : 1;
@@ -53,8 +53,8 @@
 }
 
 std::vector<std::uint32_t> leaseOrder(const JobSubmission& job,
-                                      const std::set<std::string>& comesAgain) {
-  return itemOrderOf(job, comesAgain).items;
+                                      const std::set<std::string>& resubmitted) {
+  return itemOrderOf(job, resubmitted).items;
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/long_poll_policy.cpp
+++ b/src/jobs/long_poll_policy.cpp
@@ -9,9 +9,9 @@
 void LongPollPolicy::reset() { m_jobs.clear(); }
 
 void LongPollPolicy::addJob(const std::string& id, const Job& job,
-                            const std::set<std::string>& comesAgain) {
+                            const std::set<std::string>& resubmitted) {
   if (!job.settled()) {
-    m_jobs.try_emplace(id, job.submission, comesAgain);
+    m_jobs.try_emplace(id, job.submission, resubmitted);
   }
 }
 
--- a/src/jobs/long_poll_policy.h
+++ b/src/jobs/long_poll_policy.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "jobs/wanted_groups.h"
+#include "jobs/required_groups.h"
 
 namespace tackpick::jobs {
 
@@ -31,7 +31,7 @@
   explicit LongPollPolicy(LongPollSettings settings) : m_settings(settings) {}
 
   void reset();
-  void addJob(const std::string& id, const Job& job, const std::set<std::string>& comesAgain);
+  void addJob(const std::string& id, const Job& job, const std::set<std::string>& resubmitted);
   void forgetJob(const std::string& id) { m_jobs.erase(id); }
   /// The time since a job's submission.
   using AgeOf = std::function<base::Duration(const std::string& job)>;
@@ -49,7 +49,7 @@
   [[nodiscard]] std::optional<base::Duration> expected(const JobSubmission& job) const;
 
   const LongPollSettings m_settings;
-  std::map<std::string, WantedGroups> m_jobs;                 ///< whose wanted groups are not whole
+  std::map<std::string, RequiredGroups> m_jobs;               ///< whose wanted groups are not whole
   std::map<std::string, std::deque<base::Duration>> m_taken;  ///< by model, the latest last
 };
 
--- a/src/jobs/wanted_groups.cpp
+++ b/src/jobs/required_groups.cpp
@@ -1,35 +1,36 @@
-#include "jobs/wanted_groups.h"
+#include "jobs/required_groups.h"
 
 #include <algorithm>
 #include <map>
 
 namespace tackpick::jobs {
 
-WantedGroups::WantedGroups(const JobSubmission& job, const std::set<std::string>& comesAgain) {
+RequiredGroups::RequiredGroups(const JobSubmission& job, const std::set<std::string>& resubmitted) {
   std::map<std::string, std::uint32_t> indices;
   m_groupOfItem.reserve(job.items.size());
   for (const Item& item : job.items) {
     const auto next = static_cast<std::uint32_t>(indices.size());
     const auto [index, added] = indices.emplace(item.group, next);
     if (added) {
-      m_groups.push_back({0, comesAgain.contains(item.group)});
-      m_againLeft += m_groups.back().comesAgain ? 1 : 0;
+      m_groups.push_back({0, resubmitted.contains(item.group)});
+      m_againLeft += m_groups.back().resubmitted ? 1 : 0;
     }
     m_groupOfItem.push_back(index->second);
     ++m_groups[index->second].itemsLeft;
   }
-  m_groupsLeft = job.wantedGroups == 0 ? m_groups.size()
-                                       : std::min<std::size_t>(job.wantedGroups, m_groups.size());
+  m_groupsLeft = job.requiredGroups == 0
+                     ? m_groups.size()
+                     : std::min<std::size_t>(job.requiredGroups, m_groups.size());
 }
 
-void WantedGroups::observe(const Job& job) {
+void RequiredGroups::observe(const Job& job) {
   for (; m_observed < job.results.size(); ++m_observed) {
     Group& group = m_groups[m_groupOfItem[job.results[m_observed].item]];
     if (--group.itemsLeft > 0) {
       continue;
     }
     m_groupsLeft -= m_groupsLeft > 0 ? 1 : 0;
-    m_againLeft -= group.comesAgain ? 1 : 0;
+    m_againLeft -= group.resubmitted ? 1 : 0;
   }
 }
 
--- a/src/jobs/wanted_groups.h
+++ b/src/jobs/required_groups.h
@@ -12,11 +12,11 @@
 namespace tackpick::jobs {
 
 /// Of one job. Deterministic. A group is whole when all its items are listed.
-class WantedGroups {
+class RequiredGroups {
  public:
-  /// `comesAgain`: groups that an earlier job left unfinished. The caller waits for all of these,
+  /// `resubmitted`: groups that an earlier job left unfinished. The caller waits for all of these,
   /// whichever others are whole.
-  WantedGroups(const JobSubmission& job, const std::set<std::string>& comesAgain);
+  RequiredGroups(const JobSubmission& job, const std::set<std::string>& resubmitted);
 
   /// Takes in the results that were listed since the last call.
   void observe(const Job& job);
@@ -25,7 +25,7 @@
  private:
   struct Group {
     std::uint32_t itemsLeft = 0;
-    bool comesAgain = false;
+    bool resubmitted = false;
   };
 
   std::vector<std::uint32_t> m_groupOfItem;
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -211,7 +211,7 @@
   } else if (const auto* submission = std::get_if<jobs::SubmitJob>(&request)) {
     detail.add("items", submission->job.items.size()).add("model", submission->job.model);
     detail.add("minimum_version", submission->job.minimumVersion);
-    detail.add("wanted_groups", std::uint64_t{submission->job.wantedGroups});
+    detail.add("wanted_groups", std::uint64_t{submission->job.requiredGroups});
     telemetry::logEvent(telemetry::EventId::kJobSubmitted, detail.text());
   } else if (std::holds_alternative<jobs::EndJob>(request)) {
     telemetry::logEvent(telemetry::EventId::kJobEnded, detail.text());
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -435,10 +435,10 @@
   add("b", 300);  // 2
   add("c", 20);   // 3
   add("d", 5);    // 4: comes again
-  job.wantedGroups = 3;
+  job.requiredGroups = 3;
   const auto order = jobs::leaseOrder(job, {"d"});
   cr_assert(order == (std::vector<std::uint32_t>{4, 2, 3, 1, 0}));
-  job.wantedGroups = 0;
+  job.requiredGroups = 0;
   cr_assert(jobs::leaseOrder(job, {}) == (std::vector<std::uint32_t>{1, 2, 3, 0, 4}));
 }
 
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -154,11 +154,11 @@
     submit.job.priority = load.priority;
     submit.job.minimumVersion = 1;
     submit.job.resultDeadline = m_options.due;
-    submit.job.wantedGroups = (load.groups * 9 + 9) / 10;
+    submit.job.requiredGroups = (load.groups * 9 + 9) / 10;
     OpenJob open;
     open.trainer = index;
     open.submittedAt = m_now;
-    open.wanted = submit.job.wantedGroups;
+    open.wanted = submit.job.requiredGroups;
     open.left.assign(load.groups, load.groupSize);
     for (std::uint32_t item = 0; item < load.groups * load.groupSize; ++item) {
       const double drawn = load.medianEvents * std::exp(load.spread * gaussian());
--- a/test/jobs/long_poll_policy_test.cpp
+++ b/test/jobs/long_poll_policy_test.cpp
@@ -16,7 +16,7 @@
   jobs::JobSubmission job;
   job.id = id;
   job.model = "m";
-  job.wantedGroups = 1;
+  job.requiredGroups = 1;
   job.resultDeadline = kDue;
   for (const char* group : {"a", "a", "b", "b"}) {
     jobs::Item item;
@@ -28,9 +28,9 @@
 }
 
 struct Fixture {
-  void submit(const std::string& id, const std::set<std::string>& comesAgain = {}) {
+  void submit(const std::string& id, const std::set<std::string>& resubmitted = {}) {
     apply(jobs::SubmitJob{submission(id)});
-    gathering.addJob(id, *state.find(id), comesAgain);
+    gathering.addJob(id, *state.find(id), resubmitted);
   }
   void list(const std::string& id, std::uint32_t item, base::Duration age) {
     apply(jobs::CommitResults{{{id, {{item, jobs::ItemState::kCompleted, {}, {1}}}}}});
