--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -48,11 +48,11 @@
     takeOutOfUse(known->first, engine);
     detach(engine);
   }
-  m_taking -= !added && engine.told.takesItems ? 1 : 0;
-  m_taking += told.takesItems ? 1 : 0;
+  m_taking -= !added && engine.told.acceptsItems ? 1 : 0;
+  m_taking += told.acceptsItems ? 1 : 0;
   engine.told = std::move(told);
   attach(engine);
-  if (engine.told.takesItems && !engine.told.reserve) {
+  if (engine.told.acceptsItems && !engine.told.reserve) {
     putInUse(known->first, engine);
   }
   if (engine.told.reserve) {
@@ -111,7 +111,7 @@
   if (known == m_engines.end()) {
     return;
   }
-  m_taking -= known->second.told.takesItems ? 1 : 0;
+  m_taking -= known->second.told.acceptsItems ? 1 : 0;
   detach(known->second);
   m_loaded.erase(&known->second);
   takeOutOfUse(known->first, known->second);
@@ -217,7 +217,7 @@
                                           std::uint64_t minimumVersion) const {
   std::uint32_t places = 0;
   for (const auto& [id, engine] : m_engines) {
-    if (engine.told.takesItems && engine.told.holds(model, minimumVersion)) {
+    if (engine.told.acceptsItems && engine.told.holds(model, minimumVersion)) {
       places += engine.told.slots;
     }
   }
@@ -284,7 +284,7 @@
   const auto from = m_standbyCursor.try_emplace({model, minimumVersion}, m_engines.begin()).first;
   for (; from->second != m_engines.end(); ++from->second) {
     EngineWork& engine = from->second->second;
-    if (engine.told.reserve && engine.told.takesItems && !engine.isFull() &&
+    if (engine.told.reserve && engine.told.acceptsItems && !engine.isFull() &&
         engine.told.holds(model, minimumVersion)) {
       addLoad(engine, 1);
       return engine.told.id;
--- a/src/jobs/gateway_selector.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -17,10 +17,10 @@
   }
 }
 
-void GatewaySelector::note(base::NodeId gateway, const std::string& zone, bool takesItems,
+void GatewaySelector::note(base::NodeId gateway, const std::string& zone, bool acceptsItems,
                            base::TimePoint now, const GatewayCapacity& capacity) {
   Zone& home = m_zones[zone];
-  if (!takesItems) {
+  if (!acceptsItems) {
     const auto known = home.gateways.find(gateway);
     if (known != home.gateways.end()) {
       erase(home, known);
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -61,8 +61,8 @@
   /// Places of all engines in each zone; the most that was told counts, since engines that change
   /// their weights are left out for a moment.
   void setSlots(const std::map<std::string, std::uint32_t>& slotsByZone);
-  /// A gateway asks for items (`takesItems`), or for none any more.
-  void note(base::NodeId gateway, const std::string& zone, bool takesItems, base::TimePoint now,
+  /// A gateway asks for items (`acceptsItems`), or for none any more.
+  void note(base::NodeId gateway, const std::string& zone, bool acceptsItems, base::TimePoint now,
             const GatewayCapacity& capacity = {});
   void forget(std::uint32_t gatewayNumber);
   /// True when the gateway is one of those that run items; also while nothing is known of it.
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -72,10 +72,10 @@
   /// Returns all leases of `gateway` to the queue, but those of items that it holds.
   void giveBack(base::NodeId gateway, const std::vector<HeldItem>& held, const JobState& state);
   /// A gateway asks for items, or for none any more.
-  void onAsked(base::NodeId gateway, const std::string& zone, bool takesItems, base::TimePoint now,
-               const GatewayCapacity& capacity = {}) {
-    affinity_.note(gateway, zone, takesItems, now);
-    m_gatewaySelector.note(gateway, zone, takesItems, now, capacity);
+  void onAsked(base::NodeId gateway, const std::string& zone, bool acceptsItems,
+               base::TimePoint now, const GatewayCapacity& capacity = {}) {
+    affinity_.note(gateway, zone, acceptsItems, now);
+    m_gatewaySelector.note(gateway, zone, acceptsItems, now, capacity);
   }
   /// Which gateways run items.
   [[nodiscard]] GatewaySelector& gatewaySelector() { return m_gatewaySelector; }
@@ -91,11 +91,12 @@
     return items_by_engine_;
   }
   /// Until the job's results are due; the longest duration where no due time is known.
-  [[nodiscard]] base::Duration untilDue(const Job& job, const std::string& id,
-                                        base::TimePoint now) const;
+  [[nodiscard]] base::Duration timeUntilDue(const Job& job, const std::string& id,
+                                            base::TimePoint now) const;
   /// Events that are still expected of an item's text; zero: unknown.
-  [[nodiscard]] double restEvents(const Job& job, const ItemKey& key, base::TimePoint now) const;
-  /// untilDue() less what the longest open item that the caller needs is expected to take.
+  [[nodiscard]] double remainingEvents(const Job& job, const ItemKey& key,
+                                       base::TimePoint now) const;
+  /// timeUntilDue() less what the longest open item that the caller needs is expected to take.
   [[nodiscard]] base::Duration slackOf(const Job& job, const std::string& id,
                                        base::TimePoint now) const;
   /// What is known of the lengths of texts.
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -74,7 +74,7 @@
         .lengths = m_forecast.modelFor(submission),
         .eventIntervalMs = m_eventIntervals.eventIntervalOf(submission.model),
         .late = m_lateJobs.contains(queued.id),
-        .need = {submission.model, submission.minimumVersion, 0, untilDue(job, queued.id, now)},
+        .need = {submission.model, submission.minimumVersion, 0, timeUntilDue(job, queued.id, now)},
         .seen = std::vector<bool>(job.listed.size()),
         .planned = {}};
     if (advance(plan)) {
@@ -110,7 +110,7 @@
     const auto kept = plan.job.partial.find(item);
     const std::uint64_t soFar = kept == plan.job.partial.end() ? 0 : kept->second.point.event;
     const std::uint32_t estimate = plan.job.submission.items[item].expectedTokens;
-    plan.need.restEvents = plan.lengths.rest(estimate, soFar);
+    plan.need.remainingEvents = plan.lengths.rest(estimate, soFar);
     return true;
   }
   return false;
@@ -119,15 +119,15 @@
 Urgency ItemLeases::urgencyOf(JobPlan& plan) {
   /// An estimate may be wrong by that much: only a job that misses its due time even then is late.
   constexpr double kOptimistic = 0.4;
-  const base::Duration untilDue = plan.need.untilDue;
-  const double restEvents = plan.need.restEvents;
+  const base::Duration timeUntilDue = plan.need.timeUntilDue;
+  const double remainingEvents = plan.need.remainingEvents;
   Urgency urgency;
   urgency.spare = plan.nextIsSpare();
-  urgency.slackClass =
-      slackClassOf(untilDue - ModelEventIntervals::timeAt(plan.eventIntervalMs, restEvents));
+  urgency.slackClass = slackClassOf(
+      timeUntilDue - ModelEventIntervals::timeAt(plan.eventIntervalMs, remainingEvents));
   const base::Duration least =
-      ModelEventIntervals::timeAt(plan.eventIntervalMs, kOptimistic * restEvents);
-  if (!plan.late && !urgency.spare && least > untilDue) {
+      ModelEventIntervals::timeAt(plan.eventIntervalMs, kOptimistic * remainingEvents);
+  if (!plan.late && !urgency.spare && least > timeUntilDue) {
     plan.late = true;
     m_lateJobs.insert(plan.queued.id);
   }
@@ -168,14 +168,14 @@
   return true;
 }
 
-base::Duration ItemLeases::untilDue(const Job& job, const std::string& id,
-                                    base::TimePoint now) const {
+base::Duration ItemLeases::timeUntilDue(const Job& job, const std::string& id,
+                                        base::TimePoint now) const {
   const base::Duration deadline = job.submission.resultDeadline;
   return deadline > base::Duration{0} ? deadline - (now - firstSeen(id, now))
                                       : base::Duration::max();
 }
 
-double ItemLeases::restEvents(const Job& job, const ItemKey& key, base::TimePoint now) const {
+double ItemLeases::remainingEvents(const Job& job, const ItemKey& key, base::TimePoint now) const {
   const auto kept = job.partial.find(key.item);
   double soFar = kept == job.partial.end() ? 0 : static_cast<double>(kept->second.point.event);
   const auto lease = leases_.find(key);
@@ -191,7 +191,7 @@
                                    base::TimePoint now) const {
   /// Items are in the order of their estimates: the longest is among the first.
   constexpr std::uint32_t kExamined = 16;
-  const base::Duration due = untilDue(job, id, now);
+  const base::Duration due = timeUntilDue(job, id, now);
   const auto order = m_itemOrders.find(id);
   if (due == base::Duration::max() || order == m_itemOrders.end()) {
     return due;
@@ -202,7 +202,7 @@
     if (job.listed[item] || order->second.spare[item]) {
       continue;
     }
-    longest = std::max(longest, restEvents(job, {id, item}, now));
+    longest = std::max(longest, remainingEvents(job, {id, item}, now));
     if (++examined == kExamined) {
       break;
     }
--- a/src/jobs/item_requirements.h
+++ b/src/jobs/item_requirements.h
@@ -14,12 +14,14 @@
   std::string model;
   std::uint64_t minimumVersion = 0;  ///< of that model's weights
   /// Events that are still expected of its text; zero: unknown.
-  double restEvents = 0;
+  double remainingEvents = 0;
   /// Until its result is due; the longest duration where no due time is known.
-  base::Duration untilDue = base::Duration::max();
+  base::Duration timeUntilDue = base::Duration::max();
 
   /// Whether the item ends in time can be told.
-  [[nodiscard]] bool isKnown() const { return restEvents > 0 && untilDue != base::Duration::max(); }
+  [[nodiscard]] bool isKnown() const {
+    return remainingEvents > 0 && timeUntilDue != base::Duration::max();
+  }
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -309,14 +309,14 @@
   base::Duration age{0};  ///< since its job was submitted
   base::Duration queueTimeout{0};
   /// Until its job's results are due; the longest duration where no due time is known.
-  base::Duration untilDue = base::Duration::max();
+  base::Duration timeUntilDue = base::Duration::max();
   /// Events that are still expected of its text; zero: unknown.
-  double restEvents = 0;
+  double remainingEvents = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(key, lease, progress, engine, item, tenant, host, model, minimumVersion, singleVersion,
-            attempts, age, queueTimeout, untilDue, restEvents);
+            attempts, age, queueTimeout, timeUntilDue, remainingEvents);
   }
 };
 
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -155,8 +155,8 @@
   leased.attempts = job.attempts;
   leased.age = now - leases_.firstSeen(key.job, now);
   leased.queueTimeout = job.queueTimeout;
-  leased.untilDue = leases_.untilDue(owner, key.job, now);
-  leased.restEvents = leases_.restEvents(owner, key, now);
+  leased.timeUntilDue = leases_.timeUntilDue(owner, key.job, now);
+  leased.remainingEvents = leases_.remainingEvents(owner, key, now);
   return leased;
 }
 
--- a/src/jobs/placement_engine.h
+++ b/src/jobs/placement_engine.h
@@ -20,8 +20,8 @@
   std::uint32_t slots = 0;
   std::map<std::string, std::uint64_t> versions;  ///< weights by model
   std::string zone = {};
-  bool takesItems = true;  ///< now; what is known of its pace outlasts a change of weights
-  bool reserve = false;    ///< only when the others are full
+  bool acceptsItems = true;  ///< now; what is known of its pace outlasts a change of weights
+  bool reserve = false;      ///< only when the others are full
   /// Where it runs: what is known of the pace outlasts the engine's restarts. Empty: as the id.
   std::string machine = {};
 
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -53,8 +53,8 @@
 /// this lease, when `restAtLease` were expected at its beginning; zero: unknown. Estimates err, and
 /// once a text has outgrown its estimate it is too late to move it: one spread of the estimates is
 /// added. A text beyond that is expected to go on for a part of its length.
-[[nodiscard]] inline double restOfText(double restAtLease, std::uint64_t sinceLease,
-                                       std::uint64_t events) {
+[[nodiscard]] inline double remainingEventsOf(double restAtLease, std::uint64_t sinceLease,
+                                              std::uint64_t events) {
   constexpr double kLengthMargin = 1.65;
   constexpr double kOutgrownShare = 0.5;
   return restAtLease <= 0 ? 0.0
@@ -63,47 +63,49 @@
 }
 
 /// A run at the pace that it keeps to, and what is left of its text.
-struct RunOutlook {
-  double eventIntervalMs = 0;                       ///< between two events
-  double restEvents = 0;                            ///< zero: unknown
-  base::Duration untilDue = base::Duration::max();  ///< the longest duration: unknown
-  std::uint32_t moves = 0;                          ///< to faster engines so far
+struct RunForecast {
+  double eventIntervalMs = 0;                           ///< between two events
+  double remainingEvents = 0;                           ///< zero: unknown
+  base::Duration timeUntilDue = base::Duration::max();  ///< the longest duration: unknown
+  std::uint32_t moves = 0;                              ///< to faster engines so far
 
   /// Whether it ends in time can be told.
-  [[nodiscard]] bool isKnown() const { return restEvents > 0 && untilDue != base::Duration::max(); }
+  [[nodiscard]] bool isKnown() const {
+    return remainingEvents > 0 && timeUntilDue != base::Duration::max();
+  }
 };
 
 /// The longest pace of another engine, in milliseconds, at which the run should go on there;
 /// nothing when it stays: it ends in time where it is, or no engine can make it end clearly sooner.
-[[nodiscard]] inline std::optional<double> maxEventIntervalToMoveTo(const RunOutlook& run) {
+[[nodiscard]] inline std::optional<double> maxEventIntervalToMoveTo(const RunForecast& run) {
   /// The prompt is read again, and a place may have to be waited for.
   constexpr double kMoveCostMs = 400;
   /// Less is within the error of event intervals.
   constexpr double kLeastGainMs = 400;
-  const double endsInMs = run.restEvents * run.eventIntervalMs;
-  const bool late = endsInMs > base::toMilliseconds(run.untilDue);
+  const double endsInMs = run.remainingEvents * run.eventIntervalMs;
+  const bool late = endsInMs > base::toMilliseconds(run.timeUntilDue);
   if (!run.isKnown() || !late || run.moves >= kMostMovesToFaster) {
     return std::nullopt;
   }
-  const double sooner = (endsInMs - kMoveCostMs - kLeastGainMs) / run.restEvents;
+  const double sooner = (endsInMs - kMoveCostMs - kLeastGainMs) / run.remainingEvents;
   const double longest = std::min(sooner, run.eventIntervalMs / kLeastMoveGain);
   return longest > 0 ? std::optional(longest) : std::nullopt;
 }
 
 /// A run at an engine that ends at a stated time.
-struct EndingRun {
+struct TerminatingRun {
   base::Duration untilEnd{0};  ///< of the engine
-  double restEvents = 0;       ///< still expected of its text; zero: unknown
+  double remainingEvents = 0;  ///< still expected of its text; zero: unknown
   base::Duration pace{0};      ///< between two events there; zero: unknown
 };
 
 /// True when a run should go on elsewhere now, with the events that it has: what is left of it does
 /// not end there, or the time to hand it over is all that is left.
-[[nodiscard]] inline bool mustMoveOn(const EndingRun& run) {
+[[nodiscard]] inline bool mustMove(const TerminatingRun& run) {
   // To break off, and to be taken by another engine before this one closes the connection.
   constexpr base::Duration kHandOver = base::milliseconds(300);
-  const auto rest = base::Duration(
-      static_cast<base::Duration::rep>(run.restEvents * static_cast<double>(run.pace.count())));
+  const auto rest = base::Duration(static_cast<base::Duration::rep>(
+      run.remainingEvents * static_cast<double>(run.pace.count())));
   return run.untilEnd <= kHandOver + rest;
 }
 
--- a/src/jobs/speed_tiers.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -78,8 +78,8 @@
     return false;
   }
   const double delayMs = base::toMilliseconds(kOverhead + engine.momentaryDelay);
-  const double runMs = kLengthMargin * need.restEvents * engine.cost();
-  return delayMs + runMs <= base::toMilliseconds(need.untilDue);
+  const double runMs = kLengthMargin * need.remainingEvents * engine.cost();
+  return delayMs + runMs <= base::toMilliseconds(need.timeUntilDue);
 }
 
 SpeedTiers::SpeedTier* SpeedTiers::slowestSafe(const ItemRequirements& need) {
@@ -105,7 +105,7 @@
                                                  const ItemRequirements& need) {
   const Candidate& front = of.front();
   const double delayMs = base::toMilliseconds(front.engine->momentaryDelay);
-  const double runMs = need.isKnown() ? need.restEvents * front.cost + delayMs : front.cost;
+  const double runMs = need.isKnown() ? need.remainingEvents * front.cost + delayMs : front.cost;
   return {runMs, front.index};
 }
 
--- a/src/jobs/zone_affinity.cpp
+++ b/src/jobs/zone_affinity.cpp
@@ -10,9 +10,9 @@
 
 }  // namespace
 
-void ZoneAffinity::note(base::NodeId gateway, const std::string& zone, bool takesItems,
+void ZoneAffinity::note(base::NodeId gateway, const std::string& zone, bool acceptsItems,
                         base::TimePoint now) {
-  if (takesItems) {
+  if (acceptsItems) {
     m_gateways[gateway] = {zone, now};
   } else {
     m_gateways.erase(gateway);
--- a/src/jobs/zone_affinity.h
+++ b/src/jobs/zone_affinity.h
@@ -14,8 +14,8 @@
 /// cross no zone on their way from the engine. Deterministic.
 class ZoneAffinity {
  public:
-  /// A gateway asks for items, or (`takesItems` false) for none any more.
-  void note(base::NodeId gateway, const std::string& zone, bool takesItems, base::TimePoint now);
+  /// A gateway asks for items, or (`acceptsItems` false) for none any more.
+  void note(base::NodeId gateway, const std::string& zone, bool acceptsItems, base::TimePoint now);
   void forget(std::uint32_t gatewayNumber);
   void clear() { m_gateways.clear(); }
   /// Where the gateway is; empty: unknown.
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -122,7 +122,7 @@
   void moveFromSlow(base::TimePoint now);
   [[nodiscard]] const forwarding::InstanceEntry* findFaster(const Running& item,
                                                             base::TimePoint now) const;
-  [[nodiscard]] static jobs::RunOutlook outlookOf(const Running& item, base::TimePoint now);
+  [[nodiscard]] static jobs::RunForecast forecastOf(const Running& item, base::TimePoint now);
   /// Sends items elsewhere that wait at a full engine while another has room.
   void moveFromQueues(base::TimePoint now);
   [[nodiscard]] jobs::RunState sightOf(const Running& item, base::TimePoint now) const;
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -64,32 +64,32 @@
   return item.moves > 0 || item.run.leased().item.expectedTokens > kLongFactor * typical_tokens_;
 }
 
-jobs::RunOutlook ItemRunner::outlookOf(const Running& item, base::TimePoint now) {
+jobs::RunForecast ItemRunner::forecastOf(const Running& item, base::TimePoint now) {
   const jobs::LeasedItem& leased = item.run.leased();
   const std::uint64_t events = item.run.lastEvent().value_or(0);
   const std::uint64_t atLease = leased.progress ? leased.progress->point.event : 0;
-  jobs::RunOutlook outlook;
-  outlook.eventIntervalMs = item.pace.sustainedMs(now).value_or(0);
-  outlook.restEvents =
-      jobs::restOfText(leased.restEvents, events - std::min(atLease, events), events);
-  outlook.moves = item.moves;
-  if (leased.untilDue != base::Duration::max()) {
-    outlook.untilDue = leased.untilDue - (now - item.leasedAt);
+  jobs::RunForecast forecast;
+  forecast.eventIntervalMs = item.pace.sustainedMs(now).value_or(0);
+  forecast.remainingEvents =
+      jobs::remainingEventsOf(leased.remainingEvents, events - std::min(atLease, events), events);
+  forecast.moves = item.moves;
+  if (leased.timeUntilDue != base::Duration::max()) {
+    forecast.timeUntilDue = leased.timeUntilDue - (now - item.leasedAt);
   }
-  return outlook;
+  return forecast;
 }
 
 const forwarding::InstanceEntry* ItemRunner::findFaster(const Running& item,
                                                         base::TimePoint now) const {
-  const jobs::RunOutlook outlook = outlookOf(item, now);
+  const jobs::RunForecast forecast = forecastOf(item, now);
   const forwarding::InstanceRequirements need = requirementsOf(item);
-  if (!outlook.isKnown()) {
+  if (!forecast.isKnown()) {
     const bool ranLong = now - item.firstSentAt > kLongRun;
     return ranLong ? instances_.findFaster(need, item.instance, jobs::kLeastMoveGain,
                                            node_.random(), now)
                    : nullptr;
   }
-  const std::optional<double> maxEventIntervalMs = jobs::maxEventIntervalToMoveTo(outlook);
+  const std::optional<double> maxEventIntervalMs = jobs::maxEventIntervalToMoveTo(forecast);
   return maxEventIntervalMs ? instances_.findWithinInterval(
                                   need, item.instance, *maxEventIntervalMs, node_.random(), now)
                             : nullptr;
@@ -167,13 +167,13 @@
     const double made = static_cast<double>(item->run.lastEvent().value_or(0)) -
                         static_cast<double>(item->eventsAtLease);
     const auto* entry = instances_.find(item->instance);
-    jobs::EndingRun run;
+    jobs::TerminatingRun run;
     run.untilEnd = ending->second - now;
-    run.restEvents = std::max(0.0, item->run.leased().restEvents - made);
+    run.remainingEvents = std::max(0.0, item->run.leased().remainingEvents - made);
     run.pace = entry == nullptr ? base::Duration{0}
                                 : base::Duration(static_cast<base::Duration::rep>(
                                       entry->eventIntervalMs * base::milliseconds(1).count()));
-    if (!jobs::mustMoveOn(run)) {
+    if (!jobs::mustMove(run)) {
       continue;
     }
     const auto* idle =
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -41,10 +41,10 @@
     const std::vector<directory::InstanceView>& instances) {
   std::vector<jobs::PlacementEngine> engines;
   for (const directory::InstanceView& instance : instances) {
-    const bool takesItems = !instance.record.draining && !instance.loading && !instance.silent &&
-                            instance.record.slots > 0 && !instance.versions.empty();
+    const bool acceptsItems = !instance.record.draining && !instance.loading && !instance.silent &&
+                              instance.record.slots > 0 && !instance.versions.empty();
     engines.push_back({instance.record.id, instance.record.slots, instance.versions,
-                       instance.record.zone, takesItems, instance.reserve,
+                       instance.record.zone, acceptsItems, instance.reserve,
                        directory::instanceName(instance.record.id)});
   }
   return engines;
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -21,8 +21,8 @@
   return {id, kSlots, {{"m", 1}}, zone};
 }
 
-jobs::ItemRequirements need(double restEvents, base::Duration untilDue = kDue) {
-  return {"m", 1, restEvents, untilDue};
+jobs::ItemRequirements need(double remainingEvents, base::Duration timeUntilDue = kDue) {
+  return {"m", 1, remainingEvents, timeUntilDue};
 }
 
 /// One slow engine, one of usual speed, and enough others for that to be typical.
@@ -73,10 +73,10 @@
 }
 
 Test(placement_by_need, text_that_is_late_goes_where_it_ends_soonest) {
-  for (const base::Duration untilDue : {base::milliseconds(-1000), base::milliseconds(1000)}) {
+  for (const base::Duration timeUntilDue : {base::milliseconds(-1000), base::milliseconds(1000)}) {
     Fixture fixture;
     fixture.fillFast();
-    cr_assert_eq(fixture.placement.place(need(20, untilDue)), "fast");
+    cr_assert_eq(fixture.placement.place(need(20, timeUntilDue)), "fast");
   }
 }
 
@@ -119,8 +119,8 @@
         need(1 + 150 * random.uniform(), base::milliseconds(random.below(15'000)));
     const auto inTime = [&](const std::string& id) {
       const double occupied = (loads[id] + 1.0) / kSlots;
-      return text.restEvents * jobs::engineCost(eventIntervals[id], occupied) <=
-             base::toMilliseconds(text.untilDue);
+      return text.remainingEvents * jobs::engineCost(eventIntervals[id], occupied) <=
+             base::toMilliseconds(text.timeUntilDue);
     };
     const bool possible = std::any_of(loads.begin(), loads.end(), [&](const auto& each) {
       return each.second < kSlots && inTime(each.first);
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -184,7 +184,7 @@
   }
   const std::vector<std::string> expected{"z", "y", "y", "y", "x", "x", "x"};
   cr_assert(jobsInOrder == expected);
-  cr_assert_lt(ledger.leases.untilDue(*ledger.state.find("z"), "z", ledger.now),
+  cr_assert_lt(ledger.leases.timeUntilDue(*ledger.state.find("z"), "z", ledger.now),
                base::milliseconds(5200), "its age outlasts the change");
 }
 
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -200,8 +200,8 @@
       Text& text = m_waiting.front();
       jobs::ItemRequirements need{"m", 1};
       if (m_load.byNeed) {
-        need.restEvents = text.estimate;
-        need.untilDue = text.due - m_now;
+        need.remainingEvents = text.estimate;
+        need.timeUntilDue = text.due - m_now;
       }
       const std::string chosen = m_placement.place(need);
       if (chosen.empty()) {
@@ -255,13 +255,14 @@
   /// The longest pace at which the text goes on elsewhere; zero: it stays.
   double maxEventInterval(const Engine& engine, const Text& text) {
     if (m_load.byNeed) {
-      jobs::RunOutlook outlook;
-      outlook.eventIntervalMs = text.pace.sustainedMs(m_now).value_or(0);
-      outlook.restEvents = jobs::restOfText(text.estimate, static_cast<std::uint64_t>(text.made),
-                                            static_cast<std::uint64_t>(text.made));
-      outlook.untilDue = text.due - m_now;
-      outlook.moves = text.moves;
-      return jobs::maxEventIntervalToMoveTo(outlook).value_or(0);
+      jobs::RunForecast forecast;
+      forecast.eventIntervalMs = text.pace.sustainedMs(m_now).value_or(0);
+      forecast.remainingEvents =
+          jobs::remainingEventsOf(text.estimate, static_cast<std::uint64_t>(text.made),
+                                  static_cast<std::uint64_t>(text.made));
+      forecast.timeUntilDue = text.due - m_now;
+      forecast.moves = text.moves;
+      return jobs::maxEventIntervalToMoveTo(forecast).value_or(0);
     }
     const bool ranLong = text.made >= 1 && m_now - text.firstSentAt > milliseconds(900);
     return ranLong && text.moves < jobs::kMostMovesToFaster
--- a/test/jobs/run_decisions_test.cpp
+++ b/test/jobs/run_decisions_test.cpp
@@ -17,11 +17,12 @@
   return run;
 }
 
-jobs::RunOutlook outlook(double eventIntervalMs, double restEvents, base::Duration untilDue) {
-  jobs::RunOutlook run;
+jobs::RunForecast forecast(double eventIntervalMs, double remainingEvents,
+                           base::Duration timeUntilDue) {
+  jobs::RunForecast run;
   run.eventIntervalMs = eventIntervalMs;
-  run.restEvents = restEvents;
-  run.untilDue = untilDue;
+  run.remainingEvents = remainingEvents;
+  run.timeUntilDue = timeUntilDue;
   return run;
 }
 
@@ -44,18 +45,18 @@
 
 Test(run_decisions, run_goes_on_elsewhere_when_it_does_not_end_before_its_engine) {
   const base::Duration pace = base::milliseconds(50);
-  jobs::EndingRun run{base::milliseconds(2400), 10, pace};
-  cr_assert_not(jobs::mustMoveOn(run), "it ends there");
-  run.restEvents = 60;
-  cr_assert(jobs::mustMoveOn(run), "at once, with what it has");
-  run.restEvents = 0;
-  cr_assert_not(jobs::mustMoveOn(run), "what is left is not known");
+  jobs::TerminatingRun run{base::milliseconds(2400), 10, pace};
+  cr_assert_not(jobs::mustMove(run), "it ends there");
+  run.remainingEvents = 60;
+  cr_assert(jobs::mustMove(run), "at once, with what it has");
+  run.remainingEvents = 0;
+  cr_assert_not(jobs::mustMove(run), "what is left is not known");
   run.untilEnd = base::milliseconds(250);
-  cr_assert(jobs::mustMoveOn(run), "the engine ends");
+  cr_assert(jobs::mustMove(run), "the engine ends");
   run.untilEnd = base::milliseconds(-100);
-  cr_assert(jobs::mustMoveOn(run));
+  cr_assert(jobs::mustMove(run));
   run = {base::milliseconds(2400), 1000, base::Duration{0}};
-  cr_assert_not(jobs::mustMoveOn(run), "its pace is not known");
+  cr_assert_not(jobs::mustMove(run), "its pace is not known");
 }
 
 Test(run_decisions, run_without_events_for_long_has_stalled) {
@@ -71,44 +72,46 @@
 
 Test(run_decisions, text_on_an_engine_that_turned_slow_moves_only_when_it_would_be_late) {
   // 60 events are 10.2 s at this pace, 2.9 s at the usual one.
-  const auto late = jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::seconds(4)));
+  const auto late = jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::seconds(4)));
   cr_assert(late.has_value());
   cr_assert_geq(*late, 49, "engines of the usual pace do");
   cr_assert_leq(*late, 100, "others as slow do not");
-  cr_assert_not(jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::seconds(11))).has_value(),
+  cr_assert_not(jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::seconds(11))).has_value(),
                 "in time");
-  cr_assert(jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::seconds(-1))).has_value(),
+  cr_assert(jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::seconds(-1))).has_value(),
             "late anyway, yet clearly sooner elsewhere");
 }
 
 Test(run_decisions, text_near_its_end_stays) {
   cr_assert_not(
-      jobs::maxEventIntervalToMoveTo(outlook(170, 4, base::milliseconds(300))).has_value(),
+      jobs::maxEventIntervalToMoveTo(forecast(170, 4, base::milliseconds(300))).has_value(),
       "the move would cost what it gains");
 }
 
 Test(run_decisions, text_on_a_sound_engine_stays_though_late) {
-  const auto bound = jobs::maxEventIntervalToMoveTo(outlook(49, 100, base::seconds(4)));
+  const auto bound = jobs::maxEventIntervalToMoveTo(forecast(49, 100, base::seconds(4)));
   cr_assert(!bound || *bound < 30, "no engine is so much faster");
 }
 
 Test(run_decisions, text_does_not_move_on_and_on) {
-  jobs::RunOutlook run = outlook(170, 60, base::seconds(4));
+  jobs::RunForecast run = forecast(170, 60, base::seconds(4));
   run.moves = jobs::kMostMovesToFaster;
   cr_assert_not(jobs::maxEventIntervalToMoveTo(run).has_value());
 }
 
 Test(run_decisions, nothing_is_told_without_an_estimate_or_a_due_time) {
-  cr_assert_not(outlook(170, 0, base::seconds(4)).isKnown());
-  cr_assert_not(outlook(170, 60, base::Duration::max()).isKnown());
-  cr_assert_not(jobs::maxEventIntervalToMoveTo(outlook(170, 0, base::seconds(-4))).has_value());
+  cr_assert_not(forecast(170, 0, base::seconds(4)).isKnown());
+  cr_assert_not(forecast(170, 60, base::Duration::max()).isKnown());
+  cr_assert_not(jobs::maxEventIntervalToMoveTo(forecast(170, 0, base::seconds(-4))).has_value());
   cr_assert_not(
-      jobs::maxEventIntervalToMoveTo(outlook(170, 60, base::Duration::max())).has_value());
+      jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::Duration::max())).has_value());
 }
 
 Test(run_decisions, rest_of_a_text_is_reckoned_with_the_error_of_its_estimate) {
-  cr_assert_float_eq(jobs::restOfText(100, 30, 30), 135, 0.1);
-  cr_assert_float_eq(jobs::restOfText(100, 30, 80), 135, 0.1, "50 events are of an earlier lease");
-  cr_assert_float_eq(jobs::restOfText(40, 100, 100), 50, 0.1, "it has outgrown its estimate");
-  cr_assert_eq(jobs::restOfText(0, 100, 100), 0.0, "never estimated");
+  cr_assert_float_eq(jobs::remainingEventsOf(100, 30, 30), 135, 0.1);
+  cr_assert_float_eq(jobs::remainingEventsOf(100, 30, 80), 135, 0.1,
+                     "50 events are of an earlier lease");
+  cr_assert_float_eq(jobs::remainingEventsOf(40, 100, 100), 50, 0.1,
+                     "it has outgrown its estimate");
+  cr_assert_eq(jobs::remainingEventsOf(0, 100, 100), 0.0, "never estimated");
 }
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -83,7 +83,7 @@
   jobs::PlacementEngine reserve{"reserve", 2, {{"m", 2}}};
   reserve.reserve = true;
   jobs::PlacementEngine loading{"loading", 16, {{"m", 3}}};
-  loading.takesItems = false;
+  loading.acceptsItems = false;
   placement.setEngines({older, newer, reserve, loading});
   cr_assert_eq(placement.readySlots("m", 1), 14U);
   cr_assert_eq(placement.readySlots("m", 2), 10U);
