--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -58,7 +58,7 @@
 
 void DirectoryRole::onLoadCommandOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
                                          base::TimePoint now) {
-  if (outcome == LoadCommandOutcome::kHolds) {
+  if (outcome == LoadCommandOutcome::kAlreadyLoaded) {
     const auto report = reports_.find(order.instance);
     if (report != reports_.end()) {
       std::uint64_t& held = report->second.versions[order.model];
--- a/src/directory/heartbeat_relay.cpp
+++ b/src/directory/heartbeat_relay.cpp
@@ -13,7 +13,7 @@
   const bool changesNothing =
       known != state.instances().end() && confirmsRegistration(known->second, heartbeat.record);
   if (!changesNothing) {
-    return Verdict::kPassOn;
+    return Verdict::kForward;
   }
   if (!heardAt || now - *heardAt > m_settings.contact) {
     return Verdict::kRefused;
--- a/src/directory/heartbeat_relay.h
+++ b/src/directory/heartbeat_relay.h
@@ -34,7 +34,7 @@
   enum class Verdict : std::uint8_t {
     kTaken,    ///< this controller answers
     kRefused,  ///< it hears no leader: another controller may
-    kPassOn,   ///< it changes a registration: the leader decides
+    kForward,  ///< it changes a registration: the leader decides
   };
   /// `heardAt`: when this controller last heard the leader.
   [[nodiscard]] Verdict take(const DirectoryState& state, const InstanceHeartbeat& heartbeat,
--- a/src/directory/load_scheduler.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -42,7 +42,7 @@
   switch (outcome) {
     case LoadCommandOutcome::kTaken:
       return "taken";
-    case LoadCommandOutcome::kHolds:
+    case LoadCommandOutcome::kAlreadyLoaded:
       return "holds";
     case LoadCommandOutcome::kBusy:
       return "busy";
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -75,11 +75,11 @@
 
 /// What an engine answered to an order.
 enum class LoadCommandOutcome : std::uint8_t {
-  kTaken,      ///< under way
-  kHolds,      ///< it has that version already
-  kBusy,       ///< another is under way
-  kRefused,    ///< a higher fence was seen, or another instance is there
-  kUncertain,  ///< no answer: it may be taken, now or later
+  kTaken,          ///< under way
+  kAlreadyLoaded,  ///< it has that version already
+  kBusy,           ///< another is under way
+  kRefused,        ///< a higher fence was seen, or another instance is there
+  kUncertain,      ///< no answer: it may be taken, now or later
 };
 
 [[nodiscard]] std::string_view toString(LoadCommandOutcome outcome);
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -127,7 +127,7 @@
   using Verdict = directory::HeartbeatRelay::Verdict;
   const Verdict verdict =
       relay_.take(node_.directory().state(), heartbeat, node_.member().heardAt(), node_.now());
-  if (verdict == Verdict::kPassOn) {
+  if (verdict == Verdict::kForward) {
     return false;
   }
   const bool taken = verdict == Verdict::kTaken;
--- a/test/directory/heartbeat_relay_test.cpp
+++ b/test/directory/heartbeat_relay_test.cpp
@@ -68,13 +68,13 @@
 
 Test(heartbeat_relay, whatever_changes_a_registration_goes_to_the_leader) {
   Fixture fixture;
-  cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kPassOn, "it leaves");
+  cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kForward, "it leaves");
   directory::InstanceHeartbeat moved = heartbeat(1, 1);
   moved.record.port = 2;
-  cr_assert(fixture.verdict(moved) == Verdict::kPassOn);
+  cr_assert(fixture.verdict(moved) == Verdict::kForward);
   directory::InstanceHeartbeat unknown = heartbeat(1, 1);
   unknown.record.id = "other";
-  cr_assert(fixture.verdict(unknown) == Verdict::kPassOn);
+  cr_assert(fixture.verdict(unknown) == Verdict::kForward);
   cr_assert_not(fixture.relay.due(fixture.now).has_value());
 }
 
@@ -82,7 +82,7 @@
   Fixture fixture;
   fixture.now += base::seconds(2);
   cr_assert(fixture.verdict(heartbeat(1, 1)) == Verdict::kRefused);
-  cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kPassOn,
+  cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kForward,
             "a leaving waits for a leader");
   fixture.heardAt.reset();
   cr_assert(fixture.verdict(heartbeat(1, 1)) == Verdict::kRefused);
