--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -8,7 +8,7 @@
 constexpr base::Duration kCallResend = base::milliseconds(300);
 /// Sets the calls to a near ledger apart from those to the ledgers' leader.
 constexpr std::uint64_t kNearbyCalls = std::uint64_t{1} << 62U;
-/// Ledgers silent for longer are not asked.
+/// Ledgers unresponsive for longer are not asked.
 constexpr base::Duration kLedgerSilence = base::milliseconds(2500);
 
 consensus::GroupClientSettings clientSettings(base::GroupId group,
--- a/src/cluster/group_repair.cpp
+++ b/src/cluster/group_repair.cpp
@@ -56,7 +56,7 @@
   return known != nullptr && known->silence < settings.silenceLimit;
 }
 
-/// A silent voter that only raises the quorum.
+/// An unresponsive voter that only raises the quorum.
 std::optional<base::NodeId> uselessVoter(base::NodeId self, const Membership& membership,
                                          const std::vector<GroupNode>& nodes,
                                          const GroupRepairSettings& settings) {
@@ -64,10 +64,10 @@
   if (membership.voters.size() % 2 != 0 || !isHeard(self, nodes, settings)) {
     return std::nullopt;
   }
-  const auto silent =
+  const auto unresponsive =
       std::find_if(membership.voters.begin(), membership.voters.end(),
                    [&](base::NodeId voter) { return !isHeard(voter, nodes, settings); });
-  return silent == membership.voters.end() ? std::nullopt : std::optional(*silent);
+  return unresponsive == membership.voters.end() ? std::nullopt : std::optional(*unresponsive);
 }
 
 std::size_t countSoundMembers(const Membership& membership, const std::vector<GroupNode>& nodes,
--- a/src/cluster/group_repair.h
+++ b/src/cluster/group_repair.h
@@ -23,7 +23,7 @@
 /// Knobs of nextMembershipChange().
 struct GroupRepairSettings {
   std::size_t targetSize = 3;  ///< voters wanted
-  /// A member silent for longer is replaced when another node can take its place.
+  /// A member unresponsive for longer is replaced when another node can take its place.
   base::Duration silenceLimit = base::milliseconds(2500);
 };
 
@@ -52,12 +52,13 @@
 /// The next change, one at a time; nothing when the group is as it should be. In this order:
 /// 1. A member whose address another instance uses has lost its disk and can never return: it is
 ///    removed. Since it will never vote again this cannot make a quorum harder to reach.
-/// 2. A silent voter of an even number is removed, whatever size is wanted: as many losses are
+/// 2. An unresponsive voter of an even number is removed, whatever size is wanted: as many losses
+/// are
 ///    borne without it, by a smaller quorum. A group on fewer machines than `targetSize` would
 ///    otherwise keep each lost voter, until fewer live than the quorum.
 /// 3. When fewer than `targetSize` members are sound, a node that is heard is added as a learner.
-/// 4. Members that are retiring or silent are removed once enough sound voters remain.
-/// 5. A voter too many, left when a silent member came back after another took its place, is
+/// 4. Members that are retiring or unresponsive are removed once enough sound voters remain.
+/// 5. A voter too many, left when an unresponsive member came back after another took its place, is
 ///    removed; never the leader `self`.
 [[nodiscard]] std::optional<MembershipChange> nextMembershipChange(
     base::NodeId self, const consensus::Membership& membership, const std::vector<GroupNode>& nodes,
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -75,14 +75,14 @@
 /// An instance as gateways see it.
 struct InstanceView {
   InstanceRecord record;
-  bool silent = false;                            ///< heartbeats are overdue: it may be dead
+  bool unresponsive = false;                      ///< heartbeats are overdue: it may be dead
   std::map<std::string, std::uint64_t> versions;  ///< weights by model
   bool loading = false;  ///< it was ordered to change weights and has not reported them
   bool reserve = false;  ///< no model needs it now: it gets work only when the others are full
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(record, silent, versions, loading, reserve);
+    archive(record, unresponsive, versions, loading, reserve);
   }
 };
 
@@ -326,8 +326,8 @@
   }
 };
 
-/// Instances that have been silent for so long that they are taken for dead. In one entry, since
-/// those that are lost together are silent together.
+/// Instances that have been unresponsive for so long that they are taken for dead. In one entry,
+/// since those that are lost together are unresponsive together.
 struct ForgetInstances {
   std::vector<std::string> ids;
   template <class Archive>
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -89,7 +89,7 @@
   slow_work_at_ = now;
   foundLedgers(now);
   repairOwnGroup(now);
-  forgetSilent(now);
+  expireInstances(now);
   recordVersions(now);
   releaseOutlived(now);
   for (const std::string& id : m_loadScheduler.dueReports(reports_, now)) {
@@ -232,7 +232,7 @@
   }
 }
 
-void DirectoryRole::forgetSilent(base::TimePoint now) {
+void DirectoryRole::expireInstances(base::TimePoint now) {
   ForgetInstances forgotten;
   base::SortedCursor reports(reports_);
   for (const auto& [id, record] : state_.instances()) {
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -37,15 +37,16 @@
   WatchPacing watches;
   duties::UsageReporterSettings usage;
   duties::AutoscalerSettings capacity;
-  /// An instance silent for longer is told as silent. More than the time between two heartbeats.
+  /// An instance unresponsive for longer is told as unresponsive. More than the time between two
+  /// heartbeats.
   base::Duration instanceSilence = base::seconds(4);
   cluster::GroupRepairSettings repair;
   std::size_t ledgerFounders = 3;
   /// With fewer ledgers than wanted, those that reported are the founders after this time.
   base::Duration foundingPatience = base::seconds(4);
-  /// An instance silent for longer is taken for dead.
+  /// An instance unresponsive for longer is taken for dead.
   base::Duration instanceSilenceLimit = base::seconds(40);
-  /// A node silent for longer is forgotten.
+  /// A node unresponsive for longer is forgotten.
   base::Duration nodeSilenceLimit = base::seconds(60);
 };
 
@@ -171,7 +172,7 @@
   void answerWatches(base::TimePoint now);
   void foundLedgers(base::TimePoint now);
   void repairOwnGroup(base::TimePoint now);
-  void forgetSilent(base::TimePoint now);
+  void expireInstances(base::TimePoint now);
   /// Releases held requests whose time is over.
   void releaseOutlived(base::TimePoint now);
   /// Writes the weights that instances report into the log where they changed.
@@ -197,7 +198,7 @@
   std::map<std::string, std::uint64_t> m_heartbeatSequences;
   bool recording_versions_ = false;     ///< an entry with weights of instances is on its way
   bool m_recordingAssignments = false;  ///< an entry with models that engines follow is on its way
-  bool forgetting_ = false;             ///< an entry with silent instances is on its way
+  bool forgetting_ = false;             ///< an entry with unresponsive instances is on its way
   std::map<base::NodeId, HeardNode> nodes_;
   std::set<base::NodeId> ledger_voters_;  ///< as the ledgers' leader last reported them
   LoadScheduler m_loadScheduler;
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -42,7 +42,7 @@
     InstanceViewRef sight;
     sight.record = &record;
     sight.versions = report == nullptr ? &kNoVersions : &report->versions;
-    sight.silent = now - heardAt > settings_.instanceSilence;
+    sight.unresponsive = now - heardAt > settings_.instanceSilence;
     sight.loading = m_loadScheduler.isLoading(id, reports_, now);
     sight.reserve = m_loadScheduler.isStandby(record);
     instances.push_back(sight);
--- a/src/directory/engine_assigner.h
+++ b/src/directory/engine_assigner.h
@@ -46,7 +46,7 @@
 /// owned by one thread.
 class EngineAssigner {
  public:
-  /// Engines silent for longer than `silenceLimit` are not counted on.
+  /// Engines unresponsive for longer than `silenceLimit` are not counted on.
   EngineAssigner(EngineAssignerSettings settings, base::Duration silenceLimit)
       : m_settings(settings), m_silenceLimit(silenceLimit), m_wanted(settings.wanted) {}
 
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -53,7 +53,7 @@
   base::Duration reportInterval = base::milliseconds(150);
   /// An order without an answer no longer counts as a load after this time.
   base::Duration uncertainLoad = base::milliseconds(1500);
-  /// Engines silent for longer get no orders.
+  /// Engines unresponsive for longer get no orders.
   base::Duration silenceLimit = base::seconds(4);
   /// How long a load takes, before any was seen.
   base::Duration usualLoad = base::seconds(1);
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -15,7 +15,7 @@
     return;
   }
   ++(record.preemptible ? zone.preemptible : zone.onDemand);
-  zone.silent += instance.silent ? 1 : 0;
+  zone.unresponsive += instance.unresponsive ? 1 : 0;
 }
 
 std::optional<duties::CapacityDemand> demandOf(const Service& service, const ReportedOpenJobs& work,
@@ -45,7 +45,7 @@
       continue;
     }
     count(instance, service.zones[instance.record->zone]);
-    if (service.demand && !instance.record->draining && !instance.silent) {
+    if (service.demand && !instance.record->draining && !instance.unresponsive) {
       service.demand->activeSlots += instance.record->slots;
     }
   }
--- a/src/directory/view_history.cpp
+++ b/src/directory/view_history.cpp
@@ -11,8 +11,9 @@
 constexpr std::size_t kMostRemoved = 4096;
 
 bool isTold(const InstanceView& told, const InstanceViewRef& now) {
-  return told.silent == now.silent && told.loading == now.loading && told.reserve == now.reserve &&
-         told.versions == *now.versions && told.record == *now.record;
+  return told.unresponsive == now.unresponsive && told.loading == now.loading &&
+         told.reserve == now.reserve && told.versions == *now.versions &&
+         told.record == *now.record;
 }
 
 base::Bytes encodeWithoutSilences(DirectoryView view) {
@@ -85,7 +86,8 @@
   m_changed.erase({told.changedAt, id});
   m_changed.emplace(next, id);
   told.changedAt = next;
-  told.instance = {*sight.record, sight.silent, *sight.versions, sight.loading, sight.reserve};
+  told.instance = {*sight.record, sight.unresponsive, *sight.versions, sight.loading,
+                   sight.reserve};
 }
 
 ViewHistory::Instances::iterator ViewHistory::forget(Instances::iterator known,
--- a/src/directory/view_history.h
+++ b/src/directory/view_history.h
@@ -20,7 +20,7 @@
 struct InstanceViewRef {
   const InstanceRecord* record = nullptr;
   const std::map<std::string, std::uint64_t>* versions = nullptr;
-  bool silent = false;
+  bool unresponsive = false;
   bool loading = false;
   bool reserve = false;
 };
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -85,7 +85,7 @@
         poolCounts(onDemand, {registered.onDemand, registered.onDemandDraining}, state, start, now);
     sight.preemptible = poolCounts(
         preemptible, {registered.preemptible, registered.preemptibleDraining}, state, start, now);
-    sight.silent = registered.silent;
+    sight.unresponsive = registered.unresponsive;
     sight.draining = registered.onDemandDraining + registered.preemptibleDraining;
     sight.baseline = state.baseline(onDemand);
     sight.preemptibleBaseline = state.baseline(preemptible);
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -45,7 +45,7 @@
 struct RegisteredInstances {
   std::uint32_t onDemand = 0;  ///< not draining
   std::uint32_t preemptible = 0;
-  std::uint32_t silent = 0;  ///< of both
+  std::uint32_t unresponsive = 0;  ///< of both
   std::uint32_t onDemandDraining = 0;
   std::uint32_t preemptibleDraining = 0;
 };
--- a/src/duties/capacity_planner.cpp
+++ b/src/duties/capacity_planner.cpp
@@ -20,13 +20,13 @@
 /// Many at once are more likely to be cut off from the controllers than lost.
 bool silenceIsCredible(const CapacityInputs& inputs) {
   constexpr std::uint32_t kMostSilent = 3;  // one in so many
-  std::uint32_t silent = 0;
+  std::uint32_t unresponsive = 0;
   std::uint32_t there = 0;
   for (const ZoneCounts& zone : inputs.zones) {
-    silent += zone.silent;
+    unresponsive += zone.unresponsive;
     there += zone.onDemand.there + zone.preemptible.there;
   }
-  return inputs.settled && silent * kMostSilent <= there;
+  return inputs.settled && unresponsive * kMostSilent <= there;
 }
 
 /// Those of the target's zone and kind that are there.
@@ -99,7 +99,7 @@
     plan.floor = floorOf(zone, inputs);
     plan.preemptible = zone.preemptible.coming();
     const std::uint32_t room = difference(inputs.scaling.maximum, plan.preemptible);
-    const std::uint32_t lost = replaceSilent ? zone.silent : 0;
+    const std::uint32_t lost = replaceSilent ? zone.unresponsive : 0;
     const std::uint32_t asked = std::max(zone.onDemand.desired, plan.floor + lost);
     plan.onDemand = std::max(zone.onDemand.coming(), std::min(asked, room));
     plans.push_back(plan);
@@ -192,7 +192,7 @@
   for (const ZonePlan& plan : plans) {
     const ZoneCounts& zone = *plan.sight;
     there += zone.onDemand.there + zone.preemptible.there;
-    quiet = quiet && zone.silent == 0 && zone.draining == 0 && zone.onDemand.starting == 0 &&
+    quiet = quiet && zone.unresponsive == 0 && zone.draining == 0 && zone.onDemand.starting == 0 &&
             zone.preemptible.starting == 0;
   }
   if (!quiet || there <= m_wanted) {
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -30,9 +30,9 @@
   std::string zone;
   PoolCounts onDemand;
   PoolCounts preemptible;
-  std::uint32_t silent = 0;    ///< of those there: their heartbeats are overdue
-  std::uint32_t draining = 0;  ///< registered, get no new work
-  std::uint32_t baseline = 0;  ///< on-demand instances before the first call
+  std::uint32_t unresponsive = 0;  ///< of those there: their heartbeats are overdue
+  std::uint32_t draining = 0;      ///< registered, get no new work
+  std::uint32_t baseline = 0;      ///< on-demand instances before the first call
   std::uint32_t preemptibleBaseline = 0;
 
   [[nodiscard]] std::uint32_t coming() const { return onDemand.coming() + preemptible.coming(); }
@@ -45,7 +45,8 @@
   std::vector<ZoneCounts> zones;
   /// Nothing: it is not known, or too old.
   std::optional<CapacityDemand> demand;
-  bool settled = false;  ///< the leader has led long enough to know which instances are silent
+  bool settled =
+      false;  ///< the leader has led long enough to know which instances are unresponsive
   base::TimePoint now{};
 };
 
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -105,8 +105,8 @@
 const InstanceEntry* InstanceTable::select(const InstanceRequirements& need,
                                            const std::set<std::string>& tried, base::Random& random,
                                            base::TimePoint now) const {
-  // Lower is better: sound, then silent or just full or failed, then tried before.
-  enum Rank : std::uint8_t { kSound, kStandby, kSilent, kAvoided, kTried, kRanks };
+  // Lower is better: sound, then unresponsive or just full or failed, then tried before.
+  enum Rank : std::uint8_t { kSound, kStandby, kUnresponsive, kAvoided, kTried, kRanks };
   std::array<std::vector<const InstanceEntry*>, kRanks> ranked;
   for (const auto& [id, entry] : instancesOf(need.service)) {
     if (!serves(*entry, need)) {
@@ -117,8 +117,8 @@
       rank = kTried;
     } else if (now < entry->avoidUntil || (entry->loading && !need.model.empty())) {
       rank = kAvoided;
-    } else if (entry->silent) {
-      rank = kSilent;
+    } else if (entry->unresponsive) {
+      rank = kUnresponsive;
     } else if (entry->reserve) {
       rank = kStandby;
     }
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -93,7 +93,7 @@
   const bool draining = entry.record.draining || instance.record.draining;
   entry.record = instance.record;
   entry.record.draining = draining;
-  entry.silent = instance.silent;
+  entry.unresponsive = instance.unresponsive;
   entry.loading = instance.loading;
   entry.reserve = instance.reserve;
   for (const auto& [model, version] : instance.versions) {
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -73,7 +73,7 @@
   std::map<std::string, std::uint64_t> versions;
   /// The controllers miss its heartbeats. It is used only when no other is left: it may be dead, or
   /// merely cut off from the controllers.
-  bool silent = false;
+  bool unresponsive = false;
   std::uint32_t inFlight = 0;
   ReportedLoad load;
   base::TimePoint loadAt{};
--- a/src/forwarding/retry_policy.h
+++ b/src/forwarding/retry_policy.h
@@ -34,7 +34,7 @@
 
   /// True when the request may be sent (again) now.
   [[nodiscard]] bool maySend(base::TimePoint now) const;
-  /// When a second copy may be sent beside a silent one; nothing when it may not.
+  /// When a second copy may be sent beside an unresponsive one; nothing when it may not.
   [[nodiscard]] std::optional<base::TimePoint> hedgeAt(base::TimePoint sentAt) const;
   [[nodiscard]] std::uint32_t running() const { return running_; }
   [[nodiscard]] std::uint32_t sends() const { return sends_; }
--- a/src/gateway/control_view.cpp
+++ b/src/gateway/control_view.cpp
@@ -9,8 +9,8 @@
   if (now - last_sent_at_ < settings_.watchInterval) {
     return;
   }
-  const bool silent = now - last_answer_at_ > settings_.watchInterval * 2;
-  if (silent) {
+  const bool unresponsive = now - last_answer_at_ > settings_.watchInterval * 2;
+  if (unresponsive) {
     leader_ = {};
     ++turn_;
   }
--- a/src/gateway/gateway_dispatch.cpp
+++ b/src/gateway/gateway_dispatch.cpp
@@ -119,8 +119,8 @@
     }
     // Engines differ little in speed, so a second run of a sample that makes progress only wastes
     // tokens: see docs/BENCHMARKS.md.
-    const bool silent = now - job.attempts.front().progressAt > settings_.hedgeAfter;
-    if (silent && tryDispatch(job, true, now)) {
+    const bool unresponsive = now - job.attempts.front().progressAt > settings_.hedgeAfter;
+    if (unresponsive && tryDispatch(job, true, now)) {
       ++counters_.attemptsHedged;
     }
   }
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -101,8 +101,9 @@
     std::map<std::uint32_t, std::uint32_t> sizes;  ///< gateways of each size
     base::Duration usualLateness{0};               ///< median of those that run items
     base::TimePoint latenessFoundAt{};
-    /// Those that run items; found anew when `outdated`, and now and then since others fall silent.
-    /// Every call of every gateway asks for it: counting them each time grows with their square.
+    /// Those that run items; found anew when `outdated`, and now and then since others become
+    /// unresponsive. Every call of every gateway asks for it: counting them each time grows with
+    /// their square.
     std::set<base::NodeId> active;
     bool enough = false;  ///< `active` has all places and the spare gateways
     base::TimePoint foundAt{};
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -13,8 +13,8 @@
 struct LedgerSettings {
   consensus::ReplicaSettings replica;
   LedgerLimits limits;
-  /// A gateway silent for this long loses its samples. Safe at any value, because the first commit
-  /// wins; too short a value runs samples twice.
+  /// A gateway unresponsive for this long loses its samples. Safe at any value, because the first
+  /// commit wins; too short a value runs samples twice.
   base::Duration gatewayTimeout = base::seconds(3);
 };
 
--- a/src/ledger/ledger_commands.h
+++ b/src/ledger/ledger_commands.h
@@ -96,7 +96,7 @@
   }
 };
 
-/// Takes back all leases of a gateway run that fell silent. Proposed by the leading ledger.
+/// Takes back all leases of a gateway run that became unresponsive. Proposed by the leading ledger.
 struct ReleaseLeases {
   base::NodeId gateway;
   base::Incarnation incarnation;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -33,16 +33,18 @@
 /// How long a replica stays after it has been asked to stop, so that another leads by then.
 constexpr base::Duration kReplicaStop = base::milliseconds(300);
 
-/// Beyond the time between two heartbeats of an instance until it is told as silent: a heartbeat
-/// may come late, or be sent to a second controller after the first has not answered for a second.
+/// Beyond the time between two heartbeats of an instance until it is told as unresponsive: a
+/// heartbeat may come late, or be sent to a second controller after the first has not answered for
+/// a second.
 constexpr base::Duration kHeartbeatSlack = base::milliseconds(2800);
 
 std::vector<jobs::PlacementEngine> placementEngines(
     const std::vector<directory::InstanceView>& instances) {
   std::vector<jobs::PlacementEngine> engines;
   for (const directory::InstanceView& instance : instances) {
-    const bool acceptsItems = !instance.record.draining && !instance.loading && !instance.silent &&
-                              instance.record.slots > 0 && !instance.versions.empty();
+    const bool acceptsItems = !instance.record.draining && !instance.loading &&
+                              !instance.unresponsive && instance.record.slots > 0 &&
+                              !instance.versions.empty();
     engines.push_back({instance.record.id, instance.record.slots, instance.versions,
                        instance.record.zone, acceptsItems, instance.reserve,
                        directory::instanceName(instance.record.id)});
--- a/test/cluster/cluster_world_test.cpp
+++ b/test/cluster/cluster_world_test.cpp
@@ -373,8 +373,8 @@
 // lost for good, an empty one comes at another address and votes; the lost one remains a voter.
 // With a second one replaced two of four answer: nothing is ever committed again. Gateways that
 // lose power come back and find nobody who could tell them a configuration.
-// Cause: a silent member was removed only once as many sound members voted as the losses to be
-// borne need. This group never had so many machines, so each replacement raised its quorum.
+// Cause: an unresponsive member was removed only once as many sound members voted as the losses to
+// be borne need. This group never had so many machines, so each replacement raised its quorum.
 // Evidence: voters as the replicas log them: 3, 4, 4 with two alive, and no leader in any later
 // term. With five machines the same series gives 5, 6, 5 each time.
 Test(cluster_world, replaced_controllers_leave_a_group_below_its_size) {
--- a/test/cluster/group_repair_test.cpp
+++ b/test/cluster/group_repair_test.cpp
@@ -19,7 +19,7 @@
 }
 
 constexpr base::Duration kHeard = base::milliseconds(100);
-constexpr base::Duration kSilent = base::seconds(4);
+constexpr base::Duration kUnresponsive = base::seconds(4);
 
 }  // namespace
 
@@ -55,7 +55,7 @@
 Test(group_repair, silent_member_stays_until_another_votes_in_its_place) {
   auto group = voters({node(1), node(2), node(3)});
   const std::vector<cluster::GroupNode> without = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kSilent}};
+      {node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}};
   cr_assert_not(cluster::nextMembershipChange(node(1), group, without, {}).has_value());
   auto with = without;
   with.push_back({node(4), kHeard});
@@ -87,8 +87,8 @@
   cr_assert_not(change.has_value());
 }
 
-// Found by the simulated cluster, seed 81: the silent member came back while its successor was made
-// a voter, and the group stayed at four.
+// Found by the simulated cluster, seed 81: the unresponsive member came back while its successor
+// was made a voter, and the group stayed at four.
 Test(group_repair, voter_too_many_is_removed_but_not_the_leader) {
   const auto group = voters({node(1), node(2), node(3), node(4)});
   const std::vector<cluster::GroupNode> nodes = {
@@ -99,13 +99,13 @@
             (cluster::MembershipChange{node(3), true}));
 }
 
-// With an even number of voters a silent one only raises the quorum: without it as many losses are
-// borne. It must not wait for a size that the group may never have.
+// With an even number of voters an unresponsive one only raises the quorum: without it as many
+// losses are borne. It must not wait for a size that the group may never have.
 Test(group_repair, silent_voter_of_an_even_group_goes_whatever_the_size_wanted) {
   const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
   auto group = voters({node(1), node(2), node(3)});
   const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kSilent}, {node(4), kHeard}};
+      {node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}, {node(4), kHeard}};
   cr_assert(cluster::nextMembershipChange(node(1), group, nodes, five) ==
             (cluster::MembershipChange{node(4), false}));
   group.voters.insert(node(4));
@@ -113,13 +113,14 @@
             (cluster::MembershipChange{node(3), true}));
 }
 
-// Of three, a silent one may come back: without it not one more loss is borne, with it perhaps.
+// Of three, an unresponsive one may come back: without it not one more loss is borne, with it
+// perhaps.
 Test(group_repair, silent_voter_of_an_odd_group_stays_until_another_votes) {
   const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
   const auto group = voters({node(1), node(2), node(3)});
   cr_assert_not(
       cluster::nextMembershipChange(
-          node(1), group, {{node(1), kHeard}, {node(2), kHeard}, {node(3), kSilent}}, five)
+          node(1), group, {{node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}}, five)
           .has_value());
 }
 
@@ -132,7 +133,7 @@
 Test(group_repair, group_is_judged_against_the_losses_it_must_bear) {
   const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
   const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kSilent}};
+      {node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}};
   const auto group = voters({node(1), node(2), node(3)});
   const cluster::GroupHealth health = cluster::judgeGroup(group, nodes, five);
   cr_assert(health == (cluster::GroupHealth{3, 2, 5}));
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -349,7 +349,7 @@
   controller.run(base::milliseconds(50));
   const directory::DirectoryView view = controller.view();
   cr_assert_eq(view.instances.size(), 1U);
-  cr_assert_not(view.instances[0].silent);
+  cr_assert_not(view.instances[0].unresponsive);
   cr_assert_eq(view.instances[0].versions.at("m"), 1U);
 }
 
@@ -360,9 +360,9 @@
   controller.run(base::seconds(3));
   controller.ask(engineHeartbeat(1, 1));
   controller.run(base::seconds(7));
-  cr_assert_not(controller.view().instances.at(0).silent);
+  cr_assert_not(controller.view().instances.at(0).unresponsive);
   controller.run(base::seconds(2));
-  cr_assert(controller.view().instances.at(0).silent);
+  cr_assert(controller.view().instances.at(0).unresponsive);
 }
 
 Test(directory_role, instances_that_are_gone_together_are_forgotten_together) {
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -515,10 +515,12 @@
   draining.draining = true;
   apply(fixture.state, directory::RegisterInstance{draining});
   (void)fixture.step();
-  OrdersFixture silent(1);
-  apply(silent.state, directory::PublishVersion{"m", 5});
-  silent.engines["e0"].heardAt = silent.now - base::seconds(9);
-  cr_assert(silent.orders.step(silent.state, silent.engines, {}, 3, silent.now).empty());
+  OrdersFixture unresponsive(1);
+  apply(unresponsive.state, directory::PublishVersion{"m", 5});
+  unresponsive.engines["e0"].heardAt = unresponsive.now - base::seconds(9);
+  cr_assert(
+      unresponsive.orders.step(unresponsive.state, unresponsive.engines, {}, 3, unresponsive.now)
+          .empty());
 }
 
 Test(version_orders, lost_order_is_repeated) {
--- a/test/directory/incarnation_test.cpp
+++ b/test/directory/incarnation_test.cpp
@@ -79,7 +79,7 @@
 }
 
 // A clock that was set back before a restart: while the one with the later start is registered it
-// decides; once it has been silent long enough to be forgotten, whoever reports is taken.
+// decides; once it has been unresponsive long enough to be forgotten, whoever reports is taken.
 Test(incarnation, earlier_start_is_taken_once_the_later_one_is_forgotten) {
   Applied applied;
   applied.registers(kSecond);
--- a/test/directory/view_history_test.cpp
+++ b/test/directory/view_history_test.cpp
@@ -17,18 +17,18 @@
 constexpr std::uint64_t kFirst = 1000;
 
 directory::InstanceView instance(const std::string& id, std::uint64_t version,
-                                 bool silent = false) {
+                                 bool unresponsive = false) {
   directory::InstanceView view;
   view.record.id = id;
   view.versions["m"] = version;
-  view.silent = silent;
+  view.unresponsive = unresponsive;
   return view;
 }
 
 void update(directory::ViewHistory& history, const std::vector<directory::InstanceView>& views) {
   std::vector<directory::InstanceViewRef> sights;
   for (const directory::InstanceView& view : views) {
-    sights.push_back({&view.record, &view.versions, view.silent, view.loading});
+    sights.push_back({&view.record, &view.versions, view.unresponsive, view.loading});
   }
   history.update(sights, {});
 }
@@ -83,16 +83,16 @@
   update(history, {instance("a", 1), instance("b", 1)});
   cr_assert_eq(history.revision(), held);
   update(history, {instance("a", 1, true), instance("b", 1)});
-  const std::uint64_t silent = history.revision();
-  cr_assert_gt(silent, held);
+  const std::uint64_t unresponsive = history.revision();
+  cr_assert_gt(unresponsive, held);
   cr_assert_eq(history.since(held).instances.size(), 1U);
-  cr_assert(history.since(held).instances[0].silent);
-  // A tenth of a large fleet may be silent for long: it must not be told again and again.
+  cr_assert(history.since(held).instances[0].unresponsive);
+  // A tenth of a large fleet may be unresponsive for long: it must not be told again and again.
   update(history, {instance("a", 1, true), instance("b", 1)});
-  cr_assert_eq(history.revision(), silent);
-  cr_assert(history.since(silent).instances.empty());
+  cr_assert_eq(history.revision(), unresponsive);
+  cr_assert(history.since(unresponsive).instances.empty());
   update(history, {instance("a", 1), instance("b", 1)});
-  cr_assert_not(history.since(silent).instances.at(0).silent);
+  cr_assert_not(history.since(unresponsive).instances.at(0).unresponsive);
 }
 
 Test(view_history, replacing_half_of_a_large_fleet_makes_no_view_whole) {
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -97,16 +97,16 @@
 
 Test(capacity_plan, silent_instances_are_replaced_unless_they_are_many) {
   CapacityWorld world;
-  world.silent["a"] = 3;
+  world.unresponsive["a"] = 3;
   world.run(base::seconds(6));
   cr_assert_eq(world.platform.total(), 48U);
   CapacityWorld cut;
-  cut.silent = {{"a", 15}, {"b", 1}};
+  cut.unresponsive = {{"a", 15}, {"b", 1}};
   cut.run(base::seconds(20));
   cr_assert(cut.sent.empty(), "so many are cut off rather than lost");
   CapacityWorld young;
   young.settled = false;
-  young.silent["a"] = 3;
+  young.unresponsive["a"] = 3;
   young.run(base::seconds(20));
   cr_assert(young.sent.empty(), "a new leader has not heard of all");
 }
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -86,8 +86,8 @@
   service.scaling = scaling;
   service.slots = 8;
   service.zones = platform.registered();
-  for (const auto& [zone, count] : silent) {
-    service.zones[zone].silent = count;
+  for (const auto& [zone, count] : unresponsive) {
+    service.zones[zone].unresponsive = count;
   }
   service.demand = demand;
   if (service.demand) {
--- a/test/duties/capacity_world.h
+++ b/test/duties/capacity_world.h
@@ -69,7 +69,7 @@
   bool settled = true;
   std::uint64_t fence = 0;
   std::vector<duties::ScaleCall> sent;
-  std::map<std::string, std::uint32_t> silent;  ///< by zone
+  std::map<std::string, std::uint32_t> unresponsive;  ///< by zone
 };
 
 }  // namespace tackpick::test
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -78,11 +78,11 @@
 }
 
 Test(instance_table, silence_alone_does_not_empty_the_fleet) {
-  auto silent = view("silent");
-  silent.silent = true;
-  Fixture fixture({silent});
+  auto unresponsive = view("silent");
+  unresponsive.unresponsive = true;
+  Fixture fixture({unresponsive});
   cr_assert(fixture.chosen(kNeed) == std::set<std::string>{"silent"});
-  fixture.table.update({silent, view("heard")});
+  fixture.table.update({unresponsive, view("heard")});
   cr_assert(fixture.chosen(kNeed) == std::set<std::string>{"heard"});
 }
 
--- a/test/integration/capacity_test.cpp
+++ b/test/integration/capacity_test.cpp
@@ -71,13 +71,13 @@
   waitUntil([&] { return pool(cluster).value("there", 0) == 2; }, "both are there");
   cr_assert(platform.calls().empty(), "what is there is left");
 
-  platform.setSilent(true);
+  platform.setUnresponsive(true);
   report(cluster, second, draining(second, 2, 2000));
   waitUntil([&] { return !platform.calls().empty(); }, "a successor is asked for");
   cr_assert_eq(platform.calls()[0].count, 2U);
   const std::string holder = cluster.leader("127.0.1.");
   cluster.machine(holder).process->kill();
-  platform.setSilent(false);
+  platform.setUnresponsive(false);
   waitUntil([&] { return platform.calls().back().fence > platform.calls()[0].fence; },
             "another holds the duty");
   waitUntil([&] { return pool(cluster).value("taken", false); }, "the call was taken");
--- a/test/integration/stand_in_scale_platform.cpp
+++ b/test/integration/stand_in_scale_platform.cpp
@@ -18,9 +18,9 @@
   m_thread.join();
 }
 
-void StandInScalePlatform::setSilent(bool silent) {
+void StandInScalePlatform::setUnresponsive(bool unresponsive) {
   const std::lock_guard lock(m_mutex);
-  m_silent = silent;
+  m_unresponsive = unresponsive;
 }
 
 std::vector<StandInScalePlatform::Call> StandInScalePlatform::calls() const {
@@ -36,7 +36,7 @@
     m_calls.push_back({request.headers.value("Duty-Holder"),
                        std::stoull(request.headers.value("Fencing-Token")), body["zone"],
                        body["desiredCount"]});
-    if (m_silent) {
+    if (m_unresponsive) {
       m_unanswered.push_back(exchange);
       return;
     }
--- a/test/integration/stand_in_scale_platform.h
+++ b/test/integration/stand_in_scale_platform.h
@@ -30,7 +30,7 @@
   StandInScalePlatform& operator=(const StandInScalePlatform&) = delete;
 
   /// Gives no answer from now on, or answers again.
-  void setSilent(bool silent);
+  void setUnresponsive(bool unresponsive);
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
   [[nodiscard]] std::vector<Call> calls() const;
 
@@ -38,7 +38,7 @@
   void answer(const http::RawRequest& request, const std::shared_ptr<http::Exchange>& exchange);
 
   mutable std::mutex m_mutex;
-  bool m_silent = false;
+  bool m_unresponsive = false;
   std::vector<Call> m_calls;
   std::vector<std::shared_ptr<http::Exchange>> m_unanswered;
   asio::io_context m_context;
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -321,7 +321,7 @@
 }
 
 // With one gateway for each engine a frozen one would hold up all items of its engines until it is
-// known to be silent.
+// known to be unresponsive.
 Test(engine_affinity, frozen_gateway_holds_up_no_item) {
   // Right before items come, and as long as it still counts as one that runs items.
   const base::TimePoint at = kNow + base::seconds(10) - base::milliseconds(5);
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -70,7 +70,7 @@
   cr_assert(gatewaySelector.isActive(gateway(5), "a", kNow));
   gatewaySelector.forget(2);
   cr_assert(gatewaySelector.isActive(gateway(6), "a", kNow));
-  // Those that run items ask often; those that stand by may be silent for longer.
+  // Those that run items ask often; those that stand by may be unresponsive for longer.
   const base::TimePoint later = kNow + base::milliseconds(700);
   gatewaySelector.note(gateway(4), "a", true, later);
   cr_assert(gatewaySelector.isActive(gateway(7), "a", later), "3 is silent");
--- a/test/jobs/result_reader_test.cpp
+++ b/test/jobs/result_reader_test.cpp
@@ -103,12 +103,12 @@
 }
 
 Test(result_reader, replica_that_lags_or_is_silent_is_left_alone_for_a_while) {
-  for (const bool silent : {false, true}) {
+  for (const bool unresponsive : {false, true}) {
     Fixture fixture;
     fixture.read(0);
     Fixture::answer(fixture.leader.pending, Fixture::announced(2));
     const jobs::JobReply lagging;
-    std::exchange(fixture.replicas.pending, nullptr)(silent ? nullptr : &lagging);
+    std::exchange(fixture.replicas.pending, nullptr)(unresponsive ? nullptr : &lagging);
     cr_assert_not(fixture.leader.asked.at(1).nearby.valid(), "the leader gives all itself");
     Fixture::answer(fixture.leader.pending, Fixture::withResults(2));
     cr_assert_eq(fixture.last.results.size(), 2U);
