--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -132,7 +132,7 @@
   if (!view_.ledgerVoters.empty()) {
     ledger_voters_ = view_.ledgerVoters;  // a new leader of the controllers knows none for a moment
   } else if (ledger_voters_.empty()) {
-    ledger_voters_ = view_.ledgerFounders;
+    ledger_voters_ = view_.initialLedgerVoters;
   }
   std::vector<base::NodeId> voters;
   std::vector<base::NodeId> heard;
--- a/src/config/cluster_settings.cpp
+++ b/src/config/cluster_settings.cpp
@@ -167,7 +167,7 @@
   settings.bootstrap = reader.flag("bootstrap", false);
   settings.dataFolder =
       gateway ? reader.text("data_folder", "") : reader.requiredText("data_folder");
-  settings.lossesBorne =
+  settings.toleratedLosses =
       static_cast<std::uint32_t>(reader.integer("losses_borne", 1, 0, kMostMachines));
   settings.retention = readDuration(reader, "retention_s", base::seconds(1), settings.retention);
   settings.gracePeriod =
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -30,7 +30,7 @@
   std::vector<transport::Endpoint> seeds;         ///< control interfaces of some controllers
   bool bootstrap = false;                         ///< the whole cluster starts for the first time
   std::string dataFolder;                         ///< controllers and ledgers
-  std::uint32_t lossesBorne = 1;                  ///< machines that may be lost at once
+  std::uint32_t toleratedLosses = 1;              ///< machines that may be lost at once
   base::Duration retention = base::seconds(120);  ///< of a batch, from its submission
   base::Duration gracePeriod = base::seconds(8);  ///< for a planned stop
   base::Duration commandLease = base::milliseconds(3000);       ///< between orders of two leaders
--- a/src/directory/call_name.cpp
+++ b/src/directory/call_name.cpp
@@ -37,7 +37,7 @@
 CallName nameOfTyped(const quarantine::ReportCrashes& /*request*/) {
   return {"report_crashes", {}, false};
 }
-CallName nameOfTyped(const quarantine::AskTrial& request) {
+CallName nameOfTyped(const quarantine::RequestTrial& request) {
   return {"ask_trial", request.request.text(), false};
 }
 CallName nameOfTyped(const quarantine::ReadQuarantine& /*request*/) {
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -222,7 +222,7 @@
 using DirectoryRequest =
     std::variant<ReplaceConfiguration, ReadConfiguration, InstanceHeartbeat, DeregisterInstance,
                  PublishVersion, Watch, RetireNode, ReadRetirement, ReportUsage, RelayHeartbeats,
-                 quarantine::ReportCrashes, quarantine::AskTrial, quarantine::ReadQuarantine,
+                 quarantine::ReportCrashes, quarantine::RequestTrial, quarantine::ReadQuarantine,
                  quarantine::ReleaseRequest, ReportOpenJobs, duties::ReadCapacity, ReadWeights>;
 
 // Answers.
@@ -264,7 +264,7 @@
   std::map<std::string, std::uint64_t> publishedVersions;
   std::vector<base::NodeId> controllers;
   std::vector<LedgerSummary> ledgers;
-  std::set<base::NodeId> ledgerFounders;  ///< first voters; empty until decided
+  std::set<base::NodeId> initialLedgerVoters;  ///< first voters; empty until decided
   /// Of the ledgers' group, as its leader last reported them; empty until it has.
   std::set<base::NodeId> ledgerVoters;
   std::uint32_t gateways = 1;  ///< heard of lately
@@ -277,7 +277,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(revision, whole, since, removed, configuration, configurationVersion, instances,
-            publishedVersions, controllers, ledgers, ledgerFounders, ledgerVoters, gateways,
+            publishedVersions, controllers, ledgers, initialLedgerVoters, ledgerVoters, gateways,
             nodesSettled, usageFrom, heldRequests, clusterTime);
   }
 };
@@ -385,11 +385,11 @@
   }
 };
 
-struct FoundLedgers {
-  std::set<base::NodeId> founders;
+struct BootstrapLedgers {
+  std::set<base::NodeId> initialVoters;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(founders);
+    archive(initialVoters);
   }
 };
 
@@ -411,10 +411,10 @@
 
 using DirectoryCommand =
     std::variant<ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances,
-                 PublishVersion, FoundLedgers, BeginRetirement, CompleteRetirement, RecordVersions,
-                 ClaimCommandLease, duties::BeginUsage, duties::RecordUsage, duties::FinalizeUsage,
-                 duties::ConfirmUsage, RecordAssignments, quarantine::HoldRequest,
-                 quarantine::NoteTrial, quarantine::ReleaseRequest, duties::RecordBaseline,
-                 duties::SetCapacity, duties::ConfirmCapacity>;
+                 PublishVersion, BootstrapLedgers, BeginRetirement, CompleteRetirement,
+                 RecordVersions, ClaimCommandLease, duties::BeginUsage, duties::RecordUsage,
+                 duties::FinalizeUsage, duties::ConfirmUsage, RecordAssignments,
+                 quarantine::HoldRequest, quarantine::RecordTrial, quarantine::ReleaseRequest,
+                 duties::RecordBaseline, duties::SetCapacity, duties::ConfirmCapacity>;
 
 }  // namespace tackpick::directory
--- a/src/directory/directory_quarantine.cpp
+++ b/src/directory/directory_quarantine.cpp
@@ -22,7 +22,7 @@
   reply(caller, DirectoryStatus::kDone);
 }
 
-void DirectoryRole::onRequest(const Caller& caller, const quarantine::AskTrial& request,
+void DirectoryRole::onRequest(const Caller& caller, const quarantine::RequestTrial& request,
                               base::TimePoint now) {
   if (!state_.quarantine().isTrialDue(request.request, clusterTime(now))) {
     reply(caller, DirectoryStatus::kConflict, "no trial is due");
@@ -36,7 +36,7 @@
     return;
   }
   m_trialsUnderWay[request.request] = {caller, trials};
-  proposeFor(caller, quarantine::NoteTrial{request.request, clusterTime(now)}, {}, now);
+  proposeFor(caller, quarantine::RecordTrial{request.request, clusterTime(now)}, {}, now);
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const quarantine::ReadQuarantine& /*request*/,
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -87,7 +87,7 @@
     return;
   }
   slow_work_at_ = now;
-  foundLedgers(now);
+  bootstrapLedgers(now);
   repairOwnGroup(now);
   expireInstances(now);
   recordVersions(now);
@@ -208,20 +208,20 @@
   return demand;
 }
 
-void DirectoryRole::foundLedgers(base::TimePoint now) {
-  if (!state_.ledgerFounders().empty()) {
+void DirectoryRole::bootstrapLedgers(base::TimePoint now) {
+  if (!state_.initialLedgerVoters().empty()) {
     return;
   }
-  std::set<base::NodeId> founders;
+  std::set<base::NodeId> initialVoters;
   for (const cluster::GroupNode& node : nodesOf(NodeRole::kLedger, now)) {
     if (node.silence < settings_.repair.silenceLimit &&
-        founders.size() < settings_.ledgerFounders) {
-      founders.insert(node.node);
+        initialVoters.size() < settings_.initialLedgerVoters) {
+      initialVoters.insert(node.node);
     }
   }
-  const bool waited = now - leader_since_ > settings_.foundingPatience;
-  if (founders.size() == settings_.ledgerFounders || (waited && !founders.empty())) {
-    proposeQuietly(FoundLedgers{founders}, now);
+  const bool waited = now - leader_since_ > settings_.bootstrapTimeout;
+  if (initialVoters.size() == settings_.initialLedgerVoters || (waited && !initialVoters.empty())) {
+    proposeQuietly(BootstrapLedgers{initialVoters}, now);
   }
 }
 
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -41,9 +41,9 @@
   /// heartbeats.
   base::Duration instanceSilence = base::seconds(4);
   cluster::GroupRepairSettings repair;
-  std::size_t ledgerFounders = 3;
-  /// With fewer ledgers than wanted, those that reported are the founders after this time.
-  base::Duration foundingPatience = base::seconds(4);
+  std::size_t initialLedgerVoters = 3;
+  /// With fewer ledgers than wanted, those that reported are the initial voters after this time.
+  base::Duration bootstrapTimeout = base::seconds(4);
   /// An instance unresponsive for longer is taken for dead.
   base::Duration instanceSilenceLimit = base::seconds(40);
   /// A node unresponsive for longer is forgotten.
@@ -133,7 +133,8 @@
   void onRequest(const Caller& caller, const ReadWeights& request, base::TimePoint now);
   void onRequest(const Caller& caller, const quarantine::ReportCrashes& request,
                  base::TimePoint now);
-  void onRequest(const Caller& caller, const quarantine::AskTrial& request, base::TimePoint now);
+  void onRequest(const Caller& caller, const quarantine::RequestTrial& request,
+                 base::TimePoint now);
   void onRequest(const Caller& caller, const quarantine::ReadQuarantine& request,
                  base::TimePoint now);
   void onRequest(const Caller& caller, const quarantine::ReleaseRequest& request,
@@ -170,7 +171,7 @@
     return clock_.at(now, wall_.wallNow());
   }
   void answerWatches(base::TimePoint now);
-  void foundLedgers(base::TimePoint now);
+  void bootstrapLedgers(base::TimePoint now);
   void repairOwnGroup(base::TimePoint now);
   void expireInstances(base::TimePoint now);
   /// Releases held requests whose time is over.
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -144,9 +144,9 @@
   }
 }
 
-void DirectoryState::applyTyped(const FoundLedgers& command) {
-  if (data_.ledgerFounders.empty()) {
-    data_.ledgerFounders = command.founders;
+void DirectoryState::applyTyped(const BootstrapLedgers& command) {
+  if (data_.initialLedgerVoters.empty()) {
+    data_.initialLedgerVoters = command.initialVoters;
     ++data_.revision;
   }
 }
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -58,8 +58,8 @@
   [[nodiscard]] const std::map<std::string, std::uint64_t>& versions() const {
     return data_.versions;
   }
-  [[nodiscard]] const std::set<base::NodeId>& ledgerFounders() const {
-    return data_.ledgerFounders;
+  [[nodiscard]] const std::set<base::NodeId>& initialLedgerVoters() const {
+    return data_.initialLedgerVoters;
   }
   [[nodiscard]] const std::map<std::string, Retirement>& retirements() const {
     return data_.retirements;
@@ -79,7 +79,7 @@
     std::map<std::string, std::string> assignments;
     std::deque<std::string> leftInOrder;
     std::map<std::string, std::uint64_t> versions;
-    std::set<base::NodeId> ledgerFounders;
+    std::set<base::NodeId> initialLedgerVoters;
     std::map<std::string, Retirement> retirements;
     CommandLeaseClaims commandLeaseClaims;
     duties::UsageState usage;
@@ -89,7 +89,7 @@
     template <class Archive>
     void serialize(Archive& archive) {
       archive(revision, configuration, instances, heldVersions, assignments, leftInOrder, versions,
-              ledgerFounders, retirements, commandLeaseClaims, usage, quarantine, capacity);
+              initialLedgerVoters, retirements, commandLeaseClaims, usage, quarantine, capacity);
     }
   };
 
@@ -98,7 +98,7 @@
   void applyTyped(const RemoveInstance& command);
   void applyTyped(const ForgetInstances& command);
   void applyTyped(const PublishVersion& command);
-  void applyTyped(const FoundLedgers& command);
+  void applyTyped(const BootstrapLedgers& command);
   void applyTyped(const BeginRetirement& command);
   void applyTyped(const CompleteRetirement& command);
   void applyTyped(const RecordVersions& command);
@@ -112,7 +112,7 @@
   void applyTyped(const duties::SetCapacity& command) { data_.capacity.apply(command); }
   void applyTyped(const duties::ConfirmCapacity& command) { data_.capacity.apply(command); }
   void applyTyped(const quarantine::HoldRequest& command) { data_.quarantine.apply(command); }
-  void applyTyped(const quarantine::NoteTrial& command) { data_.quarantine.apply(command); }
+  void applyTyped(const quarantine::RecordTrial& command) { data_.quarantine.apply(command); }
   void applyTyped(const quarantine::ReleaseRequest& command) { data_.quarantine.apply(command); }
 
   using Address = std::pair<std::string, std::uint16_t>;
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -53,7 +53,7 @@
 DirectoryView DirectoryRole::presentView(base::TimePoint now) const {
   DirectoryView view;
   view.publishedVersions = state_.versions();
-  view.ledgerFounders = state_.ledgerFounders();
+  view.initialLedgerVoters = state_.initialLedgerVoters();
   view.ledgerVoters = ledger_voters_;
   const auto& voters = replica_.raft().membership().voters;
   view.controllers.assign(voters.begin(), voters.end());
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -112,9 +112,9 @@
   }
   // The founding controllers have instance 0, so that each knows the others from its settings. An
   // empty folder at any other time is a new node, which never votes in an old one's name.
-  const bool founder =
+  const bool isInitialVoter =
       settings_.role == directory::NodeRole::kController && settings_.bootstrap && isSeed();
-  const base::NodeId self = base::makeNodeId(number, founder ? 0 : drawInstance());
+  const base::NodeId self = base::makeNodeId(number, isInitialVoter ? 0 : drawInstance());
   const runtime::NodeIdentity identity{settings_.cluster, self.value, 0};
   BOOST_LEAF_CHECK(storage::writeDurably(*folder, kIdentityFile, base::encode(identity)));
   return self;
@@ -172,12 +172,12 @@
 }
 
 base::Result<void> Node::openLog(const std::string& name, base::GroupId group,
-                                 const std::set<base::NodeId>& founders) {
+                                 const std::set<base::NodeId>& initialVoters) {
   BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder + "/" + name));
   folders_.push_back(std::move(folder));
   consensus::Membership initial;
-  if (founders.contains(self_)) {
-    initial.voters = founders;
+  if (initialVoters.contains(self_)) {
+    initial.voters = initialVoters;
   }
   const storage::FolderIdentity identity{settings_.cluster, self_, group};
   disk_thread_ =
@@ -192,8 +192,8 @@
   BOOST_LEAF_CHECK(openLog(kDirectoryFolder, directory::kDirectoryGroup,
                            std::set<base::NodeId>(seeds.begin(), seeds.end())));
   directory::DirectorySettings settings;
-  settings.repair.targetSize = 2 * settings_.lossesBorne + 1;
-  settings.ledgerFounders = 2 * settings_.lossesBorne + 1;
+  settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
+  settings.initialLedgerVoters = 2 * settings_.toleratedLosses + 1;
   settings.orders.concurrentLoads = settings_.concurrentLoads;
   settings.instanceSilence = settings_.instanceHeartbeat + kHeartbeatSlack;
   settings.orders.silenceLimit = settings.instanceSilence;
@@ -227,10 +227,10 @@
   return initialised ? openLedger({}) : base::Result<void>{};
 }
 
-base::Result<void> Node::openLedger(const std::set<base::NodeId>& founders) {
-  BOOST_LEAF_CHECK(openLog(kLedgerFolder, directory::kLedgerGroup, founders));
+base::Result<void> Node::openLedger(const std::set<base::NodeId>& initialVoters) {
+  BOOST_LEAF_CHECK(openLog(kLedgerFolder, directory::kLedgerGroup, initialVoters));
   jobs::JobRoleSettings settings;
-  settings.repair.targetSize = 2 * settings_.lossesBorne + 1;
+  settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
   settings.retention = settings_.retention;
   ledger_ = std::make_unique<jobs::JobRole>(self_, directory::kLedgerGroup, settings, *log_,
                                             *random_, now());
@@ -430,10 +430,10 @@
   if (settings_.role != directory::NodeRole::kLedger) {
     return;
   }
-  if (!ledger_ && !view.ledgerFounders.empty()) {
+  if (!ledger_ && !view.initialLedgerVoters.empty()) {
     failed_ = base::recover(
         [&]() -> base::Result<bool> {
-          BOOST_LEAF_CHECK(openLedger(view.ledgerFounders));
+          BOOST_LEAF_CHECK(openLedger(view.initialLedgerVoters));
           member_->requestFullView();  // the instances told so far were not kept
           return false;
         },
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -70,9 +70,9 @@
   [[nodiscard]] base::Result<base::NodeId> openIdentity();
   [[nodiscard]] base::Result<void> openDirectory();
   [[nodiscard]] base::Result<void> reopenLedger();
-  [[nodiscard]] base::Result<void> openLedger(const std::set<base::NodeId>& founders);
+  [[nodiscard]] base::Result<void> openLedger(const std::set<base::NodeId>& initialVoters);
   [[nodiscard]] base::Result<void> openLog(const std::string& name, base::GroupId group,
-                                           const std::set<base::NodeId>& founders);
+                                           const std::set<base::NodeId>& initialVoters);
   [[nodiscard]] base::Result<void> openNetwork();
   [[nodiscard]] std::vector<base::NodeId> seedNodes() const;
   [[nodiscard]] bool isSeed() const;
--- a/src/node/request_guard.cpp
+++ b/src/node/request_guard.cpp
@@ -82,7 +82,7 @@
 void RequestGuard::askTrial(const quarantine::RequestFingerprint& request,
                             std::function<void(bool granted)> callback) {
   m_node.member().call(
-      directory::DirectoryRequest{quarantine::AskTrial{request}}, kTrialDeadline, m_node.now(),
+      directory::DirectoryRequest{quarantine::RequestTrial{request}}, kTrialDeadline, m_node.now(),
       [request, callback = std::move(callback)](const directory::DirectoryReply* reply) {
         const bool granted = reply != nullptr && reply->status == directory::DirectoryStatus::kDone;
         if (granted) {
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -54,7 +54,7 @@
 };
 
 /// May the asking gateway send the held request once?
-struct AskTrial {
+struct RequestTrial {
   RequestFingerprint request;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -97,7 +97,7 @@
 };
 
 /// The request is sent once more.
-struct NoteTrial {
+struct RecordTrial {
   RequestFingerprint request;
   base::WallTime at;
   template <class Archive>
--- a/src/quarantine/quarantine_state.cpp
+++ b/src/quarantine/quarantine_state.cpp
@@ -15,7 +15,7 @@
                               command.at,      command.at,        nextTrial(command.at, 0)};
 }
 
-void QuarantineState::apply(const NoteTrial& command) {
+void QuarantineState::apply(const RecordTrial& command) {
   const auto held = m_holds.find(command.request);
   if (held == m_holds.end()) {
     return;
--- a/src/quarantine/quarantine_state.h
+++ b/src/quarantine/quarantine_state.h
@@ -33,7 +33,7 @@
 class QuarantineState {
  public:
   void apply(const HoldRequest& command);
-  void apply(const NoteTrial& command);
+  void apply(const RecordTrial& command);
   void apply(const ReleaseRequest& command);
 
   [[nodiscard]] const std::map<RequestFingerprint, Hold>& holds() const { return m_holds; }
--- a/test/cluster/cluster_world.cpp
+++ b/test/cluster/cluster_world.cpp
@@ -41,25 +41,25 @@
   node.number = number;
   node.role = role;
   node.disk = std::make_unique<simulation::SimulatedDisk>();
-  const bool founder = foundingControllers().contains(base::makeNodeId(number, 0));
-  node.instance = founder ? 0 : drawInstance();
+  const bool isInitialVoter = foundingControllers().contains(base::makeNodeId(number, 0));
+  node.instance = isInitialVoter ? 0 : drawInstance();
   start(node);
   return node;
 }
 
 std::vector<base::NodeId> ClusterWorld::seeds() const {
   constexpr std::size_t kSeeds = 3;
-  const auto founders = foundingControllers();
+  const auto initialVoters = foundingControllers();
   std::vector<base::NodeId> seeds;
-  for (const base::NodeId founder : founders) {
-    const auto known = nodes_.find(base::nodeNumber(founder));
+  for (const base::NodeId isInitialVoter : initialVoters) {
+    const auto known = nodes_.find(base::nodeNumber(isInitialVoter));
     if (known == nodes_.end() || !known->second.gone) {
-      seeds.push_back(founder);
+      seeds.push_back(isInitialVoter);
     }
   }
   for (const auto& [number, node] : nodes_) {
     const bool other = node.role == directory::NodeRole::kController && !node.gone &&
-                       !founders.contains(base::makeNodeId(number, 0));
+                       !initialVoters.contains(base::makeNodeId(number, 0));
     if (other && seeds.size() < kSeeds) {
       seeds.push_back(base::makeNodeId(number, 0));
     }
@@ -98,7 +98,7 @@
     directory::DirectorySettings settings;
     settings.replica = replica_;
     settings.repair.targetSize = wantedVoters();
-    settings.ledgerFounders = wantedVoters();
+    settings.initialLedgerVoters = wantedVoters();
     node.controller = std::make_unique<directory::DirectoryRole>(record, settings, *node.log,
                                                                  random_, wall_, now_);
   } else if (node.role == directory::NodeRole::kLedger && !node.disk->list().value().empty()) {
@@ -107,10 +107,10 @@
 }
 
 void ClusterWorld::openLog(WorldNode& node, base::GroupId group,
-                           const std::set<base::NodeId>& founders) {
+                           const std::set<base::NodeId>& initialVoters) {
   consensus::Membership initial;
-  if (founders.contains(node.id())) {
-    initial.voters = founders;
+  if (initialVoters.contains(node.id())) {
+    initial.voters = initialVoters;
   }
   node.log = base::recover(
       [&] {
@@ -119,8 +119,8 @@
       [](const base::Error&) { return std::unique_ptr<storage::SegmentedLog>(); });
 }
 
-void ClusterWorld::openLedger(WorldNode& node, const std::set<base::NodeId>& founders) {
-  openLog(node, directory::kLedgerGroup, founders);
+void ClusterWorld::openLedger(WorldNode& node, const std::set<base::NodeId>& initialVoters) {
+  openLog(node, directory::kLedgerGroup, initialVoters);
   jobs::JobRoleSettings settings;
   settings.replica = replica_;
   settings.repair.targetSize = wantedVoters();
@@ -132,8 +132,8 @@
   if (node.role != directory::NodeRole::kLedger) {
     return;
   }
-  if (!node.ledger && !view.ledgerFounders.empty()) {
-    openLedger(node, view.ledgerFounders);
+  if (!node.ledger && !view.initialLedgerVoters.empty()) {
+    openLedger(node, view.initialLedgerVoters);
   }
   if (!node.ledger || !view.nodesSettled) {
     return;
--- a/test/cluster/cluster_world.h
+++ b/test/cluster/cluster_world.h
@@ -91,8 +91,8 @@
   [[nodiscard]] std::uint32_t drawInstance();
   /// What a process that starts now is told: three controllers that have not been taken away.
   [[nodiscard]] std::vector<base::NodeId> seeds() const;
-  void openLog(WorldNode& node, base::GroupId group, const std::set<base::NodeId>& founders);
-  void openLedger(WorldNode& node, const std::set<base::NodeId>& founders);
+  void openLog(WorldNode& node, base::GroupId group, const std::set<base::NodeId>& initialVoters);
+  void openLedger(WorldNode& node, const std::set<base::NodeId>& initialVoters);
   void onView(WorldNode& node, const directory::DirectoryView& view);
   void turn(WorldNode& node);
   void send(const WorldNode& from, const transport::Outbox& outbox);
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -435,14 +435,14 @@
   }
   controller.run(base::seconds(1));
   controller.answers.clear();
-  controller.ask(tackpick::quarantine::AskTrial{kRequest});
+  controller.ask(tackpick::quarantine::RequestTrial{kRequest});
   controller.run(base::milliseconds(50));
   cr_assert(statusOf(controller.answers.back()) == directory::DirectoryStatus::kConflict,
             "none is due yet");
   controller.run(base::seconds(4));
   controller.answers.clear();
   for (int gateway = 0; gateway < 3; ++gateway) {
-    controller.ask(tackpick::quarantine::AskTrial{kRequest});
+    controller.ask(tackpick::quarantine::RequestTrial{kRequest});
   }
   controller.run(base::milliseconds(50));
   const auto granted = std::count_if(
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -187,8 +187,8 @@
   apply(state, directory::RemoveInstance{"gone", true});
   apply(state, directory::PublishVersion{"m", 7});
   apply(state, directory::PublishVersion{"m", 6});
-  apply(state, directory::FoundLedgers{{base::makeNodeId(1, 1)}});
-  apply(state, directory::FoundLedgers{{base::makeNodeId(2, 1)}});
+  apply(state, directory::BootstrapLedgers{{base::makeNodeId(1, 1)}});
+  apply(state, directory::BootstrapLedgers{{base::makeNodeId(2, 1)}});
   apply(state, directory::BeginRetirement{"storage-1"});
   apply(state, directory::CompleteRetirement{"storage-1"});
   apply(state, directory::BeginRetirement{"storage-1"});
@@ -197,7 +197,7 @@
   cr_assert_eq(loaded.takeSnapshot(), state.takeSnapshot());
   cr_assert(loaded.hasLeft("gone"));
   cr_assert_eq(loaded.versions().at("m"), 7U);
-  cr_assert(loaded.ledgerFounders().contains(base::makeNodeId(1, 1)));
+  cr_assert(loaded.initialLedgerVoters().contains(base::makeNodeId(1, 1)));
   cr_assert(loaded.retirements().at("storage-1") == directory::Retirement::kCompleted);
 }
 
--- a/test/quarantine/quarantine_state_test.cpp
+++ b/test/quarantine/quarantine_state_test.cpp
@@ -47,7 +47,7 @@
     pause = due - last;
     cr_assert_not(state.isTrialDue(kRequest, due - base::milliseconds(1)));
     cr_assert(state.isTrialDue(kRequest, due));
-    state.apply(quarantine::NoteTrial{kRequest, due});
+    state.apply(quarantine::RecordTrial{kRequest, due});
     cr_assert_not(state.isTrialDue(kRequest, due), "one trial at a time");
     last = due;
   }
