--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -202,9 +202,9 @@
   }
 
   void announce() {
-    std::vector<tackpick::control::MachineListing> machines;
+    std::vector<tackpick::control::MachineListEntry> machines;
     for (const auto& engine : engines_) {
-      tackpick::control::MachineListing machine;
+      tackpick::control::MachineListEntry machine;
       machine.engine.engine = engine->settings().id;
       machine.engine.incarnation = engine->settings().incarnation;
       machine.engine.host = engine->settings().host;
--- a/apps/tackpickctl/commands.cpp
+++ b/apps/tackpickctl/commands.cpp
@@ -276,7 +276,7 @@
     std::cerr << "no node " << path << "\n";
     return kRefused;
   }
-  for (const control::SettingSpecification& specification : control::settingSpecifications()) {
+  for (const control::SettingSpec& specification : control::settingSpecs()) {
     if (invocation.arguments.size() > 1 && invocation.arguments[1] != specification.name) {
       continue;
     }
--- a/src/config/declarations.cpp
+++ b/src/config/declarations.cpp
@@ -98,7 +98,7 @@
 }  // namespace
 
 base::Result<control::SettingValue> parseSetting(control::SettingKey key, const std::string& text) {
-  const control::SettingSpecification& specification = control::specificationOf(key);
+  const control::SettingSpec& specification = control::settingSpec(key);
   control::SettingValue value = text;
   const YAML::Node scalar(text);
   if (std::holds_alternative<bool>(specification.defaultValue)) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -95,12 +95,12 @@
   actions_.messages.push_back({from, std::move(response)});
 }
 
-void Controller::onMachineList(const std::vector<MachineListing>& machines, base::TimePoint now) {
+void Controller::onMachineList(const std::vector<MachineListEntry>& machines, base::TimePoint now) {
   if (!maySpeak(now)) {
     return;
   }
   list_term_ = replica_.raft().currentTerm();
-  for (const MachineListing& machine : machines) {
+  for (const MachineListEntry& machine : machines) {
     const auto known = state_.engines().find(machine.engine.engine);
     const bool changed = known == state_.engines().end() ||
                          known->second.incarnation < machine.engine.incarnation ||
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -29,7 +29,7 @@
 };
 
 /// One line of the platform's lagging machine list.
-struct MachineListing {
+struct MachineListEntry {
   EngineRecord engine;
 };
 
@@ -50,7 +50,7 @@
   void handle(base::NodeId from, const transport::CommandRequest& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::MembershipRequest& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::WatchRequest& message, base::TimePoint now);
-  void onMachineList(const std::vector<MachineListing>& machines, base::TimePoint now);
+  void onMachineList(const std::vector<MachineListEntry>& machines, base::TimePoint now);
   void onCommandReply(const engine::EngineCommandReply& reply, base::TimePoint now);
   void tick(base::TimePoint now);
   /// Ends a turn: syncs, applies, and says what to send.
--- a/src/control/settings.cpp
+++ b/src/control/settings.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t kMaximumMillis = 86'400'000;
 constexpr std::int64_t kMaximumStaleness = 1'000;
 
-std::vector<SettingSpecification> makeSpecifications() {
+std::vector<SettingSpec> makeSpecifications() {
   using Key = SettingKey;
   const auto integer = [](std::int64_t value) { return SettingValue{value}; };
   return {
@@ -38,17 +38,17 @@
 
 }  // namespace
 
-const std::vector<SettingSpecification>& settingSpecifications() {
-  static const std::vector<SettingSpecification> kSpecifications = makeSpecifications();
+const std::vector<SettingSpec>& settingSpecs() {
+  static const std::vector<SettingSpec> kSpecifications = makeSpecifications();
   return kSpecifications;
 }
 
-const SettingSpecification& specificationOf(SettingKey key) {
-  return settingSpecifications().at(static_cast<std::size_t>(key));
+const SettingSpec& settingSpec(SettingKey key) {
+  return settingSpecs().at(static_cast<std::size_t>(key));
 }
 
 std::optional<SettingKey> settingKeyNamed(std::string_view name) {
-  for (const SettingSpecification& specification : settingSpecifications()) {
+  for (const SettingSpec& specification : settingSpecs()) {
     if (specification.name == name) {
       return specification.key;
     }
@@ -57,10 +57,10 @@
 }
 
 std::optional<std::string> checkSetting(SettingKey key, const SettingValue& value) {
-  if (static_cast<std::size_t>(key) >= settingSpecifications().size()) {
+  if (static_cast<std::size_t>(key) >= settingSpecs().size()) {
     return "unknown setting";
   }
-  const SettingSpecification& specification = specificationOf(key);
+  const SettingSpec& specification = settingSpec(key);
   const std::string name(specification.name);
   if (value.index() != specification.defaultValue.index()) {
     static const std::vector<std::string> kTypeNames = {"true or false", "an integer", "a text"};
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -27,7 +27,7 @@
 using SettingValue = std::variant<bool, std::int64_t, std::string>;
 
 /// Type, range and default of one setting.
-struct SettingSpecification {
+struct SettingSpec {
   SettingKey key;
   std::string_view name;  ///< as written in declarations
   SettingValue defaultValue;
@@ -37,8 +37,8 @@
 };
 
 /// All settings, in the order of SettingKey.
-[[nodiscard]] const std::vector<SettingSpecification>& settingSpecifications();
-[[nodiscard]] const SettingSpecification& specificationOf(SettingKey key);
+[[nodiscard]] const std::vector<SettingSpec>& settingSpecs();
+[[nodiscard]] const SettingSpec& settingSpec(SettingKey key);
 [[nodiscard]] std::optional<SettingKey> settingKeyNamed(std::string_view name);
 
 /// What is wrong with `value` for `key`, in one sentence; nothing when it is valid.
--- a/src/control/settings_tree.cpp
+++ b/src/control/settings_tree.cpp
@@ -32,7 +32,7 @@
     }
     current = parentPath(*current);
   }
-  return {specificationOf(key).defaultValue, {}, true, {}};
+  return {settingSpec(key).defaultValue, {}, true, {}};
 }
 
 std::int64_t SettingsTree::integer(const std::string& path, SettingKey key) const {
--- a/src/directory/call_name.h
+++ b/src/directory/request_label.h
@@ -9,12 +9,12 @@
 
 namespace tackpick::directory {
 
-struct CallName {
+struct RequestLabel {
   std::string_view call;
   std::string subject;   ///< version, instance, model or machine that it is about
   bool changes = false;  ///< it asks for a change that its caller repeats until it is acknowledged
 };
 
-[[nodiscard]] CallName nameOf(const DirectoryRequest& request);
+[[nodiscard]] RequestLabel labelOf(const DirectoryRequest& request);
 
 }  // namespace tackpick::directory
--- a/src/emulator/platform.cpp
+++ b/src/emulator/platform.cpp
@@ -51,8 +51,8 @@
 
 void Platform::announce(const std::string& body) {
   const base::TimePoint now = clock_.now();
-  for (const control::MachineListing& machine :
-       runtime::parseMachineList(body).value_or(std::vector<control::MachineListing>{})) {
+  for (const control::MachineListEntry& machine :
+       runtime::parseMachineList(body).value_or(std::vector<control::MachineListEntry>{})) {
     Seen& seen = seen_[machine.engine.engine];
     if (machine.engine.incarnation < seen.machine.engine.incarnation) {
       continue;
@@ -69,16 +69,16 @@
   }
 }
 
-std::vector<control::MachineListing> Platform::laggingList() const {
+std::vector<control::MachineListEntry> Platform::laggingList() const {
   const base::TimePoint now = clock_.now();
-  std::vector<control::MachineListing> list;
+  std::vector<control::MachineListEntry> list;
   for (const auto& [id, seen] : seen_) {
     const bool visible = now - seen.firstSeenAt >= settings_.listLag &&
                          now - seen.lastSeenAt < settings_.silence + settings_.listLag;
     if (!visible) {
       continue;
     }
-    control::MachineListing machine = seen.machine;
+    control::MachineListEntry machine = seen.machine;
     const bool leavingVisible = now - seen.leavingSeenAt >= settings_.listLag;
     machine.engine.draining = machine.engine.draining && leavingVisible;
     list.push_back(machine);
--- a/src/emulator/platform.h
+++ b/src/emulator/platform.h
@@ -33,7 +33,7 @@
 
  private:
   struct Seen {
-    control::MachineListing machine;
+    control::MachineListEntry machine;
     base::TimePoint firstSeenAt{};
     base::TimePoint lastSeenAt{};
     base::TimePoint leavingSeenAt{};
@@ -41,7 +41,7 @@
 
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
   void announce(const std::string& body);
-  [[nodiscard]] std::vector<control::MachineListing> laggingList() const;
+  [[nodiscard]] std::vector<control::MachineListEntry> laggingList() const;
   void score(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
 
   asio::io_context& context_;
--- a/src/jobs/call_name.h
+++ b/src/jobs/request_label.h
@@ -9,11 +9,11 @@
 
 namespace tackpick::jobs {
 
-struct CallName {
+struct RequestLabel {
   std::string_view call;
   std::string job;  ///< its id; empty when the call is about several
 };
 
-[[nodiscard]] CallName nameOf(const JobRequest& request);
+[[nodiscard]] RequestLabel labelOf(const JobRequest& request);
 
 }  // namespace tackpick::jobs
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "directory/call_name.h"
+#include "directory/request_label.h"
 #include "edge/capacity_call.h"
 #include "edge/quarantine_call.h"
 #include "edge/unanswered.h"
@@ -168,7 +168,7 @@
 void ControlServer::onReply(const directory::DirectoryRequest& request,
                             const directory::DirectoryReply* reply, int status,
                             base::Duration took) {
-  const directory::CallName name = directory::nameOf(request);
+  const directory::RequestLabel name = directory::labelOf(request);
   node_.metrics().count(telemetry::CounterId::kControlCalls,
                         std::string(name.call) + "_" + std::to_string(status));
   node_.metrics().observe(telemetry::HistogramId::kControlCallTime, took);
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -5,7 +5,7 @@
 
 #include "edge/unanswered.h"
 #include "http/status.h"
-#include "jobs/call_name.h"
+#include "jobs/request_label.h"
 #include "node/node.h"
 #include "telemetry/log.h"
 
@@ -196,7 +196,7 @@
 
 void GatewayServer::onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
                                const edge::Answer& answer, base::Duration took) {
-  const jobs::CallName name = jobs::nameOf(request);
+  const jobs::RequestLabel name = jobs::labelOf(request);
   node_.metrics().count(telemetry::CounterId::kLedgerCalls,
                         std::string(name.call) + "_" + std::to_string(answer.status));
   const auto* read = std::get_if<jobs::ReadJob>(&request);
--- a/src/runtime/control_json.cpp
+++ b/src/runtime/control_json.cpp
@@ -86,7 +86,7 @@
 Json valuesJson(const std::map<control::SettingKey, control::SettingValue>& values) {
   Json object = Json::object();
   for (const auto& [key, value] : values) {
-    const std::string name(control::specificationOf(key).name);
+    const std::string name(control::settingSpec(key).name);
     std::visit([&](const auto& typed) { object[name] = typed; }, value);
   }
   return object;
--- a/src/runtime/engine_json.cpp
+++ b/src/runtime/engine_json.cpp
@@ -264,9 +264,9 @@
   return reply;
 }
 
-std::string toJson(const std::vector<control::MachineListing>& machines) {
+std::string toJson(const std::vector<control::MachineListEntry>& machines) {
   Json list = Json::array();
-  for (const control::MachineListing& machine : machines) {
+  for (const control::MachineListEntry& machine : machines) {
     const control::EngineRecord& record = machine.engine;
     list.push_back({{"engine", record.engine.value},
                     {"incarnation", idText(record.incarnation.value)},
@@ -279,16 +279,16 @@
   return Json{{"machines", std::move(list)}}.dump();
 }
 
-std::optional<std::vector<control::MachineListing>> parseMachineList(const std::string& body) {
+std::optional<std::vector<control::MachineListEntry>> parseMachineList(const std::string& body) {
   const Json object = Json::parse(body, nullptr, false);
   if (!object.is_object()) {
     return std::nullopt;
   }
   JsonReader outer(object);
-  std::vector<control::MachineListing> machines;
+  std::vector<control::MachineListEntry> machines;
   for (const Json& item : outer.array("machines")) {
     JsonReader reader(item);
-    control::MachineListing machine;
+    control::MachineListEntry machine;
     control::EngineRecord& record = machine.engine;
     record.engine = {static_cast<std::uint64_t>(reader.integer("engine", 0, 1, kMaximumInteger))};
     record.incarnation = {idOf(item, "incarnation")};
--- a/src/runtime/engine_json.h
+++ b/src/runtime/engine_json.h
@@ -42,8 +42,8 @@
 [[nodiscard]] std::optional<engine::EngineCommandReply> parseOrderReply(const std::string& body);
 
 /// The platform's machine list.
-[[nodiscard]] std::string toJson(const std::vector<control::MachineListing>& machines);
-[[nodiscard]] std::optional<std::vector<control::MachineListing>> parseMachineList(
+[[nodiscard]] std::string toJson(const std::vector<control::MachineListEntry>& machines);
+[[nodiscard]] std::optional<std::vector<control::MachineListEntry>> parseMachineList(
     const std::string& body);
 
 /// Splits a stream of server-sent events into the data of each.
--- a/src/simulation/platform.cpp
+++ b/src/simulation/platform.cpp
@@ -17,11 +17,11 @@
   });
 }
 
-std::vector<control::MachineListing> Platform::list() {
+std::vector<control::MachineListEntry> Platform::list() {
   const base::Duration lag = environment_.drawBetween(environment_.options.shortestListLag,
                                                       environment_.options.longestListLag);
   const base::TimePoint moment = environment_.loop.now() - lag;
-  std::vector<control::MachineListing> machines;
+  std::vector<control::MachineListEntry> machines;
   for (const auto& [engine, states] : history_) {
     const control::EngineRecord* visible = nullptr;
     for (const Dated& dated : states) {
--- a/src/simulation/platform.h
+++ b/src/simulation/platform.h
@@ -20,7 +20,7 @@
   /// The machine list marks the running incarnation as draining.
   void markDraining(base::EngineId engine);
   /// The list as it was a moment ago; each call draws another moment.
-  [[nodiscard]] std::vector<control::MachineListing> list();
+  [[nodiscard]] std::vector<control::MachineListEntry> list();
 
  private:
   struct Dated {
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -75,7 +75,7 @@
   Fixture fixture(base::seconds(3));
   cr_assert(fixture.controller->replica().raft().isLeader());
   cr_assert_not(fixture.grantsLease());
-  control::MachineListing draining;
+  control::MachineListEntry draining;
   draining.engine.engine = {3};
   draining.engine.incarnation = {1};
   draining.engine.draining = true;
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -312,7 +312,7 @@
   Outcome m_outcome;
 };
 
-const char* nameOf(Fleet fleet) {
+const char* labelOf(Fleet fleet) {
   switch (fleet) {
     case Fleet::kEqual:
       return "equal";
@@ -343,7 +343,7 @@
   std::printf(
       "%s engines, %d texts a job, %s: texts in time %.4f, jobs %.3f, last %.2f s (mean), "
       "%.2f s (longest), %d moves\n",
-      nameOf(load.fleet), load.textsPerJob, load.byNeed ? "need" : "cost", all.share(),
+      labelOf(load.fleet), load.textsPerJob, load.byNeed ? "need" : "cost", all.share(),
       all.shareOfJobs(), all.meanLast(), base::toSeconds(all.last), all.moves);
   return all;
 }
