--- a/apps/load/options.h
+++ b/apps/load/options.h
@@ -22,10 +22,10 @@
 /// A workload of a trainer.
 struct TrainerWorkload {
   std::string name;
-  std::uint32_t samples = 0;     ///< a batch
-  double shortestTokens = 30.0;  ///< lengths are Pareto distributed
+  std::uint32_t samples = 0;  ///< a batch
+  double minTokens = 30.0;    ///< lengths are Pareto distributed
   double tailIndex = 1.35;
-  double longestTokens = 700.0;
+  double maxTokens = 700.0;
   std::uint64_t stalenessBound = 0;  ///< as declared in the settings tree
   std::uint32_t batchesAhead = 1;    ///< submitted before they are needed
   base::Duration trainingTime = base::seconds(2);
--- a/apps/load/trainers.cpp
+++ b/apps/load/trainers.cpp
@@ -47,11 +47,11 @@
     constexpr std::uint64_t kPrompts = 40;
     const std::uint64_t prompt = random_.below(kPrompts);
     base::SeededRandom lengths(base::mix(prompt, base::mix(number_, options_.seed)));
-    const double usual = std::min(lengths.pareto(workload_.shortestTokens, workload_.tailIndex),
-                                  workload_.longestTokens);
+    const double usual =
+        std::min(lengths.pareto(workload_.minTokens, workload_.tailIndex), workload_.maxTokens);
     const auto tokens = static_cast<std::uint32_t>(usual);
     Sample sample;
-    sample.maximumTokens = static_cast<std::uint32_t>(workload_.longestTokens);
+    sample.maximumTokens = static_cast<std::uint32_t>(workload_.maxTokens);
     sample.seed = (batch_number_ << 20U) + i;
     sample.prompt =
         engine::aroundDirective(tokens) + workload_.name + " prompt " + std::to_string(prompt);
--- a/bench/placement/main.cpp
+++ b/bench/placement/main.cpp
@@ -60,8 +60,8 @@
 }
 
 jobs::ItemRequirements requirementsOf(std::uint32_t item) {
-  constexpr std::uint32_t kMostEvents = 150;
-  return {"model" + std::to_string(item % kModels), 1, 1.0 + item % kMostEvents,
+  constexpr std::uint32_t kMaxEvents = 150;
+  return {"model" + std::to_string(item % kModels), 1, 1.0 + item % kMaxEvents,
           base::milliseconds(7500)};
 }
 
--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -57,7 +57,7 @@
   directory::LoadSchedulerSettings settings;
   settings.loadOrder = order;
   // Each engine follows a model: none is in reserve.
-  settings.assignments.wanted.leastEngines = static_cast<std::size_t>(engineCount);
+  settings.assignments.wanted.minEngines = static_cast<std::size_t>(engineCount);
   directory::LoadScheduler orders(settings);
   orders.reset({}, fleet.assignments);
   base::TimePoint now{base::seconds(100)};
--- a/src/base/compression.cpp
+++ b/src/base/compression.cpp
@@ -10,7 +10,7 @@
 constexpr char kPlain = 0;
 constexpr char kCompressed = 1;
 /// Shorter messages hardly shrink.
-constexpr std::size_t kLeastBytes = 160;
+constexpr std::size_t kMinBytes = 160;
 /// The fastest level that still encodes single bytes by their frequency.
 constexpr int kLevel = 1;
 /// Small tables: texts repeat little over long distances, and memory counts.
@@ -46,7 +46,7 @@
 }  // namespace
 
 Bytes compress(const Bytes& bytes) {
-  if (bytes.size() < kLeastBytes) {
+  if (bytes.size() < kMinBytes) {
     return plain(bytes);
   }
   Bytes compressed(1 + ZSTD_compressBound(bytes.size()), kCompressed);
--- a/src/config/cluster_settings.cpp
+++ b/src/config/cluster_settings.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::int64_t kLargestPort = 65'535;
-constexpr double kLongestDuration = 86'400'000;
-constexpr std::int64_t kMostMachines = 1000;
-constexpr double kFewestCalls = 0.1;
-constexpr double kMostCalls = 1e6;
+constexpr double kMaxDuration = 86'400'000;
+constexpr std::int64_t kMaxMachines = 1000;
+constexpr double kMinCalls = 0.1;
+constexpr double kMaxCalls = 1e6;
 
 transport::Endpoint readEndpoint(MappingReader& reader, const std::string& key, bool required) {
   const std::string text = required ? reader.requiredText(key) : reader.text(key, "");
@@ -44,7 +44,7 @@
                             base::Duration fallback) {
   const auto micros = static_cast<double>(unit.count());
   const double value =
-      reader.number(key, static_cast<double>(fallback.count()) / micros, 0, kLongestDuration);
+      reader.number(key, static_cast<double>(fallback.count()) / micros, 0, kMaxDuration);
   return base::Duration(static_cast<base::Duration::rep>(value * micros));
 }
 
@@ -88,7 +88,7 @@
 void readDutySettings(MappingReader& reader, ClusterSettings& settings) {
   settings.dutyPlatform = readEndpoint(reader, "duty_platform", false);
   settings.dutyCallsPerSecond =
-      reader.number("duty_calls_per_s", settings.dutyCallsPerSecond, kFewestCalls, kMostCalls);
+      reader.number("duty_calls_per_s", settings.dutyCallsPerSecond, kMinCalls, kMaxCalls);
   settings.capacity = readCapacityMode(reader, settings);
   settings.usageWindow = readDuration(reader, "usage_window_s", base::seconds(1), {});
   settings.usageDelay =
@@ -168,7 +168,7 @@
   settings.dataFolder =
       gateway ? reader.text("data_folder", "") : reader.requiredText("data_folder");
   settings.toleratedLosses =
-      static_cast<std::uint32_t>(reader.integer("losses_borne", 1, 0, kMostMachines));
+      static_cast<std::uint32_t>(reader.integer("losses_borne", 1, 0, kMaxMachines));
   settings.retention = readDuration(reader, "retention_s", base::seconds(1), settings.retention);
   settings.gracePeriod =
       readDuration(reader, "grace_period_s", base::seconds(1), settings.gracePeriod);
@@ -181,7 +181,7 @@
   settings.enginesCheckFences = reader.flag("engines_check_fences", false);
   readDutySettings(reader, settings);
   settings.concurrentLoads = static_cast<std::uint32_t>(
-      reader.integer("concurrent_weight_loads", settings.concurrentLoads, 1, kMostMachines));
+      reader.integer("concurrent_weight_loads", settings.concurrentLoads, 1, kMaxMachines));
   settings.limits = readProcessLimits(reader);
   reader.finish();
   if (!problems.empty()) {
--- a/src/config/process_limits.cpp
+++ b/src/config/process_limits.cpp
@@ -3,14 +3,14 @@
 namespace tackpick::config {
 namespace {
 
-constexpr double kLeastProcessor = 0.001;
-constexpr double kMostProcessor = 1024;
-constexpr std::int64_t kLeastMemoryMb = 16;
-constexpr std::int64_t kMostMemoryMb = 16'777'216;
-constexpr std::int64_t kLeastDescriptors = 64;
-constexpr std::int64_t kMostDescriptors = 1'073'741'824;
-constexpr double kLeastLinkMbps = 0.1;
-constexpr double kMostLinkMbps = 1e6;
+constexpr double kMinProcessor = 0.001;
+constexpr double kMaxProcessor = 1024;
+constexpr std::int64_t kMinMemoryMb = 16;
+constexpr std::int64_t kMaxMemoryMb = 16'777'216;
+constexpr std::int64_t kMinDescriptors = 64;
+constexpr std::int64_t kMaxDescriptors = 1'073'741'824;
+constexpr double kMinLinkMbps = 0.1;
+constexpr double kMaxLinkMbps = 1e6;
 
 std::optional<double> readNumber(MappingReader& reader, const std::string& key, double minimum,
                                  double maximum) {
@@ -32,12 +32,11 @@
 
 ProcessLimits readProcessLimits(MappingReader& reader) {
   ProcessLimits limits;
-  limits.processorShare = readNumber(reader, "processor_share", kLeastProcessor, kMostProcessor);
-  limits.processorSpeed = readNumber(reader, "processor_speed", kLeastProcessor, kMostProcessor);
-  limits.memoryMb = readCount(reader, "memory_mb", kLeastMemoryMb, kMostMemoryMb);
-  limits.fileDescriptors =
-      readCount(reader, "file_descriptors", kLeastDescriptors, kMostDescriptors);
-  limits.linkMbps = readNumber(reader, "link_mbps", kLeastLinkMbps, kMostLinkMbps);
+  limits.processorShare = readNumber(reader, "processor_share", kMinProcessor, kMaxProcessor);
+  limits.processorSpeed = readNumber(reader, "processor_speed", kMinProcessor, kMaxProcessor);
+  limits.memoryMb = readCount(reader, "memory_mb", kMinMemoryMb, kMaxMemoryMb);
+  limits.fileDescriptors = readCount(reader, "file_descriptors", kMinDescriptors, kMaxDescriptors);
+  limits.linkMbps = readNumber(reader, "link_mbps", kMinLinkMbps, kMaxLinkMbps);
   return limits;
 }
 
--- a/src/config/process_settings.cpp
+++ b/src/config/process_settings.cpp
@@ -94,8 +94,8 @@
   if (!node.IsDefined()) {
     return;
   }
-  constexpr std::int64_t kLongestMillis = 3'600'000;
-  constexpr std::int64_t kMostSamples = 1'000'000;
+  constexpr std::int64_t kMaxMillis = 3'600'000;
+  constexpr std::int64_t kMaxSamples = 1'000'000;
   MappingReader reader(node, "gateway", problems);
   gateway::GatewaySettings& gateway = settings.gateway;
   gateway.hedgeTail = reader.flag("hedge_tail", gateway.hedgeTail);
@@ -108,17 +108,17 @@
   gateway.readersPerEngine = static_cast<std::uint32_t>(
       reader.integer("readers_per_engine", gateway.readersPerEngine, 0, kLargestGroup));
   gateway.maximumSamples = static_cast<std::uint32_t>(
-      reader.integer("maximum_samples", gateway.maximumSamples, 1, kMostSamples));
+      reader.integer("maximum_samples", gateway.maximumSamples, 1, kMaxSamples));
   gateway.sampleReserve = static_cast<std::uint32_t>(
-      reader.integer("sample_reserve", gateway.sampleReserve, 0, kMostSamples));
+      reader.integer("sample_reserve", gateway.sampleReserve, 0, kMaxSamples));
   gateway.retryRatio = reader.number("retry_ratio", gateway.retryRatio, 0.0, 1.0);
   const auto toMillis = [](base::Duration duration) { return duration.count() / 1000; };
   gateway.stallTimeout = base::milliseconds(
-      reader.integer("stall_timeout_ms", toMillis(gateway.stallTimeout), 1, kLongestMillis));
+      reader.integer("stall_timeout_ms", toMillis(gateway.stallTimeout), 1, kMaxMillis));
   gateway.readInterval = base::milliseconds(
-      reader.integer("read_interval_ms", toMillis(gateway.readInterval), 1, kLongestMillis));
+      reader.integer("read_interval_ms", toMillis(gateway.readInterval), 1, kMaxMillis));
   gateway.queue.starvationLimit = base::milliseconds(reader.integer(
-      "starvation_limit_ms", toMillis(gateway.queue.starvationLimit), 1, kLongestMillis));
+      "starvation_limit_ms", toMillis(gateway.queue.starvationLimit), 1, kMaxMillis));
   if (baseline && reader.has("hedge_tail") && gateway.hedgeTail) {
     reader.problem("hedge_tail", "clashes with baseline_policy, which has no tail handling");
   }
--- a/src/consensus/raft_consensus.cpp
+++ b/src/consensus/raft_consensus.cpp
@@ -19,9 +19,9 @@
   // promised a lease to, so it must not vote before that lease can have run out.
   reloadMembership();
   resetElectionTimer(now);
-  constexpr std::size_t kLeastPercent = 75;
+  constexpr std::size_t kMinPercent = 75;
   constexpr std::size_t kPercentSpread = 50;
-  compaction_percent_ = kLeastPercent + random.below(kPercentSpread);
+  compaction_percent_ = kMinPercent + random.below(kPercentSpread);
 }
 
 void RaftConsensus::handle(base::NodeId from, const RaftMessage& message, base::TimePoint now) {
@@ -160,9 +160,9 @@
 bool RaftConsensus::needsCompaction(LogIndex applied, LogIndex entries, std::size_t bytes) const {
   // Entries that are not applied stay. After a start without a leader the whole log may be such:
   // to encode the state at each turn, for nothing, took all the time that an election needs.
-  constexpr LogIndex kLeastPart = 2;
+  constexpr LogIndex kMinPart = 2;
   const LogIndex droppable = applied - log_.snapshot().lastIndex;
-  if (log_.compacting() || droppable * kLeastPart < logLength()) {
+  if (log_.compacting() || droppable * kMinPart < logLength()) {
     return false;
   }
   const std::size_t most = std::max(bytes, log_.snapshotBytes() / 2);
--- a/src/control/serving_leases.cpp
+++ b/src/control/serving_leases.cpp
@@ -6,7 +6,7 @@
 
 void ServingLeases::onBecameLeader(base::TimePoint now) {
   leases_.clear();
-  earlier_leases_end_ = settings_.mutants.forgetEarlierLeases ? now : now + longestDuration();
+  earlier_leases_end_ = settings_.mutants.forgetEarlierLeases ? now : now + maxDuration();
 }
 
 base::Duration ServingLeases::grant(base::NodeId gateway, base::Incarnation incarnation,
@@ -18,7 +18,7 @@
   const bool sameRun = incarnation == lease.incarnation;
   lease.incarnation = incarnation;
   lease.acknowledged = sameRun ? std::max(lease.acknowledged, acknowledged) : acknowledged;
-  lease.expiresAt = now + longestDuration();
+  lease.expiresAt = now + maxDuration();
   return settings_.duration;
 }
 
@@ -44,7 +44,7 @@
          0;
 }
 
-base::Duration ServingLeases::longestDuration() const {
+base::Duration ServingLeases::maxDuration() const {
   constexpr int kWholePercent = 100;
   return settings_.duration * (kWholePercent + settings_.clockDriftPercent) / kWholePercent;
 }
--- a/src/control/serving_leases.h
+++ b/src/control/serving_leases.h
@@ -50,7 +50,7 @@
 
  private:
   /// A lease's length on this controller's clock, lengthened by the worst drift.
-  [[nodiscard]] base::Duration longestDuration() const;
+  [[nodiscard]] base::Duration maxDuration() const;
 
   const ServingLeaseSettings settings_;
   std::map<base::NodeId, Lease> leases_;
--- a/src/directory/directory_messages.cpp
+++ b/src/directory/directory_messages.cpp
@@ -5,7 +5,7 @@
 namespace tackpick::directory {
 namespace {
 
-constexpr std::size_t kMostViewBytes = std::size_t{64} << 20U;
+constexpr std::size_t kMaxViewBytes = std::size_t{64} << 20U;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   if (reply.view || reply.packedView.empty()) {
     return reply.view;
   }
-  const auto bytes = base::decompress(reply.packedView, kMostViewBytes);
+  const auto bytes = base::decompress(reply.packedView, kMaxViewBytes);
   return bytes ? base::decode<DirectoryView>(*bytes) : std::nullopt;
 }
 
--- a/src/directory/directory_quarantine.cpp
+++ b/src/directory/directory_quarantine.cpp
@@ -14,7 +14,7 @@
     }
     m_crashes.note(crash, now);
     const std::set<std::string> instances = m_crashes.instances(crash.request);
-    if (instances.size() >= quarantine::kMostCrashes) {
+    if (instances.size() >= quarantine::kMaxCrashes) {
       proposeQuietly(
           quarantine::HoldRequest{crash.request, crash.service, instances, clusterTime(now)}, now);
     }
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -19,7 +19,7 @@
 /// takes under half a microsecond for each, of which this leaves a fortieth.
 constexpr base::Duration kSlowWorkPerInstance = base::microseconds(20);
 /// Instances whose weights go into one entry of the log: about 150 KB with six models each.
-constexpr std::size_t kMostVersionsAnEntry = 1000;
+constexpr std::size_t kMaxInstancesPerEntry = 1000;
 
 }  // namespace
 
@@ -264,7 +264,7 @@
       continue;
     }
     changed.instances.push_back({id, report.versions});
-    if (changed.instances.size() == kMostVersionsAnEntry) {
+    if (changed.instances.size() == kMaxInstancesPerEntry) {
       break;
     }
   }
@@ -288,8 +288,8 @@
       changes.changed.push_back({id, {}});
     }
   }
-  if (changes.changed.size() > kMostVersionsAnEntry) {
-    changes.changed.resize(kMostVersionsAnEntry);
+  if (changes.changed.size() > kMaxInstancesPerEntry) {
+    changes.changed.resize(kMaxInstancesPerEntry);
   }
   if (!changes.changed.empty()) {
     proposeOnce(changes, m_recordingAssignments, now);
--- a/src/directory/engine_assigner.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -113,7 +113,7 @@
     const auto work = demand.find(model);
     known += work == demand.end() ? 0.0 : work->second;
   }
-  const bool unknown = known < m_settings.leastDemand;
+  const bool unknown = known < m_settings.minDemand;
   const std::map<std::string, std::size_t> shares =
       engineShares(service.models, askedOf(service, demand), engineCount);
   const auto backlog = [&](const InstanceRecord& record, const std::string& model) {
@@ -155,15 +155,15 @@
   }
   // Work done alone would starve a model that lost its engines: without them it does no work, and
   // without work it gets no engines.
-  constexpr double kLeastOfItems = 0.5;
+  constexpr double kMinOfItems = 0.5;
   std::map<std::string, double> asked;
   for (const std::string& model : service.models) {
     const auto done = demand.find(model);
     const double doneHere = done == demand.end() ? 0.0 : done->second;
     const double equal = 1.0 / static_cast<double>(service.models.size());
-    const double byWork = work < m_settings.leastDemand ? equal : doneHere / work;
+    const double byWork = work < m_settings.minDemand ? equal : doneHere / work;
     const double byItems = items > 0 ? m_wanted.openItems(model) / items : 0.0;
-    asked[model] = std::max(byWork, kLeastOfItems * byItems);
+    asked[model] = std::max(byWork, kMinOfItems * byItems);
   }
   return asked;
 }
--- a/src/directory/engine_assigner.h
+++ b/src/directory/engine_assigner.h
@@ -33,7 +33,7 @@
 struct EngineAssignerSettings {
   /// With less recent work than this (events of streams) demand is taken as unknown: engines keep
   /// the assignments that they have.
-  double leastDemand = 300;
+  double minDemand = 300;
   /// An engine changes its home at most this often.
   base::Duration moveInterval = base::seconds(3);
   EngineRequirementsSettings wanted;
--- a/src/directory/engine_requirements.cpp
+++ b/src/directory/engine_requirements.cpp
@@ -35,12 +35,12 @@
 std::size_t EngineRequirements::of(const std::string& model, std::uint32_t slots) const {
   const auto found = m_peaks.find(model);
   if (found == m_peaks.end()) {
-    return m_settings.leastEngines;
+    return m_settings.minEngines;
   }
   constexpr std::uint32_t kWholePercent = 100;
   const std::uint32_t perEngine = std::max(slots, 1U) * kWholePercent;
   const std::uint32_t places = found->second.items * m_settings.headroomPercent;
-  return std::max<std::size_t>(m_settings.leastEngines, (places + perEngine - 1) / perEngine);
+  return std::max<std::size_t>(m_settings.minEngines, (places + perEngine - 1) / perEngine);
 }
 
 }  // namespace tackpick::directory
--- a/src/directory/engine_requirements.h
+++ b/src/directory/engine_requirements.h
@@ -21,7 +21,7 @@
   std::uint32_t headroomPercent = 150;
   /// A model has at least so many, known demand or none: enough for a first step of 384 items at
   /// six places an engine. Deployments with fewer engines than this for each model use all.
-  std::size_t leastEngines = 64;
+  std::size_t minEngines = 64;
   /// Peaks are forgotten after this time, so that a pause of some steps loses no engine.
   base::Duration memory = base::seconds(20);
 };
--- a/src/directory/heartbeat_relay.cpp
+++ b/src/directory/heartbeat_relay.cpp
@@ -36,7 +36,7 @@
   }
   m_telling = true;
   m_toldAt = now;
-  if (m_told.size() > kMostKnown) {
+  if (m_told.size() > kMaxKnown) {
     m_told.clear();
   }
   RelayHeartbeats relayed;
--- a/src/directory/heartbeat_relay.h
+++ b/src/directory/heartbeat_relay.h
@@ -46,7 +46,7 @@
 
  private:
   /// Instances whose versions are remembered.
-  static constexpr std::size_t kMostKnown = 20'000;
+  static constexpr std::size_t kMaxKnown = 20'000;
 
   const HeartbeatRelaySettings m_settings;
   std::map<std::string, RelayedHeartbeat> m_heard;
--- a/src/directory/load_limiter.cpp
+++ b/src/directory/load_limiter.cpp
@@ -16,7 +16,7 @@
 
 void LoadLimiter::setLeast(std::size_t least) {
   m_least = least;
-  m_most = std::clamp(m_most, m_least, m_least * m_settings.mostTimesLeast);
+  m_most = std::clamp(m_most, m_least, m_least * m_settings.maxLimitFactor);
 }
 
 void LoadLimiter::onBegun(const std::string& instance, std::size_t running, base::TimePoint now) {
@@ -67,7 +67,7 @@
   }
   m_shortest = std::min(shortest, mean);
   if (!m_saturatedAt || now - *m_saturatedAt >= m_settings.pause) {
-    m_most = std::min(m_most + 1, m_least * m_settings.mostTimesLeast);
+    m_most = std::min(m_most + 1, m_least * m_settings.maxLimitFactor);
   }
 }
 
--- a/src/directory/load_limiter.h
+++ b/src/directory/load_limiter.h
@@ -14,7 +14,7 @@
 /// Knobs of LoadLimiter.
 struct LoadLimiterSettings {
   /// Loads are never more than this many times those that the settings allow.
-  std::size_t mostTimesLeast = 3;
+  std::size_t maxLimitFactor = 3;
   /// Loads that take longer than the shortest by more than this share mean that the store is
   /// saturated. Above what the times of reports vary by.
   double tolerance = 0.1;
--- a/src/directory/load_scheduler.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -149,7 +149,7 @@
   return due;
 }
 
-std::size_t LoadScheduler::mostLoads() const {
+std::size_t LoadScheduler::configuredMaxLoads() const {
   constexpr std::size_t kWholePercent = 100;
   const std::size_t share =
       (m_homes.engineCount() * static_cast<std::size_t>(settings_.concurrentPercent) +
@@ -229,7 +229,7 @@
   noteLoaded(engines, now);
   forgetGone(state);
   m_homes.assign(state, engines, demand, now);
-  m_budget.setLeast(mostLoads());
+  m_budget.setLeast(configuredMaxLoads());
   Fleet fleet = observe(state, engines, now);
   updateSummary(fleet, now);
   if (now < m_earliestCommandTime) {
@@ -276,7 +276,7 @@
 void LoadScheduler::updateSummary(const Fleet& fleet, base::TimePoint now) {
   m_sight = {};
   m_sight.loading = fleet.loading;
-  m_sight.budget = fleet.knowsSteps ? m_budget.most() : mostLoads();
+  m_sight.budget = fleet.knowsSteps ? m_budget.most() : configuredMaxLoads();
   for (const auto& [name, model] : fleet.models) {
     ModelWeightsSummary& sight = m_sight.models[name];
     sight.published = model.published;
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -145,7 +145,7 @@
     bool knowsSteps = false;  ///< of one model at least
   };
 
-  [[nodiscard]] std::size_t mostLoads() const;
+  [[nodiscard]] std::size_t configuredMaxLoads() const;
   void notePublished(const DirectoryState& state, base::TimePoint now);
   void noteTold(const DirectoryState& state);
   /// Loads that have ended since the last turn.
--- a/src/directory/model_ranking.cpp
+++ b/src/directory/model_ranking.cpp
@@ -14,8 +14,8 @@
 
 /// Work that comes without a pause must not keep an engine from new weights: it loads once it is so
 /// many versions behind, or the newest is there for so long. Steps in time need no older ones.
-constexpr std::uint64_t kMostBehind = 3;
-constexpr base::Duration kLongestDeferral = base::seconds(10);
+constexpr std::uint64_t kMaxStaleness = 3;
+constexpr base::Duration kMaxDeferral = base::seconds(10);
 
 }  // namespace
 
@@ -82,7 +82,7 @@
   const bool serves =
       std::any_of(m_model.needs.begin(), m_model.needs.end(),
                   [&](const StepNeed& step) { return step.version <= m_model.published; });
-  if (m_now - m_model.publishedAt < (serves ? m_settlingTime : kLongestDeferral)) {
+  if (m_now - m_model.publishedAt < (serves ? m_settlingTime : kMaxDeferral)) {
     return;
   }
   for (const LoadCandidate* candidate : candidates) {
@@ -104,8 +104,8 @@
 }
 
 bool ModelRanking::mayDefer(const LoadCandidate& candidate) const {
-  return candidate.held + kMostBehind > m_model.published &&
-         m_now - m_model.publishedAt < kLongestDeferral;
+  return candidate.held + kMaxStaleness > m_model.published &&
+         m_now - m_model.publishedAt < kMaxDeferral;
 }
 
 bool ModelRanking::reserve(const LoadCandidate& candidate) {
--- a/src/directory/rejection_policy.cpp
+++ b/src/directory/rejection_policy.cpp
@@ -7,7 +7,7 @@
 // they are away, what has long been allowed.
 RejectionKind RejectionPolicy::judge(std::optional<base::TimePoint> confirmedAt,
                                      base::TimePoint now) const {
-  const bool fresh = confirmedAt && now - *confirmedAt <= m_mostBehind;
+  const bool fresh = confirmedAt && now - *confirmedAt <= m_maxStaleness;
   return fresh ? RejectionKind::kFinal : RejectionKind::kLater;
 }
 
--- a/src/directory/rejection_policy.h
+++ b/src/directory/rejection_policy.h
@@ -17,8 +17,8 @@
 
 class RejectionPolicy {
  public:
-  /// `mostBehind`: an accepted change is in force everywhere after this time.
-  explicit RejectionPolicy(base::Duration mostBehind) : m_mostBehind(mostBehind) {}
+  /// `maxStaleness`: an accepted change is in force everywhere after this time.
+  explicit RejectionPolicy(base::Duration maxStaleness) : m_maxStaleness(maxStaleness) {}
 
   /// `confirmedAt`: up to when the configuration held is known to have been the newest; nothing
   /// when that was never known.
@@ -26,7 +26,7 @@
                                     base::TimePoint now) const;
 
  private:
-  base::Duration m_mostBehind;
+  base::Duration m_maxStaleness;
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Steps that are forecast ahead of the newest, at most: a trainer has few open at once.
-constexpr std::uint64_t kMostExpected = 2;
+constexpr std::uint64_t kMaxExpected = 2;
 /// Steps that the time of the next is taken from: late ones among them are few, and an error of the
 /// interval counts no more often.
 constexpr std::size_t kSchedule = 4;
@@ -146,7 +146,7 @@
   const std::uint64_t lag = medianOf(steps.lags, std::uint64_t{1});
   const std::uint32_t places = medianOf(steps.items, 0U);
   const base::TimePoint firstDue = nextDue(steps, interval);
-  for (std::uint64_t ahead = 1; ahead <= kMostExpected; ++ahead) {
+  for (std::uint64_t ahead = 1; ahead <= kMaxExpected; ++ahead) {
     const std::uint64_t version = steps.minimum + ahead * increment;
     const base::TimePoint due = firstDue + interval * static_cast<int>(ahead - 1);
     needs.push_back({false, version, places, places, due, steps.slack});
--- a/src/directory/view_history.cpp
+++ b/src/directory/view_history.cpp
@@ -8,7 +8,7 @@
 /// Instances that are gone are remembered up to this number, or as many as there are instances: a
 /// node that was told of none of them gets the whole view, and those that hold the newest views
 /// must not all need it because half of a large fleet is replaced.
-constexpr std::size_t kMostRemoved = 4096;
+constexpr std::size_t kMaxRemoved = 4096;
 
 bool isTold(const InstanceView& told, const InstanceViewRef& now) {
   return told.unresponsive == now.unresponsive && told.loading == now.loading &&
@@ -99,7 +99,7 @@
 }
 
 void ViewHistory::forgetOldRemovals() {
-  const std::size_t most = std::max(kMostRemoved, m_instances.size());
+  const std::size_t most = std::max(kMaxRemoved, m_instances.size());
   while (m_removed.size() > most) {
     const auto oldest = m_removedByRevision.begin();
     m_first = std::max(m_first, oldest->first);
--- a/src/directory/watch_queue.cpp
+++ b/src/directory/watch_queue.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Of wholeBytesPerSecond, at most the part of so much time is told at once.
-constexpr base::Duration kLongestBurst = base::milliseconds(250);
+constexpr base::Duration kMaxBurst = base::milliseconds(250);
 /// While no voter was heard within this time, any ledger may know better.
 constexpr base::Duration kHeardRecently = base::milliseconds(2500);
 
@@ -49,12 +49,12 @@
 }
 
 base::Duration WatchQueue::interval(std::size_t nodes) const {
-  return std::min(m_pacing.longestInterval, m_pacing.intervalPerNode * static_cast<int>(nodes));
+  return std::min(m_pacing.maxInterval, m_pacing.intervalPerNode * static_cast<int>(nodes));
 }
 
 void WatchQueue::refillWholeBytes(base::TimePoint now) {
   const double rate = static_cast<double>(m_pacing.wholeBytesPerSecond);
-  const auto most = static_cast<std::int64_t>(rate * base::toSeconds(kLongestBurst));
+  const auto most = static_cast<std::int64_t>(rate * base::toSeconds(kMaxBurst));
   const auto gained = m_refilledAt == base::TimePoint{}
                           ? most
                           : static_cast<std::int64_t>(rate * base::toSeconds(now - m_refilledAt));
--- a/src/directory/watch_queue.h
+++ b/src/directory/watch_queue.h
@@ -21,7 +21,7 @@
   /// nodes eight times a second. One answer costs the leader 20 to 40 microseconds.
   base::Duration intervalPerNode = base::microseconds(400);
   /// At 2,500 nodes; engines that leave must be known in time everywhere, which is 2 s and more.
-  base::Duration longestInterval = base::milliseconds(1000);
+  base::Duration maxInterval = base::milliseconds(1000);
   /// Whole views are told no faster than this. After a change of leader every node wants one, at
   /// 10,000 instances 0.3 MB each by estimate: 1,000 at once would be 300 MB in the leader's
   /// memory, and as long on its way as its link of 1 Gbit/s needs for them. This takes a third of
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -237,7 +237,7 @@
   known.askedAt = now;
   known.unanswered = true;
   known.lost = false;
-  known.repeat = std::clamp(known.repeat * 2, m_settings.firstRepeat, m_settings.longestRepeat);
+  known.repeat = std::clamp(known.repeat * 2, m_settings.firstRepeat, m_settings.maxRepeat);
 }
 
 AutoscalerActions Autoscaler::step(const CapacityState& state, const Present& present) {
@@ -261,7 +261,7 @@
 }
 
 void Autoscaler::noteUnavailable(Subject& subject, base::TimePoint now) const {
-  subject.pause = std::clamp(subject.pause * 2, m_settings.firstPause, m_settings.longestPause);
+  subject.pause = std::clamp(subject.pause * 2, m_settings.firstPause, m_settings.maxPause);
   subject.availableFrom = now + subject.pause;
   subject.askedAt.reset();
   subject.unanswered = false;
@@ -269,7 +269,7 @@
 }
 
 void Autoscaler::pauseCalls(base::TimePoint now) {
-  m_retry = std::clamp(m_retry * 2, m_settings.firstRetry, m_settings.longestRetry);
+  m_retry = std::clamp(m_retry * 2, m_settings.firstRetry, m_settings.maxRetry);
   // Half of the pause is drawn, so that calls do not meet others in step.
   const auto half = m_retry.count() / 2;
   m_callAt = now + base::Duration(half + static_cast<base::Duration::rep>(
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -23,12 +23,12 @@
   base::Duration callInterval = base::milliseconds(100);
   /// A call without an answer is repeated after this time, and then after twice as long each time.
   base::Duration firstRetry = base::milliseconds(300);
-  base::Duration longestRetry = base::milliseconds(2400);
+  base::Duration maxRetry = base::milliseconds(2400);
   /// A new instance has registered so long after its start time, or the call is repeated.
   base::Duration startMargin = base::seconds(2);
   /// ... and then after twice as long each time.
   base::Duration firstRepeat = base::seconds(4);
-  base::Duration longestRepeat = base::seconds(60);
+  base::Duration maxRepeat = base::seconds(60);
   /// A call has ended by then, or was never sent.
   base::Duration callLimit = base::seconds(3);
   /// An entry of the log that was not applied in this time is proposed again.
@@ -38,7 +38,7 @@
   /// No preemptible instances are asked for in a zone that has none for this time, and then twice
   /// as long each time.
   base::Duration firstPause = base::seconds(3);
-  base::Duration longestPause = base::seconds(60);
+  base::Duration maxPause = base::seconds(60);
 };
 
 /// Instances of a service in a zone, as they are registered.
--- a/src/duties/capacity_planner.cpp
+++ b/src/duties/capacity_planner.cpp
@@ -19,14 +19,14 @@
 
 /// Many at once are more likely to be cut off from the controllers than lost.
 bool silenceIsCredible(const CapacityInputs& inputs) {
-  constexpr std::uint32_t kMostSilent = 3;  // one in so many
+  constexpr std::uint32_t kMaxSilent = 3;  // one in so many
   std::uint32_t unresponsive = 0;
   std::uint32_t there = 0;
   for (const ZoneCounts& zone : inputs.zones) {
     unresponsive += zone.unresponsive;
     there += zone.onDemand.there + zone.preemptible.there;
   }
-  return inputs.settled && unresponsive * kMostSilent <= there;
+  return inputs.settled && unresponsive * kMaxSilent <= there;
 }
 
 /// Those of the target's zone and kind that are there.
@@ -123,7 +123,7 @@
   for (const ZoneCounts& zone : inputs.zones) {
     asked += zone.onDemand.desired + zone.preemptible.desired;
   }
-  const std::uint32_t most = kept + kept * m_settings.mostExtraPercent / kWholePercent;
+  const std::uint32_t most = kept + kept * m_settings.maxExtraPercent / kWholePercent;
   if (!inputs.demand) {
     // Who follows a lost leader, or hears nothing, keeps to what was asked for.
     return std::clamp(std::max(asked, m_wanted), kept, most);
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -64,7 +64,7 @@
 struct CapacityPlannerSettings {
   CapacityMode mode = CapacityMode::kHold;
   /// Ordered beyond the baseline at most, which bounds what a misjudged demand can cost.
-  std::uint32_t mostExtraPercent = 50;
+  std::uint32_t maxExtraPercent = 50;
   /// Of what is ordered beyond the baseline: preemptible, as they cost less. The rest stays when
   /// a zone's are withdrawn.
   std::uint32_t preemptiblePercent = 50;
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -46,14 +46,14 @@
   }
   if (!m_shortSince) {
     m_shortSince = reportedAt;
-    m_leastShortage = shortage;
+    m_minShortage = shortage;
   }
-  m_leastShortage = std::min(m_leastShortage, shortage);
+  m_minShortage = std::min(m_minShortage, shortage);
   if (reportedAt - *m_shortSince < m_settings.patience) {
     return 0;
   }
   m_shortSince = reportedAt;
-  return std::exchange(m_leastShortage, shortage);
+  return std::exchange(m_minShortage, shortage);
 }
 
 std::uint32_t FollowWaitingWork::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -66,7 +66,7 @@
 
   const WaitingWorkSettings m_settings;
   std::optional<base::TimePoint> m_shortSince;
-  std::uint32_t m_leastShortage = 0;
+  std::uint32_t m_minShortage = 0;
   std::uint32_t m_peak = 0;
   base::TimePoint m_peakAt{};
 };
--- a/src/duties/scaling.cpp
+++ b/src/duties/scaling.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 /// Beyond any zone: a larger number is a damaged one.
-constexpr std::uint32_t kMostInstances = 100'000;
-constexpr base::Duration kLongestStart = base::seconds(3600);
+constexpr std::uint32_t kMaxInstances = 100'000;
+constexpr base::Duration kMaxStart = base::seconds(3600);
 
 bool isPrice(double price) { return std::isfinite(price) && price >= 0; }
 
@@ -17,13 +17,13 @@
   const auto invalid = [](const std::string& why) {
     return base::fail(base::ErrorCode::kInvalidInput, "scaling: " + why);
   };
-  if (scaling.maximum == 0 || scaling.maximum > kMostInstances) {
+  if (scaling.maximum == 0 || scaling.maximum > kMaxInstances) {
     return invalid("its maximum is no number of instances");
   }
   if (scaling.minimum > scaling.maximum) {
     return invalid("its minimum is above its maximum");
   }
-  if (scaling.startTime < base::Duration{0} || scaling.startTime > kLongestStart) {
+  if (scaling.startTime < base::Duration{0} || scaling.startTime > kMaxStart) {
     return invalid("its start time is out of range");
   }
   if (!isPrice(scaling.preemptiblePrice)) {
--- a/src/duties/usage_counter.cpp
+++ b/src/duties/usage_counter.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 /// A gateway that hears no decision for long keeps no more windows than this.
-constexpr std::size_t kMostWindows = 64;
+constexpr std::size_t kMaxWindows = 64;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
   usage.window = windowOf(at, m_windowLength);
   ++usage.counts[tenant];
   ++m_revision;
-  if (m_windows.size() > kMostWindows) {
+  if (m_windows.size() > kMaxWindows) {
     m_windows.erase(m_windows.begin());
   }
 }
--- a/src/duties/usage_reporter.cpp
+++ b/src/duties/usage_reporter.cpp
@@ -161,7 +161,7 @@
     m_refusedFence = report.fence;
     return;
   }
-  m_retry = std::clamp(m_retry * 2, m_settings.firstRetry, m_settings.longestRetry);
+  m_retry = std::clamp(m_retry * 2, m_settings.firstRetry, m_settings.maxRetry);
   // Half of the pause is drawn, so that calls do not meet others in step.
   const auto half = m_retry.count() / 2;
   m_callAt = now + base::Duration(half + static_cast<base::Duration::rep>(
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -34,7 +34,7 @@
   base::Duration callInterval = base::milliseconds(100);
   /// A call without an answer is repeated after this time, and then after twice as long each time.
   base::Duration firstRetry = base::milliseconds(300);
-  base::Duration longestRetry = base::milliseconds(2400);
+  base::Duration maxRetry = base::milliseconds(2400);
 };
 
 /// What the platform answered to a call.
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -262,7 +262,7 @@
       const unsigned doublings = std::min(entry.failures, 4U);
       ++entry.failures;
       entry.avoidUntil =
-          now + std::min(settings_.ejectionTime * (1U << doublings), settings_.longestEjection);
+          now + std::min(settings_.ejectionTime * (1U << doublings), settings_.maxEjection);
       break;
     }
     case AttemptOutcome::kFull:
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -25,7 +25,7 @@
   std::string gateway = {};  ///< its name: instances are favoured by it
   /// An instance that failed is avoided for this long, doubled with each further failure.
   base::Duration ejectionTime = base::milliseconds(400);
-  base::Duration longestEjection = base::seconds(4);
+  base::Duration maxEjection = base::seconds(4);
   /// After a refusal for want of room it is avoided for this long.
   base::Duration fullTime = base::milliseconds(60);
   /// After a refusal although it has room: it changes its weights.
--- a/src/forwarding/retry_policy.cpp
+++ b/src/forwarding/retry_policy.cpp
@@ -9,7 +9,7 @@
 constexpr int kHedgePercent = 50;
 constexpr int kWholePercent = 100;
 /// With less time than this left a further send can gain nothing.
-constexpr base::Duration kShortestAttempt = base::milliseconds(5);
+constexpr base::Duration kMinAttempt = base::milliseconds(5);
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 }
 
 bool RetryPolicy::maySend(base::TimePoint now) const {
-  if (sends_ >= attempts_ || now + kShortestAttempt >= deadline_) {
+  if (sends_ >= attempts_ || now + kMinAttempt >= deadline_) {
     return false;
   }
   return repeatable_ || (running_ == 0 && verdict_ == base::Verdict::kNotRun);
--- a/src/http/stream_relay.cpp
+++ b/src/http/stream_relay.cpp
@@ -13,7 +13,7 @@
 
 bool StreamRelay::pass(std::string_view data) {
   m_to->write(data);
-  if (m_paused || m_to->unsentBytes() <= m_mostUnsent) {
+  if (m_paused || m_to->unsentBytes() <= m_maxUnsent) {
     return false;
   }
   m_paused = true;
--- a/src/http/stream_relay.h
+++ b/src/http/stream_relay.h
@@ -11,16 +11,16 @@
 
 namespace tackpick::http {
 
-/// While the caller leaves more than `mostUnsent` bytes unread, no more of the answer is read from
+/// While the caller leaves more than `maxUnsent` bytes unread, no more of the answer is read from
 /// its server, which then notices a slow reader as if it had sent to the caller itself.
 class StreamRelay : public std::enable_shared_from_this<StreamRelay> {
  public:
   /// Enough for a caller that reads to be busy until more has come.
-  static constexpr std::size_t kMostUnsent = 256U << 10U;
+  static constexpr std::size_t kMaxUnsent = 256U << 10U;
 
   StreamRelay(UpstreamClient& upstream, ExchangeId from, std::shared_ptr<Exchange> to,
-              std::size_t mostUnsent = kMostUnsent)
-      : m_upstream(upstream), m_from(from), m_to(std::move(to)), m_mostUnsent(mostUnsent) {}
+              std::size_t maxUnsent = kMaxUnsent)
+      : m_upstream(upstream), m_from(from), m_to(std::move(to)), m_maxUnsent(maxUnsent) {}
 
   void begin(int status, const HeaderList& headers);
   /// True when reading stops because of it.
@@ -32,7 +32,7 @@
   UpstreamClient& m_upstream;
   const ExchangeId m_from;
   const std::shared_ptr<Exchange> m_to;
-  const std::size_t m_mostUnsent;
+  const std::size_t m_maxUnsent;
   bool m_paused = false;
 };
 
--- a/src/jobs/engine_event_interval.cpp
+++ b/src/jobs/engine_event_interval.cpp
@@ -19,7 +19,7 @@
 /// The long run forgets this slowly, so that seconds of slowness hardly change it.
 constexpr base::Duration kLongRun = base::seconds(20);
 /// A gap between two samples counts as no more than this in the long run.
-constexpr base::Duration kLongestStep = base::seconds(1);
+constexpr base::Duration kMaxStep = base::seconds(1);
 /// A sample of this age is as good as a new one.
 constexpr base::Duration kFresh = base::seconds(1);
 /// After that, recent evidence counts half as much each time this passes.
@@ -30,7 +30,7 @@
 constexpr base::Duration kMoment = base::milliseconds(500);
 constexpr std::uint32_t kUsualPercent = 100;
 /// More is taken as this: the delay of a moment is bounded anyway.
-constexpr std::uint32_t kMostPercent = 10'000;
+constexpr std::uint32_t kMaxPercent = 10'000;
 
 bool isPlausible(double eventIntervalMs) {
   return std::isfinite(eventIntervalMs) && eventIntervalMs >= kMinEventIntervalMs &&
@@ -77,7 +77,7 @@
 }
 
 void EngineEventInterval::learnLongRun(double eventIntervalMs, base::TimePoint now) {
-  const base::Duration step = std::min(now - m_learntAt, kLongestStep);
+  const base::Duration step = std::min(now - m_learntAt, kMaxStep);
   if (step <= base::Duration{0}) {
     return;
   }
@@ -96,7 +96,7 @@
     return;
   }
   m_slowdownAt = saidAt;
-  m_slowdownPercent = std::clamp(report.slowdownPercent, kUsualPercent, kMostPercent);
+  m_slowdownPercent = std::clamp(report.slowdownPercent, kUsualPercent, kMaxPercent);
 }
 
 double EngineEventInterval::expectedMs(double typicalMs, base::TimePoint now) const {
--- a/src/jobs/gateway_capacity.cpp
+++ b/src/jobs/gateway_capacity.cpp
@@ -22,10 +22,10 @@
 /// A kept connection may wait beside the one in use.
 constexpr double kDescriptorsPerSlot = 2;
 
-constexpr double kMostCores = 1024;
-constexpr double kMostMemoryMb = 1e8;
-constexpr double kMostDescriptors = 1e9;
-constexpr double kMostMbps = 1e7;
+constexpr double kMaxCores = 1024;
+constexpr double kMaxMemoryMb = 1e8;
+constexpr double kMaxDescriptors = 1e9;
+constexpr double kMaxMbps = 1e7;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
 std::optional<double> places(double told, double most, double share, double perSlot) {
@@ -43,11 +43,11 @@
 std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity) {
   std::optional<double> fewest;
   for (const std::optional<double>& bound :
-       {places(capacity.processorCores, kMostCores, kProcessorForItems, kCoresPerSlot),
-        places(capacity.memoryMb, kMostMemoryMb, kMemoryForItems, kMegabytesPerSlot),
-        places(capacity.fileDescriptors, kMostDescriptors, kDescriptorsForItems,
+       {places(capacity.processorCores, kMaxCores, kProcessorForItems, kCoresPerSlot),
+        places(capacity.memoryMb, kMaxMemoryMb, kMemoryForItems, kMegabytesPerSlot),
+        places(capacity.fileDescriptors, kMaxDescriptors, kDescriptorsForItems,
                kDescriptorsPerSlot),
-        places(capacity.linkMbps, kMostMbps, kLinkForItems, kMbpsPerSlot)}) {
+        places(capacity.linkMbps, kMaxMbps, kLinkForItems, kMbpsPerSlot)}) {
     if (bound) {
       fewest = std::min(fewest.value_or(*bound), *bound);
     }
--- a/src/jobs/gateway_selector.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -115,8 +115,8 @@
 }
 
 void GatewaySelector::findActive(Zone& zone, base::TimePoint now) const {
-  constexpr base::Duration kLongestUse = base::milliseconds(20);
-  if (!zone.outdated && now - zone.foundAt < kLongestUse) {
+  constexpr base::Duration kMaxUse = base::milliseconds(20);
+  if (!zone.outdated && now - zone.foundAt < kMaxUse) {
     return;
   }
   zone.active.clear();
@@ -160,9 +160,9 @@
   return std::max(count, 1U);
 }
 
-std::optional<std::uint32_t> GatewaySelector::mostItems(base::NodeId gateway,
-                                                        const std::string& zone,
-                                                        base::TimePoint now) {
+std::optional<std::uint32_t> GatewaySelector::maxItems(base::NodeId gateway,
+                                                       const std::string& zone,
+                                                       base::TimePoint now) {
   const auto home = m_zones.find(zone);
   if (home == m_zones.end()) {
     return std::nullopt;
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -70,9 +70,8 @@
   /// Gateways that share the places of all engines.
   [[nodiscard]] std::uint32_t activeCount(base::TimePoint now);
   /// Items that the gateway may hold; nothing: as many as it asks for.
-  [[nodiscard]] std::optional<std::uint32_t> mostItems(base::NodeId gateway,
-                                                       const std::string& zone,
-                                                       base::TimePoint now);
+  [[nodiscard]] std::optional<std::uint32_t> maxItems(base::NodeId gateway, const std::string& zone,
+                                                      base::TimePoint now);
   /// Those of a zone that run items.
   [[nodiscard]] std::vector<ActiveGateway> activeIn(const std::string& zone, base::TimePoint now);
   /// All gateways that ask, without what they hold.
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -315,7 +315,7 @@
   call.room = std::move(wanted);
   const auto owned = leases_by_gateway_.find(gateway);
   const std::size_t held = owned == leases_by_gateway_.end() ? 0 : owned->second.size();
-  const std::size_t most = m_gatewaySelector.mostItems(gateway, call.zone, now)
+  const std::size_t most = m_gatewaySelector.maxItems(gateway, call.zone, now)
                                .value_or(std::numeric_limits<std::uint32_t>::max());
   call.itemsLeft = most - std::min(most, held);
   return call;
@@ -334,9 +334,9 @@
 void ItemLeases::leasePlanned(LeaseCall& call, PlannedJob& planned, const JobState& state,
                               std::vector<GrantedItem>& leased) {
   // Items that suit others are passed over; with many of them, those in front go first.
-  constexpr std::size_t kMostPassedOver = 128;
+  constexpr std::size_t kMaxPassedOver = 128;
   std::size_t at = 0;
-  while (at < planned.items.size() && at < kMostPassedOver) {
+  while (at < planned.items.size() && at < kMaxPassedOver) {
     const auto next = planned.items.begin() + static_cast<std::ptrdiff_t>(at);
     if (!isOpen(state, next->key) || leases_.contains(next->key)) {
       planned.items.erase(next);
--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -74,12 +74,12 @@
   leased_.progress.reset();
 }
 
-std::optional<ItemProgress> ItemRun::offerProgress(std::uint64_t leastEvents) {
+std::optional<ItemProgress> ItemRun::offerProgress(std::uint64_t minEvents) {
   if (!last_event_ || begun_anew_) {
     return std::nullopt;
   }
   const std::uint64_t events = *last_event_ - (kept_ ? kept_->point.event : 0);
-  if (whole_since_ ? kept_ && kept_->whole : events < leastEvents) {
+  if (whole_since_ ? kept_ && kept_->whole : events < minEvents) {
     return std::nullopt;
   }
   ItemProgress progress;
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -64,9 +64,9 @@
   /// The same without what the ledgers keep of the text. Not while isSaving().
   [[nodiscard]] ItemResult completedAfterKept() const;
   [[nodiscard]] ItemResult terminated() const;
-  /// What the ledgers do not keep of the text yet; nothing with fewer than `leastEvents` of them,
+  /// What the ledgers do not keep of the text yet; nothing with fewer than `minEvents` of them,
   /// unless the text is whole. onProgressSaved() is to follow before the next offer.
-  [[nodiscard]] std::optional<ItemProgress> offerProgress(std::uint64_t leastEvents);
+  [[nodiscard]] std::optional<ItemProgress> offerProgress(std::uint64_t minEvents);
   /// The ledgers have taken what was offered, or it is not known whether they have.
   void onProgressSaved(bool known);
   /// An offer has no answer yet.
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kMostStateBytes = std::size_t{1} << 30U;
+constexpr std::size_t kMaxStateBytes = std::size_t{1} << 30U;
 
 /// An item that needs not run any more keeps its id only.
 void forgetRequest(Item& item) {
@@ -82,7 +82,7 @@
 }
 
 base::Bytes JobState::apply(consensus::LogIndex index, const base::Bytes& command) {
-  const auto bytes = base::decompress(command, kMostStateBytes);
+  const auto bytes = base::decompress(command, kMaxStateBytes);
   const auto decoded = bytes ? base::decode<JobCommand>(*bytes) : std::nullopt;
   if (decoded) {
     std::visit([&](const auto& typed) { applyTyped(typed, index); }, *decoded);
--- a/src/jobs/length_distribution.cpp
+++ b/src/jobs/length_distribution.cpp
@@ -68,9 +68,9 @@
 
 double LengthDistribution::meanBeyond(double value) const {
   /// With less than that the tail says nothing.
-  constexpr double kLeastWeight = 0.05;
+  constexpr double kMinWeight = 0.05;
   const Mass& tail = value > 0 ? m_beyond[binOf(value) + 1] : m_beyond.front();
-  if (tail.weight < kLeastWeight) {
+  if (tail.weight < kMinWeight) {
     return value * kTailGrowth;
   }
   return std::max(value, tail.sum / tail.weight);
--- a/src/jobs/minimum_shares.h
+++ b/src/jobs/minimum_shares.h
@@ -46,7 +46,7 @@
     }
     const auto found = find(key);
     if (found != m_due.end() && found->first == key) {
-      const double due = std::max(found->second, m_clock + 1 - kMostOwed);
+      const double due = std::max(found->second, m_clock + 1 - kMaxCredit);
       found->second = std::min(m_clock, due) + 1;
     }
     m_clock += m_fraction / static_cast<double>(m_due.size());
@@ -75,7 +75,7 @@
   }
 
   /// Items.
-  static constexpr double kMostOwed = 8.0;
+  static constexpr double kMaxCredit = 8.0;
 
   double m_fraction;
   double m_clock = 0;  ///< items that each was owed since the beginning
--- a/src/jobs/progress_saver.cpp
+++ b/src/jobs/progress_saver.cpp
@@ -29,7 +29,7 @@
     return;
   }
   m_savedAt = due ? now : m_savedAt;
-  SaveProgress request = collect(due ? m_settings.leastEvents : kNoUnfinished);
+  SaveProgress request = collect(due ? m_settings.minEvents : kNoUnfinished);
   if (!request.jobs.empty()) {
     send(std::move(request), now, {});
   }
@@ -39,11 +39,11 @@
   send(collect(1), now, std::move(done));
 }
 
-SaveProgress ProgressSaver::collect(std::uint64_t leastEvents) const {
+SaveProgress ProgressSaver::collect(std::uint64_t minEvents) const {
   SaveProgress request;
   for (const auto& [key, run] : m_runs()) {
     std::optional<ItemProgress> progress =
-        run->isFinished() ? std::nullopt : run->offerProgress(leastEvents);
+        run->isFinished() ? std::nullopt : run->offerProgress(minEvents);
     if (!progress) {
       continue;
     }
--- a/src/jobs/progress_saver.h
+++ b/src/jobs/progress_saver.h
@@ -16,7 +16,7 @@
 struct ProgressSettings {
   base::Duration interval = base::milliseconds(700);
   /// Items with fewer new events wait for the next interval: most of them are whole by then.
-  std::uint64_t leastEvents = 8;
+  std::uint64_t minEvents = 8;
   /// A whole text is kept when its score has not come for so long; most come sooner, and then the
   /// result is kept in one call.
   base::Duration scoreWait = base::milliseconds(60);
@@ -41,7 +41,7 @@
 
  private:
   [[nodiscard]] bool anyWaitsForScore(base::TimePoint now) const;
-  [[nodiscard]] SaveProgress collect(std::uint64_t leastEvents) const;
+  [[nodiscard]] SaveProgress collect(std::uint64_t minEvents) const;
   void send(SaveProgress request, base::TimePoint now, std::function<void()> done);
   void onReply(const SaveProgress& request, bool known);
 
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -39,15 +39,15 @@
 /// for want of memory, or is dead. 700 ms are 14 of the usual pauses between two events.
 [[nodiscard]] inline bool isStalled(const RunState& run) {
   constexpr base::Duration kStallLimit = base::milliseconds(700);
-  constexpr std::uint32_t kMostMoves = 3;
-  return run.begun && run.silence > kStallLimit && run.moves < kMostMoves;
+  constexpr std::uint32_t kMaxMoves = 3;
+  return run.begun && run.silence > kStallLimit && run.moves < kMaxMoves;
 }
 
 /// Moves of a run to faster engines.
-inline constexpr std::uint32_t kMostMovesToFaster = 4;
+inline constexpr std::uint32_t kMaxMovesToFaster = 4;
 /// Elsewhere a text goes on at least so much faster. A batch that has just begun reads prompts
 /// between its events and seems up to 1.5 times slower than others for a second.
-inline constexpr double kLeastMoveGain = 1.7;
+inline constexpr double kMinMoveSpeedup = 1.7;
 
 /// Events to reckon with for the rest of a text that has `events`, `sinceLease` of them made under
 /// this lease, when `restAtLease` were expected at its beginning; zero: unknown. Estimates err, and
@@ -81,14 +81,14 @@
   /// The prompt is read again, and a place may have to be waited for.
   constexpr double kMoveCostMs = 400;
   /// Less is within the error of event intervals.
-  constexpr double kLeastGainMs = 400;
+  constexpr double kMinGainMs = 400;
   const double endsInMs = run.remainingEvents * run.eventIntervalMs;
   const bool late = endsInMs > base::toMilliseconds(run.timeUntilDue);
-  if (!run.isKnown() || !late || run.moves >= kMostMovesToFaster) {
+  if (!run.isKnown() || !late || run.moves >= kMaxMovesToFaster) {
     return std::nullopt;
   }
-  const double sooner = (endsInMs - kMoveCostMs - kLeastGainMs) / run.remainingEvents;
-  const double longest = std::min(sooner, run.eventIntervalMs / kLeastMoveGain);
+  const double sooner = (endsInMs - kMoveCostMs - kMinGainMs) / run.remainingEvents;
+  const double longest = std::min(sooner, run.eventIntervalMs / kMinMoveSpeedup);
   return longest > 0 ? std::optional(longest) : std::nullopt;
 }
 
--- a/src/jobs/scoring_attempts.cpp
+++ b/src/jobs/scoring_attempts.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr base::Duration kFirstDelay = base::milliseconds(15);
-constexpr std::uint32_t kMostDoublings = 4;
+constexpr std::uint32_t kMaxDoublings = 4;
 constexpr int kFirstRedirect = 300;
 
 }  // namespace
@@ -33,7 +33,7 @@
   if (m_refusals == 0) {
     return base::Duration{0};
   }
-  return kFirstDelay * (1U << std::min(m_refusals - 1, kMostDoublings));
+  return kFirstDelay * (1U << std::min(m_refusals - 1, kMaxDoublings));
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/slowness_detector.cpp
+++ b/src/jobs/slowness_detector.cpp
@@ -28,7 +28,7 @@
 
 void SlownessDetector::beginSlow(base::TimePoint now) {
   const bool again = m_recoveredAt && now - *m_recoveredAt < m_settings.forgive;
-  const base::Duration doubled = std::min(m_recover * 2, m_settings.longestRecover);
+  const base::Duration doubled = std::min(m_recover * 2, m_settings.maxRecover);
   m_recover = again ? doubled : m_settings.recover;
   m_slowSince = now;
 }
--- a/src/jobs/slowness_detector.h
+++ b/src/jobs/slowness_detector.h
@@ -18,7 +18,7 @@
   base::Duration confirm = base::milliseconds(800);
   /// In time for so long without a break; doubled each time that the gateway turns slow again soon.
   base::Duration recover = base::seconds(2);
-  base::Duration longestRecover = base::seconds(16);
+  base::Duration maxRecover = base::seconds(16);
   /// Sound for so long, it counts as one that never was slow.
   base::Duration forgive = base::seconds(30);
 };
--- a/src/jobs/work_report.cpp
+++ b/src/jobs/work_report.cpp
@@ -11,7 +11,7 @@
 std::uint64_t keepFirst(std::vector<Row>& rows, Before before) {
   const std::uint64_t total = rows.size();
   std::stable_sort(rows.begin(), rows.end(), before);
-  rows.resize(std::min(rows.size(), kMostReportRows));
+  rows.resize(std::min(rows.size(), kMaxReportRows));
   return total;
 }
 
--- a/src/jobs/work_report.h
+++ b/src/jobs/work_report.h
@@ -17,7 +17,7 @@
 namespace tackpick::jobs {
 
 /// Rows of each list in one report, so that its size does not grow with the cluster.
-inline constexpr std::size_t kMostReportRows = 200;
+inline constexpr std::size_t kMaxReportRows = 200;
 
 /// One gateway that asks for items.
 struct GatewayReport {
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -262,7 +262,7 @@
     draining_ = true;
     traffic_.beginDrain();
   }
-  if (!released_ && stopped > longestStop() - kReleaseTime) {
+  if (!released_ && stopped > maxStop() - kReleaseTime) {
     released_ = true;
     items_.release();
   }
@@ -280,7 +280,7 @@
   }
 }
 
-base::Duration GatewayServer::longestStop() const {
+base::Duration GatewayServer::maxStop() const {
   constexpr int kSixths = 6;
   constexpr int kUsedSixths = 5;
   return node_.settings().gracePeriod * kUsedSixths / kSixths;
@@ -289,7 +289,7 @@
 bool GatewayServer::stopComplete() const {
   const base::Duration stopped = node_.now() - stop_begun_;
   const bool quiet = traffic_.openExchanges() == 0 && items_.idle() && usage_.isTold();
-  return stopped > longestStop() || (draining_ && quiet);
+  return stopped > maxStop() || (draining_ && quiet);
 }
 
 }  // namespace tackpick::node
--- a/src/node/gateway_server.h
+++ b/src/node/gateway_server.h
@@ -52,7 +52,7 @@
   void onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
                   const edge::Answer& answer, base::Duration took);
   /// How long a planned stop may take; a little of the grace period is left for the end.
-  [[nodiscard]] base::Duration longestStop() const;
+  [[nodiscard]] base::Duration maxStop() const;
   /// Tells of callers whose connections were cut since they did not read.
   void logSlowReaders();
   [[nodiscard]] bool ready() const { return configuration_->version > 0 && !stopping_; }
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -24,7 +24,7 @@
 /// The ledgers' leader answers the calls of all gateways: with many of them each calls less often,
 /// but often enough for a new leader to hear in time what runs where.
 constexpr base::Duration kLeaseIntervalPerGateway = base::microseconds(2800);
-constexpr base::Duration kLongestLeaseInterval = base::milliseconds(220);
+constexpr base::Duration kMaxLeaseInterval = base::milliseconds(220);
 /// Of a gateway that stands by: others run the items of its zone.
 constexpr base::Duration kStandbyInterval = base::milliseconds(1000);
 constexpr base::Duration kCallDeadline = base::seconds(2);
@@ -83,8 +83,8 @@
   if (standby_ && items_.empty()) {
     return kStandbyInterval;
   }
-  const base::Duration shared = std::min(
-      kLongestLeaseInterval, kLeaseIntervalPerGateway * static_cast<int>(m_activeGateways));
+  const base::Duration shared =
+      std::min(kMaxLeaseInterval, kLeaseIntervalPerGateway * static_cast<int>(m_activeGateways));
   return std::max(shared, items_.empty() ? kIdleLeaseInterval : kLeaseInterval);
 }
 
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -23,7 +23,7 @@
 constexpr base::Duration kLongRun = base::milliseconds(900);
 /// Without a byte for so long after it was sent, an item waits for a place.
 constexpr base::Duration kQueueLimit = base::milliseconds(500);
-constexpr std::uint32_t kMostQueueMoves = 3;
+constexpr std::uint32_t kMaxQueueMoves = 3;
 
 }  // namespace
 
@@ -85,7 +85,7 @@
   const forwarding::InstanceRequirements need = requirementsOf(item);
   if (!forecast.isKnown()) {
     const bool ranLong = now - item.firstSentAt > kLongRun;
-    return ranLong ? instances_.findFaster(need, item.instance, jobs::kLeastMoveGain,
+    return ranLong ? instances_.findFaster(need, item.instance, jobs::kMinMoveSpeedup,
                                            node_.random(), now)
                    : nullptr;
   }
@@ -99,7 +99,7 @@
   for (const auto& [key, item] : items_) {
     const bool mayMove = item->exchange.valid() && !item->trial &&
                          item->intervalStart != base::TimePoint{} &&
-                         item->moves < jobs::kMostMovesToFaster;
+                         item->moves < jobs::kMaxMovesToFaster;
     const auto* faster = mayMove ? findFaster(*item, now) : nullptr;
     if (faster != nullptr) {
       ++item->moves;
@@ -111,7 +111,7 @@
 void ItemRunner::moveFromQueues(base::TimePoint now) {
   for (const auto& [key, item] : items_) {
     const bool waits = item->exchange.valid() && !item->trial && item->lastByteAt == item->sentAt &&
-                       now - item->sentAt > kQueueLimit && item->queueMoves < kMostQueueMoves;
+                       now - item->sentAt > kQueueLimit && item->queueMoves < kMaxQueueMoves;
     if (!waits) {
       continue;
     }
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -16,7 +16,7 @@
 
 /// A silent call is broken off after so many times the latency that its route aims at.
 constexpr int kPatienceFactor = 4;
-constexpr base::Duration kLeastPatience = base::milliseconds(200);
+constexpr base::Duration kMinPatience = base::milliseconds(200);
 /// How often a held call asks whether it may be made again.
 constexpr base::Duration kHeldDelay = base::milliseconds(100);
 
@@ -106,7 +106,7 @@
   call.tried.insert(entry->record.id);
   call.instance = entry->record.id;
   call.sentAt = now;
-  call.patience = std::max(kLeastPatience, route->targetLatency * kPatienceFactor);
+  call.patience = std::max(kMinPatience, route->targetLatency * kPatienceFactor);
   call.answer = {};
   call.crowded = false;
   const edge::HeaderNames& names = m_node.apiAdapter().headers();
--- a/src/quarantine/crash_observer.cpp
+++ b/src/quarantine/crash_observer.cpp
@@ -27,8 +27,8 @@
 bool CrashObserver::showsLife(const Sight& sight, base::TimePoint sentAt,
                               base::TimePoint now) const {
   const base::Duration since = now - sight.brokenAt;
-  return sentAt > sight.brokenAt ? since < m_settings.shortestRestart
-                                 : since >= m_settings.longestWay;
+  return sentAt > sight.brokenAt ? since < m_settings.minRestartTime
+                                 : since >= m_settings.maxResponseDelay;
 }
 
 void CrashObserver::onAnswered(const std::string& instance, base::TimePoint sentAt,
@@ -90,7 +90,7 @@
 }
 
 void CrashObserver::makeRoom() {
-  if (m_suspects.size() < kMostRequests) {
+  if (m_suspects.size() < kMaxRequests) {
     return;
   }
   const auto newest = [](const auto& suspect) {
--- a/src/quarantine/crash_observer.h
+++ b/src/quarantine/crash_observer.h
@@ -18,9 +18,9 @@
   /// it lives. Servers that are in use answer something within tens of milliseconds.
   base::Duration certainty = base::milliseconds(300);
   /// A process that ended does not serve again before this time. Engines take seconds.
-  base::Duration shortestRestart = base::milliseconds(800);
+  base::Duration minRestartTime = base::milliseconds(800);
   /// An answer may have been on its way when its instance ended, or waited to be read.
-  base::Duration longestWay = base::milliseconds(100);
+  base::Duration maxResponseDelay = base::milliseconds(100);
 };
 
 /// A connection that ends without an answer says little: it may have been cut, or reset by a server
--- a/src/quarantine/crash_tally.cpp
+++ b/src/quarantine/crash_tally.cpp
@@ -26,7 +26,7 @@
 }
 
 void CrashTally::makeRoom() {
-  if (m_requests.size() < kMostRequests) {
+  if (m_requests.size() < kMaxRequests) {
     return;
   }
   m_requests.erase(std::min_element(m_requests.begin(), m_requests.end(),
--- a/src/quarantine/quarantine_policy.h
+++ b/src/quarantine/quarantine_policy.h
@@ -10,11 +10,11 @@
 
 /// A request under which so many instances have ended is held. Two may be chance: a sound request
 /// that shared two servers with another that ended them.
-inline constexpr std::size_t kMostCrashes = 3;
+inline constexpr std::size_t kMaxCrashes = 3;
 
 /// Trials of a held request, each at one instance: a new release may bear it, and a sound one that
 /// was held by chance must get through. The users' limit is three sends after the third crash.
-inline constexpr std::uint32_t kMostTrials = 3;
+inline constexpr std::uint32_t kMaxTrials = 3;
 
 /// From the hold, or the trial before, to the next trial. The first comes soon enough for an item
 /// of a step that was held by chance; the pause then grows tenfold, since whoever has ended an
@@ -31,7 +31,7 @@
 
 /// When the next trial is due after `trials` of them; never after the last.
 [[nodiscard]] constexpr base::WallTime nextTrial(base::WallTime after, std::uint32_t trials) {
-  return trials < kMostTrials ? after + trialPause(trials) : base::WallTime::max();
+  return trials < kMaxTrials ? after + trialPause(trials) : base::WallTime::max();
 }
 
 /// A held request is forgotten this long after its hold or its last trial.
@@ -40,6 +40,6 @@
 inline constexpr base::Duration kCrashMemory = std::chrono::minutes(10);
 /// Most requests that are held, and most of which crashes are kept in one process; the oldest give
 /// way. At 100 bytes each by estimate: 100 KB.
-inline constexpr std::size_t kMostRequests = 1024;
+inline constexpr std::size_t kMaxRequests = 1024;
 
 }  // namespace tackpick::quarantine
--- a/src/quarantine/quarantine_state.cpp
+++ b/src/quarantine/quarantine_state.cpp
@@ -64,7 +64,7 @@
 }
 
 void QuarantineState::makeRoom() {
-  if (m_holds.size() < kMostRequests) {
+  if (m_holds.size() < kMaxRequests) {
     return;
   }
   m_holds.erase(
--- a/src/quarantine/request_gate.cpp
+++ b/src/quarantine/request_gate.cpp
@@ -35,7 +35,7 @@
   if (held != m_held.end()) {
     return m_clusterTime.at(now, wall) >= held->second ? Admission::kTrialDue : Admission::kHeld;
   }
-  return m_observer.crashes(request) >= kMostCrashes ? Admission::kHeld : Admission::kFree;
+  return m_observer.crashes(request) >= kMaxCrashes ? Admission::kHeld : Admission::kFree;
 }
 
 base::Duration RequestGate::untilTrial(const RequestFingerprint& request, base::TimePoint now,
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -25,7 +25,7 @@
   }
   constexpr std::uint32_t kLargestShift = 16;
   const auto factor = base::Duration::rep{1} << std::min(record.ejections, kLargestShift);
-  record.ejectedUntil = now + std::min(settings_.firstEjection * factor, settings_.longestEjection);
+  record.ejectedUntil = now + std::min(settings_.firstEjection * factor, settings_.maxEjection);
   ++record.ejections;
   record.failures = 0;
   record.probation = true;
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -14,7 +14,7 @@
 struct OutlierSettings {
   std::uint32_t consecutiveFailures = 3;
   base::Duration firstEjection = base::seconds(1);
-  base::Duration longestEjection = base::seconds(30);
+  base::Duration maxEjection = base::seconds(30);
   /// An engine that fails again within this time after its return stays out longer.
   base::Duration probation = base::seconds(10);
 };
--- a/src/runtime/caller_api.cpp
+++ b/src/runtime/caller_api.cpp
@@ -115,8 +115,8 @@
   call.seed = static_cast<std::uint64_t>(reader.integer("seed", 0, 0, kMaximumInteger));
   call.maximumTokens =
       static_cast<std::uint32_t>(reader.integer("max_tokens", 16, 1, kMaximumUnsigned32));
-  constexpr std::int64_t kLongestMillis = 86'400'000;
-  call.deadline = base::milliseconds(reader.integer("deadline_ms", 0, 0, kLongestMillis));
+  constexpr std::int64_t kMaxMillis = 86'400'000;
+  call.deadline = base::milliseconds(reader.integer("deadline_ms", 0, 0, kMaxMillis));
   call.stream = reader.flag("stream", false);
   call.notRepeatable = reader.flag("not_repeatable", false);
   call.key = {request.header("idempotency-key")};
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -20,7 +20,7 @@
 
 constexpr auto kTickInterval = std::chrono::milliseconds(10);
 /// A planned stop that takes longer cuts what is left.
-constexpr base::Duration kLongestStop = base::seconds(60);
+constexpr base::Duration kMaxStop = base::seconds(60);
 std::uint64_t wallSeconds() {
   constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
   return wallMicroseconds() / kMicrosecondsPerSecond;
@@ -400,7 +400,7 @@
     return;
   }
   stopping_ = true;
-  stop_deadline_ = now() + kLongestStop;
+  stop_deadline_ = now() + kMaxStop;
   logEvent(EventId::kProcessStopping, "");
   if (gateway_) {
     logEvent(EventId::kDrainBegun, "jobs=" + std::to_string(gateway_->jobCount()));
@@ -425,8 +425,8 @@
   for (const auto& ledger : ledgers_) {
     leading = leading || led(ledger->replica());
   }
-  constexpr base::Duration kLongestHandOver = base::seconds(3);
-  const bool handOverFailed = now() >= stop_deadline_ - kLongestStop + kLongestHandOver;
+  constexpr base::Duration kMaxHandOver = base::seconds(3);
+  const bool handOverFailed = now() >= stop_deadline_ - kMaxStop + kMaxHandOver;
   if ((drained && (!leading || handOverFailed)) || now() >= stop_deadline_) {
     if (gateway_) {
       logEvent(EventId::kDrainComplete, drained ? "" : "cut=true");
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -35,9 +35,9 @@
 CallerActor::Plan CallerActor::makePlan() {
   const LoadOptions& load = environment_.options.load;
   base::Random& random = environment_.random;
-  constexpr double kShortestAnswer = 4.0;
+  constexpr double kMinAnswer = 4.0;
   constexpr double kTailIndex = 1.1;
-  const double tokens = std::min(random.pareto(kShortestAnswer, kTailIndex), load.longestAnswer);
+  const double tokens = std::min(random.pareto(kMinAnswer, kTailIndex), load.longestAnswer);
   return planFor(static_cast<std::uint32_t>(tokens), random.chance(load.notRepeatableShare));
 }
 
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -8,11 +8,11 @@
 namespace tackpick::simulation {
 namespace {
 
-constexpr base::Duration kShortestOutage = base::milliseconds(20);
-constexpr base::Duration kLongestOutage = base::milliseconds(2500);
+constexpr base::Duration kMinOutage = base::milliseconds(20);
+constexpr base::Duration kMaxOutage = base::milliseconds(2500);
 /// Longer than every lease.
-constexpr base::Duration kShortestFreeze = base::milliseconds(300);
-constexpr base::Duration kLongestFreeze = base::seconds(8);
+constexpr base::Duration kMinFreeze = base::milliseconds(300);
+constexpr base::Duration kMaxFreeze = base::seconds(8);
 constexpr base::Duration kMembershipInterval = base::milliseconds(150);
 
 }  // namespace
@@ -29,8 +29,7 @@
          [this] { freezeForAWhile(pickOf(static_cast<NodeRole>(environment_.random.below(3)))); });
   repeat(faults.cutLink, [this] { cutLink(); });
   repeat(faults.deposeLeader, [this] { deposeLeader(); });
-  repeat(faults.isolateLeader,
-         [this] { isolate(leaderOf(NodeRole::kController), kLongestFreeze); });
+  repeat(faults.isolateLeader, [this] { isolate(leaderOf(NodeRole::kController), kMaxFreeze); });
   repeat(faults.loseDisk, [this] { loseDisk(); });
   repeat(faults.failSync, [this] { failSync(); });
   repeat(faults.stopController, [this] { stopForAWhile(leaderOf(NodeRole::kController)); });
@@ -133,7 +132,7 @@
     return;
   }
   node->kill();
-  environment_.loop.after(environment_.drawBetween(kShortestOutage, kLongestOutage),
+  environment_.loop.after(environment_.drawBetween(kMinOutage, kMaxOutage),
                           [node] { node->restart(); });
 }
 
@@ -143,7 +142,7 @@
   }
   environment_.say("node " + std::to_string(node->number()) + " freezes");
   node->freeze();
-  environment_.loop.after(environment_.drawBetween(kShortestFreeze, kLongestFreeze),
+  environment_.loop.after(environment_.drawBetween(kMinFreeze, kMaxFreeze),
                           [node] { node->thaw(); });
 }
 
@@ -175,11 +174,10 @@
   if (bothWays) {
     environment_.network.cut(to, from);
   }
-  environment_.loop.after(environment_.drawBetween(kShortestFreeze, kLongestFreeze),
-                          [this, from, to] {
-                            environment_.network.heal(from, to);
-                            environment_.network.heal(to, from);
-                          });
+  environment_.loop.after(environment_.drawBetween(kMinFreeze, kMaxFreeze), [this, from, to] {
+    environment_.network.heal(from, to);
+    environment_.network.heal(to, from);
+  });
 }
 
 void FaultInjector::isolate(NodeHost* leader, base::Duration longest) {
@@ -225,7 +223,7 @@
   NodeHost* node = environment_.random.chance(0.5) ? leaderOf(NodeRole::kLedger)
                                                    : leaderOf(NodeRole::kController);
   node->disk().failSyncs();
-  environment_.loop.after(environment_.drawBetween(kShortestOutage, kLongestOutage), [node] {
+  environment_.loop.after(environment_.drawBetween(kMinOutage, kMaxOutage), [node] {
     node->disk().repair();
     node->restart();
   });
@@ -237,7 +235,7 @@
     return;
   }
   engine->crash();
-  environment_.loop.after(environment_.drawBetween(kShortestOutage, kLongestOutage), [engine] {
+  environment_.loop.after(environment_.drawBetween(kMinOutage, kMaxOutage), [engine] {
     if (!engine->isRunning()) {
       engine->start();
     }
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -14,8 +14,8 @@
 constexpr base::GroupId kLedgerGroup{2};
 constexpr base::Duration kTickInterval = base::milliseconds(10);
 constexpr base::Duration kListInterval = base::milliseconds(200);
-constexpr base::Duration kLongestStop = base::seconds(60);
-constexpr base::Duration kLongestHandOver = base::seconds(3);
+constexpr base::Duration kMaxStop = base::seconds(60);
+constexpr base::Duration kMaxHandOver = base::seconds(3);
 const std::string kCluster = "simulated";
 
 std::vector<base::NodeId> numbered(std::uint32_t first, std::uint32_t count) {
@@ -423,7 +423,7 @@
   const auto deliver = [engine, run = ProcessRun{this, epoch_}, order = addressed.order] {
     engine->order(run, order);
   };
-  const base::Duration longest = environment_.options.longestOrderDelay;
+  const base::Duration longest = environment_.options.maxOrderDelay;
   if (longest.count() == 0) {
     environment_.network.send(machine_, engine->machine(), deliver);
     return;
@@ -489,13 +489,12 @@
     return;
   }
   const base::Duration spent = environment_.loop.now() - stop_began_at_;
-  bool done = spent > kLongestStop;
+  bool done = spent > kMaxStop;
   if (gateway_) {
     done = done || (gateway_->isDrained() && callers_.empty());
   } else {
     const consensus::RaftConsensus& raft = replica()->raft();
-    done = done || !raft.isLeader() || raft.membership().voters.size() <= 1 ||
-           spent > kLongestHandOver;
+    done = done || !raft.isLeader() || raft.membership().voters.size() <= 1 || spent > kMaxHandOver;
   }
   if (done) {
     environment_.say("node " + std::to_string(number_) + " has stopped");
--- a/src/simulation/observations.cpp
+++ b/src/simulation/observations.cpp
@@ -10,7 +10,7 @@
 
 /// "After a few seconds": how long an engine that is draining may still be given work.
 constexpr base::Duration kDrainingGrace = base::seconds(5);
-constexpr std::size_t kLongestList = 50;
+constexpr std::size_t kMaxList = 50;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 }
 
 void Observations::broken(Promise promise, std::string what) {
-  if (violations_.size() < kLongestList) {
+  if (violations_.size() < kMaxList) {
     violations_.push_back({promise, clock_.now(), std::move(what)});
   }
 }
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -83,11 +83,11 @@
   LoadOptions load;
   FaultIntervals faults;
   NetworkFaults network;
-  bool unorderedStreams = false;        ///< chunks are doubled and reordered too
-  base::Duration longestOrderDelay{0};  ///< orders to engines come late, doubled, in any order
-  double streamResets = 0.0;  ///< share of dispatches cut right after the last byte went out
-  base::Duration shortestListLag = base::milliseconds(300);
-  base::Duration longestListLag = base::milliseconds(1200);  ///< each reading draws a lag
+  bool unorderedStreams = false;    ///< chunks are doubled and reordered too
+  base::Duration maxOrderDelay{0};  ///< orders to engines come late, doubled, in any order
+  double streamResets = 0.0;        ///< share of dispatches cut right after the last byte went out
+  base::Duration minListLag = base::milliseconds(300);
+  base::Duration maxListLag = base::milliseconds(1200);  ///< each reading draws a lag
 
   std::uint64_t storeBytesPerSecond = 20'000'000'000;  ///< of the weight store
 
--- a/src/simulation/platform.cpp
+++ b/src/simulation/platform.cpp
@@ -12,14 +12,14 @@
   update(record);
   // Nobody can know before the list shows it.
   const base::Incarnation incarnation = record.incarnation;
-  environment_.loop.after(environment_.options.longestListLag, [this, engine, incarnation] {
+  environment_.loop.after(environment_.options.maxListLag, [this, engine, incarnation] {
     environment_.observations.onEngineDraining(engine, incarnation);
   });
 }
 
 std::vector<control::MachineListEntry> Platform::list() {
-  const base::Duration lag = environment_.drawBetween(environment_.options.shortestListLag,
-                                                      environment_.options.longestListLag);
+  const base::Duration lag =
+      environment_.drawBetween(environment_.options.minListLag, environment_.options.maxListLag);
   const base::TimePoint moment = environment_.loop.now() - lag;
   std::vector<control::MachineListEntry> machines;
   for (const auto& [engine, states] : history_) {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -81,7 +81,7 @@
 
 void drainingEngine(SimulationOptions& options) {
   options.faultTime = seconds(25);
-  options.longestListLag = seconds(4);
+  options.maxListLag = seconds(4);
   options.faults.leaveEngine = kSometimes;
   options.faults.drainEngine = kSometimes;
   options.faults.loseControlPlane = kSeldom;
@@ -162,11 +162,11 @@
 
 void reorderedChunks(SimulationOptions& options) {
   options.unorderedStreams = true;
-  options.network.longestExtraDelay = milliseconds(60);
+  options.network.maxExtraDelay = milliseconds(60);
 }
 
 void lateOrders(SimulationOptions& options) {
-  options.longestOrderDelay = milliseconds(1500);
+  options.maxOrderDelay = milliseconds(1500);
   options.load.trainingTime = milliseconds(20);
   options.faults.killController = kSometimes;
   options.faults.crashEngine = kSeldom;
@@ -182,7 +182,7 @@
 }
 
 void splitVotes(SimulationOptions& options) {
-  options.network.longestExtraDelay = milliseconds(100);
+  options.network.maxExtraDelay = milliseconds(100);
   options.faultTime = seconds(30);
   options.faults.killController = kOften;
   options.faults.killLedger = kOften;
@@ -208,7 +208,7 @@
   options.unorderedStreams = true;
   options.streamResets = 0.02;
   options.network = {0.01, 0.02, milliseconds(5), 0.002};
-  options.longestListLag = seconds(3);
+  options.maxListLag = seconds(3);
   options.engine.swapFailure = 0.02;
   FaultIntervals& faults = options.faults;
   faults.killGateway = kSometimes;
--- a/src/simulation/simulated_network.cpp
+++ b/src/simulation/simulated_network.cpp
@@ -18,16 +18,16 @@
 
 base::Duration SimulatedNetwork::latency(MachineId from, MachineId to) {
   const base::Duration usual = zones_[from] == zones_[to] ? kWithinZone : kBetweenZones;
-  const auto spread = static_cast<std::uint64_t>((kJitter + faults_.longestExtraDelay).count());
+  const auto spread = static_cast<std::uint64_t>((kJitter + faults_.maxExtraDelay).count());
   return usual + base::Duration(static_cast<base::Duration::rep>(random_.below(spread)));
 }
 
 base::Duration SimulatedNetwork::stragglerDelay() {
-  constexpr std::uint64_t kLongestMicroseconds = 2'000'000;
+  constexpr std::uint64_t kMaxMicroseconds = 2'000'000;
   if (!random_.chance(faults_.stragglers)) {
     return base::Duration{0};
   }
-  return base::Duration(static_cast<base::Duration::rep>(random_.below(kLongestMicroseconds)));
+  return base::Duration(static_cast<base::Duration::rep>(random_.below(kMaxMicroseconds)));
 }
 
 void SimulatedNetwork::send(MachineId from, MachineId to, const EventLoop::Action& deliver) {
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -21,8 +21,8 @@
 struct NetworkFaults {
   double loss = 0.0;
   double duplication = 0.0;
-  base::Duration longestExtraDelay{0};  ///< uniform from zero; above the latency it reorders
-  double stragglers = 0.0;              ///< share of messages that come very late
+  base::Duration maxExtraDelay{0};  ///< uniform from zero; above the latency it reorders
+  double stragglers = 0.0;          ///< share of messages that come very late
 };
 
 /// Delivers with the latency of the two zones, and with the current faults.
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -70,12 +70,12 @@
   const auto count =
       traced == nullptr ? load.samplesPerBatch : static_cast<std::uint32_t>(traced->size());
   for (std::uint32_t index = 0; index < count; ++index) {
-    constexpr double kShortestSample = 10.0;
+    constexpr double kMinSample = 10.0;
     constexpr double kTailIndex = 0.9;
     // Steps repeat prompts, whose answers resemble each other in length.
     const std::uint64_t prompt = environment_.random.below(load.prompts);
     base::SeededRandom lengths(base::mix(prompt, number_));
-    const double tokens = std::min(lengths.pareto(kShortestSample, kTailIndex), load.longestSample);
+    const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.longestSample);
     ledger::SampleSpecification sample;
     sample.index = index;
     sample.prompt = engine::aroundDirective(static_cast<std::uint32_t>(tokens)) + "sample " +
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -87,9 +87,9 @@
 }
 
 bool World::setUp() {
-  constexpr base::Duration kLongestSetUp = base::seconds(30);
+  constexpr base::Duration kMaxSetUp = base::seconds(30);
   const auto done = std::make_shared<bool>(false);
-  while (!*done && environment_.loop.now().time_since_epoch() < kLongestSetUp) {
+  while (!*done && environment_.loop.now().time_since_epoch() < kMaxSetUp) {
     for (const auto& host : environment_.nodes) {
       if (host->role() == NodeRole::kController) {
         host->submitChange(firstConfiguration(environment_.options),
--- a/src/transport/peer_network.cpp
+++ b/src/transport/peer_network.cpp
@@ -121,8 +121,7 @@
   dialled.pending.clear();
   dialled.pendingBytes = 0;
   dialled.waiting = true;
-  dialled.backoff =
-      std::clamp(dialled.backoff * 2, settings_.shortestBackoff, settings_.longestBackoff);
+  dialled.backoff = std::clamp(dialled.backoff * 2, settings_.minBackoff, settings_.maxBackoff);
   dialled.timer = std::make_shared<base::Timer>(context_, dialled.backoff);
   dialled.timer->async_wait([this, number](const asio::error_code& error) {
     if (!error && !stopped_) {
--- a/src/transport/peer_network.h
+++ b/src/transport/peer_network.h
@@ -36,8 +36,8 @@
   std::size_t maximumQueuedBytes = 128U << 20U;
   /// Kept for a peer while the connection to it is being made.
   std::size_t maximumPendingBytes = 1U << 20U;
-  base::Duration shortestBackoff = base::milliseconds(50);
-  base::Duration longestBackoff = base::milliseconds(200);
+  base::Duration minBackoff = base::milliseconds(50);
+  base::Duration maxBackoff = base::milliseconds(200);
   /// Called with the number of a node when a connection to or from it breaks or is not made.
   std::function<void(std::uint32_t number)> onLost;
 };
--- a/src/transport/shared_key.cpp
+++ b/src/transport/shared_key.cpp
@@ -45,7 +45,7 @@
 }
 
 base::Result<base::Bytes> readKeyFile(const std::string& path) {
-  constexpr std::size_t kShortestKey = 16;
+  constexpr std::size_t kMinKey = 16;
   std::ifstream stream(path, std::ios::binary);
   if (!stream) {
     return base::fail(base::ErrorCode::kNotFound, path + ": cannot be read");
@@ -56,7 +56,7 @@
   while (!key.empty() && (key.back() == '\n' || key.back() == '\r')) {
     key.pop_back();
   }
-  if (key.size() < kShortestKey) {
+  if (key.size() < kMinKey) {
     return base::fail(base::ErrorCode::kInvalidInput, path + ": expected at least 16 bytes");
   }
   return key;
--- a/test/directory/rejection_policy_test.cpp
+++ b/test/directory/rejection_policy_test.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr base::Duration kMostBehind = base::milliseconds(2500);
+constexpr base::Duration kMaxStaleness = base::milliseconds(2500);
 constexpr base::TimePoint kNow{base::seconds(100)};
 
 }  // namespace
 
 Test(rejection_policy, knowledge_older_than_a_change_may_take_refuses_nothing_for_good) {
-  const directory::RejectionPolicy policy(kMostBehind);
+  const directory::RejectionPolicy policy(kMaxStaleness);
   cr_assert(policy.judge(kNow - base::milliseconds(500), kNow) == RejectionKind::kFinal);
-  cr_assert(policy.judge(kNow - kMostBehind, kNow) == RejectionKind::kFinal);
-  cr_assert(policy.judge(kNow - kMostBehind - base::milliseconds(1), kNow) ==
+  cr_assert(policy.judge(kNow - kMaxStaleness, kNow) == RejectionKind::kFinal);
+  cr_assert(policy.judge(kNow - kMaxStaleness - base::milliseconds(1), kNow) ==
             RejectionKind::kLater);
   cr_assert(policy.judge(std::nullopt, kNow) == RejectionKind::kLater);
 }
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -28,7 +28,7 @@
   std::string model;
   std::uint32_t items = 0;  ///< of a step
   base::Duration meanText{0};
-  base::Duration longestText{0};
+  base::Duration maxText{0};
   bool isLateAtTimes = false;
   base::Duration phase{0};  ///< of its steps against those of the others
 };
@@ -185,7 +185,7 @@
           }
           const auto text = std::chrono::duration_cast<base::Duration>(trainer.meanText *
                                                                        m_random.exponential(1));
-          const base::TimePoint end = m_now + std::min(text, trainer.longestText);
+          const base::TimePoint end = m_now + std::min(text, trainer.maxText);
           engine->ends.push_back(end);
           step.ends.push_back(end);
           step.waits.push_back(m_now - step.submittedAt);
@@ -283,12 +283,12 @@
   int m_loads = 0;
 };
 
-Trainer trainer(const std::string& model, std::uint32_t items, int meanMs, int longestMs,
+Trainer trainer(const std::string& model, std::uint32_t items, int meanMs, int maxMs,
                 bool isLateAtTimes = false) {
   return {model,
           items,
           base::milliseconds(meanMs),
-          base::milliseconds(longestMs),
+          base::milliseconds(maxMs),
           isLateAtTimes,
           base::Duration{0}};
 }
--- a/test/duties/capacity_load_test.cpp
+++ b/test/duties/capacity_load_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr base::Duration kTime = base::seconds(60);
 /// Half as many engines again as there were, all the time.
-constexpr double kMostEngineSeconds = 1.5 * 45 * 60;
+constexpr double kMaxEngineSeconds = 1.5 * 45 * 60;
 
 LoadFigures play(CapacityMode mode, LoadScenario scenario, std::uint64_t seed) {
   const LoadFigures figures = EngineLoad(mode, scenario, seed).run(kTime);
@@ -45,7 +45,7 @@
     cr_assert_geq(expected.engines, 45U);
     cr_assert_lt(waiting.waitingItemSeconds, held.waitingItemSeconds);
     cr_assert_lt(expected.waitingItemSeconds, held.waitingItemSeconds / 2);
-    cr_assert_leq(expected.engineSeconds, kMostEngineSeconds);
+    cr_assert_leq(expected.engineSeconds, kMaxEngineSeconds);
   }
 }
 
@@ -56,7 +56,7 @@
   cr_assert_eq(held.engines, 45U);
   cr_assert_eq(waiting.engines, 45U, "places are free, at engines of other models");
   cr_assert_lt(expected.waitingItemSeconds, held.waitingItemSeconds);
-  cr_assert_leq(expected.engineSeconds, kMostEngineSeconds);
+  cr_assert_leq(expected.engineSeconds, kMaxEngineSeconds);
 }
 
 Test(capacity_load, more_work_than_places_is_ordered_for_by_both_policies) {
@@ -66,6 +66,6 @@
     const LoadFigures expected = play(CapacityMode::kExpectedSteps, {false, 300}, seed);
     cr_assert_lt(waiting.waitingItemSeconds, held.waitingItemSeconds / 2);
     cr_assert_lt(expected.waitingItemSeconds, held.waitingItemSeconds / 2);
-    cr_assert_leq(expected.engineSeconds, kMostEngineSeconds);
+    cr_assert_leq(expected.engineSeconds, kMaxEngineSeconds);
   }
 }
--- a/test/http/stream_relay_test.cpp
+++ b/test/http/stream_relay_test.cpp
@@ -95,7 +95,7 @@
   stream.runFor(std::chrono::milliseconds(300));
   cr_assert_geq(stream.held, 1);
   cr_assert_not(stream.end.has_value());
-  cr_assert_leq(stream.open[0]->unsentBytes(), http::StreamRelay::kMostUnsent + 2 * kPiece);
+  cr_assert_leq(stream.open[0]->unsentBytes(), http::StreamRelay::kMaxUnsent + 2 * kPiece);
   // The caller reads after all: it gets the whole answer.
   const std::string received = stream.caller.readUntil("\r\n0\r\n\r\n");
   cr_assert(stream.end.has_value() && stream.end->complete);
--- a/test/integration/quarantine_test.cpp
+++ b/test/integration/quarantine_test.cpp
@@ -37,7 +37,7 @@
 constexpr std::size_t kGateways = 3;
 constexpr std::size_t kEngines = 3;
 /// Engines that one request may end before it is held back.
-constexpr std::size_t kMostEnded = 3;
+constexpr std::size_t kMaxEnded = 3;
 /// An engine is back after it ended.
 constexpr auto kRestart = std::chrono::milliseconds(400);
 /// Within this time all gateways must know what any of them has seen.
@@ -130,11 +130,11 @@
 }
 
 void endAsManyAsAllowed(Callers& callers, EndingEngines& engines) {
-  for (int tries = 0; tries < 20 && engines.ended() < kMostEnded; ++tries) {
+  for (int tries = 0; tries < 20 && engines.ended() < kMaxEnded; ++tries) {
     callers.ask("/q/end");
     engines.tend();
   }
-  cr_assert_geq(engines.ended(), kMostEnded);
+  cr_assert_geq(engines.ended(), kMaxEnded);
 }
 
 /// The requests that are held, as an operator reads them.
@@ -253,7 +253,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
   constexpr std::size_t kTrialsByThen = 1;
-  cr_assert_leq(engines.ended(), kMostEnded + kTrialsByThen);
+  cr_assert_leq(engines.ended(), kMaxEnded + kTrialsByThen);
   cr_assert_eq(Json::parse(cluster.gateway("GET", "/lots/job").body)["results"].size(), 3U,
                "the held item is not given up before its time");
 }
--- a/test/integration/soak_clients.cpp
+++ b/test/integration/soak_clients.cpp
@@ -258,9 +258,9 @@
 EngineLife::EngineLife(SoakContext context, std::string name, std::uint64_t seed)
     : m_context(context), m_name(std::move(name)), m_random(seed) {
   constexpr std::uint64_t kSlowestPaceMs = 80;
-  constexpr std::uint64_t kLongestLoadMs = 600;
+  constexpr std::uint64_t kMaxLoadMs = 600;
   m_behaviour.pace = base::milliseconds(m_random.below(kSlowestPaceMs));
-  m_behaviour.loadTime = base::milliseconds(1 + m_random.below(kLongestLoadMs));
+  m_behaviour.loadTime = base::milliseconds(1 + m_random.below(kMaxLoadMs));
   m_behaviour.versions = {{"m", 1}, {"n", 1}};
   m_engine = std::make_unique<StandInEngine>(m_name, m_behaviour);
   m_engine->endOn(kEndingPath);
--- a/test/integration/soak_test.cpp
+++ b/test/integration/soak_test.cpp
@@ -205,10 +205,10 @@
   /// Three ends hold the request, three trials may follow. What a gateway saw dies with it where it
   /// is killed before it could tell, and this soak kills them all the time.
   void checkEndings() {
-    constexpr std::size_t kMostEnded = 6;
+    constexpr std::size_t kMaxEnded = 6;
     constexpr std::size_t kUntold = 4;
     const std::size_t ended = m_firstEngine.endedByRequests() + m_secondEngine.endedByRequests();
-    if (ended > kMostEnded + kUntold) {
+    if (ended > kMaxEnded + kUntold) {
       m_problem.report("one request ended " + std::to_string(ended) + " engines");
     }
   }
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -90,9 +90,9 @@
   [[nodiscard]] std::uint32_t opened() const { return m_opened; }
   [[nodiscard]] std::uint32_t finished() const { return m_finished; }
   /// From the submission of an item, for which there is a place, to its first lease.
-  [[nodiscard]] base::Duration longestWait() const { return m_longestWait; }
+  [[nodiscard]] base::Duration maxWait() const { return m_maxWait; }
   /// From the freeze until the last item of the frozen gateway ran elsewhere.
-  [[nodiscard]] base::Duration longestReturn() const { return m_longestReturn; }
+  [[nodiscard]] base::Duration maxReturn() const { return m_maxReturn; }
   [[nodiscard]] base::Duration meanWait() const {
     return m_waits / std::max<std::size_t>(m_seen.size(), 1);
   }
@@ -175,10 +175,10 @@
     m_runs[number].push_back({item, m_now + took});
     if (m_seen.insert(item.key).second) {
       const base::Duration waited = m_now - m_submittedAt;
-      m_longestWait = std::max(m_longestWait, waited);
+      m_maxWait = std::max(m_maxWait, waited);
       m_waits += waited;
     } else {
-      m_longestReturn = std::max(m_longestReturn, m_now - m_frozenAt);
+      m_maxReturn = std::max(m_maxReturn, m_now - m_frozenAt);
     }
   }
 
@@ -196,8 +196,8 @@
   std::uint32_t m_opened = 0;
   std::uint32_t m_finished = 0;
   int m_submitted = 0;
-  base::Duration m_longestWait{0};
-  base::Duration m_longestReturn{0};
+  base::Duration m_maxWait{0};
+  base::Duration m_maxReturn{0};
   base::Duration m_waits{0};
 };
 
@@ -312,8 +312,8 @@
         before.pairs(), after.pairs(), before.opened(), after.opened(),
         static_cast<long long>(before.meanWait().count()),
         static_cast<long long>(after.meanWait().count()),
-        static_cast<long long>(before.longestWait().count()),
-        static_cast<long long>(after.longestWait().count()));
+        static_cast<long long>(before.maxWait().count()),
+        static_cast<long long>(after.maxWait().count()));
     cr_assert_eq(after.finished(), 1000U);
     cr_assert_lt(after.pairs(), before.pairs());
     cr_assert_lt(after.opened(), before.opened());
@@ -331,10 +331,10 @@
     run.run();
     cr_log_info("gateway %u frozen: mean wait %lld us, longest %lld us", frozen,
                 static_cast<long long>(run.meanWait().count()),
-                static_cast<long long>(run.longestWait().count()));
+                static_cast<long long>(run.maxWait().count()));
     cr_assert_eq(run.finished(), 1000U);
-    cr_assert_leq(run.longestWait(), base::milliseconds(160));
+    cr_assert_leq(run.maxWait(), base::milliseconds(160));
     // What it ran goes on at others when its leases end, at their next calls.
-    cr_assert_leq(run.longestReturn(), kLeaseTime + base::milliseconds(160));
+    cr_assert_leq(run.maxReturn(), kLeaseTime + base::milliseconds(160));
   }
 }
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -125,7 +125,7 @@
     callFor(gatewaySelector, 20, base::milliseconds(200), now,
             [&](std::uint32_t) { return cores(size); });
     cr_assert(active(gatewaySelector, 20, now) == lowest, "%f", size);
-    cr_assert_not(gatewaySelector.mostItems(gateway(1), "a", now).has_value());
+    cr_assert_not(gatewaySelector.maxItems(gateway(1), "a", now).has_value());
   }
 }
 
@@ -137,13 +137,13 @@
   cr_assert(active(gatewaySelector, 20, now) == numbers({16, 17, 18, 19}));
   cr_assert_eq(gatewaySelector.activeCount(now), 4U);
   // Without the able ones more of the small ones are needed.
-  const std::uint32_t able = *gatewaySelector.mostItems(gateway(16), "a", now);
+  const std::uint32_t able = *gatewaySelector.maxItems(gateway(16), "a", now);
   for (std::uint32_t i = 16; i <= 20; ++i) {
     gatewaySelector.forget(i);
   }
   gatewaySelector.note(gateway(20), "a", true, now, cores(0.3));
   cr_assert_gt(active(gatewaySelector, 20, now).size(), 5U);
-  cr_assert_lt(*gatewaySelector.mostItems(gateway(1), "a", now), able);
+  cr_assert_lt(*gatewaySelector.maxItems(gateway(1), "a", now), able);
 }
 
 Test(gateway_selector, slow_gateway_gets_less_and_more_again_when_it_recovers) {
@@ -181,7 +181,7 @@
   };
   callFor(gatewaySelector, 3, base::seconds(3), now, size);
   cr_assert(active(gatewaySelector, 3, now) == numbers({1, 2, 3}));
-  cr_assert_not(gatewaySelector.mostItems(gateway(2), "a", now).has_value(), "all are needed");
+  cr_assert_not(gatewaySelector.maxItems(gateway(2), "a", now).has_value(), "all are needed");
 }
 
 Test(gateway_selector, gateway_whose_calls_come_late_is_slow) {
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -35,7 +35,7 @@
   std::uint32_t engines = 45;
   std::uint32_t slots = 8;
   double eventIntervalMs = 40;
-  double longestEvents = 150;
+  double maxEvents = 150;
   double estimateSpread = 0.5;
   base::Duration due = base::milliseconds(7500);
   base::Duration time = base::seconds(60);
@@ -162,7 +162,7 @@
     open.left.assign(load.groups, load.groupSize);
     for (std::uint32_t item = 0; item < load.groups * load.groupSize; ++item) {
       const double drawn = load.medianEvents * std::exp(load.spread * gaussian());
-      const double length = std::clamp(drawn, 1.0, m_options.longestEvents);
+      const double length = std::clamp(drawn, 1.0, m_options.maxEvents);
       const double error = std::exp(m_options.estimateSpread * gaussian());
       const double estimate = kEstimatePerEvent * length * error;
       open.lengths.push_back(static_cast<std::uint64_t>(length));
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kZones = 4;
 constexpr std::uint32_t kSlots = 8;
 constexpr double kUsualMs = 49;
-constexpr double kMostEvents = 147;
+constexpr double kMaxEvents = 147;
 constexpr double kSlowdown = 3.5;
 constexpr base::Duration kSlowTime = base::seconds(8);
 constexpr base::Duration kDue = milliseconds(7500);
@@ -151,7 +151,7 @@
     for (int i = 0; i < m_load.textsPerJob; ++i) {
       Text text;
       text.job = m_lastOfJobs.size();
-      text.events = std::clamp(std::round(30 * std::exp(0.8 * normal())), 2.0, kMostEvents);
+      text.events = std::clamp(std::round(30 * std::exp(0.8 * normal())), 2.0, kMaxEvents);
       text.estimate = text.events * std::exp(0.5 * normal());
       text.due = m_now + kDue;
       texts.push_back(std::move(text));
@@ -265,17 +265,17 @@
       return jobs::maxEventIntervalToMoveTo(forecast).value_or(0);
     }
     const bool ranLong = text.made >= 1 && m_now - text.firstSentAt > milliseconds(900);
-    return ranLong && text.moves < jobs::kMostMovesToFaster
-               ? engine.reportedMs / jobs::kLeastMoveGain
+    return ranLong && text.moves < jobs::kMaxMovesToFaster
+               ? engine.reportedMs / jobs::kMinMoveSpeedup
                : 0;
   }
 
   /// A gateway knows the engines of its zone.
-  Engine* findWithinInterval(const std::string& zone, double longestMs) {
+  Engine* findWithinInterval(const std::string& zone, double maxMs) {
     Engine* best = nullptr;
     for (auto& [id, engine] : m_engines) {
       const bool suits = engine.zone == zone && engine.reportedMs > 0 &&
-                         engine.reportedMs <= longestMs && engine.texts.size() < kSlots;
+                         engine.reportedMs <= maxMs && engine.texts.size() < kSlots;
       if (suits && (best == nullptr || engine.texts.size() < best->texts.size())) {
         best = &engine;
       }
@@ -286,8 +286,8 @@
   void moveFromSlow() {
     for (auto& [id, engine] : m_engines) {
       for (std::size_t i = 0; i < engine.texts.size();) {
-        const double longestMs = maxEventInterval(engine, engine.texts[i]);
-        Engine* faster = longestMs > 0 ? findWithinInterval(engine.zone, longestMs) : nullptr;
+        const double maxMs = maxEventInterval(engine, engine.texts[i]);
+        Engine* faster = maxMs > 0 ? findWithinInterval(engine.zone, maxMs) : nullptr;
         if (faster == nullptr || faster == &engine) {
           ++i;
           continue;
--- a/test/jobs/run_decisions_test.cpp
+++ b/test/jobs/run_decisions_test.cpp
@@ -95,7 +95,7 @@
 
 Test(run_decisions, text_does_not_move_on_and_on) {
   jobs::RunForecast run = forecast(170, 60, base::seconds(4));
-  run.moves = jobs::kMostMovesToFaster;
+  run.moves = jobs::kMaxMovesToFaster;
   cr_assert_not(jobs::maxEventIntervalToMoveTo(run).has_value());
 }
 
--- a/test/jobs/scoring_test.cpp
+++ b/test/jobs/scoring_test.cpp
@@ -52,8 +52,8 @@
   }
 }
 
-void save(jobs::JobState& state, jobs::ItemRun& run, std::uint64_t leastEvents = 1) {
-  const auto progress = run.offerProgress(leastEvents);
+void save(jobs::JobState& state, jobs::ItemRun& run, std::uint64_t minEvents = 1) {
+  const auto progress = run.offerProgress(minEvents);
   cr_assert(progress.has_value());
   apply(state, jobs::SaveProgress{{{"j", {*progress}}}});
   run.onProgressSaved(true);
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -62,10 +62,10 @@
     gateways.push_back(gateway(i + 1, i, false));
   }
   const jobs::WorkReport report = jobs::makeWorkReport(work, engines, gateways, kNow);
-  cr_assert_eq(report.jobs.size(), jobs::kMostReportRows);
+  cr_assert_eq(report.jobs.size(), jobs::kMaxReportRows);
   cr_assert_eq(report.jobs[0].job, "999");
-  cr_assert_eq(report.engines.size(), jobs::kMostReportRows);
-  cr_assert_eq(report.gateways.size(), jobs::kMostReportRows);
+  cr_assert_eq(report.engines.size(), jobs::kMaxReportRows);
+  cr_assert_eq(report.gateways.size(), jobs::kMaxReportRows);
   cr_assert_eq(report.totalJobs, kMany);
   cr_assert_eq(report.totalEngines, kMany);
   cr_assert_eq(report.totalGateways, kMany);
--- a/test/quarantine/crash_observer_test.cpp
+++ b/test/quarantine/crash_observer_test.cpp
@@ -81,7 +81,7 @@
   observer.onBroken({kRequest, "servers", "i-1"}, at(0));
   (void)observer.takeCertain(kStart + tackpick::quarantine::kCrashMemory + base::seconds(1));
   cr_assert(observer.empty());
-  for (std::uint64_t i = 0; i <= tackpick::quarantine::kMostRequests; ++i) {
+  for (std::uint64_t i = 0; i <= tackpick::quarantine::kMaxRequests; ++i) {
     observer.onBroken({{1, i}, "servers", "i-1"}, at(static_cast<int>(i)));
   }
   cr_assert_eq(observer.crashes({1, 0}), 0, "the oldest gave way");
--- a/test/quarantine/mistaken_holds_test.cpp
+++ b/test/quarantine/mistaken_holds_test.cpp
@@ -13,7 +13,7 @@
 
 namespace base = tackpick::base;
 using tackpick::quarantine::CrashTally;
-using tackpick::quarantine::kMostCrashes;
+using tackpick::quarantine::kMaxCrashes;
 using tackpick::quarantine::RequestFingerprint;
 
 namespace {
@@ -121,7 +121,7 @@
     const base::TimePoint now{base::milliseconds(m_now)};
     for (const Run& run : runs) {
       m_tally.note({run.request, "s", name}, now);
-      const bool held = m_tally.instances(run.request).size() >= kMostCrashes;
+      const bool held = m_tally.instances(run.request).size() >= kMaxCrashes;
       m_outcome.mistaken += held && run.request != kEnder ? 1 : 0;
       if (!held && (run.request == kEnder || run.repeats < m_load.repeats)) {
         send(run.request, run.repeats + 1);
@@ -159,7 +159,7 @@
 
 Test(mistaken_holds, few_beside_many_short_requests) {
   const Outcome outcome = playSeeds({.arrivalsPerSecond = 300, .ender = true}, kMinute);
-  cr_assert_eq(outcome.ended, 50 * static_cast<int>(kMostCrashes));
+  cr_assert_eq(outcome.ended, 50 * static_cast<int>(kMaxCrashes));
   cr_assert_leq(outcome.mistaken, 5, "%d of %d", outcome.mistaken, outcome.requests);
 }
 
@@ -179,7 +179,7 @@
                      .repeats = 100,
                      .ender = true};
   const Outcome outcome = playSeeds(load, kMinute / 2);
-  cr_assert_eq(outcome.ended, 50 * static_cast<int>(kMostCrashes));
+  cr_assert_eq(outcome.ended, 50 * static_cast<int>(kMaxCrashes));
   cr_assert_leq(outcome.mistaken, 50, "%d of %d", outcome.mistaken, outcome.requests);
 }
 
--- a/test/quarantine/quarantine_state_test.cpp
+++ b/test/quarantine/quarantine_state_test.cpp
@@ -41,7 +41,7 @@
   quarantine::QuarantineState state = held();
   base::WallTime last = kWall;
   base::Duration pause{0};
-  for (std::uint32_t trial = 0; trial < quarantine::kMostTrials; ++trial) {
+  for (std::uint32_t trial = 0; trial < quarantine::kMaxTrials; ++trial) {
     const base::WallTime due = state.holds().at(kRequest).trialAt;
     cr_assert_gt((due - last).count(), pause.count());
     pause = due - last;
@@ -67,10 +67,10 @@
 
 Test(quarantine_state, number_of_holds_is_bounded) {
   quarantine::QuarantineState state;
-  for (std::uint64_t i = 0; i <= quarantine::kMostRequests; ++i) {
+  for (std::uint64_t i = 0; i <= quarantine::kMaxRequests; ++i) {
     state.apply(quarantine::HoldRequest{{1, i}, "servers", {}, kWall + base::milliseconds(i)});
   }
-  cr_assert_eq(state.holds().size(), quarantine::kMostRequests);
+  cr_assert_eq(state.holds().size(), quarantine::kMaxRequests);
   cr_assert_not(state.isHeld({1, 0}), "the oldest gave way");
 }
 
