--- a/src/edge/api_adapter.h
+++ b/src/edge/api_adapter.h
@@ -39,7 +39,7 @@
 };
 
 /// An answer of our own.
-struct Answer {
+struct Response {
   int status = 200;
   http::HeaderList headers;
   std::string body;
@@ -75,11 +75,11 @@
   /// `route` is the request's route, or null.
   [[nodiscard]] virtual GatewayCall gatewayCall(const http::RawRequest& request,
                                                 const directory::Route* route) const = 0;
-  [[nodiscard]] virtual Answer jobAnswer(const jobs::JobRequest& request,
-                                         const jobs::JobReply& reply) const = 0;
+  [[nodiscard]] virtual Response jobResponse(const jobs::JobRequest& request,
+                                             const jobs::JobReply& reply) const = 0;
   [[nodiscard]] virtual ControlCall controlCall(const http::RawRequest& request) const = 0;
-  [[nodiscard]] virtual Answer controlAnswer(const directory::DirectoryRequest& request,
-                                             const directory::DirectoryReply& reply) const = 0;
+  [[nodiscard]] virtual Response controlResponse(const directory::DirectoryRequest& request,
+                                                 const directory::DirectoryReply& reply) const = 0;
 
   [[nodiscard]] virtual std::optional<forwarding::ReportedLoad> load(
       std::string_view header) const = 0;
--- a/src/edge/capacity_call.cpp
+++ b/src/edge/capacity_call.cpp
@@ -33,8 +33,8 @@
   return directory::DirectoryRequest{duties::ReadCapacity{}};
 }
 
-std::optional<Answer> capacityAnswer(const directory::DirectoryRequest& request,
-                                     const directory::DirectoryReply& reply) {
+std::optional<Response> capacityResponse(const directory::DirectoryRequest& request,
+                                         const directory::DirectoryReply& reply) {
   if (!std::holds_alternative<duties::ReadCapacity>(request)) {
     return std::nullopt;
   }
@@ -42,7 +42,7 @@
   for (const duties::PoolSummary& sight : reply.capacity) {
     pools.push_back(toJson(sight));
   }
-  Answer answer;
+  Response answer;
   answer.body = Json{{"pools", pools}}.dump();
   answer.headers.add("Content-Type", "application/json");
   return answer;
--- a/src/edge/capacity_call.h
+++ b/src/edge/capacity_call.h
@@ -12,7 +12,7 @@
 /// Nothing when the request is no such call.
 [[nodiscard]] std::optional<ControlCall> capacityCall(const http::RawRequest& request);
 /// Nothing when `request` is no such call.
-[[nodiscard]] std::optional<Answer> capacityAnswer(const directory::DirectoryRequest& request,
-                                                   const directory::DirectoryReply& reply);
+[[nodiscard]] std::optional<Response> capacityResponse(const directory::DirectoryRequest& request,
+                                                       const directory::DirectoryReply& reply);
 
 }  // namespace tackpick::edge
--- a/src/edge/quarantine_call.cpp
+++ b/src/edge/quarantine_call.cpp
@@ -46,9 +46,9 @@
   return directory::DirectoryRequest{quarantine::ReleaseRequest{*fingerprint}};
 }
 
-std::optional<Answer> quarantineAnswer(const directory::DirectoryRequest& request,
-                                       const directory::DirectoryReply& reply) {
-  Answer answer;
+std::optional<Response> quarantineResponse(const directory::DirectoryRequest& request,
+                                           const directory::DirectoryReply& reply) {
+  Response answer;
   if (std::holds_alternative<quarantine::ReadQuarantine>(request)) {
     Json holds = Json::array();
     for (const quarantine::HoldSummary& hold : reply.holds) {
--- a/src/edge/unanswered.h
+++ b/src/edge/timeout_responses.h
@@ -7,8 +7,8 @@
 namespace tackpick::edge {
 
 /// A submission may have been taken all the same: its answer must not promise that it was not.
-[[nodiscard]] Answer unansweredJobCall(const jobs::JobRequest& request);
+[[nodiscard]] Response jobTimeoutResponse(const jobs::JobRequest& request);
 /// Callers of controllers repeat their calls, which is safe.
-[[nodiscard]] Answer unansweredControlCall();
+[[nodiscard]] Response controlTimeoutResponse();
 
 }  // namespace tackpick::edge
--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "edge/unanswered.h"
+#include "edge/timeout_responses.h"
 #include "runtime/json.h"
 
 namespace tackpick::edge {
@@ -109,14 +109,14 @@
   return ReadWorkCall{};
 }
 
-Answer workAnswer(const WorkAnswers& answers) {
+Response workResponse(const WorkResponses& answers) {
   if (!answers.ledgers && !answers.controllers) {
-    return unansweredControlCall();
+    return controlTimeoutResponse();
   }
   const Json body = {
       {"ledgers", answers.ledgers ? toJson(*answers.ledgers) : Json(nullptr)},
       {"controllers", answers.controllers ? toJson(*answers.controllers) : Json(nullptr)}};
-  Answer answer;
+  Response answer;
   answer.body = dumped(body);
   answer.headers.add("Content-Type", "application/json");
   return answer;
--- a/src/edge/work_call.h
+++ b/src/edge/work_call.h
@@ -12,7 +12,7 @@
 namespace tackpick::edge {
 
 /// What the two leaders answered; nothing where one did not in time.
-struct WorkAnswers {
+struct WorkResponses {
   std::optional<jobs::WorkReport> ledgers;
   std::optional<directory::WeightsSummary> controllers;
 };
@@ -20,6 +20,6 @@
 /// Nothing when the request is no such call.
 [[nodiscard]] std::optional<ControlCall> workCall(const http::RawRequest& request);
 /// 503 when neither leader answered; else a part without an answer is null.
-[[nodiscard]] Answer workAnswer(const WorkAnswers& answers);
+[[nodiscard]] Response workResponse(const WorkResponses& answers);
 
 }  // namespace tackpick::edge
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -5,7 +5,7 @@
 #include "directory/request_label.h"
 #include "edge/capacity_call.h"
 #include "edge/quarantine_call.h"
-#include "edge/unanswered.h"
+#include "edge/timeout_responses.h"
 #include "edge/work_call.h"
 #include "http/status.h"
 #include "node/node.h"
@@ -82,8 +82,8 @@
   node_.member().call(
       *directoryCall, kCallDeadline, node_.now(),
       [this, exchange, directoryCall, begun = node_.now()](const directory::DirectoryReply* reply) {
-        const edge::Answer answer =
-            reply == nullptr ? edge::unansweredControlCall() : answerFor(*directoryCall, *reply);
+        const edge::Response answer =
+            reply == nullptr ? edge::controlTimeoutResponse() : answerFor(*directoryCall, *reply);
         exchange->respond(answer.status, answer.headers, answer.body);
         onReply(*directoryCall, reply, answer.status, node_.now() - begun);
       });
@@ -103,14 +103,15 @@
 
 void ControlServer::answerWork(const std::shared_ptr<http::Exchange>& exchange) {
   readWork(node_, kCallDeadline,
-           [this, exchange, begun = node_.now()](const edge::WorkAnswers& answers) {
-             const edge::Answer answer = edge::workAnswer(answers);
+           [this, exchange, begun = node_.now()](const edge::WorkResponses& answers) {
+             const edge::Response answer = edge::workResponse(answers);
              exchange->respond(answer.status, answer.headers, answer.body);
              onWorkRead(answers, answer.status, node_.now() - begun);
            });
 }
 
-void ControlServer::onWorkRead(const edge::WorkAnswers& answers, int status, base::Duration took) {
+void ControlServer::onWorkRead(const edge::WorkResponses& answers, int status,
+                               base::Duration took) {
   node_.metrics().count(telemetry::CounterId::kControlCalls,
                         std::string(kReadWork) + "_" + std::to_string(status));
   node_.metrics().observe(telemetry::HistogramId::kControlCallTime, took);
@@ -131,20 +132,20 @@
     return false;
   }
   const bool taken = verdict == Verdict::kTaken;
-  const edge::Answer answer =
-      taken ? answerFor(directory::DirectoryRequest{heartbeat}, {}) : edge::unansweredControlCall();
+  const edge::Response answer = taken ? answerFor(directory::DirectoryRequest{heartbeat}, {})
+                                      : edge::controlTimeoutResponse();
   exchange->respond(answer.status, answer.headers, answer.body);
   node_.metrics().count(telemetry::CounterId::kControlCalls,
                         taken ? "heartbeat_relayed" : "heartbeat_without_leader");
   return true;
 }
 
-edge::Answer ControlServer::answerFor(const directory::DirectoryRequest& request,
-                                      directory::DirectoryReply reply) const {
-  if (const auto own = edge::quarantineAnswer(request, reply)) {
+edge::Response ControlServer::answerFor(const directory::DirectoryRequest& request,
+                                        directory::DirectoryReply reply) const {
+  if (const auto own = edge::quarantineResponse(request, reply)) {
     return *own;
   }
-  if (const auto own = edge::capacityAnswer(request, reply)) {
+  if (const auto own = edge::capacityResponse(request, reply)) {
     return *own;
   }
   if (std::holds_alternative<directory::InstanceHeartbeat>(request)) {
@@ -152,7 +153,7 @@
     const transport::Endpoint& own = node_.settings().control;
     reply.text = own.host + ":" + std::to_string(own.port);
   }
-  return node_.apiAdapter().controlAnswer(request, reply);
+  return node_.apiAdapter().controlResponse(request, reply);
 }
 
 void ControlServer::tick() {
--- a/src/node/control_server.h
+++ b/src/node/control_server.h
@@ -32,13 +32,13 @@
 
   /// Answers what waits and why, from the leaders of both groups.
   void answerWork(const std::shared_ptr<http::Exchange>& exchange);
-  void onWorkRead(const edge::WorkAnswers& answers, int status, base::Duration took);
+  void onWorkRead(const edge::WorkResponses& answers, int status, base::Duration took);
   /// False when the leader must decide.
   bool answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
                        const std::shared_ptr<http::Exchange>& exchange);
   /// An answer of the directory as the caller gets it.
-  [[nodiscard]] edge::Answer answerFor(const directory::DirectoryRequest& request,
-                                       directory::DirectoryReply reply) const;
+  [[nodiscard]] edge::Response answerFor(const directory::DirectoryRequest& request,
+                                         directory::DirectoryReply reply) const;
 
   Node& node_;
   directory::HeartbeatRelay relay_;
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "edge/unanswered.h"
+#include "edge/timeout_responses.h"
 #include "http/status.h"
 #include "jobs/request_label.h"
 #include "node/node.h"
@@ -182,8 +182,9 @@
                                 const std::shared_ptr<http::Exchange>& exchange) {
   const base::TimePoint begun = node_.now();
   const auto onReply = [this, request, exchange, begun](const jobs::JobReply* reply) {
-    const edge::Answer answer = reply == nullptr ? edge::unansweredJobCall(request)
-                                                 : node_.apiAdapter().jobAnswer(request, *reply);
+    const edge::Response answer = reply == nullptr
+                                      ? edge::jobTimeoutResponse(request)
+                                      : node_.apiAdapter().jobResponse(request, *reply);
     exchange->respond(answer.status, answer.headers, answer.body);
     onJobReply(request, reply, answer, node_.now() - begun);
   };
@@ -195,7 +196,7 @@
 }
 
 void GatewayServer::onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
-                               const edge::Answer& answer, base::Duration took) {
+                               const edge::Response& answer, base::Duration took) {
   const jobs::RequestLabel name = jobs::labelOf(request);
   node_.metrics().count(telemetry::CounterId::kLedgerCalls,
                         std::string(name.call) + "_" + std::to_string(answer.status));
--- a/src/node/gateway_server.h
+++ b/src/node/gateway_server.h
@@ -50,7 +50,7 @@
   void callLedgers(const jobs::JobRequest& request,
                    const std::shared_ptr<http::Exchange>& exchange);
   void onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
-                  const edge::Answer& answer, base::Duration took);
+                  const edge::Response& answer, base::Duration took);
   /// How long a planned stop may take; a little of the grace period is left for the end.
   [[nodiscard]] base::Duration maxStop() const;
   /// Tells of callers whose connections were cut since they did not read.
--- a/src/node/work_reader.cpp
+++ b/src/node/work_reader.cpp
@@ -9,9 +9,9 @@
 
 /// Two calls under way.
 struct WorkRead {
-  edge::WorkAnswers answers;
+  edge::WorkResponses answers;
   int underWay = 2;
-  std::function<void(const edge::WorkAnswers& answers)> done;
+  std::function<void(const edge::WorkResponses& answers)> done;
 
   void onEnded() {
     --underWay;
@@ -24,7 +24,7 @@
 }  // namespace
 
 void readWork(Node& node, base::Duration deadline,
-              std::function<void(const edge::WorkAnswers& answers)> done) {
+              std::function<void(const edge::WorkResponses& answers)> done) {
   const auto read = std::make_shared<WorkRead>();
   read->done = std::move(done);
   node.member().call(jobs::JobRequest{jobs::ReadWork{}}, deadline, node.now(),
--- a/src/node/work_reader.h
+++ b/src/node/work_reader.h
@@ -14,6 +14,6 @@
 /// Asks the ledgers' and the controllers' leader at the same time; `done` is called once, when both
 /// have answered or their deadlines are over.
 void readWork(Node& node, base::Duration deadline,
-              std::function<void(const edge::WorkAnswers& answers)> done);
+              std::function<void(const edge::WorkResponses& answers)> done);
 
 }  // namespace tackpick::node
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -211,11 +211,11 @@
 Test(platform_dialect, answers_promise_no_more_than_is_known) {
   const platform::PlatformAdapter apiAdapter;
   jobs::JobReply reply;
-  cr_assert_eq(apiAdapter.jobAnswer(jobs::SubmitJob{}, reply).status, 202);
+  cr_assert_eq(apiAdapter.jobResponse(jobs::SubmitJob{}, reply).status, 202);
   reply.status = jobs::JobStatus::kNotFound;
-  cr_assert_eq(apiAdapter.jobAnswer(jobs::ReadJob{}, reply).status, 404);
+  cr_assert_eq(apiAdapter.jobResponse(jobs::ReadJob{}, reply).status, 404);
   directory::DirectoryReply invalid{directory::DirectoryStatus::kInvalid, "why", std::nullopt};
-  cr_assert_eq(apiAdapter.controlAnswer(directory::ReplaceConfiguration{}, invalid).status, 400);
+  cr_assert_eq(apiAdapter.controlResponse(directory::ReplaceConfiguration{}, invalid).status, 400);
 }
 
 Test(platform_dialect, calls_at_a_controller) {
--- a/test/runtime/work_call_test.cpp
+++ b/test/runtime/work_call_test.cpp
@@ -46,7 +46,9 @@
   return made;
 }
 
-Json body(const edge::WorkAnswers& answers) { return Json::parse(edge::workAnswer(answers).body); }
+Json body(const edge::WorkResponses& answers) {
+  return Json::parse(edge::workResponse(answers).body);
+}
 
 }  // namespace
 
@@ -82,7 +84,7 @@
   const Json noControllers = body({report(), std::nullopt});
   cr_assert(noControllers["controllers"].is_null());
   cr_assert_eq(noControllers["ledgers"]["total_jobs"], 201);
-  cr_assert_eq(edge::workAnswer({}).status, 503);
+  cr_assert_eq(edge::workResponse({}).status, 503);
 }
 
 Test(work_call, name_of_a_job_may_hold_any_bytes) {
