--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -85,7 +85,7 @@
         watching_ = false;
         const auto reply =
             result == nullptr ? std::nullopt : base::decode<directory::DirectoryReply>(*result);
-        auto news = reply ? directory::viewOf(*reply) : std::nullopt;
+        auto news = reply ? directory::decodeView(*reply) : std::nullopt;
         if (news) {
           m_confirmedAt = asked;
           accept(std::move(*news), at);
@@ -157,7 +157,7 @@
   news.removed = std::move(removed);
 }
 
-base::NodeId ClusterMember::nearbyLedger() const {
+base::NodeId ClusterMember::zoneLedger() const {
   const directory::LedgerSummary* nearest = nullptr;
   for (const directory::LedgerSummary& sight : view_.ledgers) {
     const bool member = ledger_voters_.empty() || ledger_voters_.contains(sight.node);
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -82,7 +82,7 @@
   void requestFullView() { view_.revision = 0; }
   /// A ledger in this node's zone that keeps batches; invalid when none is heard there. Of 80
   /// ledgers five do, and reads that go to another one are answered twice.
-  [[nodiscard]] base::NodeId nearbyLedger() const;
+  [[nodiscard]] base::NodeId zoneLedger() const;
   /// The newest configuration known; version 0 before the first.
   [[nodiscard]] const directory::Configuration& configuration() const { return configuration_; }
   /// Up to when configuration() is known to have been the newest: a leader of the controllers
--- a/src/cluster/group_repair.h
+++ b/src/cluster/group_repair.h
@@ -34,7 +34,7 @@
   std::size_t wanted = 0;  ///< sound voters that the losses to be borne need
 
   bool operator==(const GroupHealth&) const = default;
-  [[nodiscard]] bool isOfSize() const { return heard >= wanted; }
+  [[nodiscard]] bool isAtTargetSize() const { return heard >= wanted; }
 };
 
 /// As judged by what is known of the nodes.
--- a/src/directory/configuration.h
+++ b/src/directory/configuration.h
@@ -18,7 +18,7 @@
 /// What may be done with a request of a route.
 enum class RouteKind : std::uint8_t {
   kRepeatable,  ///< may run more than once
-  kOnce,        ///< at most once
+  kAtMostOnce,  ///< at most once
   kBatch,       ///< submits batches of items
 };
 
@@ -37,7 +37,7 @@
   std::string name;
   std::string host;        ///< lower case, without a port
   std::string pathPrefix;  ///< begins and ends with a slash
-  RouteKind kind = RouteKind::kOnce;
+  RouteKind kind = RouteKind::kAtMostOnce;
   bool streaming = false;  ///< answers are passed on as they come
   bool resumable = false;  ///< a broken stream may go on at another engine
   bool open = false;       ///< needs no key of a tenant
--- a/src/directory/directory_messages.cpp
+++ b/src/directory/directory_messages.cpp
@@ -9,18 +9,18 @@
 
 }  // namespace
 
-void packView(DirectoryReply& reply) {
+void compressView(DirectoryReply& reply) {
   if (reply.view) {
-    reply.packedView = base::compress(base::encode(*reply.view));
+    reply.compressedView = base::compress(base::encode(*reply.view));
     reply.view.reset();
   }
 }
 
-std::optional<DirectoryView> viewOf(const DirectoryReply& reply) {
-  if (reply.view || reply.packedView.empty()) {
+std::optional<DirectoryView> decodeView(const DirectoryReply& reply) {
+  if (reply.view || reply.compressedView.empty()) {
     return reply.view;
   }
-  const auto bytes = base::decompress(reply.packedView, kMaxViewBytes);
+  const auto bytes = base::decompress(reply.compressedView, kMaxViewBytes);
   return bytes ? base::decode<DirectoryView>(*bytes) : std::nullopt;
 }
 
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -268,9 +268,9 @@
   /// Of the ledgers' group, as its leader last reported them; empty until it has.
   std::set<base::NodeId> ledgerVoters;
   std::uint32_t gateways = 1;  ///< heard of lately
-  bool nodesSettled = false;   ///< the leader has led long enough to have heard of every node
+  bool allNodesSeen = false;   ///< the leader has led long enough to have heard of every node
   /// Usage of earlier windows is decided; zero: none is.
-  duties::WindowNumber usageFrom = 0;
+  duties::WindowNumber firstOpenUsageWindow = 0;
   std::vector<quarantine::HeldRequest> heldRequests;  ///< by fingerprint
   base::WallTime clusterTime;  ///< when this was told: true time, as the leader sees it
 
@@ -278,7 +278,7 @@
   void serialize(Archive& archive) {
     archive(revision, whole, since, removed, configuration, configurationVersion, instances,
             publishedVersions, controllers, ledgers, initialLedgerVoters, ledgerVoters, gateways,
-            nodesSettled, usageFrom, heldRequests, clusterTime);
+            allNodesSeen, firstOpenUsageWindow, heldRequests, clusterTime);
   }
 };
 
@@ -289,7 +289,7 @@
   /// Instead of `view`: the same, encoded and compressed. Nodes that hold the same get the same
   /// bytes: whole views of 3,000 instances are 1 MB each, and after a change of leader 300 nodes
   /// want one at once.
-  base::Bytes packedView = {};
+  base::Bytes compressedView = {};
   std::vector<quarantine::HoldSummary> holds = {};  ///< answers ReadQuarantine
   std::vector<duties::PoolSummary> capacity = {};   ///< answers ReadCapacity
   /// Answers ReadWeights; nothing while a new leader has not begun to decide.
@@ -297,14 +297,14 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(status, text, view, packedView, holds, capacity, weights);
+    archive(status, text, view, compressedView, holds, capacity, weights);
   }
 };
 
 /// Packs the reply's view.
-void packView(DirectoryReply& reply);
+void compressView(DirectoryReply& reply);
 /// The reply's view, unpacked where it is packed; nothing when it has none or it is damaged.
-[[nodiscard]] std::optional<DirectoryView> viewOf(const DirectoryReply& reply);
+[[nodiscard]] std::optional<DirectoryView> decodeView(const DirectoryReply& reply);
 
 // Through the log.
 
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -68,8 +68,8 @@
   }
   view.gateways = std::max(view.gateways, 1U);
   view.heldRequests = state_.quarantine().told();
-  view.usageFrom = state_.usage().next().value_or(0);
-  view.nodesSettled = now - leader_since_ > settings_.repair.silenceLimit;
+  view.firstOpenUsageWindow = state_.usage().next().value_or(0);
+  view.allNodesSeen = now - leader_since_ > settings_.repair.silenceLimit;
   return view;
 }
 
--- a/src/directory/route_table.cpp
+++ b/src/directory/route_table.cpp
@@ -37,7 +37,7 @@
   return nullptr;
 }
 
-const std::string& drawService(const Route& route, base::Random& random) {
+const std::string& pickService(const Route& route, base::Random& random) {
   std::uint64_t total = 0;
   for (const TrafficSplit& split : route.splits) {
     total += split.weight;
--- a/src/directory/route_table.h
+++ b/src/directory/route_table.h
@@ -27,7 +27,7 @@
 };
 
 /// Draws one of a route's services by weight.
-[[nodiscard]] const std::string& drawService(const Route& route, base::Random& random);
+[[nodiscard]] const std::string& pickService(const Route& route, base::Random& random);
 /// The host in lower case, without a port.
 [[nodiscard]] std::string normalizeHost(std::string_view host);
 
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -27,7 +27,7 @@
     return std::nullopt;
   }
   duties::CapacityDemand demand;
-  demand.toldBefore = now - *work.heardAt;
+  demand.reportAge = now - *work.heardAt;
   for (const std::string& model : service.models) {
     const auto open = work.works.find(model);
     if (open != work.works.end() && !open->second.empty()) {
--- a/src/directory/watch_queue.cpp
+++ b/src/directory/watch_queue.cpp
@@ -37,7 +37,7 @@
     reply.view->configuration = configuration;
     reply.view->configuration->document.clear();
   }
-  packView(reply);
+  compressView(reply);
   return base::encode(reply);
 }
 
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -14,7 +14,7 @@
     return decision;
   }
   decision.workKnown = true;
-  decision.workAge = service.demand->toldBefore;
+  decision.workAge = service.demand->reportAge;
   for (const auto& [model, works] : service.demand->works) {
     for (const jobs::OpenJob& work : works) {
       decision.items += work.items;
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -38,7 +38,7 @@
 std::uint32_t FollowWaitingWork::lastingShortage(const CapacityDemand& demand,
                                                  base::TimePoint now) {
   // The same figures, seen again, are no news.
-  const base::TimePoint reportedAt = now - demand.toldBefore;
+  const base::TimePoint reportedAt = now - demand.reportAge;
   const std::uint32_t shortage = shortageOf(demand);
   if (shortage == 0) {
     m_shortSince.reset();
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -24,7 +24,7 @@
 struct CapacityDemand {
   jobs::OpenJobsByModel works;    ///< of the models of that service only
   std::uint32_t activeSlots = 0;  ///< of the instances that serve
-  base::Duration toldBefore{0};   ///< age of these figures
+  base::Duration reportAge{0};    ///< age of these figures
   double recentEvents = 0;        ///< of streams of those models, jobs or not; older count less
 
   [[nodiscard]] bool idle() const {
--- a/src/jobs/gateway_capacity.cpp
+++ b/src/jobs/gateway_capacity.cpp
@@ -35,7 +35,7 @@
 
 bool textsFillMemory(const GatewayCapacity& capacity) {
   const double bytes = capacity.memoryMb * kMemoryForItems * kBytesPerMegabyte;
-  return bytes > 0 && static_cast<double>(capacity.heldTextBytes) > bytes;
+  return bytes > 0 && static_cast<double>(capacity.bufferedTextBytes) > bytes;
 }
 
 }  // namespace
--- a/src/jobs/gateway_capacity.h
+++ b/src/jobs/gateway_capacity.h
@@ -16,12 +16,12 @@
   std::uint32_t memoryMb = 0;
   std::uint32_t fileDescriptors = 0;
   double linkMbps = 0;
-  std::uint64_t heldTextBytes = 0;  ///< of the items that it runs
-  base::Duration tickLateness{0};   ///< how late its event loop ticks
+  std::uint64_t bufferedTextBytes = 0;  ///< of the items that it runs
+  base::Duration tickLateness{0};       ///< how late its event loop ticks
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(processorCores, memoryMb, fileDescriptors, linkMbps, heldTextBytes, tickLateness);
+    archive(processorCores, memoryMb, fileDescriptors, linkMbps, bufferedTextBytes, tickLateness);
   }
 };
 
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -397,7 +397,7 @@
   replyWith(pending.caller, reply);
 }
 
-std::optional<consensus::Membership> JobRole::settledMembership(base::TimePoint now) const {
+std::optional<consensus::Membership> JobRole::stableMembership(base::TimePoint now) const {
   if (!replica_.canRead(now) || replica_.raft().membershipChangePending()) {
     return std::nullopt;
   }
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -68,7 +68,7 @@
   [[nodiscard]] transport::Outbox finish(base::TimePoint now);
   void prepareStop(base::TimePoint now) { replica_.raft().transferLeadership(now); }
   /// The group's members, when this ledger leads it and no change of them is under way.
-  [[nodiscard]] std::optional<consensus::Membership> settledMembership(base::TimePoint now) const;
+  [[nodiscard]] std::optional<consensus::Membership> stableMembership(base::TimePoint now) const;
 
   /// Jobs that are not settled; nothing when another leads.
   [[nodiscard]] std::optional<OpenJobsByModel> openJobs(base::TimePoint now) const;
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -55,7 +55,7 @@
         policy_(route, request_.receivedAt, callerDeadline()) {}
 
   void start() {
-    need_.service = directory::drawService(route_, node_.random());
+    need_.service = directory::pickService(route_, node_.random());
     exchange_->onClosed([self = shared_from_this()] { self->onCallerGone(); });
     deadline_timer_.expires_after(policy_.deadline() - node_.now());
     deadline_timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -111,7 +111,7 @@
   capacity.linkMbps = limits.linkMbps.value_or(0);
   capacity.tickLateness = m_lateness.average();
   for (const auto& [key, item] : items_) {
-    capacity.heldTextBytes += item->run.textBytes();
+    capacity.bufferedTextBytes += item->run.textBytes();
   }
   return capacity;
 }
@@ -247,7 +247,7 @@
     retryLater(item, kHeldDelay);
     return;
   }
-  item.service = directory::drawService(*route, node_.random());
+  item.service = directory::pickService(*route, node_.random());
   const forwarding::InstanceEntry* entry = chooseInstance(item, now);
   if (entry == nullptr) {
     retryLater(item, kRetryDelay);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -167,7 +167,7 @@
     return ledger_ ? ledger_->openJobs(now()) : std::nullopt;
   });
   member_->reportLedgerMembership([this]() -> std::optional<consensus::Membership> {
-    return ledger_ ? ledger_->settledMembership(now()) : std::nullopt;
+    return ledger_ ? ledger_->stableMembership(now()) : std::nullopt;
   });
 }
 
@@ -450,7 +450,7 @@
   } else {
     ledger_->changeEngines(placementEngines(view.instances), view.removed);
   }
-  if (!view.nodesSettled) {
+  if (!view.allNodesSeen) {
     return;
   }
   std::vector<cluster::GroupNode> nodes;
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -72,12 +72,12 @@
   if (!health || health == m_reportedHealth) {
     return;
   }
-  const bool wasOfSize = m_reportedHealth && m_reportedHealth->isOfSize();
+  const bool wasOfSize = m_reportedHealth && m_reportedHealth->isAtTargetSize();
   m_reportedHealth = health;
-  if (health->isOfSize() && wasOfSize) {
+  if (health->isAtTargetSize() && wasOfSize) {
     return;
   }
-  logEvent(health->isOfSize() ? EventId::kGroupOfSize : EventId::kGroupBelowSize,
+  logEvent(health->isAtTargetSize() ? EventId::kGroupOfSize : EventId::kGroupBelowSize,
            Detail()
                .add("group", replica.group().value)
                .add("voters", health->voters)
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -90,7 +90,7 @@
     call.notBefore = now + kHeldDelay;
     return;
   }
-  call.service = directory::drawService(*route, m_node.random());
+  call.service = directory::pickService(*route, m_node.random());
   const forwarding::InstanceRequirements need{call.service, {}, 0, false, call.trial};
   const auto* entry = m_instances.select(need, call.tried, m_node.random(), now);
   if (entry == nullptr) {
--- a/src/node/usage_sender.cpp
+++ b/src/node/usage_sender.cpp
@@ -32,8 +32,8 @@
   if (view.clusterTime != base::WallTime{}) {
     m_clusterTime.onTold(view.clusterTime, m_node.now());
   }
-  if (view.usageFrom > 0) {
-    m_counter.forgetThrough(view.usageFrom - 1);
+  if (view.firstOpenUsageWindow > 0) {
+    m_counter.forgetThrough(view.firstOpenUsageWindow - 1);
   }
 }
 
--- a/test/cluster/cluster_member_test.cpp
+++ b/test/cluster/cluster_member_test.cpp
@@ -149,18 +149,18 @@
   own.zone = "a";
   Fixture fixture(own);
   directory::DirectoryView view = viewOfLedgers(30);
-  cr_assert_not(fixture.member.nearbyLedger().valid());
+  cr_assert_not(fixture.member.zoneLedger().valid());
   view.ledgerVoters = {ledger(17)};
   for (directory::LedgerSummary& sight : view.ledgers) {
     sight.silence = base::milliseconds(10);
   }
   view.ledgers[17].silence = base::milliseconds(400);
   fixture.tell(view);
-  cr_assert(fixture.member.nearbyLedger() == ledger(17));
+  cr_assert(fixture.member.zoneLedger() == ledger(17));
   view.ledgerVoters = {ledger(40)};
   view.revision = 2;
   fixture.tell(view);
-  cr_assert_not(fixture.member.nearbyLedger().valid(), "no voter in the zone");
+  cr_assert_not(fixture.member.zoneLedger().valid(), "no voter in the zone");
 }
 
 Test(cluster_member, changes_are_passed_on_only_when_they_follow_the_view_that_is_held) {
--- a/test/cluster/cluster_world.cpp
+++ b/test/cluster/cluster_world.cpp
@@ -91,7 +91,7 @@
       std::make_unique<cluster::ClusterMember>(record, member, base::CallId{random_.next()});
   node.member->onView([this, &node](const directory::DirectoryView& view) { onView(node, view); });
   node.member->reportLedgerMembership([this, &node]() -> std::optional<consensus::Membership> {
-    return node.ledger ? node.ledger->settledMembership(now_) : std::nullopt;
+    return node.ledger ? node.ledger->stableMembership(now_) : std::nullopt;
   });
   if (node.role == directory::NodeRole::kController) {
     openLog(node, directory::kDirectoryGroup, foundingControllers());
@@ -135,7 +135,7 @@
   if (!node.ledger && !view.initialLedgerVoters.empty()) {
     openLedger(node, view.initialLedgerVoters);
   }
-  if (!node.ledger || !view.nodesSettled) {
+  if (!node.ledger || !view.allNodesSeen) {
     return;
   }
   std::vector<cluster::GroupNode> nodes;
--- a/test/cluster/group_repair_test.cpp
+++ b/test/cluster/group_repair_test.cpp
@@ -137,7 +137,7 @@
   const auto group = voters({node(1), node(2), node(3)});
   const cluster::GroupHealth health = cluster::judgeGroup(group, nodes, five);
   cr_assert(health == (cluster::GroupHealth{3, 2, 5}));
-  cr_assert_not(health.isOfSize());
-  cr_assert(cluster::judgeGroup(group, nodes, {2, base::milliseconds(2500)}).isOfSize());
+  cr_assert_not(health.isAtTargetSize());
+  cr_assert(cluster::judgeGroup(group, nodes, {2, base::milliseconds(2500)}).isAtTargetSize());
   cr_assert_not(cluster::canGrow(group, nodes, five), "nobody else is heard");
 }
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -68,7 +68,7 @@
     ask(watch);
     run(base::milliseconds(50));
     cr_assert_not(answers.empty());
-    return *directory::viewOf(*base::decode<directory::DirectoryReply>(answers.back().payload));
+    return *directory::decodeView(*base::decode<directory::DirectoryReply>(answers.back().payload));
   }
 
   simulation::SimulatedDisk disk;
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -103,7 +103,7 @@
   base::SeededRandom random(1);
   std::map<std::string, int> drawn;
   for (int i = 0; i < 10'000; ++i) {
-    ++drawn[directory::drawService(split, random)];
+    ++drawn[directory::pickService(split, random)];
   }
   cr_assert_eq(drawn["never"], 0);
   cr_assert(drawn["two"] > 850 && drawn["two"] < 1150, "%d", drawn["two"]);
--- a/test/directory/view_history_test.cpp
+++ b/test/directory/view_history_test.cpp
@@ -44,7 +44,7 @@
 struct Answers {
   void operator()(const cluster::ServiceCaller& caller, const base::Bytes& payload) {
     nodes.push_back(caller.node.value);
-    views.push_back(*directory::viewOf(*base::decode<directory::DirectoryReply>(payload)));
+    views.push_back(*directory::decodeView(*base::decode<directory::DirectoryReply>(payload)));
   }
   std::vector<std::uint64_t> nodes;
   std::vector<directory::DirectoryView> views;
@@ -247,7 +247,7 @@
   std::size_t wholeBytes = 0;
   const auto answer = [&](const cluster::ServiceCaller& caller, const base::Bytes& payload) {
     directory::DirectoryView& view = held[caller.node.value];
-    view = *directory::viewOf(*base::decode<directory::DirectoryReply>(payload));
+    view = *directory::decodeView(*base::decode<directory::DirectoryReply>(payload));
     wholeBytes += view.whole ? payload.size() : 0;
   };
   // All hold a view of the former leader; the last are ledgers.
@@ -303,13 +303,13 @@
   }
   reply.view->revision = 5;
   const std::size_t plain = base::encode(reply).size();
-  directory::packView(reply);
+  directory::compressView(reply);
   cr_assert_lt(base::encode(reply).size() * 4, plain);
-  const auto view = directory::viewOf(reply);
+  const auto view = directory::decodeView(reply);
   cr_assert(view.has_value());
   cr_assert_eq(view->revision, 5U);
   cr_assert_eq(view->instances.size(), 3000U);
   cr_assert_eq(view->instances[42].versions.at("third"), 9U);
-  reply.packedView.resize(reply.packedView.size() / 2);
-  cr_assert_not(directory::viewOf(reply).has_value(), "damaged");
+  reply.compressedView.resize(reply.compressedView.size() / 2);
+  cr_assert_not(directory::decodeView(reply).has_value(), "damaged");
 }
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -212,10 +212,10 @@
   for (int step = 0; step < 36; ++step) {
     world.step();
     world.now += base::milliseconds(50);
-    world.demand->toldBefore += base::milliseconds(50);
+    world.demand->reportAge += base::milliseconds(50);
   }
   cr_assert(world.sent.empty());
-  world.demand->toldBefore = {};
+  world.demand->reportAge = {};
   world.run(base::milliseconds(300));
   cr_assert_eq(world.sent.size(), 3U, "told again: it has lasted");
 }
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -347,7 +347,7 @@
 
 Test(attempt_policy, once_only_requests_are_repeated_only_when_not_run) {
   const base::TimePoint start{};
-  forwarding::RetryPolicy policy(route(directory::RouteKind::kOnce), start,
+  forwarding::RetryPolicy policy(route(directory::RouteKind::kAtMostOnce), start,
                                  start + base::seconds(2));
   cr_assert(policy.maySend(start));
   policy.onSend();
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -47,7 +47,7 @@
       servers[id].places = kSlots + 2;
     }
     table.update(views);
-    route.kind = directory::RouteKind::kOnce;
+    route.kind = directory::RouteKind::kAtMostOnce;
     route.timeout = base::seconds(1);
     route.attempts = 2;
   }
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -62,7 +62,7 @@
 
 Test(gateway_capacity, texts_that_fill_the_memory_leave_the_fewest_places) {
   jobs::GatewayCapacity capacity = machine(0.2);
-  capacity.heldTextBytes = 41U << 20U;
+  capacity.bufferedTextBytes = 41U << 20U;
   cr_assert_eq(jobs::slotsFor(capacity), jobs::kMinGatewaySlots);
 }
 
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -62,7 +62,7 @@
   cr_assert_eq(batch.queueTimeout.count(), base::Duration(base::milliseconds(40'500)).count());
   cr_assert(configuration->routes[1].kind == directory::RouteKind::kRepeatable);
   cr_assert_eq(configuration->routes[1].splits[0].weight, 90U);
-  cr_assert(configuration->routes[2].kind == directory::RouteKind::kOnce);
+  cr_assert(configuration->routes[2].kind == directory::RouteKind::kAtMostOnce);
   cr_assert_eq(configuration->services[0].models.at(0), "m");
   cr_assert_eq(configuration->limits.bodyBytes, 1000U);
 }
