--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -42,21 +42,23 @@
   void onConfiguration(ConfigurationHandler handler) { m_onConfiguration = std::move(handler); }
   /// What the ledgers' leader reports of its group; nothing elsewhere.
   using MembershipSource = std::function<std::optional<consensus::Membership>()>;
-  void reportLedgerMembership(MembershipSource source) { ledger_membership_ = std::move(source); }
+  void setLedgerMembershipSource(MembershipSource source) {
+    ledger_membership_ = std::move(source);
+  }
 
   /// This gateway's recent work by model.
   using WorkSource = std::function<std::map<std::string, double>()>;
-  void reportWork(WorkSource source) { work_ = std::move(source); }
+  void setRecentWorkSource(WorkSource source) { work_ = std::move(source); }
 
   /// What is open, where this is the ledgers' leader; nothing elsewhere.
   using OpenWorkSource = std::function<std::optional<jobs::OpenJobsByModel>()>;
-  void reportOpenWork(OpenWorkSource source) { m_openJobs = std::move(source); }
+  void setOpenJobsSource(OpenWorkSource source) { m_openJobs = std::move(source); }
 
   /// What this gateway has counted.
   using UsageSource = std::function<duties::GatewayUsage()>;
-  void reportUsage(UsageSource source) { usage_ = std::move(source); }
+  void setUsageSource(UsageSource source) { usage_ = std::move(source); }
   /// What this machine's clock shows.
-  void reportClock(const base::WallTimeSource& clock) { clock_ = &clock; }
+  void setClock(const base::WallTimeSource& clock) { clock_ = &clock; }
 
   void onResponse(const transport::CommandResponse& response, base::TimePoint now);
   /// The connection to a node broke: calls sent there are sent again soon, to another.
--- a/src/duties/usage_counter.cpp
+++ b/src/duties/usage_counter.cpp
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-void UsageCounter::onBegan(const std::string& tenant, base::WallTime at) {
+void UsageCounter::onRequestStarted(const std::string& tenant, base::WallTime at) {
   if (tenant.empty() || m_windowLength == base::Duration{0}) {
     return;
   }
@@ -21,7 +21,7 @@
   }
 }
 
-void UsageCounter::forgetThrough(WindowNumber window) {
+void UsageCounter::discardThrough(WindowNumber window) {
   m_windows.erase(m_windows.begin(), m_windows.upper_bound(window));
 }
 
--- a/src/duties/usage_counter.h
+++ b/src/duties/usage_counter.h
@@ -13,9 +13,9 @@
   explicit UsageCounter(base::Duration windowLength) : m_windowLength(windowLength) {}
 
   /// A request of `tenant` began to run; an empty name is nobody's.
-  void onBegan(const std::string& tenant, base::WallTime at);
+  void onRequestStarted(const std::string& tenant, base::WallTime at);
   /// Windows up to this one are decided: what they hold is of no use any more.
-  void forgetThrough(WindowNumber window);
+  void discardThrough(WindowNumber window);
   [[nodiscard]] GatewayUsage present(base::WallTime now) const;
   /// Rises with each request counted.
   [[nodiscard]] std::uint64_t revision() const { return m_revision; }
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -128,7 +128,7 @@
   }
 }
 
-bool InstanceTable::hasEnded(const std::string& id) const {
+bool InstanceTable::hasRestarted(const std::string& id) const {
   const InstanceEntry* entry = find(id);
   return entry != nullptr && entry->ended;
 }
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -138,7 +138,7 @@
                                               const std::set<std::string>& tried,
                                               base::Random& random, base::TimePoint now) const;
   /// True when what runs at that instance is over, since it has started again.
-  [[nodiscard]] bool hasEnded(const std::string& id) const;
+  [[nodiscard]] bool hasRestarted(const std::string& id) const;
   /// True when the instance may be sent to now.
   [[nodiscard]] bool isUsable(const std::string& id, const InstanceRequirements& need,
                               base::TimePoint now) const;
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -282,7 +282,7 @@
       status == kMisdirected || headers.has(node_.apiAdapter().headers().notExecuted);
   if (!turnedAway) {
     // The head of a stream comes with its first piece; other answers come when they are done.
-    usage_.onBegan(tenant_, route_.streaming ? node_.now() : send.sentAt);
+    usage_.onRequestStarted(tenant_, route_.streaming ? node_.now() : send.sentAt);
   }
   if (route_.streaming && status < kFirstError) {
     send.relay = std::make_shared<http::StreamRelay>(node_.upstream(), send.exchange, exchange_);
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -78,7 +78,7 @@
                  [this](const http::RawRequest&, const std::shared_ptr<http::Exchange>& exchange) {
                    onReadiness(exchange);
                  }) {
-  node_.member().reportWork([this] { return items_.demand().recent(node_.now()); });
+  node_.member().setRecentWorkSource([this] { return items_.demand().recent(node_.now()); });
 }
 
 void GatewayServer::onView(const directory::DirectoryView& view) {
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -164,7 +164,7 @@
   bool m_activeGatewaysKnown = false;  ///< ... as the ledgers say; until then all gateways count
   bool standby_ = false;               ///< others run the items of this gateway's zone
   forwarding::ServiceModels engine_models_;
-  std::map<std::string, base::TimePoint> m_endings;  ///< of engines that say when they end
+  std::map<std::string, base::TimePoint> m_terminationTimes;  ///< of engines that say when they end
   bool leasing_ = false;
   bool committing_ = false;
   bool stopping_ = false;
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -31,7 +31,7 @@
   for (const auto& [key, item] : items_) {
     // An engine that has started again knows nothing of its runs: to wait for their silence would
     // cost the whole limit where its end was not seen, as behind a cut.
-    const bool ended = instances_.hasEnded(item->instance);
+    const bool ended = instances_.hasRestarted(item->instance);
     const bool over = now - item->lastByteAt > kSilenceLimit || ended;
     if (item->exchange.valid() && (item->unusable || over)) {
       node_.upstream().cancel(item->exchange);
@@ -139,7 +139,7 @@
 
 void ItemRunner::recordDraining(const directory::DirectoryView& view, base::TimePoint now) {
   for (const std::string& id : view.removed) {
-    m_endings.erase(id);
+    m_terminationTimes.erase(id);
   }
   std::map<std::string, base::TimePoint> told;
   for (const directory::InstanceView& instance : view.instances) {
@@ -150,18 +150,19 @@
   }
   // What was noted first is nearest to when it was said.
   if (view.whole) {
-    std::erase_if(m_endings, [&](const auto& entry) { return !told.contains(entry.first); });
+    std::erase_if(m_terminationTimes,
+                  [&](const auto& entry) { return !told.contains(entry.first); });
   }
-  m_endings.merge(told);
+  m_terminationTimes.merge(told);
 }
 
 void ItemRunner::moveFromDraining(base::TimePoint now) {
-  if (m_endings.empty()) {
+  if (m_terminationTimes.empty()) {
     return;
   }
   for (const auto& [key, item] : items_) {
-    const auto ending = m_endings.find(item->instance);
-    if (ending == m_endings.end() || !item->exchange.valid() || item->trial) {
+    const auto ending = m_terminationTimes.find(item->instance);
+    if (ending == m_terminationTimes.end() || !item->exchange.valid() || item->trial) {
       continue;
     }
     const double made = static_cast<double>(item->run.lastEvent().value_or(0)) -
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -116,7 +116,7 @@
       settings_.role == directory::NodeRole::kController && settings_.bootstrap && isSeed();
   const base::NodeId self = base::makeNodeId(number, isInitialVoter ? 0 : drawInstance());
   const runtime::NodeIdentity identity{settings_.cluster, self.value, 0};
-  BOOST_LEAF_CHECK(storage::writeDurably(*folder, kIdentityFile, base::encode(identity)));
+  BOOST_LEAF_CHECK(storage::writeFileAtomically(*folder, kIdentityFile, base::encode(identity)));
   return self;
 }
 
@@ -153,7 +153,7 @@
   member.seeds = seedNodes();
   member_ = std::make_unique<cluster::ClusterMember>(ownRecord(), member,
                                                      base::CallId{runtime::randomNumber()});
-  member_->reportClock(wall_clock_);
+  member_->setClock(wall_clock_);
   member_->onView([this](const directory::DirectoryView& view) { onView(view); });
   member_->onConfiguration([this](const directory::Configuration& newest) {
     if (m_gatewayServer) {
@@ -163,10 +163,10 @@
       ledger_->setTenantPriorities(jobs::TenantPriorities(newest.tenants));
     }
   });
-  member_->reportOpenWork([this]() -> std::optional<jobs::OpenJobsByModel> {
+  member_->setOpenJobsSource([this]() -> std::optional<jobs::OpenJobsByModel> {
     return ledger_ ? ledger_->openJobs(now()) : std::nullopt;
   });
-  member_->reportLedgerMembership([this]() -> std::optional<consensus::Membership> {
+  member_->setLedgerMembershipSource([this]() -> std::optional<consensus::Membership> {
     return ledger_ ? ledger_->stableMembership(now()) : std::nullopt;
   });
 }
--- a/src/node/usage_sender.cpp
+++ b/src/node/usage_sender.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 UsageSender::UsageSender(Node& node) : m_node(node), m_counter(node.settings().usageWindow) {
-  m_node.member().reportUsage([this] { return m_counter.present(clusterTime(m_node.now())); });
+  m_node.member().setUsageSource([this] { return m_counter.present(clusterTime(m_node.now())); });
 }
 
 base::WallTime UsageSender::clusterTime(base::TimePoint at) const {
@@ -24,8 +24,8 @@
   return m_clusterTime.at(at, m_node.wallClock().wallNow() - ago);
 }
 
-void UsageSender::onBegan(const std::string& tenant, base::TimePoint at) {
-  m_counter.onBegan(tenant, clusterTime(at));
+void UsageSender::onRequestStarted(const std::string& tenant, base::TimePoint at) {
+  m_counter.onRequestStarted(tenant, clusterTime(at));
 }
 
 void UsageSender::onView(const directory::DirectoryView& view) {
@@ -33,7 +33,7 @@
     m_clusterTime.onTold(view.clusterTime, m_node.now());
   }
   if (view.firstOpenUsageWindow > 0) {
-    m_counter.forgetThrough(view.firstOpenUsageWindow - 1);
+    m_counter.discardThrough(view.firstOpenUsageWindow - 1);
   }
 }
 
--- a/src/node/usage_sender.h
+++ b/src/node/usage_sender.h
@@ -19,7 +19,7 @@
   explicit UsageSender(Node& node);
 
   /// A request of `tenant` began to run.
-  void onBegan(const std::string& tenant, base::TimePoint at);
+  void onRequestStarted(const std::string& tenant, base::TimePoint at);
   void onView(const directory::DirectoryView& view);
   void tick();
   /// The controllers have heard of all that was counted.
--- a/src/runtime/node_identity.cpp
+++ b/src/runtime/node_identity.cpp
@@ -53,7 +53,7 @@
   const bool known = std::find(names.begin(), names.end(), kNodeFile) != names.end();
   BOOST_LEAF_AUTO(identity, known ? readIdentity(folder, settings) : newIdentity(settings, mode));
   identity.incarnation = std::max(identity.incarnation + 1, wallMicroseconds());
-  BOOST_LEAF_CHECK(storage::writeDurably(folder, kNodeFile, base::encode(identity)));
+  BOOST_LEAF_CHECK(storage::writeFileAtomically(folder, kNodeFile, base::encode(identity)));
   return identity;
 }
 
--- a/src/simulation/simulated_disk.cpp
+++ b/src/simulation/simulated_disk.cpp
@@ -47,8 +47,8 @@
   return file->bytes;
 }
 
-base::Result<base::Bytes> SimulatedDisk::readPart(const std::string& name, std::size_t offset,
-                                                  std::size_t size) {
+base::Result<base::Bytes> SimulatedDisk::readRange(const std::string& name, std::size_t offset,
+                                                   std::size_t size) {
   BOOST_LEAF_AUTO(file, find(name));
   return offset < file->bytes.size() ? file->bytes.substr(offset, size) : base::Bytes();
 }
--- a/src/simulation/simulated_disk.h
+++ b/src/simulation/simulated_disk.h
@@ -18,8 +18,8 @@
  public:
   [[nodiscard]] base::Result<std::vector<std::string>> list() override;
   [[nodiscard]] base::Result<base::Bytes> read(const std::string& name) override;
-  [[nodiscard]] base::Result<base::Bytes> readPart(const std::string& name, std::size_t offset,
-                                                   std::size_t size) override;
+  [[nodiscard]] base::Result<base::Bytes> readRange(const std::string& name, std::size_t offset,
+                                                    std::size_t size) override;
   [[nodiscard]] base::Result<std::unique_ptr<storage::AppendFile>> open(
       const std::string& name) override;
   [[nodiscard]] base::Result<void> truncate(const std::string& name, std::size_t size) override;
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -30,9 +30,9 @@
   [[nodiscard]] virtual base::Result<std::vector<std::string>> list() = 0;
   [[nodiscard]] virtual base::Result<base::Bytes> read(const std::string& name) = 0;
   /// Up to `size` bytes from `offset` on; fewer at the end of the file.
-  [[nodiscard]] virtual base::Result<base::Bytes> readPart(const std::string& name,
-                                                           std::size_t offset,
-                                                           std::size_t size) = 0;
+  [[nodiscard]] virtual base::Result<base::Bytes> readRange(const std::string& name,
+                                                            std::size_t offset,
+                                                            std::size_t size) = 0;
   /// Opens for appending, creating the file when absent.
   [[nodiscard]] virtual base::Result<std::unique_ptr<AppendFile>> open(const std::string& name) = 0;
   [[nodiscard]] virtual base::Result<void> truncate(const std::string& name, std::size_t size) = 0;
@@ -44,7 +44,8 @@
 
 /// Writes `bytes` under `name` so that after a crash the file holds either the old or the new
 /// content: temporary file, sync, rename, directory sync. `rest`, if any, follows `bytes`.
-[[nodiscard]] base::Result<void> writeDurably(FileSystem& files, const std::string& name,
-                                              std::string_view bytes, std::string_view rest = {});
+[[nodiscard]] base::Result<void> writeFileAtomically(FileSystem& files, const std::string& name,
+                                                     std::string_view bytes,
+                                                     std::string_view rest = {});
 
 }  // namespace tackpick::storage
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-base::Result<void> writeDurably(FileSystem& files, const std::string& name, std::string_view bytes,
-                                std::string_view rest) {
+base::Result<void> writeFileAtomically(FileSystem& files, const std::string& name,
+                                       std::string_view bytes, std::string_view rest) {
   const std::string temporary = name + ".tmp";
   BOOST_LEAF_CHECK(files.remove(temporary));
   BOOST_LEAF_AUTO(file, files.open(temporary));
@@ -100,11 +100,11 @@
   if (error) {
     return base::fail(base::ErrorCode::kNotFound, "open " + path(name) + ": " + error.message());
   }
-  return readPart(name, 0, size);  // never held twice: a log's files are large
+  return readRange(name, 0, size);  // never held twice: a log's files are large
 }
 
-base::Result<base::Bytes> PosixFileSystem::readPart(const std::string& name, std::size_t offset,
-                                                    std::size_t size) {
+base::Result<base::Bytes> PosixFileSystem::readRange(const std::string& name, std::size_t offset,
+                                                     std::size_t size) {
   std::ifstream stream(path(name), std::ios::binary);
   stream.seekg(static_cast<std::streamoff>(offset));
   if (!stream) {
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -15,8 +15,8 @@
 
   [[nodiscard]] base::Result<std::vector<std::string>> list() override;
   [[nodiscard]] base::Result<base::Bytes> read(const std::string& name) override;
-  [[nodiscard]] base::Result<base::Bytes> readPart(const std::string& name, std::size_t offset,
-                                                   std::size_t size) override;
+  [[nodiscard]] base::Result<base::Bytes> readRange(const std::string& name, std::size_t offset,
+                                                    std::size_t size) override;
   [[nodiscard]] base::Result<std::unique_ptr<AppendFile>> open(const std::string& name) override;
   [[nodiscard]] base::Result<void> truncate(const std::string& name, std::size_t size) override;
   [[nodiscard]] base::Result<void> rename(const std::string& from, const std::string& to) override;
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -166,7 +166,8 @@
     consensus::Snapshot first;
     first.membership = initial;
     BOOST_LEAF_CHECK(log->writeSnapshot(first));
-    BOOST_LEAF_CHECK(writeDurably(files, kIdentityFile, frameRecord(base::encode(identity))));
+    BOOST_LEAF_CHECK(
+        writeFileAtomically(files, kIdentityFile, frameRecord(base::encode(identity))));
   } else {
     BOOST_LEAF_AUTO(found, readIdentity(files));
     if (!(found == identity)) {
@@ -212,12 +213,12 @@
 }
 
 base::Result<void> SegmentedLog::loadSnapshot() {
-  BOOST_LEAF_AUTO(head, files_.readPart(kSnapshotFile, 0, kHeaderSize));
+  BOOST_LEAF_AUTO(head, files_.readRange(kSnapshotFile, 0, kHeaderSize));
   const std::size_t length = head.size() < kHeaderSize ? 0 : getInteger<std::uint32_t>(head, 4);
   if (length == 0 || length > kMaximumRecordSize) {
     return base::fail(base::ErrorCode::kCorrupt, kSnapshotFile + ": damaged");
   }
-  BOOST_LEAF_AUTO(framed, files_.readPart(kSnapshotFile, 0, kHeaderSize + length));
+  BOOST_LEAF_AUTO(framed, files_.readRange(kSnapshotFile, 0, kHeaderSize + length));
   const auto payload = recordAt(framed, 0);
   auto record = payload ? base::decode<SnapshotRecord>(base::Bytes(*payload)) : std::nullopt;
   if (!record) {
@@ -236,7 +237,7 @@
 base::Result<void> SegmentedLog::writeSnapshot(const consensus::Snapshot& snapshot) {
   const SnapshotRecord record = describe(snapshot);
   const base::Bytes framed = frameRecord(base::encode(record));
-  BOOST_LEAF_CHECK(writeDurably(files_, kSnapshotFile, framed, snapshot.state));
+  BOOST_LEAF_CHECK(writeFileAtomically(files_, kSnapshotFile, framed, snapshot.state));
   snapshot_ = record.snapshot;
   snapshot_bytes_ = record.stateBytes;
   snapshot_offset_ = framed.size();
@@ -253,7 +254,7 @@
   if (left == 0 || size == 0) {
     return base::Bytes();
   }
-  return files_.readPart(kSnapshotFile, snapshot_offset_ + offset, std::min(size, left));
+  return files_.readRange(kSnapshotFile, snapshot_offset_ + offset, std::min(size, left));
 }
 
 void SegmentedLog::dropEntriesCoveredBySnapshot() {
@@ -374,8 +375,8 @@
   compaction_->snapshot = std::move(snapshot);
   gathered_.clear();  // the new segment holds these records
   executor_->start([&files = files_, work = compaction_]() -> base::Result<void> {
-    BOOST_LEAF_CHECK(writeDurably(files, kSnapshotFile, work->framed, work->snapshot.state));
-    BOOST_LEAF_CHECK(writeDurably(files, segmentName(work->segmentNumber), work->content));
+    BOOST_LEAF_CHECK(writeFileAtomically(files, kSnapshotFile, work->framed, work->snapshot.state));
+    BOOST_LEAF_CHECK(writeFileAtomically(files, segmentName(work->segmentNumber), work->content));
     BOOST_LEAF_ASSIGN(work->segment, openAlone(files, segmentName(work->segmentNumber)));
     return {};
   });
--- a/test/cluster/cluster_world.cpp
+++ b/test/cluster/cluster_world.cpp
@@ -90,7 +90,7 @@
   node.member =
       std::make_unique<cluster::ClusterMember>(record, member, base::CallId{random_.next()});
   node.member->onView([this, &node](const directory::DirectoryView& view) { onView(node, view); });
-  node.member->reportLedgerMembership([this, &node]() -> std::optional<consensus::Membership> {
+  node.member->setLedgerMembershipSource([this, &node]() -> std::optional<consensus::Membership> {
     return node.ledger ? node.ledger->stableMembership(now_) : std::nullopt;
   });
   if (node.role == directory::NodeRole::kController) {
--- a/test/duties/usage_test.cpp
+++ b/test/duties/usage_test.cpp
@@ -71,22 +71,22 @@
 
 Test(usage_counter, counts_by_tenant_and_window) {
   duties::UsageCounter counter(kLength);
-  counter.onBegan("a", at(4.9));
-  counter.onBegan("a", at(5.0));
-  counter.onBegan("b", at(9.9));
-  counter.onBegan("", at(9.9));
+  counter.onRequestStarted("a", at(4.9));
+  counter.onRequestStarted("a", at(5.0));
+  counter.onRequestStarted("b", at(9.9));
+  counter.onRequestStarted("", at(9.9));
   const duties::GatewayUsage usage = counter.present(at(10.1));
   cr_assert_eq(usage.present, 2U);
   cr_assert_eq(usage.windows.size(), 2U);
   cr_assert_eq(usage.windows[0].counts.at("a"), 1U);
   cr_assert_eq(usage.windows[1].counts.size(), 2U);
-  counter.forgetThrough(0);
+  counter.discardThrough(0);
   cr_assert_eq(counter.present(at(10.1)).windows.size(), 1U);
 }
 
 Test(usage_counter, without_windows_nothing_is_counted) {
   duties::UsageCounter counter(base::Duration{0});
-  counter.onBegan("a", at(1));
+  counter.onRequestStarted("a", at(1));
   cr_assert(counter.present(at(2)).windows.empty());
   cr_assert_eq(counter.revision(), 0U);
 }
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -399,10 +399,10 @@
   table.onSent(first);
   table.onEnded(first, forwarding::AttemptOutcome::kFailed, {}, base::TimePoint{});
   table.onSent(first);
-  cr_assert_not(table.hasEnded(first));
+  cr_assert_not(table.hasRestarted(first));
   table.change({view(second)}, {first});
-  cr_assert(table.hasEnded(first));
-  cr_assert_not(table.hasEnded(second));
+  cr_assert(table.hasRestarted(first));
+  cr_assert_not(table.hasRestarted(second));
   cr_assert_eq(table.find(second)->failures, 0U);
   cr_assert_eq(table.find(second)->inFlight, 0U);
   cr_assert(table.isUsable(second, {"s", "", 0, false}, base::TimePoint{}));
--- a/test/integration/cluster_test.cpp
+++ b/test/integration/cluster_test.cpp
@@ -199,7 +199,7 @@
   std::this_thread::sleep_for(kStartTime);
   process.signal(SIGHUP);
   std::this_thread::sleep_for(kStartTime);
-  cr_assert_not(process.hasEnded());
+  cr_assert_not(process.hasRestarted());
   process.kill();
   std::filesystem::remove_all(folder);
 }
@@ -217,7 +217,7 @@
   const std::size_t before = cluster.logged(address, voter);
   cluster.start(cluster.machine(address), false);
   waitUntil([&] { return cluster.logged(address, "disk_unavailable") > 1; }, "it tries again");
-  cr_assert_not(cluster.machine(address).process->hasEnded());
+  cr_assert_not(cluster.machine(address).process->hasRestarted());
   std::filesystem::remove(cluster.dataFolder(address));
   std::filesystem::rename(aside, cluster.dataFolder(address));
   waitUntil([&] { return cluster.logged(address, voter) > before; }, "it has its log again");
--- a/test/integration/process.cpp
+++ b/test/integration/process.cpp
@@ -88,7 +88,7 @@
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : -WTERMSIG(status_);
 }
 
-bool Process::hasEnded() {
+bool Process::hasRestarted() {
   ended_ = ended_ || waitpid(pid_, &status_, WNOHANG) == pid_;
   return ended_;
 }
--- a/test/integration/process.h
+++ b/test/integration/process.h
@@ -27,7 +27,7 @@
   void kill();
   /// Waits for its end; the exit code, or minus the signal's number.
   int wait();
-  [[nodiscard]] bool hasEnded();
+  [[nodiscard]] bool hasRestarted();
 
  private:
   pid_t pid_ = 0;
--- a/test/integration/quarantine_test.cpp
+++ b/test/integration/quarantine_test.cpp
@@ -56,11 +56,11 @@
   void tend() {
     const std::size_t running = m_engines.size();
     for (std::size_t i = 0; i < running; ++i) {
-      if (m_engines[i]->hasEnded() && !m_replaced[i]) {
+      if (m_engines[i]->hasRestarted() && !m_replaced[i]) {
         m_replaced[i] = true;
         std::this_thread::sleep_for(kRestart);
         add();
-      } else if (!m_engines[i]->hasEnded()) {
+      } else if (!m_engines[i]->hasRestarted()) {
         report(*m_engines[i]);
       }
     }
@@ -69,7 +69,7 @@
   [[nodiscard]] std::size_t ended() const {
     std::size_t count = 0;
     for (const auto& engine : m_engines) {
-      count += engine->hasEnded() ? 1 : 0;
+      count += engine->hasRestarted() ? 1 : 0;
     }
     return count;
   }
--- a/test/integration/soak_clients.cpp
+++ b/test/integration/soak_clients.cpp
@@ -270,7 +270,7 @@
   std::string body;
   {
     const std::lock_guard lock(m_mutex);
-    if (m_engine->hasEnded()) {
+    if (m_engine->hasRestarted()) {
       ++m_endedByRequests;
       beginLife();
     }
--- a/test/integration/soak_test.cpp
+++ b/test/integration/soak_test.cpp
@@ -111,12 +111,12 @@
     return m_cluster.machine(all.at(m_random.below(all.size())));
   }
 
-  /// Faults overlap: what ends one of them waits in m_endings while the next begin.
+  /// Faults overlap: what ends one of them waits in m_terminationTimes while the next begin.
   void disturb() {
     test::Machine& machine = drawMachine();
     const std::string address = machine.address;
     const std::uint64_t kind = m_random.below(6);
-    if (kind <= 2 && m_endings.contains(address)) {
+    if (kind <= 2 && m_terminationTimes.contains(address)) {
       return;
     }
     switch (kind) {
@@ -166,16 +166,16 @@
 
   void endLater(const std::string& address, std::uint64_t atMost, std::function<void()> end) {
     const auto delay = std::chrono::milliseconds(m_random.below(atMost));
-    m_endings[address] = {std::chrono::steady_clock::now() + delay, std::move(end)};
+    m_terminationTimes[address] = {std::chrono::steady_clock::now() + delay, std::move(end)};
   }
   void endWhatIsDue(bool all) {
-    for (auto it = m_endings.begin(); it != m_endings.end();) {
+    for (auto it = m_terminationTimes.begin(); it != m_terminationTimes.end();) {
       if (!all && std::chrono::steady_clock::now() < it->second.first) {
         ++it;
         continue;
       }
       it->second.second();
-      it = m_endings.erase(it);
+      it = m_terminationTimes.erase(it);
     }
   }
 
@@ -264,7 +264,7 @@
   test::EndingCaller m_endingCaller;
   /// What ends a fault at a machine, and when.
   using Ending = std::pair<std::chrono::steady_clock::time_point, std::function<void()>>;
-  std::map<std::string, Ending> m_endings;
+  std::map<std::string, Ending> m_terminationTimes;
   std::set<std::string> m_first;  ///< of those that keep state, still there
 };
 
--- a/test/integration/stand_in_engine.h
+++ b/test/integration/stand_in_engine.h
@@ -43,7 +43,7 @@
   /// From now on its process ends when it begins to run a request whose path begins so: every
   /// connection is closed, and none is taken any more.
   void endOn(const std::string& pathPrefix);
-  [[nodiscard]] bool hasEnded() const { return m_ended; }
+  [[nodiscard]] bool hasRestarted() const { return m_ended; }
   /// Orders to change its weights that it has taken.
   [[nodiscard]] std::size_t orders() const { return m_orders; }
   [[nodiscard]] EngineVersions versions() const;
--- a/test/storage/segmented_log_test.cpp
+++ b/test/storage/segmented_log_test.cpp
@@ -234,7 +234,7 @@
   const auto opened = base::recover(
       [&]() -> base::Result<bool> {
         BOOST_LEAF_AUTO(files, storage::PosixFileSystem::create(folder.path()));
-        BOOST_LEAF_CHECK(storage::writeDurably(*files, "kept", "bytes"));
+        BOOST_LEAF_CHECK(storage::writeFileAtomically(*files, "kept", "bytes"));
         return true;
       },
       [](const base::Error&) { return false; });
