--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -83,7 +83,7 @@
   request.headers["Content-Type"] = "application/json";
   if (call.notRepeatable) {
     request.headers["Idempotency-Key"] = call.key;
-    request.freshConnection = true;
+    request.newConnection = true;
   }
   request.body = Json{{"workload", call.workload->name},
                       {"prompt", call.prompt},
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -174,7 +174,7 @@
     if (request.timeout.count() > 0) {
       curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request.timeout.count() / 1000));
     }
-    if (request.freshConnection) {
+    if (request.newConnection) {
       curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, kOn);
       curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, kOn);
     }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -27,7 +27,7 @@
   base::Duration timeout{0};  ///< for the whole transfer; zero: none
   /// Never reuse a connection: libcurl silently sends a request again when a reused connection
   /// turns out to be dead, which a not-repeatable request must not suffer.
-  bool freshConnection = false;
+  bool newConnection = false;
 };
 
 /// How a transfer ended.
--- a/src/http/exchange_server.cpp
+++ b/src/http/exchange_server.cpp
@@ -65,7 +65,7 @@
   return implementation_->shared->connections.size();
 }
 
-UnreadAnswers ExchangeServer::unreadAnswers() const { return implementation_->shared->unread; }
+UnreadResponses ExchangeServer::unreadResponses() const { return implementation_->shared->unread; }
 
 void ExchangeServer::stop() {
   asio::error_code ignored;
--- a/src/http/exchange_server.h
+++ b/src/http/exchange_server.h
@@ -67,9 +67,9 @@
 };
 
 /// What clients have not read.
-struct UnreadAnswers {
-  std::size_t bytes = 0;       ///< handed over and not yet written, now
-  std::uint64_t cutCount = 0;  ///< connections that were cut for it, since the start
+struct UnreadResponses {
+  std::size_t bytes = 0;              ///< handed over and not yet written, now
+  std::uint64_t disconnectCount = 0;  ///< connections that were cut for it, since the start
 };
 
 /// Serves on the thread that runs `context`.
@@ -90,7 +90,7 @@
   /// Requests without a complete answer.
   [[nodiscard]] std::size_t openExchanges() const;
   [[nodiscard]] std::size_t openConnections() const;
-  [[nodiscard]] UnreadAnswers unreadAnswers() const;
+  [[nodiscard]] UnreadResponses unreadResponses() const;
   /// Closes the listening socket and every connection.
   void stop();
 
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -385,7 +385,7 @@
 }
 
 void ServerConnection::cutUnread() {
-  ++shared_->unread.cutCount;
+  ++shared_->unread.disconnectCount;
   abortNow();
 }
 
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -37,7 +37,7 @@
   bool draining = false;
   std::size_t openExchanges = 0;
   std::set<std::shared_ptr<ServerConnection>> connections;
-  UnreadAnswers unread;
+  UnreadResponses unread;
   /// One for all connections, which read when bytes have arrived: one of each own would cost 48 MB
   /// with 3,000 of them.
   std::array<char, kServerReadBytes> readBuffer{};
--- a/src/http/upstream_client.cpp
+++ b/src/http/upstream_client.cpp
@@ -24,7 +24,7 @@
 ExchangeId UpstreamClient::start(UpstreamRequest request, UpstreamEvents events) {
   const ExchangeId id = pool_->next;
   ++pool_->next.value;
-  auto connection = request.freshConnection ? nullptr : pool_->takeIdle(request.address);
+  auto connection = request.newConnection ? nullptr : pool_->takeIdle(request.address);
   if (!connection) {
     connection = std::make_shared<UpstreamConnection>(pool_, request.address);
   }
--- a/src/http/upstream_client.h
+++ b/src/http/upstream_client.h
@@ -36,10 +36,10 @@
   std::string body;
   /// Header that the answer repeats, with its value; an answer with another value belongs to
   /// another request and is passed over. An empty name: any answer counts.
-  std::string echoName;
+  std::string echoHeader;
   std::string echoValue;
   /// Use a connection of its own: a kept one may turn out to be dead after the request was sent.
-  bool freshConnection = false;
+  bool newConnection = false;
 };
 
 /// How an exchange ended.
@@ -69,7 +69,7 @@
 /// Counters since the start.
 struct UpstreamCounters {
   std::uint64_t connectionsOpened = 0;
-  std::uint64_t foreignAnswers = 0;  ///< answers that belonged to another request
+  std::uint64_t mismatchedResponses = 0;  ///< answers that belonged to another request
 };
 
 class UpstreamPool;
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -199,7 +199,7 @@
 void UpstreamConnection::onBytes(std::size_t count) {
   if (!busy_ || answered_) {
     // Bytes after a complete answer belong to no request.
-    ++client_->counters.foreignAnswers;
+    ++client_->counters.mismatchedResponses;
     keep_ = false;
     if (!busy_) {
       client_->forgetIdle(shared_from_this());
@@ -235,7 +235,7 @@
   }
   if (answered_) {
     if (offset < count) {
-      ++client_->counters.foreignAnswers;
+      ++client_->counters.mismatchedResponses;
       keep_ = false;
     }
     succeed();
@@ -249,12 +249,12 @@
   if (parser_.status_code < kFirstFinalStatus) {
     return 0;
   }
-  if (!request_.echoName.empty()) {
-    const std::string echoed = headers.value(request_.echoName);
+  if (!request_.echoHeader.empty()) {
+    const std::string echoed = headers.value(request_.echoHeader);
     foreign_ = !echoed.empty() && echoed != request_.echoValue;
   }
   if (foreign_) {
-    ++client_->counters.foreignAnswers;
+    ++client_->counters.mismatchedResponses;
     return 0;
   }
   head_seen_ = true;
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -222,9 +222,9 @@
     upstream.headers.set(names.tenant, tenant_);
   }
   upstream.body = request_.body;
-  upstream.echoName = names.requestId;
+  upstream.echoHeader = names.requestId;
   upstream.echoValue = request_.headers.value(names.requestId);
-  upstream.freshConnection = !policy_.repeatable();
+  upstream.newConnection = !policy_.repeatable();
   return upstream;
 }
 
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -238,7 +238,7 @@
   }
   metrics.set(telemetry::GaugeId::kOpenExchanges, static_cast<double>(traffic_.openExchanges()));
   metrics.set(telemetry::GaugeId::kUnreadBytes,
-              static_cast<double>(traffic_.unreadAnswers().bytes));
+              static_cast<double>(traffic_.unreadResponses().bytes));
   items_.reportFigures(metrics);
 }
 
@@ -270,8 +270,8 @@
 }
 
 void GatewayServer::logSlowReaders() {
-  const http::UnreadAnswers unread = traffic_.unreadAnswers();
-  for (; m_toldCuts < unread.cutCount; ++m_toldCuts) {
+  const http::UnreadResponses unread = traffic_.unreadResponses();
+  for (; m_toldCuts < unread.disconnectCount; ++m_toldCuts) {
     node_.metrics().count(telemetry::CounterId::kSlowReaders, "cut");
     if (const auto times = m_cutReaders.note(node_.now())) {
       telemetry::logEvent(
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -261,7 +261,7 @@
   request.address = {entry->record.host, entry->record.port};
   request.headers.set(names.expectedInstance, directory::instanceName(entry->record.id));
   request.headers.set(names.urgency, std::to_string(jobs::urgencyOf(sightOf(item, now))));
-  request.echoName = names.requestId;
+  request.echoHeader = names.requestId;
   request.echoValue = leased.item.id;
   item.tried.insert(entry->record.id);
   item.instance = entry->record.id;
--- a/src/node/metrics_server.cpp
+++ b/src/node/metrics_server.cpp
@@ -44,7 +44,7 @@
   };
   const http::UpstreamCounters& upstream = m_node.upstream().counters();
   tell(CounterId::kConnectionsOpened, m_told.connections, upstream.connectionsOpened);
-  tell(CounterId::kForeignAnswers, m_told.foreignAnswers, upstream.foreignAnswers);
+  tell(CounterId::kForeignAnswers, m_told.mismatchedResponses, upstream.mismatchedResponses);
   tell(CounterId::kInternalBytesSent, m_told.bytesSent, m_node.network().bytesSent());
   tell(CounterId::kInternalBytesReceived, m_told.bytesReceived, m_node.network().bytesReceived());
   tell(CounterId::kLogLinesDropped, m_told.droppedLines, telemetry::logCounters().droppedLines);
--- a/src/node/metrics_server.h
+++ b/src/node/metrics_server.h
@@ -20,7 +20,7 @@
   /// What was told last of figures that are counted elsewhere.
   struct Told {
     std::uint64_t connections = 0;
-    std::uint64_t foreignAnswers = 0;
+    std::uint64_t mismatchedResponses = 0;
     std::uint64_t bytesSent = 0;
     std::uint64_t bytesReceived = 0;
     std::uint64_t droppedLines = 0;
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -115,7 +115,7 @@
   request.headers.set(names.expectedInstance, directory::instanceName(entry->record.id));
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - now);
   request.headers.set(names.deadline, std::to_string(left.count()));
-  request.echoName = names.requestId;
+  request.echoHeader = names.requestId;
   request.echoValue = call.request.id;
   http::UpstreamEvents events;
   events.onHead = [this, key = key](int status, const http::HeaderList& headers) {
--- a/src/runtime/engine_link.cpp
+++ b/src/runtime/engine_link.cpp
@@ -19,7 +19,7 @@
   call.url = url(engine, "/v1/generate");
   call.headers["Content-Type"] = "application/json";
   call.body = toJson(request);
-  call.freshConnection = request.notRepeatable;
+  call.newConnection = request.notRepeatable;
   const base::AttemptId attempt = request.attempt;
   attempts_[attempt].transfer = client_.start(
       call, [this, attempt](std::string_view bytes) { onStreamData(attempt, bytes); },
--- a/test/http/stream_relay_test.cpp
+++ b/test/http/stream_relay_test.cpp
@@ -100,7 +100,7 @@
   const std::string received = stream.caller.readUntil("\r\n0\r\n\r\n");
   cr_assert(stream.end.has_value() && stream.end->complete);
   cr_assert_geq(received.size(), body.size());
-  cr_assert_eq(stream.server.unreadAnswers().cutCount, 0U);
+  cr_assert_eq(stream.server.unreadResponses().disconnectCount, 0U);
 }
 
 Test(stream_relay, caller_that_reads_is_not_held_back) {
@@ -128,13 +128,13 @@
   std::size_t most = 0;
   for (std::size_t i = 0; i < kPieces && !closed; ++i) {
     front.open[0]->write(std::string(kPiece, 'x'));
-    most = std::max(most, front.server.unreadAnswers().bytes);
+    most = std::max(most, front.server.unreadResponses().bytes);
     front.runFor(std::chrono::milliseconds(1));
   }
   cr_assert(closed);
   cr_assert_leq(most, limits.unsentBytes + 2 * kPiece);
-  cr_assert_eq(front.server.unreadAnswers().cutCount, 1U);
-  cr_assert_eq(front.server.unreadAnswers().bytes, 0U);
+  cr_assert_eq(front.server.unreadResponses().disconnectCount, 1U);
+  cr_assert_eq(front.server.unreadResponses().bytes, 0U);
   cr_assert_eq(front.server.openExchanges(), 0U);
   cr_assert(caller.waitClosed());
   cr_assert_eq(caller.received().find("0\r\n\r\n"), std::string::npos);
@@ -162,7 +162,7 @@
     answerAll();
   }
   cr_assert_lt(answered, kRequests);
-  cr_assert_leq(front.server.unreadAnswers().bytes, 2 * body.size() + kPiece);
+  cr_assert_leq(front.server.unreadResponses().bytes, 2 * body.size() + kPiece);
   // It reads after all: each request is answered.
   const bool all = runUntil(front.context, [&] {
     answerAll();
@@ -170,7 +170,7 @@
     return answered == kRequests && caller.received().size() > kRequests * body.size();
   });
   cr_assert(all);
-  cr_assert_eq(front.server.unreadAnswers().bytes, 0U);
+  cr_assert_eq(front.server.unreadResponses().bytes, 0U);
 }
 
 Test(unread_answers, all_together_are_bounded_and_the_longest_unread_is_cut) {
@@ -186,9 +186,9 @@
     cr_assert(front.waitOpen(i + 1));
     front.open[i]->respond(200, {}, body);
     front.runFor(std::chrono::milliseconds(40));
-    cr_assert_leq(front.server.unreadAnswers().bytes, limits.totalUnsentBytes);
+    cr_assert_leq(front.server.unreadResponses().bytes, limits.totalUnsentBytes);
   }
-  cr_assert_eq(front.server.unreadAnswers().cutCount, 4U);
+  cr_assert_eq(front.server.unreadResponses().disconnectCount, 4U);
   cr_assert(callers[0]->waitClosed());
   cr_assert_lt(callers[0]->received().size(), body.size());
   const bool whole = runUntil(front.context, [&] {
@@ -214,7 +214,7 @@
   front.runFor(std::chrono::milliseconds(600));
   caller.send("POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx");
   front.runFor(std::chrono::milliseconds(60));
-  cr_assert_eq(front.server.unreadAnswers().cutCount, 1U);
+  cr_assert_eq(front.server.unreadResponses().disconnectCount, 1U);
   cr_assert_eq(front.open.size(), 1U);
   front.open.clear();
   cr_assert_eq(front.server.openExchanges(), 0U);
--- a/test/http/upstream_client_test.cpp
+++ b/test/http/upstream_client_test.cpp
@@ -29,7 +29,7 @@
     wanted.headers.add("Host", "h");
     wanted.headers.add("Id", id);
     wanted.body = body;
-    wanted.echoName = "Id";
+    wanted.echoHeader = "Id";
     wanted.echoValue = id;
     http::UpstreamEvents events;
     events.onHead = [this](int code, const http::HeaderList&) { status = code; };
@@ -93,7 +93,7 @@
   cr_assert(fixture.waitEnd());
   cr_assert(fixture.end->complete);
   cr_assert_eq(fixture.answer, "own");
-  cr_assert_eq(fixture.client.counters().foreignAnswers, 1U);
+  cr_assert_eq(fixture.client.counters().mismatchedResponses, 1U);
 }
 
 Test(upstream_client, bytes_after_an_answer_end_the_connection) {
