--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -35,7 +35,7 @@
   std::vector<std::uint16_t> announcePorts;  ///< ports to announce instead, such as a proxy's
   std::uint64_t seed = 1;
   std::uint64_t storeRate = 0;
-  engine::EngineModelSettings model;
+  engine::EngineSimulatorSettings model;
 };
 
 std::vector<std::string> split(const std::string& text) {
@@ -57,7 +57,7 @@
 
 Options parseOptions(int argc, char** argv) {
   cxxopts::Options parser("tackpick-emulator", "Stand-ins for engines and platform services");
-  const engine::EngineModelSettings defaults;
+  const engine::EngineSimulatorSettings defaults;
   parser.add_options()("engines", "number of engines",
                        cxxopts::value<std::uint32_t>()->default_value("0"))(
       "first-engine", "number of the first engine",
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -58,7 +58,7 @@
 void current(SimulationOptions& /*options*/) {}
 
 void baseline(SimulationOptions& options) {
-  options.gateway.queue.firstComeFirstServed = true;
+  options.gateway.queue.fifo = true;
   options.gateway.selector.policy = routing::SelectionPolicy::kRoundRobin;
   options.gateway.resumePartial = false;
   options.gateway.hedgeTail = false;
--- a/src/checking/answer_check.cpp
+++ b/src/checking/answer_check.cpp
@@ -6,7 +6,7 @@
 
 bool isWhole(const ReceivedAnswer& answer, const std::string& prompt, std::uint64_t seed,
              std::uint32_t maximumTokens) {
-  const std::uint32_t expected = std::min(engine::naturalLength(prompt, seed), maximumTokens);
+  const std::uint32_t expected = std::min(engine::syntheticLength(prompt, seed), maximumTokens);
   return answer.tokens.size() == expected;
 }
 
@@ -17,7 +17,7 @@
   const std::uint64_t hash = engine::promptHash(prompt);
   for (const ledger::VersionSpan& span : answer.spans) {
     for (std::uint32_t position = span.first; position < span.first + span.count; ++position) {
-      if (answer.tokens[position] != engine::tokenAt(hash, seed, span.version, position)) {
+      if (answer.tokens[position] != engine::syntheticToken(hash, seed, span.version, position)) {
         return false;
       }
     }
--- a/src/config/process_settings.cpp
+++ b/src/config/process_settings.cpp
@@ -102,7 +102,7 @@
   gateway.resumePartial = reader.flag("resume_partial", gateway.resumePartial);
   gateway.longestFirst = reader.flag("longest_first", gateway.longestFirst);
   const bool baseline = reader.flag("baseline_policy", false);
-  gateway.queue.firstComeFirstServed = baseline;
+  gateway.queue.fifo = baseline;
   gateway.selector.policy =
       baseline ? routing::SelectionPolicy::kRoundRobin : routing::SelectionPolicy::kBalanced;
   gateway.readersPerEngine = static_cast<std::uint32_t>(
--- a/src/emulator/emulated_engine.h
+++ b/src/emulator/emulated_engine.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 
 #include "base/timer.h"
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 #include "http/server.h"
 
 namespace tackpick::emulator {
@@ -22,11 +22,11 @@
   std::string host = "127.0.0.1";
   std::uint16_t port = 0;
   std::string zone;
-  engine::EngineModelSettings model;
+  engine::EngineSimulatorSettings model;
   bool recordRuns = true;
 };
 
-/// Drives an EngineModel in real time. Closing the connection of a request cancels it.
+/// Drives an EngineSimulator in real time. Closing the connection of a request cancels it.
 class EmulatedEngine {
  public:
   EmulatedEngine(asio::io_context& context, EmulatedEngineSettings settings,
@@ -34,7 +34,7 @@
 
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
   [[nodiscard]] const EmulatedEngineSettings& settings() const { return settings_; }
-  [[nodiscard]] engine::EngineModel& model() { return model_; }
+  [[nodiscard]] engine::EngineSimulator& model() { return model_; }
   /// Runs of not-repeatable requests by (prompt, seed); more than one is a broken promise.
   [[nodiscard]] std::uint64_t notRepeatableRunTwice() const;
 
@@ -51,7 +51,7 @@
   asio::io_context& context_;
   EmulatedEngineSettings settings_;
   base::MonotonicTimeSource clock_;
-  engine::EngineModel model_;
+  engine::EngineSimulator model_;
   std::unordered_map<base::AttemptId, std::shared_ptr<http::Responder>> streams_;
   base::Timer timer_;
   http::Server server_;
--- a/src/engine/content.cpp
+++ b/src/engine/content.cpp
@@ -28,17 +28,17 @@
 
 std::uint64_t promptHash(std::string_view prompt) { return base::hashBytes(prompt); }
 
-Token tokenAt(std::uint64_t promptHash, std::uint64_t seed, base::WeightsVersion version,
-              std::uint32_t position) {
+Token syntheticToken(std::uint64_t promptHash, std::uint64_t seed, base::WeightsVersion version,
+                     std::uint32_t position) {
   constexpr std::uint64_t kVocabulary = 65'536;
   const std::uint64_t drawn =
       base::mix(base::mix(promptHash, seed), base::mix(version.value, position));
   return static_cast<Token>(drawn % kVocabulary);
 }
 
-Token tokenAt(std::string_view prompt, std::uint64_t seed, base::WeightsVersion version,
-              std::uint32_t position) {
-  return tokenAt(promptHash(prompt), seed, version, position);
+Token syntheticToken(std::string_view prompt, std::uint64_t seed, base::WeightsVersion version,
+                     std::uint32_t position) {
+  return syntheticToken(promptHash(prompt), seed, version, position);
 }
 
 std::string lengthDirective(std::uint32_t tokens) {
@@ -49,7 +49,7 @@
   return std::string(kAroundStart) + std::to_string(tokens) + std::string(kDirectiveEnd);
 }
 
-std::uint32_t naturalLength(std::string_view prompt, std::uint64_t seed) {
+std::uint32_t syntheticLength(std::string_view prompt, std::uint64_t seed) {
   if (const auto tokens = directedTokens(prompt, kDirectiveStart)) {
     return *tokens;
   }
--- a/src/engine/content.h
+++ b/src/engine/content.h
@@ -12,19 +12,19 @@
 namespace tackpick::engine {
 
 /// The token at `position` of the answer to (prompt, seed) under `version`.
-[[nodiscard]] Token tokenAt(std::string_view prompt, std::uint64_t seed,
-                            base::WeightsVersion version, std::uint32_t position);
+[[nodiscard]] Token syntheticToken(std::string_view prompt, std::uint64_t seed,
+                                   base::WeightsVersion version, std::uint32_t position);
 /// Same, from a hash of the prompt made by promptHash().
-[[nodiscard]] Token tokenAt(std::uint64_t promptHash, std::uint64_t seed,
-                            base::WeightsVersion version, std::uint32_t position);
+[[nodiscard]] Token syntheticToken(std::uint64_t promptHash, std::uint64_t seed,
+                                   base::WeightsVersion version, std::uint32_t position);
 [[nodiscard]] std::uint64_t promptHash(std::string_view prompt);
 
 /// How many tokens the model produces before it stops by itself. A prompt that begins with the
 /// directive `[[tokens=N]]` asks for exactly N; otherwise the length depends on prompt and seed.
-[[nodiscard]] std::uint32_t naturalLength(std::string_view prompt, std::uint64_t seed);
+[[nodiscard]] std::uint32_t syntheticLength(std::string_view prompt, std::uint64_t seed);
 /// `[[around=N]]` asks for three quarters to five quarters of N, by the seed: answers to one prompt
 /// resemble each other in length.
-/// The directives for naturalLength().
+/// The directives for syntheticLength().
 [[nodiscard]] std::string lengthDirective(std::uint32_t tokens);
 [[nodiscard]] std::string aroundDirective(std::uint32_t tokens);
 
--- a/src/engine/engine_model.cpp
+++ b/src/engine/engine_simulator.cpp
@@ -1,4 +1,4 @@
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,9 +7,9 @@
 
 namespace tackpick::engine {
 
-EngineModel::EngineModel(base::EngineId id, base::Incarnation incarnation,
-                         EngineModelSettings settings, WeightStore& store, base::Random& random,
-                         base::TimePoint now)
+EngineSimulator::EngineSimulator(base::EngineId id, base::Incarnation incarnation,
+                                 EngineSimulatorSettings settings, WeightStore& store,
+                                 base::Random& random, base::TimePoint now)
     : id_(id),
       incarnation_(incarnation),
       settings_(std::move(settings)),
@@ -20,8 +20,8 @@
   history_.push_back({now, status()});
 }
 
-std::optional<std::string> EngineModel::submit(const GenerateRequest& request,
-                                               base::TimePoint now) {
+std::optional<std::string> EngineSimulator::submit(const GenerateRequest& request,
+                                                   base::TimePoint now) {
   if (leaving_) {
     return "leaving";
   }
@@ -40,7 +40,7 @@
   Sequence sequence;
   sequence.request = request;
   sequence.promptHash = promptHash(request.prompt);
-  sequence.length = std::min(naturalLength(request.prompt, request.seed), request.maximumTokens);
+  sequence.length = std::min(syntheticLength(request.prompt, request.seed), request.maximumTokens);
   sequence.produced = request.resumeFrom;
   if (record_runs_) {
     runs_[request.attempt.value] = {request.prompt, request.seed, request.notRepeatable, 0};
@@ -52,7 +52,7 @@
   return std::nullopt;
 }
 
-void EngineModel::cancel(base::AttemptId attempt) {
+void EngineSimulator::cancel(base::AttemptId attempt) {
   const auto matches = [&](const Sequence& sequence) {
     return sequence.request.attempt == attempt;
   };
@@ -60,7 +60,7 @@
   std::erase_if(waiting_, matches);
 }
 
-std::optional<base::TimePoint> EngineModel::nextStepAt() const {
+std::optional<base::TimePoint> EngineSimulator::nextStepAt() const {
   std::optional<base::TimePoint> next = step_ends_at_;
   const auto consider = [&](base::TimePoint at) { next = next ? std::min(*next, at) : at; };
   if (preparing_.valid()) {
@@ -72,7 +72,7 @@
   return next;
 }
 
-void EngineModel::advance(base::TimePoint now, EngineOutput& output) {
+void EngineSimulator::advance(base::TimePoint now, EngineOutput& output) {
   while (const auto next = nextStepAt()) {
     if (*next > now) {
       break;
@@ -99,7 +99,7 @@
   }
 }
 
-void EngineModel::admit(base::TimePoint now) {
+void EngineSimulator::admit(base::TimePoint now) {
   preempt();
   while (!waiting_.empty() && running_.size() < settings_.slots) {
     const auto best = std::min_element(waiting_.begin(), waiting_.end(),
@@ -120,7 +120,7 @@
   }
 }
 
-void EngineModel::preempt() {
+void EngineSimulator::preempt() {
   const auto lowestFirst = [](const Sequence& left, const Sequence& right) {
     return left.request.priority < right.request.priority;
   };
@@ -135,7 +135,7 @@
   }
 }
 
-void EngineModel::startStep(base::TimePoint now) {
+void EngineSimulator::startStep(base::TimePoint now) {
   if (!active_.valid()) {
     return;
   }
@@ -154,7 +154,7 @@
   step_ends_at_ = now + std::max(duration, base::Duration{1});
 }
 
-void EngineModel::finishStep(EngineOutput& output) {
+void EngineSimulator::finishStep(EngineOutput& output) {
   for (Sequence& sequence : running_) {
     const GenerateRequest& request = sequence.request;
     if (sequence.produced < sequence.length) {
@@ -165,7 +165,7 @@
         sequence.chunk = {request.attempt, sequence.produced, active_, {}};
       }
       sequence.chunk.tokens.push_back(
-          tokenAt(sequence.promptHash, request.seed, active_, sequence.produced));
+          syntheticToken(sequence.promptHash, request.seed, active_, sequence.produced));
       ++sequence.produced;
       if (record_runs_) {
         ++runs_[request.attempt.value].producedTokens;
@@ -181,7 +181,7 @@
       end.kind = EndKind::kFinished;
       end.verdict = base::Verdict::kRan;
       end.totalTokens = sequence.produced;
-      const bool stopped = naturalLength(request.prompt, request.seed) <= request.maximumTokens;
+      const bool stopped = syntheticLength(request.prompt, request.seed) <= request.maximumTokens;
       end.finishReason = stopped ? "stop" : "length";
       output.ends.push_back(std::move(end));
     }
@@ -190,13 +190,13 @@
                 [](const Sequence& sequence) { return sequence.produced >= sequence.length; });
 }
 
-void EngineModel::flushChunk(Sequence& sequence, EngineOutput& output) {
+void EngineSimulator::flushChunk(Sequence& sequence, EngineOutput& output) {
   if (!sequence.chunk.tokens.empty()) {
     output.chunks.push_back(std::exchange(sequence.chunk, {}));
   }
 }
 
-EngineCommandReply EngineModel::order(const EngineCommand& order, base::TimePoint now) {
+EngineCommandReply EngineSimulator::order(const EngineCommand& order, base::TimePoint now) {
   EngineCommandReply reply;
   if (order.fence < highest_fence_ && !settings_.acceptLowerFence) {
     reply.status = EngineCommandStatus::kStaleFence;
@@ -237,13 +237,13 @@
   return reply;
 }
 
-void EngineModel::activate(base::WeightsVersion version, base::TimePoint now) {
+void EngineSimulator::activate(base::WeightsVersion version, base::TimePoint now) {
   swapping_to_ = version;
   const base::TimePoint from = step_ends_at_ ? std::max(now, *step_ends_at_) : now;
   swap_ends_at_ = from + settings_.swapDuration;
 }
 
-void EngineModel::finishSwap(base::TimePoint /*now*/, EngineOutput& output) {
+void EngineSimulator::finishSwap(base::TimePoint /*now*/, EngineOutput& output) {
   for (Sequence& sequence : running_) {
     flushChunk(sequence, output);
   }
@@ -260,7 +260,7 @@
   active_ = target;
 }
 
-void EngineModel::failAll(EngineOutput& output) {
+void EngineSimulator::failAll(EngineOutput& output) {
   const auto fail = [&](const Sequence& sequence) {
     AttemptEnd end;
     end.attempt = sequence.request.attempt;
@@ -276,7 +276,7 @@
   waiting_.clear();
 }
 
-EngineStatus EngineModel::status() const {
+EngineStatus EngineSimulator::status() const {
   EngineStatus status;
   status.engine = id_;
   status.incarnation = incarnation_;
@@ -293,7 +293,7 @@
   return status;
 }
 
-EngineStatus EngineModel::report(base::TimePoint now) {
+EngineStatus EngineSimulator::report(base::TimePoint now) {
   EngineStatus late = history_.front().status;
   // The engine's own flags and versions are read at once; only the load figures lag.
   const EngineStatus current = status();
@@ -308,7 +308,7 @@
   return late;
 }
 
-void EngineModel::publish(const std::vector<CacheEvent>& events, base::TimePoint now) {
+void EngineSimulator::publish(const std::vector<CacheEvent>& events, base::TimePoint now) {
   constexpr std::size_t kKeptEvents = 1024;
   for (const CacheEvent& event : events) {
     ++cache_sequence_;
@@ -321,9 +321,9 @@
   }
 }
 
-std::vector<NumberedCacheEvent> EngineModel::cacheEventsAfter(std::uint64_t sequence,
-                                                              base::TimePoint now) const {
-  std::vector<NumberedCacheEvent> due;
+std::vector<SequencedCacheEvent> EngineSimulator::cacheEventsAfter(std::uint64_t sequence,
+                                                                   base::TimePoint now) const {
+  std::vector<SequencedCacheEvent> due;
   for (const DatedCacheEvent& dated : cache_events_) {
     if (dated.visibleAt <= now && dated.event.sequence > sequence) {
       due.push_back(dated.event);
@@ -332,7 +332,7 @@
   return due;
 }
 
-CacheExport EngineModel::exportCache(const std::string& prompt) {
+CacheExport EngineSimulator::exportCache(const std::string& prompt) {
   constexpr std::uint64_t kBytesPerBlock = 2'097'152;
   CacheExport exported;
   exported.blocks = prefixBlocks(prompt);
@@ -341,7 +341,7 @@
   return exported;
 }
 
-void EngineModel::importCache(const CacheExport& exported, base::TimePoint now) {
+void EngineSimulator::importCache(const CacheExport& exported, base::TimePoint now) {
   std::vector<CacheEvent> events;
   cache_.store(exported.blocks, events);
   publish(events, now);
--- a/src/engine/engine_model.h
+++ b/src/engine/engine_simulator.h
@@ -19,9 +19,9 @@
 
 namespace tackpick::engine {
 
-/// Knobs of EngineModel. Times are those of a small model; a fast engine for benches sets them
+/// Knobs of EngineSimulator. Times are those of a small model; a fast engine for benches sets them
 /// near zero.
-struct EngineModelSettings {
+struct EngineSimulatorSettings {
   std::string model = "default";
   std::uint32_t slots = 16;         ///< sequences decoded together
   std::uint32_t waitingLimit = 64;  ///< beyond it a request is refused, not run
@@ -41,7 +41,7 @@
 };
 
 /// A sequence of cache events with a position, so that a reader can notice gaps.
-struct NumberedCacheEvent {
+struct SequencedCacheEvent {
   std::uint64_t sequence = 0;
   CacheEvent event;
 };
@@ -69,10 +69,11 @@
 /// Continuous batching: all running sequences gain a token per step; a step takes longer the more
 /// run, and longer still while prompts are read. Higher priorities preempt lower ones. Weights
 /// swap between steps. Deterministic; owned by one thread.
-class EngineModel {
+class EngineSimulator {
  public:
-  EngineModel(base::EngineId id, base::Incarnation incarnation, EngineModelSettings settings,
-              WeightStore& store, base::Random& random, base::TimePoint now);
+  EngineSimulator(base::EngineId id, base::Incarnation incarnation,
+                  EngineSimulatorSettings settings, WeightStore& store, base::Random& random,
+                  base::TimePoint now);
 
   /// Takes a request, or refuses it: then nothing was run and the reason is returned.
   std::optional<std::string> submit(const GenerateRequest& request, base::TimePoint now);
@@ -92,8 +93,8 @@
   /// The state without lag.
   [[nodiscard]] EngineStatus status() const;
   /// Cache events after `sequence` that are due; late, and with gaps.
-  [[nodiscard]] std::vector<NumberedCacheEvent> cacheEventsAfter(std::uint64_t sequence,
-                                                                 base::TimePoint now) const;
+  [[nodiscard]] std::vector<SequencedCacheEvent> cacheEventsAfter(std::uint64_t sequence,
+                                                                  base::TimePoint now) const;
   [[nodiscard]] CacheExport exportCache(const std::string& prompt);
   void importCache(const CacheExport& exported, base::TimePoint now);
 
@@ -119,7 +120,7 @@
   };
   struct DatedCacheEvent {
     base::TimePoint visibleAt{};
-    NumberedCacheEvent event;
+    SequencedCacheEvent event;
   };
 
   void admit(base::TimePoint now);
@@ -134,7 +135,7 @@
 
   const base::EngineId id_;
   const base::Incarnation incarnation_;
-  EngineModelSettings settings_;
+  EngineSimulatorSettings settings_;
   WeightStore& store_;
   base::Random& random_;
   PrefixCache cache_;
--- a/src/gateway/actions.cpp
+++ b/src/gateway/actions.cpp
@@ -16,47 +16,47 @@
 
 }  // namespace
 
-std::string_view toString(RefusalReason reason) {
+std::string_view toString(RejectionReason reason) {
   switch (reason) {
-    case RefusalReason::kInvalid:
+    case RejectionReason::kInvalid:
       return "invalid";
-    case RefusalReason::kUnknownWorkload:
+    case RejectionReason::kUnknownWorkload:
       return "unknown_workload";
-    case RefusalReason::kRateLimited:
+    case RejectionReason::kRateLimited:
       return "rate_limited";
-    case RefusalReason::kInFlightLimited:
+    case RejectionReason::kInFlightLimited:
       return "in_flight_limited";
-    case RefusalReason::kOverloaded:
+    case RejectionReason::kOverloaded:
       return "overloaded";
-    case RefusalReason::kStopping:
+    case RejectionReason::kStopping:
       return "stopping";
-    case RefusalReason::kNoLease:
+    case RejectionReason::kNoLease:
       return "no_lease";
-    case RefusalReason::kDeadline:
+    case RejectionReason::kDeadline:
       return "deadline";
-    case RefusalReason::kAlreadyClaimed:
+    case RejectionReason::kAlreadyClaimed:
       return "already_claimed";
-    case RefusalReason::kKeyReused:
+    case RejectionReason::kKeyReused:
       return "key_reused";
-    case RefusalReason::kEngineFailed:
+    case RejectionReason::kEngineFailed:
       return "engine_failed";
-    case RefusalReason::kLedgerUnavailable:
+    case RejectionReason::kLedgerUnavailable:
       return "ledger_unavailable";
   }
   return "unknown";
 }
 
-base::Bytes encodeAnswer(const AnswerCaller& answer) {
+base::Bytes encodeAnswer(const CompleteRequest& answer) {
   return base::encode(
       RecordedAnswer{answer.answer.tokens, answer.answer.spans, answer.finishReason});
 }
 
-std::optional<AnswerCaller> decodeAnswer(const base::Bytes& bytes) {
+std::optional<CompleteRequest> decodeAnswer(const base::Bytes& bytes) {
   auto recorded = base::decode<RecordedAnswer>(bytes);
   if (!recorded) {
     return std::nullopt;
   }
-  AnswerCaller answer;
+  CompleteRequest answer;
   answer.answer.tokens = std::move(recorded->tokens);
   answer.answer.spans = std::move(recorded->spans);
   answer.finishReason = std::move(recorded->finishReason);
--- a/src/gateway/actions.h
+++ b/src/gateway/actions.h
@@ -14,7 +14,7 @@
 namespace tackpick::gateway {
 
 /// Why a request ended without a whole answer.
-enum class RefusalReason : std::uint8_t {
+enum class RejectionReason : std::uint8_t {
   kInvalid,  ///< the request breaks a rule
   kUnknownWorkload,
   kRateLimited,
@@ -30,7 +30,7 @@
 };
 
 /// Name used in answers and metrics.
-[[nodiscard]] std::string_view toString(RefusalReason reason);
+[[nodiscard]] std::string_view toString(RejectionReason reason);
 
 struct StartAttempt {
   base::EngineId engine;
@@ -43,7 +43,7 @@
 };
 
 /// Read the engine's load report and cache events.
-struct ReadEngine {
+struct PollEngine {
   base::EngineId engine;
 };
 
@@ -56,28 +56,28 @@
 };
 
 /// The whole answer.
-struct AnswerCaller {
+struct CompleteRequest {
   base::CallerId caller;
-  LabelledTokens answer;
+  VersionedTokens answer;
   std::string finishReason;
 };
 
 /// A not-repeatable request had completed before: the same answer again.
-struct RepeatAnswer {
+struct ReplayResponse {
   base::CallerId caller;
   base::Bytes answer;  ///< as recorded by encodeAnswer()
 };
 
-struct RefuseCaller {
+struct RejectRequest {
   base::CallerId caller;
-  RefusalReason reason = RefusalReason::kInvalid;
+  RejectionReason reason = RejectionReason::kInvalid;
   base::Verdict verdict = base::Verdict::kNotRun;
   std::string message;
   base::Duration retryAfter{0};
 };
 
-using Action = std::variant<StartAttempt, CancelAttempt, ReadEngine, StreamTokens, AnswerCaller,
-                            RepeatAnswer, RefuseCaller>;
+using Action = std::variant<StartAttempt, CancelAttempt, PollEngine, StreamTokens, CompleteRequest,
+                            ReplayResponse, RejectRequest>;
 
 struct GatewayActions {
   std::vector<Action> actions;
@@ -85,7 +85,7 @@
 };
 
 /// An answer as kept in the ledger for repeats.
-[[nodiscard]] base::Bytes encodeAnswer(const AnswerCaller& answer);
-[[nodiscard]] std::optional<AnswerCaller> decodeAnswer(const base::Bytes& bytes);
+[[nodiscard]] base::Bytes encodeAnswer(const CompleteRequest& answer);
+[[nodiscard]] std::optional<CompleteRequest> decodeAnswer(const base::Bytes& bytes);
 
 }  // namespace tackpick::gateway
--- a/src/gateway/control_view.h
+++ b/src/gateway/control_view.h
@@ -41,7 +41,7 @@
   /// Gives the lease back at a planned stop.
   void leave(base::TimePoint now, transport::Outbox& outbox);
 
-  [[nodiscard]] bool mayServe(base::TimePoint now) const {
+  [[nodiscard]] bool canServe(base::TimePoint now) const {
     return now < lease_end_ || settings_.mutants.serveWithoutLease;
   }
   [[nodiscard]] base::Revision revision() const { return revision_; }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -82,7 +82,7 @@
   for (LedgerLink& link : ledgers_) {
     link.client->tick(now, actions_.messages);
   }
-  readEngines(now);
+  pollEngines(now);
   expireJobs(now);
   leaseSamples(now);
   dispatch(now);
@@ -116,7 +116,7 @@
       }
     }
     for (const JobId id : running) {
-      giveUp(jobs_.at(id), RefusalReason::kStopping, "stopping", now);
+      giveUp(jobs_.at(id), RejectionReason::kStopping, "stopping", now);
     }
   }
 }
@@ -164,7 +164,7 @@
   return ledgers_.front();
 }
 
-void Gateway::refuse(const RefuseCaller& refusal) {
+void Gateway::refuse(const RejectRequest& refusal) {
   if (refusal.verdict == base::Verdict::kNotRun) {
     ++counters_.requestsRefusedNotRun;
   } else {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -160,8 +160,8 @@
   };
 
   // Admission: gateway_admission.cpp.
-  [[nodiscard]] std::optional<RefuseCaller> admissionProblem(const CallerRequest& request,
-                                                             base::TimePoint now);
+  [[nodiscard]] std::optional<RejectRequest> admissionProblem(const CallerRequest& request,
+                                                              base::TimePoint now);
   Job& createCallerJob(const CallerRequest& request, base::TimePoint now);
   void requestClaim(Job& job, base::TimePoint now);
   /// The request was given up before its claim was answered: it certainly does not run.
@@ -176,7 +176,7 @@
   void dispatch(base::TimePoint now);
   bool tryDispatch(Job& job, bool isHedge, base::TimePoint now);
   void hedgeSlowSamples(base::TimePoint now);
-  void readEngines(base::TimePoint now);
+  void pollEngines(base::TimePoint now);
   [[nodiscard]] bool isReaderOf(base::EngineId engine) const;
   /// The delta with only the engines that this gateway reads and uses.
   [[nodiscard]] control::ControlDelta withOwnEngines(const control::ControlDelta& delta) const;
@@ -186,8 +186,8 @@
   void dropAttempt(Job& job, base::AttemptId attempt, bool cancel, base::TimePoint now);
   void onAttemptFailed(Job& job, base::TimePoint now);
   void retryOrGiveUp(Job& job, base::TimePoint now);
-  void finishWhole(Job& job, LabelledTokens output, std::string finishReason, base::TimePoint now);
-  void giveUp(Job& job, RefusalReason reason, std::string message, base::TimePoint now);
+  void finishWhole(Job& job, VersionedTokens output, std::string finishReason, base::TimePoint now);
+  void giveUp(Job& job, RejectionReason reason, std::string message, base::TimePoint now);
   void recordOutcome(Job& job, ledger::ClaimOutcome outcome, base::Bytes answer,
                      base::TimePoint now, Action last);
   void expireJobs(base::TimePoint now);
@@ -207,7 +207,7 @@
   LedgerLink& ledgerOf(base::GroupId group);
   void callGroup(consensus::GroupClient& client, transport::CommandKind kind, base::Bytes payload,
                  base::TimePoint now, consensus::GroupClient::Callback callback);
-  void refuse(const RefuseCaller& refusal);
+  void refuse(const RejectRequest& refusal);
   [[nodiscard]] std::uint64_t uniqueNumber();
 
   const GatewaySettings settings_;
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -23,34 +23,36 @@
   dispatch(now);
 }
 
-std::optional<RefuseCaller> Gateway::admissionProblem(const CallerRequest& request,
-                                                      base::TimePoint now) {
-  const auto problem = [&](RefusalReason reason, std::string message, base::Duration retryAfter) {
-    return RefuseCaller{request.id, reason, base::Verdict::kNotRun, std::move(message), retryAfter};
+std::optional<RejectRequest> Gateway::admissionProblem(const CallerRequest& request,
+                                                       base::TimePoint now) {
+  const auto problem = [&](RejectionReason reason, std::string message, base::Duration retryAfter) {
+    return RejectRequest{request.id, reason, base::Verdict::kNotRun, std::move(message),
+                         retryAfter};
   };
   if (draining_) {
-    return problem(RefusalReason::kStopping, "this gateway is stopping", base::seconds(1));
+    return problem(RejectionReason::kStopping, "this gateway is stopping", base::seconds(1));
   }
-  if (!view_.mayServe(now)) {
-    return problem(RefusalReason::kNoLease, "this gateway has no serving lease", base::seconds(2));
+  if (!view_.canServe(now)) {
+    return problem(RejectionReason::kNoLease, "this gateway has no serving lease",
+                   base::seconds(2));
   }
   const std::string& path = request.workload.value;
   const control::SettingsTree& tree = view_.settings();
   if (tree.find(path) == nullptr || control::parentPath(path) != request.tenant.value) {
-    return problem(RefusalReason::kUnknownWorkload, "no workload " + path, base::Duration{0});
+    return problem(RejectionReason::kUnknownWorkload, "no workload " + path, base::Duration{0});
   }
   const std::int64_t tokenLimit = tree.integer(path, SettingKey::kTokenLimit);
   if (request.maximumTokens == 0 || request.maximumTokens > tokenLimit) {
-    return problem(RefusalReason::kInvalid, "max_tokens must be 1 to " + std::to_string(tokenLimit),
-                   base::Duration{0});
+    return problem(RejectionReason::kInvalid,
+                   "max_tokens must be 1 to " + std::to_string(tokenLimit), base::Duration{0});
   }
   if (request.notRepeatable && !request.key.valid()) {
-    return problem(RefusalReason::kInvalid, "a not-repeatable request needs an Idempotency-Key",
+    return problem(RejectionReason::kInvalid, "a not-repeatable request needs an Idempotency-Key",
                    base::Duration{0});
   }
   WorkloadState& state = workloadState(request.workload, now);
   if (state.inFlight >= tree.integer(path, SettingKey::kInFlightLimit)) {
-    return problem(RefusalReason::kInFlightLimited, "too many requests in flight",
+    return problem(RejectionReason::kInFlightLimited, "too many requests in flight",
                    base::seconds(1));
   }
   const auto priority = static_cast<std::uint32_t>(tree.integer(path, SettingKey::kPriority));
@@ -60,11 +62,11 @@
   const base::Duration allowed =
       request.deadline.count() > 0 ? std::min<base::Duration>(longest, request.deadline) : longest;
   if (wait > allowed) {
-    return problem(RefusalReason::kOverloaded, "the expected wait is too long",
+    return problem(RejectionReason::kOverloaded, "the expected wait is too long",
                    retryAfter(priority, model, now));
   }
   if (!state.bucket.take(now)) {
-    return problem(RefusalReason::kRateLimited, "the workload's rate limit is reached",
+    return problem(RejectionReason::kRateLimited, "the workload's rate limit is reached",
                    state.bucket.untilNext(now));
   }
   return std::nullopt;
@@ -175,7 +177,7 @@
   const base::CallerId caller = job.caller->id;
   if (!decoded) {
     // Nothing was dispatched, and the claimant number keeps anybody else's dispatch apart.
-    refuse({caller, RefusalReason::kLedgerUnavailable, base::Verdict::kNotRun,
+    refuse({caller, RejectionReason::kLedgerUnavailable, base::Verdict::kNotRun,
             "the claim could not be registered", base::seconds(2)});
     removeJob(id);
     return;
@@ -189,12 +191,12 @@
   if (decoded->status == ledger::LedgerStatus::kRefused &&
       decoded->outcome == ledger::ClaimOutcome::kCompleted) {
     ++counters_.requestsAnswered;
-    actions_.actions.emplace_back(RepeatAnswer{caller, decoded->answer});
+    actions_.actions.emplace_back(ReplayResponse{caller, decoded->answer});
   } else if (decoded->status == ledger::LedgerStatus::kRefused) {
-    refuse({caller, RefusalReason::kAlreadyClaimed, base::Verdict::kMayHaveRun,
+    refuse({caller, RejectionReason::kAlreadyClaimed, base::Verdict::kMayHaveRun,
             "a request with this idempotency key may have run", base::Duration{0}});
   } else {
-    refuse({caller, RefusalReason::kKeyReused, base::Verdict::kNotRun, decoded->message,
+    refuse({caller, RejectionReason::kKeyReused, base::Verdict::kNotRun, decoded->message,
             base::Duration{0}});
   }
   removeJob(id);
@@ -208,7 +210,7 @@
   Job& job = jobs_.at(found->second);
   // A not-repeatable request goes on: its recorded outcome answers a resend.
   if (job.claim == ClaimState::kNone && !job.finishing) {
-    giveUp(job, RefusalReason::kDeadline, "the caller hung up", now);
+    giveUp(job, RejectionReason::kDeadline, "the caller hung up", now);
   }
 }
 
--- a/src/gateway/gateway_attempts.cpp
+++ b/src/gateway/gateway_attempts.cpp
@@ -64,7 +64,7 @@
   if (whole || (settings_.mutants.finishEarly && end.kind == engine::EndKind::kLost)) {
     outliers_.onSuccess(engine);
     job->verdict = base::Verdict::kRan;
-    LabelledTokens output = attempt->output;
+    VersionedTokens output = attempt->output;
     const std::string reason = whole ? end.finishReason : "stop";
     attempt->resumedFrom = static_cast<std::uint32_t>(output.tokens.size());  // none is wasted
     job->finishing = true;
@@ -116,21 +116,21 @@
   const bool mayRunAgain = !job.caller || !job.caller->notRepeatable ||
                            job.verdict == base::Verdict::kNotRun || settings_.mutants.retryUnclear;
   if (!mayRunAgain) {
-    giveUp(job, RefusalReason::kEngineFailed, "the engine failed and the request may have run",
+    giveUp(job, RejectionReason::kEngineFailed, "the engine failed and the request may have run",
            now);
     return;
   }
   if (job.caller) {
     const bool budgeted = job.attemptCount < settings_.maximumAttempts && retry_budget_.spend();
     if (!budgeted) {
-      giveUp(job, RefusalReason::kEngineFailed, "no engine could run the request", now);
+      giveUp(job, RejectionReason::kEngineFailed, "no engine could run the request", now);
       return;
     }
   }
   if (job.partial.tokens.size() < job.streamedTokens || !settings_.resumePartial) {
     job.partial = {};
     if (job.streamedTokens > 0) {
-      giveUp(job, RefusalReason::kEngineFailed, "the stream broke", now);
+      giveUp(job, RejectionReason::kEngineFailed, "the stream broke", now);
       return;
     }
   }
@@ -143,7 +143,7 @@
   waiting_for_retry_.insert(job.id);
 }
 
-void Gateway::finishWhole(Job& job, LabelledTokens output, std::string finishReason,
+void Gateway::finishWhole(Job& job, VersionedTokens output, std::string finishReason,
                           base::TimePoint now) {
   job.finishing = true;
   while (!job.attempts.empty()) {
@@ -162,13 +162,13 @@
     return;
   }
   ++counters_.requestsAnswered;
-  AnswerCaller answer{job.caller->id, std::move(output), std::move(finishReason)};
+  CompleteRequest answer{job.caller->id, std::move(output), std::move(finishReason)};
   base::Bytes recorded = job.claim == ClaimState::kHeld ? encodeAnswer(answer) : base::Bytes{};
   recordOutcome(job, ledger::ClaimOutcome::kCompleted, std::move(recorded), now,
                 Action{std::move(answer)});
 }
 
-void Gateway::giveUp(Job& job, RefusalReason reason, std::string message, base::TimePoint now) {
+void Gateway::giveUp(Job& job, RejectionReason reason, std::string message, base::TimePoint now) {
   job.finishing = true;
   if (job.queued) {
     queue_.remove(job.id);
@@ -180,8 +180,8 @@
     dropAttempt(job, job.attempts.front().id, true, now);
   }
   const bool notRun = job.verdict == base::Verdict::kNotRun;
-  RefuseCaller refusal{job.caller->id, reason, job.verdict, std::move(message),
-                       retryAfter(job.priority, job.model, now)};
+  RejectRequest refusal{job.caller->id, reason, job.verdict, std::move(message),
+                        retryAfter(job.priority, job.model, now)};
   if (notRun) {
     ++counters_.requestsRefusedNotRun;
   } else {
@@ -241,16 +241,16 @@
     }
     Job& job = found->second;
     if (job.caller && now >= job.deadline) {
-      giveUp(job, RefusalReason::kDeadline, "the deadline passed", now);
+      giveUp(job, RejectionReason::kDeadline, "the deadline passed", now);
       continue;
     }
     if (job.caller && job.queued && job.attemptCount == 0) {
       if (now >= job.queueDeadline) {
-        giveUp(job, RefusalReason::kOverloaded, "no engine became free in time", now);
+        giveUp(job, RejectionReason::kOverloaded, "no engine became free in time", now);
         continue;
       }
-      if (!view_.mayServe(now)) {
-        giveUp(job, RefusalReason::kNoLease, "this gateway has no serving lease", now);
+      if (!view_.canServe(now)) {
+        giveUp(job, RejectionReason::kNoLease, "this gateway has no serving lease", now);
         continue;
       }
     }
--- a/src/gateway/gateway_dispatch.cpp
+++ b/src/gateway/gateway_dispatch.cpp
@@ -30,7 +30,7 @@
 }
 
 void Gateway::dispatch(base::TimePoint now) {
-  if (!view_.mayServe(now)) {
+  if (!view_.canServe(now)) {
     return;
   }
   bool progressed = true;
@@ -104,7 +104,7 @@
 }
 
 void Gateway::hedgeSlowSamples(base::TimePoint now) {
-  if (!settings_.hedgeTail || queue_.size() > 0 || !view_.mayServe(now)) {
+  if (!settings_.hedgeTail || queue_.size() > 0 || !view_.canServe(now)) {
     return;
   }
   for (auto& [id, job] : jobs_) {
@@ -150,7 +150,7 @@
   return own;
 }
 
-void Gateway::readEngines(base::TimePoint now) {
+void Gateway::pollEngines(base::TimePoint now) {
   std::erase_if(read_at_, [&](const auto& entry) { return engines_.find(entry.first) == nullptr; });
   for (const auto& [id, entry] : engines_.entries()) {
     base::TimePoint& readAt = read_at_[id];
@@ -159,7 +159,7 @@
     }
     readAt = now;
     engines_.onReadSent(id, now);
-    actions_.actions.emplace_back(ReadEngine{id});
+    actions_.actions.emplace_back(PollEngine{id});
   }
 }
 
--- a/src/gateway/gateway_samples.cpp
+++ b/src/gateway/gateway_samples.cpp
@@ -30,7 +30,7 @@
 }
 
 void Gateway::leaseSamples(base::TimePoint now) {
-  const bool mayLease = !draining_ && view_.mayServe(now);
+  const bool mayLease = !draining_ && view_.canServe(now);
   for (LedgerLink& link : ledgers_) {
     if (link.held > 0 && now - link.heardAt >= settings_.heartbeatInterval) {
       link.heardAt = now;
--- a/src/gateway/job.cpp
+++ b/src/gateway/job.cpp
@@ -2,7 +2,7 @@
 
 namespace tackpick::gateway {
 
-void LabelledTokens::append(base::WeightsVersion version, const std::vector<engine::Token>& more) {
+void VersionedTokens::append(base::WeightsVersion version, const std::vector<engine::Token>& more) {
   if (more.empty()) {
     return;
   }
--- a/src/gateway/job.h
+++ b/src/gateway/job.h
@@ -19,7 +19,7 @@
 using routing::JobId;
 
 /// Tokens with the versions that produced them.
-struct LabelledTokens {
+struct VersionedTokens {
   std::vector<engine::Token> tokens;
   std::vector<ledger::VersionSpan> spans;
 
@@ -35,7 +35,7 @@
   base::TimePoint progressAt{};
   std::uint32_t resumedFrom = 0;
   bool isHedge = false;
-  LabelledTokens output;
+  VersionedTokens output;
 };
 
 /// What a caller asked for.
@@ -76,7 +76,7 @@
   base::TimePoint retryAt{};        ///< waits outside the queue until then
 
   base::Verdict verdict = base::Verdict::kNotRun;  ///< over all attempts so far
-  LabelledTokens partial;                          ///< what ended attempts left
+  VersionedTokens partial;                         ///< what ended attempts left
   std::vector<Attempt> attempts;
   std::uint32_t attemptCount = 0;
   std::set<base::EngineId> refusedBy;
--- a/src/ledger/ledger_commands.h
+++ b/src/ledger/ledger_commands.h
@@ -73,7 +73,7 @@
 };
 
 /// Raises the minimum version of a batch that is still running.
-struct TightenBatch {
+struct RaiseMinimumVersion {
   base::BatchId batch;
   base::WeightsVersion minimumVersion;
 
@@ -176,8 +176,8 @@
 };
 
 using LedgerOperation =
-    std::variant<SubmitBatch, TightenBatch, LeaseSamples, ReleaseLeases, ReturnSample, CommitSample,
-                 AcknowledgeSamples, ClaimRequest, RecordOutcome>;
+    std::variant<SubmitBatch, RaiseMinimumVersion, LeaseSamples, ReleaseLeases, ReturnSample,
+                 CommitSample, AcknowledgeSamples, ClaimRequest, RecordOutcome>;
 
 /// `wallSeconds` is the proposing leader's wall clock; it only drives retention.
 struct LedgerCommand {
--- a/src/ledger/ledger_state.cpp
+++ b/src/ledger/ledger_state.cpp
@@ -61,7 +61,7 @@
   return withStatus(LedgerStatus::kOk);
 }
 
-LedgerResult LedgerState::applyOperation(const TightenBatch& command) {
+LedgerResult LedgerState::applyOperation(const RaiseMinimumVersion& command) {
   Batch* batch = find(command.batch);
   if (batch == nullptr) {
     return missing(command.batch);
--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -91,7 +91,7 @@
   };
 
   LedgerResult applyOperation(const SubmitBatch& command);
-  LedgerResult applyOperation(const TightenBatch& command);
+  LedgerResult applyOperation(const RaiseMinimumVersion& command);
   LedgerResult applyOperation(const LeaseSamples& command);
   LedgerResult applyOperation(const ReleaseLeases& command);
   LedgerResult applyOperation(const ReturnSample& command);
--- a/src/routing/dispatch_queue.cpp
+++ b/src/routing/dispatch_queue.cpp
@@ -40,7 +40,7 @@
     return ordered;
   }
   const Entry& oldest = entries_.at(by_arrival_.begin()->second).entry;
-  if (settings_.firstComeFirstServed) {
+  if (settings_.fifo) {
     return {oldest};
   }
   const bool starved = now - oldest.enqueuedAt >= settings_.starvationLimit &&
@@ -100,7 +100,7 @@
 std::uint64_t DispatchQueue::tokensAhead(std::uint32_t priority) const {
   std::uint64_t tokens = 0;
   for (const auto& [level, priorityClass] : classes_) {
-    if (level > priority && !settings_.firstComeFirstServed) {
+    if (level > priority && !settings_.fifo) {
       break;
     }
     tokens += priorityClass.waitingTokens;
--- a/src/routing/dispatch_queue.h
+++ b/src/routing/dispatch_queue.h
@@ -25,7 +25,7 @@
   base::Duration starvationLimit = base::seconds(20);
   std::uint32_t starvationShare = 10;
   /// One queue in order of arrival, for comparison.
-  bool firstComeFirstServed = false;
+  bool fifo = false;
 };
 
 /// Strict between priority classes, fair between the workloads of a class, longest expected job
--- a/src/runtime/caller_api.cpp
+++ b/src/runtime/caller_api.cpp
@@ -9,31 +9,31 @@
 namespace {
 
 using base::Verdict;
-using gateway::RefusalReason;
+using gateway::RejectionReason;
 
 /// A client that leaves more than this unread is cut off.
 constexpr std::size_t kMaximumUnsentBytes = 4U << 20U;
 
-int statusOf(RefusalReason reason) {
+int statusOf(RejectionReason reason) {
   switch (reason) {
-    case RefusalReason::kInvalid:
+    case RejectionReason::kInvalid:
       return kUnprocessable;
-    case RefusalReason::kUnknownWorkload:
+    case RejectionReason::kUnknownWorkload:
       return kNotFound;
-    case RefusalReason::kRateLimited:
-    case RefusalReason::kInFlightLimited:
+    case RejectionReason::kRateLimited:
+    case RejectionReason::kInFlightLimited:
       return kTooManyRequests;
-    case RefusalReason::kOverloaded:
-    case RefusalReason::kStopping:
-    case RefusalReason::kNoLease:
-    case RefusalReason::kLedgerUnavailable:
+    case RejectionReason::kOverloaded:
+    case RejectionReason::kStopping:
+    case RejectionReason::kNoLease:
+    case RejectionReason::kLedgerUnavailable:
       return kUnavailable;
-    case RefusalReason::kDeadline:
+    case RejectionReason::kDeadline:
       return kGatewayTimeout;
-    case RefusalReason::kAlreadyClaimed:
-    case RefusalReason::kKeyReused:
+    case RejectionReason::kAlreadyClaimed:
+    case RejectionReason::kKeyReused:
       return kConflict;
-    case RefusalReason::kEngineFailed:
+    case RejectionReason::kEngineFailed:
       return kBadGateway;
   }
   return kUnavailable;
@@ -47,7 +47,7 @@
   return text;
 }
 
-Json answerJson(base::CallerId caller, const gateway::LabelledTokens& answer,
+Json answerJson(base::CallerId caller, const gateway::VersionedTokens& answer,
                 const std::string& finishReason) {
   return {{"id", "cmpl-" + std::to_string(caller.value)},
           {"object", "text_completion"},
@@ -139,11 +139,11 @@
 void CallerApi::carryOut(const gateway::Action& action) {
   if (const auto* tokens = std::get_if<gateway::StreamTokens>(&action)) {
     carryOut(*tokens);
-  } else if (const auto* answer = std::get_if<gateway::AnswerCaller>(&action)) {
+  } else if (const auto* answer = std::get_if<gateway::CompleteRequest>(&action)) {
     carryOut(*answer);
-  } else if (const auto* repeat = std::get_if<gateway::RepeatAnswer>(&action)) {
+  } else if (const auto* repeat = std::get_if<gateway::ReplayResponse>(&action)) {
     carryOut(*repeat);
-  } else if (const auto* refusal = std::get_if<gateway::RefuseCaller>(&action)) {
+  } else if (const auto* refusal = std::get_if<gateway::RejectRequest>(&action)) {
     carryOut(*refusal);
   }
 }
@@ -176,7 +176,7 @@
   caller.responder->sendEvent(event);
 }
 
-void CallerApi::carryOut(const gateway::AnswerCaller& answer) {
+void CallerApi::carryOut(const gateway::CompleteRequest& answer) {
   const auto found = callers_.find(answer.caller);
   if (found == callers_.end()) {
     return;
@@ -201,13 +201,13 @@
   caller.responder->endStream();
 }
 
-void CallerApi::carryOut(const gateway::RepeatAnswer& repeat) {
+void CallerApi::carryOut(const gateway::ReplayResponse& repeat) {
   const auto answer = gateway::decodeAnswer(repeat.answer);
   const auto found = callers_.find(repeat.caller);
   if (!answer || found == callers_.end()) {
     return;
   }
-  gateway::AnswerCaller again = *answer;
+  gateway::CompleteRequest again = *answer;
   again.caller = repeat.caller;
   if (found->second.stream) {
     found->second.streaming = true;
@@ -218,7 +218,7 @@
   carryOut(again);
 }
 
-void CallerApi::carryOut(const gateway::RefuseCaller& refusal) {
+void CallerApi::carryOut(const gateway::RejectRequest& refusal) {
   const auto found = callers_.find(refusal.caller);
   if (found == callers_.end()) {
     return;
--- a/src/runtime/caller_api.h
+++ b/src/runtime/caller_api.h
@@ -40,9 +40,9 @@
   void completions(const http::Request& request, const control::CredentialRecord& credential,
                    const ResponderPointer& responder);
   void carryOut(const gateway::StreamTokens& tokens);
-  void carryOut(const gateway::AnswerCaller& answer);
-  void carryOut(const gateway::RepeatAnswer& answer);
-  void carryOut(const gateway::RefuseCaller& refusal);
+  void carryOut(const gateway::CompleteRequest& answer);
+  void carryOut(const gateway::ReplayResponse& answer);
+  void carryOut(const gateway::RejectRequest& refusal);
 
   Daemon& daemon_;
   TrainerApi trainer_api_;
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -248,7 +248,7 @@
     engine_link_->startAttempt(start->engine, start->request);
   } else if (const auto* cancel = std::get_if<gateway::CancelAttempt>(&action)) {
     engine_link_->cancelAttempt(cancel->engine, cancel->attempt);
-  } else if (const auto* read = std::get_if<gateway::ReadEngine>(&action)) {
+  } else if (const auto* read = std::get_if<gateway::PollEngine>(&action)) {
     engine_link_->readReport(read->engine);
   } else {
     caller_api_->carryOut(action);
@@ -267,7 +267,7 @@
   };
   events.onReport = [this](base::EngineId engine, const EngineReport& report) {
     gateway_->onEngineStatus(report.status, now());
-    for (const engine::NumberedCacheEvent& numbered : report.cacheEvents) {
+    for (const engine::SequencedCacheEvent& numbered : report.cacheEvents) {
       gateway_->onCacheEvent(engine, numbered.event);
     }
     wake();
@@ -332,7 +332,7 @@
   if (stopping_) {
     return false;
   }
-  if (gateway_ && !gateway_->view().mayServe(now())) {
+  if (gateway_ && !gateway_->view().canServe(now())) {
     return false;
   }
   return !reported_failure_;
@@ -383,7 +383,7 @@
   if (!gateway_) {
     return;
   }
-  const bool leased = gateway_->view().mayServe(now());
+  const bool leased = gateway_->view().canServe(now());
   if (leased != reported_lease_) {
     reported_lease_ = leased;
     logEvent(leased ? EventId::kLeaseGained : EventId::kLeaseLost, "");
--- a/src/runtime/engine_json.cpp
+++ b/src/runtime/engine_json.cpp
@@ -179,7 +179,7 @@
 std::string toJson(const EngineReport& report) {
   Json object = statusJson(report.status);
   Json events = Json::array();
-  for (const engine::NumberedCacheEvent& numbered : report.cacheEvents) {
+  for (const engine::SequencedCacheEvent& numbered : report.cacheEvents) {
     const bool stored = numbered.event.kind == engine::CacheEventKind::kStored;
     events.push_back({numbered.sequence, idText(numbered.event.block), stored});
   }
@@ -204,7 +204,7 @@
     if (!shaped) {
       return std::nullopt;
     }
-    engine::NumberedCacheEvent numbered;
+    engine::SequencedCacheEvent numbered;
     numbered.sequence = item[0].get<std::uint64_t>();
     numbered.event.block = idOf(Json{{"block", item[1]}}, "block");
     numbered.event.kind =
--- a/src/runtime/engine_json.h
+++ b/src/runtime/engine_json.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "control/controller.h"
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 #include "runtime/json.h"
 
 namespace tackpick::runtime {
@@ -30,7 +30,7 @@
 /// A load report, with the cache events that came with it.
 struct EngineReport {
   engine::EngineStatus status;
-  std::vector<engine::NumberedCacheEvent> cacheEvents;
+  std::vector<engine::SequencedCacheEvent> cacheEvents;
   std::uint64_t cacheSequence = 0;  ///< of the newest event that is due
 };
 [[nodiscard]] std::string toJson(const EngineReport& report);
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -52,7 +52,7 @@
   writer.gauge("configuration_revision", "revision in force",
                static_cast<double>(gateway.view().revision().value));
   writer.gauge("serving_lease", "1 while this gateway may serve",
-               gateway.view().mayServe(now) ? 1.0 : 0.0);
+               gateway.view().canServe(now) ? 1.0 : 0.0);
 }
 
 }  // namespace
--- a/src/runtime/trainer_api.cpp
+++ b/src/runtime/trainer_api.cpp
@@ -170,7 +170,7 @@
                          const ResponderPointer& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
-  ledger::TightenBatch command;
+  ledger::RaiseMinimumVersion command;
   command.batch = batch;
   command.minimumVersion = {
       static_cast<std::uint64_t>(reader.integer("minimum_version", 0, 0, kMaximumInteger))};
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -93,7 +93,7 @@
     return;
   }
   if (reply.refusal) {
-    const bool invalid = reply.refusal->reason == gateway::RefusalReason::kInvalid;
+    const bool invalid = reply.refusal->reason == gateway::RejectionReason::kInvalid;
     observations.onRefusal(plan.sent, reply.refusal->verdict, invalid, reply.refusal->message);
   } else {
     observations.onConnectionLost(plan.sent, reply.byPlannedStop);
--- a/src/simulation/engine_host.h
+++ b/src/simulation/engine_host.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 #include "simulation/environment.h"
 
 namespace tackpick::simulation {
@@ -17,7 +17,7 @@
   std::uint64_t epoch = 0;
 };
 
-/// Hosts engine::EngineModel: incarnations, streams to gateways, orders from controllers.
+/// Hosts engine::EngineSimulator: incarnations, streams to gateways, orders from controllers.
 class EngineHost {
  public:
   EngineHost(Environment& environment, base::EngineId id, std::string zone,
@@ -59,7 +59,7 @@
   const std::string zone_;
   engine::WeightStore& store_;
   base::Incarnation incarnation_;
-  std::optional<engine::EngineModel> model_;
+  std::optional<engine::EngineSimulator> model_;
   std::map<base::AttemptId, ProcessRun> streams_;
   std::map<NodeHost*, std::uint64_t> cache_sequences_;
   std::uint64_t wakeup_ = 0;
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -351,7 +351,7 @@
     environment_.network.sendOrdered(
         machine_, engine->machine(),
         [engine, attempt = cancelled->attempt] { engine->cancel(attempt); });
-  } else if (const auto* read = std::get_if<gateway::ReadEngine>(&action)) {
+  } else if (const auto* read = std::get_if<gateway::PollEngine>(&action)) {
     EngineHost* engine = environment_.engine(read->engine);
     if (RoleMeter* own = meter()) {
       ++own->engineReads;
@@ -367,7 +367,7 @@
                                        "a stream skipped or repeated tokens");
     }
     streamed.tokens.insert(streamed.tokens.end(), stream->tokens.begin(), stream->tokens.end());
-  } else if (const auto* answer = std::get_if<gateway::AnswerCaller>(&action)) {
+  } else if (const auto* answer = std::get_if<gateway::CompleteRequest>(&action)) {
     CallerReply whole;
     whole.answer = {answer->answer.tokens, answer->answer.spans};
     const auto streamed = streamed_.find(answer->caller);
@@ -375,7 +375,7 @@
       environment_.observations.broken(Promise::kWholeAnswer, "a stream differs from its answer");
     }
     reply(answer->caller, std::move(whole));
-  } else if (const auto* repeat = std::get_if<gateway::RepeatAnswer>(&action)) {
+  } else if (const auto* repeat = std::get_if<gateway::ReplayResponse>(&action)) {
     CallerReply repeated;
     if (const auto decoded = gateway::decodeAnswer(repeat->answer)) {
       repeated.answer = {decoded->answer.tokens, decoded->answer.spans};
@@ -383,7 +383,7 @@
       environment_.observations.broken(Promise::kWholeAnswer, "an unreadable recorded answer");
     }
     reply(repeat->caller, std::move(repeated));
-  } else if (const auto* refusal = std::get_if<gateway::RefuseCaller>(&action)) {
+  } else if (const auto* refusal = std::get_if<gateway::RejectRequest>(&action)) {
     CallerReply refused;
     refused.refusal = *refusal;
     reply(refusal->caller, std::move(refused));
@@ -458,9 +458,9 @@
 }
 
 void NodeHost::onReport(const engine::EngineStatus& status,
-                        const std::vector<engine::NumberedCacheEvent>& events) {
+                        const std::vector<engine::SequencedCacheEvent>& events) {
   gateway_->onEngineStatus(status, localNow());
-  for (const engine::NumberedCacheEvent& numbered : events) {
+  for (const engine::SequencedCacheEvent& numbered : events) {
     gateway_->onCacheEvent(status.engine, numbered.event);
   }
 }
--- a/src/simulation/node_host.h
+++ b/src/simulation/node_host.h
@@ -24,7 +24,7 @@
 /// How a caller's request came back.
 struct CallerReply {
   std::optional<checking::ReceivedAnswer> answer;
-  std::optional<gateway::RefuseCaller> refusal;
+  std::optional<gateway::RejectRequest> refusal;
   bool connectionLost = false;  ///< neither answer nor refusal
   bool byPlannedStop = false;
 };
@@ -59,7 +59,7 @@
   void onChunk(const engine::Chunk& chunk);
   void onAttemptEnd(const engine::AttemptEnd& end);
   void onReport(const engine::EngineStatus& status,
-                const std::vector<engine::NumberedCacheEvent>& events);
+                const std::vector<engine::SequencedCacheEvent>& events);
   void onCommandReply(const engine::EngineCommandReply& reply);
 
   // Clients; the handlers run on the client's side.
--- a/src/simulation/observations.cpp
+++ b/src/simulation/observations.cpp
@@ -96,7 +96,7 @@
   leaving_since_.try_emplace({engine, incarnation}, clock_.now());
 }
 
-void Observations::onEngineRuns(const engine::EngineModel& model) {
+void Observations::onEngineRuns(const engine::EngineSimulator& model) {
   for (const auto& [attempt, run] : model.runs()) {
     ++figures_.engineRuns;
     const auto found = prompts_.find(run.prompt);
--- a/src/simulation/observations.h
+++ b/src/simulation/observations.h
@@ -14,7 +14,7 @@
 #include "base/time.h"
 #include "base/verdict.h"
 #include "checking/answer_check.h"
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 
 namespace tackpick::simulation {
 
@@ -102,7 +102,7 @@
     leaving_since_.erase({engine, incarnation});
   }
   /// Everything one incarnation of an engine ran, told when it ends.
-  void onEngineRuns(const engine::EngineModel& model);
+  void onEngineRuns(const engine::EngineSimulator& model);
   void onVersionPublished(base::WeightsVersion version) { published_at_[version] = clock_.now(); }
   /// How many engines there are, for the time a rollout takes.
   void setEngineCount(std::size_t count) { engine_count_ = count; }
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "control/controller.h"
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 #include "gateway/gateway.h"
 #include "ledger/ledger.h"
 #include "simulation/simulated_network.h"
@@ -94,7 +94,7 @@
   control::ControllerSettings controller = controllersWithAMachineList();
   ledger::LedgerSettings ledger;
   gateway::GatewaySettings gateway;
-  engine::EngineModelSettings engine;
+  engine::EngineSimulatorSettings engine;
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -171,7 +171,7 @@
 void TrainerActor::tighten() {
   batches_.front().tightening = true;
   const base::WeightsVersion oldest{published_version_};
-  const ledger::TightenBatch command{batches_.front().sent.batch, oldest};
+  const ledger::RaiseMinimumVersion command{batches_.front().sent.batch, oldest};
   call(
       batches_.front().sent.batch, transport::CommandKind::kCommand,
       base::encode(ledger::LedgerOperation{command}), [this, oldest](const base::Bytes&) {
--- a/test/engine/engine_model_test.cpp
+++ b/test/engine/engine_simulator_test.cpp
@@ -1,4 +1,4 @@
-#include "engine/engine_model.h"
+#include "engine/engine_simulator.h"
 
 #include <criterion/criterion.h>
 
@@ -38,12 +38,12 @@
 
   base::SeededRandom random{1};
   engine::WeightStore store{20'000'000'000};
-  engine::EngineModel model;
+  engine::EngineSimulator model;
 };
 
 }  // namespace
 
-Test(engine_model, produces_the_answer_of_prompt_seed_and_version) {
+Test(engine_simulator, produces_the_answer_of_prompt_seed_and_version) {
   EngineFixture fixture;
   cr_assert_not(fixture.model.submit(fixture.request(1, 10), kStart).has_value());
   const engine::EngineOutput output = fixture.runUntil(kStart + base::seconds(2));
@@ -51,15 +51,15 @@
   for (const engine::Chunk& chunk : output.chunks) {
     cr_assert_eq(chunk.offset, position);
     for (const engine::Token token : chunk.tokens) {
-      cr_assert_eq(token,
-                   engine::tokenAt(engine::lengthDirective(10) + "prompt", 0, {1}, position++));
+      cr_assert_eq(token, engine::syntheticToken(engine::lengthDirective(10) + "prompt", 0, {1},
+                                                 position++));
     }
   }
   cr_assert_eq(position, 10U);
   cr_assert_eq(output.ends.size(), 1U);
 }
 
-Test(engine_model, resumes_from_an_offset_and_cancels) {
+Test(engine_simulator, resumes_from_an_offset_and_cancels) {
   EngineFixture fixture;
   engine::GenerateRequest resumed = fixture.request(1, 10);
   resumed.resumeFrom = 6;
@@ -71,7 +71,7 @@
   cr_assert_eq(output.ends.size(), 1U, "the cancelled one ends silently");
 }
 
-Test(engine_model, lower_fences_are_refused) {
+Test(engine_simulator, lower_fences_are_refused) {
   EngineFixture fixture;
   using Kind = engine::EngineCommandKind;
   cr_assert(fixture.order(Kind::kPrepareWeights, 2, {3, 1}, kStart).status ==
@@ -82,7 +82,7 @@
             engine::EngineCommandStatus::kNotPrepared);
 }
 
-Test(engine_model, failed_swap_leaves_it_out_of_service_until_a_swap_succeeds) {
+Test(engine_simulator, failed_swap_leaves_it_out_of_service_until_a_swap_succeeds) {
   EngineFixture fixture;
   using Kind = engine::EngineCommandKind;
   fixture.order(Kind::kPrepareWeights, 2, {1, 1}, kStart);
@@ -101,7 +101,7 @@
   cr_assert_eq(fixture.model.status().activeVersion.value, 2U);
 }
 
-Test(engine_model, exported_cache_is_found_again_after_import) {
+Test(engine_simulator, exported_cache_is_found_again_after_import) {
   EngineFixture fixture;
   EngineFixture other;
   engine::GenerateRequest request = fixture.request(1, 5);
--- a/test/ledger/ledger_state_test.cpp
+++ b/test/ledger/ledger_state_test.cpp
@@ -128,6 +128,6 @@
   cr_assert_eq(restored.read(0).samples.size(), 1U);
   cr_assert_eq(restored.state_.claimCount(), 1U);
   constexpr std::uint64_t kTwoDaysLater = 1000 + 2 * 86'400;
-  restored.apply(ledger::TightenBatch{{"t/b"}, {1}}, kTwoDaysLater);
+  restored.apply(ledger::RaiseMinimumVersion{{"t/b"}, {1}}, kTwoDaysLater);
   cr_assert_eq(restored.state_.claimCount(), 0U);
 }
