--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -69,7 +69,7 @@
   last_event_ = leased_.progress->point.event;
   kept_ = Kept{leased_.progress->point, text_.size(), leased_.progress->whole};
   if (kept_->whole) {
-    whole_since_ = base::TimePoint{};
+    m_textCompleteSince = base::TimePoint{};
   }
   leased_.progress.reset();
 }
@@ -79,7 +79,7 @@
     return std::nullopt;
   }
   const std::uint64_t events = *last_event_ - (kept_ ? kept_->point.event : 0);
-  if (whole_since_ ? kept_ && kept_->whole : events < minEvents) {
+  if (m_textCompleteSince ? kept_ && kept_->whole : events < minEvents) {
     return std::nullopt;
   }
   ItemProgress progress;
@@ -90,7 +90,7 @@
   if (kept_) {
     progress.after = kept_->point;
   }
-  progress.added.whole = whole_since_.has_value();
+  progress.added.whole = m_textCompleteSince.has_value();
   offered_ = Kept{progress.added.point, text_.size(), progress.added.whole};
   saving_ = true;
   return progress;
@@ -103,8 +103,8 @@
 
 bool ItemRun::waitsUnkept(base::Duration delay, base::TimePoint now) const {
   const bool kept = kept_ && kept_->whole;
-  return whole_since_ && !finished_ && !kept && !saving_ && !begun_anew_ &&
-         now - *whole_since_ >= delay;
+  return m_textCompleteSince && !finished_ && !kept && !saving_ && !begun_anew_ &&
+         now - *m_textCompleteSince >= delay;
 }
 
 bool ItemRun::accepts(std::uint64_t version) const {
@@ -153,7 +153,7 @@
   return result;
 }
 
-ItemResult ItemRun::completedAfterKept() const {
+ItemResult ItemRun::completedAfterSaved() const {
   if (!kept_ || begun_anew_) {
     return completed();
   }
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -52,8 +52,8 @@
   /// Adds an event. False when it does not follow the last one, or its version must not be used.
   [[nodiscard]] bool onEvent(const StreamEvent& event);
   /// The run ended whole; a score may still be missing.
-  void onWhole(base::TimePoint now) { whole_since_ = now; }
-  [[nodiscard]] bool isWhole() const { return whole_since_.has_value(); }
+  void onTextComplete(base::TimePoint now) { m_textCompleteSince = now; }
+  [[nodiscard]] bool isTextComplete() const { return m_textCompleteSince.has_value(); }
   /// Nothing more is to be kept of the text: its result is about to be handed in.
   void onFinished() { finished_ = true; }
   [[nodiscard]] bool isFinished() const { return finished_; }
@@ -62,7 +62,7 @@
   /// The result of a whole run.
   [[nodiscard]] ItemResult completed() const;
   /// The same without what the ledgers keep of the text. Not while isSaving().
-  [[nodiscard]] ItemResult completedAfterKept() const;
+  [[nodiscard]] ItemResult completedAfterSaved() const;
   [[nodiscard]] ItemResult terminated() const;
   /// What the ledgers do not keep of the text yet; nothing with fewer than `minEvents` of them,
   /// unless the text is whole. onProgressSaved() is to follow before the next offer.
@@ -97,7 +97,7 @@
   std::set<std::uint64_t> versions_;
   std::uint64_t run_version_ = 0;
   std::uint32_t failures_ = 0;
-  std::optional<base::TimePoint> whole_since_;
+  std::optional<base::TimePoint> m_textCompleteSince;
   std::string score_;
   bool finished_ = false;
 };
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -199,7 +199,7 @@
     auto item = std::make_unique<Running>(leased, node_.apiAdapter().headers().weightsField);
     item->leasedAt = now;
     item->next = leased.engine;
-    item->whole = item->run.isWhole();
+    item->whole = item->run.isTextComplete();
     constexpr double kWeight = 0.02;
     typical_tokens_ += kWeight * (leased.item.expectedTokens - typical_tokens_);
     items_.emplace(leased.key, std::move(item));
@@ -377,13 +377,13 @@
     onAttemptFailed(key, item, AttemptOutcome::kGone, {});
   } else if (item.notExecuted) {
     onAttemptFailed(key, item, AttemptOutcome::kFull, kRetryDelay);
-  } else if (item.status == kOk && isWhole(item)) {
+  } else if (item.status == kOk && isTextComplete(item)) {
     instances_.onEnded(item.instance, AttemptOutcome::kServed, now - item.sentAt, now);
     node_.metrics().count(CounterId::kItemAttemptsEnded, toString(AttemptOutcome::kServed));
     if (item.fingerprint) {
       m_guard.onBorne(*item.fingerprint);
     }
-    onWhole(key, item);
+    onTextComplete(key, item);
   } else {
     onAttemptFailed(key, item, AttemptOutcome::kFailed, kRetryDelay);
     if (item.status == kUnprocessable || (item.status == kServerError && item.run.onFailure())) {
@@ -416,7 +416,7 @@
                    item.sentAt);
 }
 
-bool ItemRunner::isWhole(const Running& item) {
+bool ItemRunner::isTextComplete(const Running& item) {
   return !item.unusable && !item.parser.hasRest() && item.run.lastEvent();
 }
 
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -113,7 +113,7 @@
   void onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers);
   void onData(const jobs::ItemKey& key, std::string_view data);
   void onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end);
-  [[nodiscard]] static bool isWhole(const Running& item);
+  [[nodiscard]] static bool isTextComplete(const Running& item);
   static void noteLeased(const std::vector<jobs::LeasedItem>& leased);
   void retryLater(Running& item, base::Duration delay);
   void cutSilent(base::TimePoint now);
@@ -143,7 +143,7 @@
                        base::Duration delay);
   void cancelAttempt(Running& item);
   /// The text is whole: asks its scorer, or finishes the item when it needs no score.
-  void onWhole(const jobs::ItemKey& key, Running& item);
+  void onTextComplete(const jobs::ItemKey& key, Running& item);
   void startScoring(base::TimePoint now);
   void onScore(const jobs::ItemKey& key, const std::string* score);
   void finishItem(const jobs::ItemKey& key, Running& item, jobs::ItemState outcome);
--- a/src/node/item_runner_results.cpp
+++ b/src/node/item_runner_results.cpp
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-void ItemRunner::onWhole(const jobs::ItemKey& key, Running& item) {
+void ItemRunner::onTextComplete(const jobs::ItemKey& key, Running& item) {
   item.whole = true;
   item.wholeAt = node_.now();
-  item.run.onWhole(item.wholeAt);
+  item.run.onTextComplete(item.wholeAt);
   if (item.run.leased().item.scoring) {
     startScoring(node_.now());
   } else {
@@ -120,7 +120,7 @@
     if (item->outcome == jobs::ItemState::kTerminated) {
       results.push_back(item->run.terminated());
     } else {
-      results.push_back(item->committed ? item->run.completed() : item->run.completedAfterKept());
+      results.push_back(item->committed ? item->run.completed() : item->run.completedAfterSaved());
     }
     item->committed = true;
   }
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -205,11 +205,11 @@
       });
     }
     for (const jobs::ItemKey& key : whole) {
-      onWhole(key);
+      onTextComplete(key);
     }
   }
 
-  void onWhole(const jobs::ItemKey& key) {
+  void onTextComplete(const jobs::ItemKey& key) {
     const auto found = m_open.find(key.job);
     if (found == m_open.end()) {
       return;
--- a/test/jobs/scoring_test.cpp
+++ b/test/jobs/scoring_test.cpp
@@ -75,9 +75,9 @@
   addEvents(run, 4);
   save(state, run);
   addEvents(run, 2);
-  run.onWhole(kNow);
+  run.onTextComplete(kNow);
   run.onScore("s");
-  const jobs::ItemResult result = run.completedAfterKept();
+  const jobs::ItemResult result = run.completedAfterSaved();
   cr_assert_eq(result.text, "\na\na");
   commit(state, result);
   const jobs::Job& job = *state.find("j");
@@ -96,7 +96,7 @@
   addEvents(latter, 1);
   save(state, latter);
   addEvents(former, 2);
-  commit(state, former.completedAfterKept());
+  commit(state, former.completedAfterSaved());
   cr_assert(state.find("j")->results.empty());
   commit(state, former.completed());
   cr_assert_eq(state.find("j")->results.at(0).text, former.completed().text);
@@ -107,15 +107,15 @@
   jobs::ItemRun run(leased(1, state));
   addEvents(run, 2);
   cr_assert_not(run.offerProgress(8).has_value());
-  run.onWhole(kNow);
+  run.onTextComplete(kNow);
   save(state, run, 8);
   cr_assert_not(run.offerProgress(1).has_value(), "it is kept");
   cr_assert(state.find("j")->hasWholeText(0));
 
   jobs::ItemRun successor(leased(2, state));
-  cr_assert(successor.isWhole());
+  cr_assert(successor.isTextComplete());
   successor.onScore("s");
-  const jobs::ItemResult result = successor.completedAfterKept();
+  const jobs::ItemResult result = successor.completedAfterSaved();
   cr_assert_eq(result.text.length(), 0U);
   commit(state, result);
   cr_assert_eq(state.find("j")->results.at(0).text, "a\na");
@@ -125,7 +125,7 @@
   jobs::JobState state = stateWithJob();
   jobs::ItemRun run(leased(1, state));
   addEvents(run, 2);
-  run.onWhole(kNow);
+  run.onTextComplete(kNow);
   save(state, run);
   jobs::ItemLeases leases(base::seconds(2));
   leases.reset(1, kNow, base::Duration{0});
@@ -146,7 +146,7 @@
                             {});
   saver.tick(kNow);
   addEvents(run, 2);
-  run.onWhole(kNow);
+  run.onTextComplete(kNow);
   saver.tick(kNow + base::milliseconds(30));
   cr_assert(ledgers.requests.empty());
   saver.tick(kNow + base::milliseconds(70));
@@ -165,7 +165,7 @@
   addEvents(run, 12);
   saver.tick(kNow);
   cr_assert(run.isSaving());
-  run.onWhole(kNow);
+  run.onTextComplete(kNow);
   run.onScore("s");
   run.onFinished();
   ledgers.answer(true);
