--- a/apps/load/answer_checker.h
+++ b/apps/load/answer_checker.h
@@ -7,7 +7,7 @@
 
 namespace tackpick::load {
 
-using checking::isTrulyLabelled;
+using checking::hasCorrectVersions;
 using checking::isWhole;
 using checking::ReceivedAnswer;
 
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -159,7 +159,7 @@
   report_.totalMillis.push_back(base::toMilliseconds(clock_.now() - call.startedAt));
   const bool right = call.endCount == call.answer.tokens.size() &&
                      isWhole(call.answer, call.prompt, call.seed, call.maximumTokens) &&
-                     isTrulyLabelled(call.answer, call.prompt, call.seed);
+                     hasCorrectVersions(call.answer, call.prompt, call.seed);
   if (!right) {
     ++report_.answersWrong;
   }
@@ -185,7 +185,7 @@
       refused_not_run_.insert(call.prompt + "#" + std::to_string(call.seed));
     }
   } else {
-    ++report_.requestsUnclear;
+    ++report_.requestsIndeterminate;
   }
   calls_.erase(number);
 }
--- a/apps/load/report.cpp
+++ b/apps/load/report.cpp
@@ -49,7 +49,7 @@
       {"requests_sent", requestsSent},
       {"requests_answered_whole", requestsAnsweredWhole},
       {"requests_refused_not_run", requestsRefusedNotRun},
-      {"requests_unclear", requestsUnclear},
+      {"requests_unclear", requestsIndeterminate},
       {"requests_retried", requestsRetried},
       {"answers_wrong", answersWrong},
       {"not_repeatable_run_twice", notRepeatableRunTwice},
@@ -76,7 +76,7 @@
        << samplesMissing << " missing, " << samplesDuplicated << " duplicated, " << samplesStale
        << " stale, " << samplesMislabelled << " mislabelled\n";
   text << "requests: " << requestsAnsweredWhole << " of " << requestsSent << " answered whole, "
-       << requestsRefusedNotRun << " refused (not run), " << requestsUnclear << " unclear, "
+       << requestsRefusedNotRun << " refused (not run), " << requestsIndeterminate << " unclear, "
        << answersWrong << " wrong, " << notRepeatableRunTwice << " run twice, " << notRunThatRan
        << " 'not run' that ran\n";
   text << "callers:  first token p50 " << percentile(firstTokenMillis, kMedian) << " ms, p99 "
--- a/apps/load/report.h
+++ b/apps/load/report.h
@@ -21,7 +21,7 @@
   std::uint64_t requestsSent = 0;
   std::uint64_t requestsAnsweredWhole = 0;
   std::uint64_t requestsRefusedNotRun = 0;
-  std::uint64_t requestsUnclear = 0;
+  std::uint64_t requestsIndeterminate = 0;
   std::uint64_t requestsRetried = 0;
   std::uint64_t answersWrong = 0;
   std::uint64_t notRepeatableRunTwice = 0;
--- a/apps/load/trainers.cpp
+++ b/apps/load/trainers.cpp
@@ -142,7 +142,7 @@
   const Sample& expected = batch.samples[index];
   const ReceivedAnswer answer = readAnswer(sample["token_ids"], sample["weights"]);
   if (!isWhole(answer, expected.prompt, expected.seed, expected.maximumTokens) ||
-      !isTrulyLabelled(answer, expected.prompt, expected.seed)) {
+      !hasCorrectVersions(answer, expected.prompt, expected.seed)) {
     ++report_.samplesMislabelled;
   }
   const std::uint64_t oldest = ledger::oldestVersion(answer.spans).value;
--- a/apps/sim/main.cpp
+++ b/apps/sim/main.cpp
@@ -98,7 +98,7 @@
        << ",\"requests_sent\":" << figures.requestsSent
        << ",\"requests_answered\":" << figures.requestsAnswered
        << ",\"requests_not_run\":" << figures.requestsNotRun
-       << ",\"requests_unclear\":" << figures.requestsUnclear
+       << ",\"requests_unclear\":" << figures.requestsIndeterminate
        << ",\"connections_lost\":" << figures.connectionsLost
        << ",\"samples_delivered\":" << figures.samplesDelivered
        << ",\"batches_delivered\":" << figures.batchesDelivered
--- a/apps/tackpickd/main.cpp
+++ b/apps/tackpickd/main.cpp
@@ -107,7 +107,7 @@
 }
 
 base::Result<int> start(const Options& options) {
-  if (config::formsItself(options.settingsFile)) {
+  if (config::isSelfFormed(options.settingsFile)) {
     return startNode(options);
   }
   BOOST_LEAF_AUTO(settings, loadSettings(options));
--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -23,7 +23,7 @@
 namespace control = tackpick::control;
 namespace ledger = tackpick::ledger;
 namespace simulation = tackpick::simulation;
-using simulation::RoleMeter;
+using simulation::RoleCost;
 using simulation::RunResult;
 using simulation::SimulationOptions;
 
@@ -106,14 +106,14 @@
 }
 
 /// Share of one core, in percent, that one node of a role takes.
-double corePercent(const RoleMeter& meter, double nodes, double seconds) {
-  return static_cast<double>(meter.processorNanoseconds) / kNanosecondsPerSecond / seconds / nodes *
+double corePercent(const RoleCost& meter, double nodes, double seconds) {
+  return static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond / seconds / nodes *
          kPercent;
 }
 
-double bytesPerSecond(const RoleMeter& meter, double nodes, double seconds) {
+double bytesPerSecond(const RoleCost& meter, double nodes, double seconds) {
   const auto bytes =
-      static_cast<double>(RoleMeter::total(meter.sent) + RoleMeter::total(meter.received));
+      static_cast<double>(RoleCost::total(meter.sent) + RoleCost::total(meter.received));
   return bytes / seconds / nodes;
 }
 
@@ -185,7 +185,7 @@
     options.controller.rollout.concurrentLoads = 400;
     options.load.trainers = 1;
     options.load.samplesPerBatch = 1;
-    options.load.longestSample = 2;
+    options.load.maxSampleTokens = 2;
     options.load.trainingTime = base::seconds(1);
     options.load.trainerPublishesOnce = true;
     options.warmUp = base::seconds(1);
@@ -230,16 +230,15 @@
       apply.changes.push_back(change);
     }
     const base::Bytes command = base::encode(control::ControlCommand{"capacity", apply});
-    RoleMeter meter;
+    RoleCost meter;
     {
-      const simulation::ProcessorTimer timer(&meter);
+      const simulation::CpuTimer timer(&meter);
       (void)state.apply(1, command);
     }
-    table.row(
-        {static_cast<double>(workloads), static_cast<double>(state.takeSnapshot().size()),
-         static_cast<double>(heapBytes() - before),
-         static_cast<double>(meter.processorNanoseconds) / kNanosecondsPerSecond * kMillisPerSecond,
-         static_cast<double>(base::encode(state.deltaSince({})).size())});
+    table.row({static_cast<double>(workloads), static_cast<double>(state.takeSnapshot().size()),
+               static_cast<double>(heapBytes() - before),
+               static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond * kMillisPerSecond,
+               static_cast<double>(base::encode(state.deltaSince({})).size())});
   }
 }
 
@@ -251,12 +250,12 @@
     constexpr std::uint32_t kTokens = 300;
     const std::size_t before = heapBytes();
     ledger::LedgerState state;
-    RoleMeter meter;
-    RoleMeter snapshotMeter;
+    RoleCost meter;
+    RoleCost snapshotMeter;
     std::uint64_t index = 0;
     const auto apply = [&](const ledger::LedgerOperation& operation) {
       const base::Bytes command = base::encode(ledger::LedgerCommand{0, operation});
-      const simulation::ProcessorTimer timer(&meter);
+      const simulation::CpuTimer timer(&meter);
       return base::decode<ledger::LedgerResult>(state.apply(++index, command));
     };
     ledger::SubmitBatch submit{{"t/capacity"}, {"t/train"}, "default", {1}, {}};
@@ -276,15 +275,15 @@
     const std::size_t heap = heapBytes() - before;
     std::size_t snapshot = 0;
     {
-      const simulation::ProcessorTimer timer(&snapshotMeter);
+      const simulation::CpuTimer timer(&snapshotMeter);
       snapshot = state.takeSnapshot().size();
     }
     constexpr double kNanosecondsPerMicrosecond = 1e3;
-    table.row(
-        {static_cast<double>(samples), static_cast<double>(snapshot), static_cast<double>(heap),
-         static_cast<double>(meter.processorNanoseconds) / kNanosecondsPerMicrosecond / samples,
-         static_cast<double>(snapshotMeter.processorNanoseconds) / kNanosecondsPerSecond *
-             kMillisPerSecond});
+    table.row({static_cast<double>(samples), static_cast<double>(snapshot),
+               static_cast<double>(heap),
+               static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerMicrosecond / samples,
+               static_cast<double>(snapshotMeter.cpuNanoseconds) / kNanosecondsPerSecond *
+                   kMillisPerSecond});
   }
 }
 
@@ -295,16 +294,16 @@
     SimulationOptions options = hollowFleet(4, 40, 0);
     options.load.trainers = 1;
     options.load.samplesPerBatch = samples;
-    options.load.longestSample = 300;
+    options.load.maxSampleTokens = 300;
     options.load.trainingTime = base::seconds(1);
     options.faultTime = base::seconds(30);
     const RunResult result = runOnce(options);
-    const RoleMeter& meter = result.meters[kLedger];
+    const RoleCost& meter = result.meters[kLedger];
     const auto delivered = static_cast<double>(result.figures.samplesDelivered);
     table.row({static_cast<double>(samples),
-               static_cast<double>(meter.processorNanoseconds) / kNanosecondsPerSecond *
+               static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond *
                    kMillisPerSecond / delivered,
-               static_cast<double>(RoleMeter::total(meter.sent)) / delivered});
+               static_cast<double>(RoleCost::total(meter.sent)) / delivered});
   }
 }
 
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -32,10 +32,10 @@
   options.engines = 12;
   options.load.requestsPerSecond = 25;
   options.load.notRepeatableShare = 0;
-  options.load.longestAnswer = 200;
+  options.load.maxResponseTokens = 200;
   options.load.trainers = 2;
   options.load.samplesPerBatch = 512;
-  options.load.longestSample = 900;
+  options.load.maxSampleTokens = 900;
   options.load.batchesAhead = 2;
   options.load.stalenessBound = 6;
   options.load.trainingTime = base::milliseconds(4000);
@@ -46,10 +46,10 @@
   options.load.requestsPerSecond = 26;
   options.load.notRepeatableShare = 0.45;
   options.load.resendShare = 0;
-  options.load.longestAnswer = 120;
+  options.load.maxResponseTokens = 120;
   options.load.trainers = 1;
   options.load.samplesPerBatch = 1024;
-  options.load.longestSample = 900;
+  options.load.maxSampleTokens = 900;
   options.load.batchesAhead = 1;
   options.load.stalenessBound = 2;
   options.load.trainingTime = base::milliseconds(3500);
@@ -157,7 +157,7 @@
       spreadOf(results, [](const RunResult& r) { return firstTokenMillis(r, kTail); });
   const Spread wasted = spreadOf(results, [](const RunResult& r) {
     return r.figures.tokensReceived == 0 ? 0.0
-                                         : static_cast<double>(r.figures.tokensWasted) /
+                                         : static_cast<double>(r.figures.tokensDiscarded) /
                                                static_cast<double>(r.figures.tokensReceived);
   });
   const Spread busy = spreadOf(results, [](const RunResult& r) { return r.busyShare; });
--- a/src/base/packed_text.cpp
+++ b/src/base/compressed_text.cpp
@@ -1,21 +1,21 @@
-#include "base/packed_text.h"
+#include "base/compressed_text.h"
 
 #include "base/compression.h"
 
 namespace tackpick::base {
 
-PackedText::PackedText(std::string_view text) : m_length(text.size()) {
+CompressedText::CompressedText(std::string_view text) : m_length(text.size()) {
   if (!text.empty()) {
     m_parts.push_back(compress(Bytes(text)));
   }
 }
 
-void PackedText::append(const PackedText& more) {
+void CompressedText::append(const CompressedText& more) {
   m_parts.insert(m_parts.end(), more.m_parts.begin(), more.m_parts.end());
   m_length += more.m_length;
 }
 
-std::optional<std::string> PackedText::unpack() const {
+std::optional<std::string> CompressedText::unpack() const {
   std::string text;
   for (const Bytes& part : m_parts) {
     const auto plain = decompress(part, m_length - text.size());
@@ -27,11 +27,11 @@
   return text.size() == m_length ? std::optional(std::move(text)) : std::nullopt;
 }
 
-bool operator==(const PackedText& left, const PackedText& right) {
+bool operator==(const CompressedText& left, const CompressedText& right) {
   return left.length() == right.length() && left.unpack() == right.unpack();
 }
 
-bool operator==(const PackedText& packed, std::string_view text) {
+bool operator==(const CompressedText& packed, std::string_view text) {
   return packed.length() == text.size() && packed.unpack() == text;
 }
 
--- a/src/base/packed_text.h
+++ b/src/base/compressed_text.h
@@ -14,12 +14,12 @@
 
 /// Compressed once, where the text is made, and unpacked once, where it is read: what passes it on
 /// or keeps it spends no time on it. Texts are joined without unpacking.
-class PackedText {
+class CompressedText {
  public:
-  PackedText() = default;
-  explicit PackedText(std::string_view text);
+  CompressedText() = default;
+  explicit CompressedText(std::string_view text);
 
-  void append(const PackedText& more);
+  void append(const CompressedText& more);
   /// Bytes of the text.
   [[nodiscard]] std::uint64_t length() const { return m_length; }
   /// The text; nothing when what was received is damaged.
@@ -36,7 +36,7 @@
 };
 
 /// Compares texts, however they were joined.
-[[nodiscard]] bool operator==(const PackedText& left, const PackedText& right);
-[[nodiscard]] bool operator==(const PackedText& packed, std::string_view text);
+[[nodiscard]] bool operator==(const CompressedText& left, const CompressedText& right);
+[[nodiscard]] bool operator==(const CompressedText& packed, std::string_view text);
 
 }  // namespace tackpick::base
--- a/src/base/tick_lateness.cpp
+++ b/src/base/event_loop_lag.cpp
@@ -1,10 +1,10 @@
-#include "base/tick_lateness.h"
+#include "base/event_loop_lag.h"
 
 #include <algorithm>
 
 namespace tackpick::base {
 
-void TickLateness::onTick(TimePoint now) {
+void EventLoopLag::onTick(TimePoint now) {
   if (m_tickedAt == TimePoint{}) {
     m_tickedAt = now;
     m_windowFrom = now;
--- a/src/base/tick_lateness.h
+++ b/src/base/event_loop_lag.h
@@ -9,9 +9,9 @@
 /// An event loop ticks each `interval` when it has nothing else to do. What its ticks come later is
 /// averaged over the time that they took, in windows: one long pause shows in one window only, a
 /// loop without enough processor in each. Deterministic.
-class TickLateness {
+class EventLoopLag {
  public:
-  explicit TickLateness(Duration interval, Duration window = milliseconds(500))
+  explicit EventLoopLag(Duration interval, Duration window = milliseconds(500))
       : m_interval(interval), m_window(window) {}
 
   void onTick(TimePoint now);
--- a/src/checking/answer_check.cpp
+++ b/src/checking/answer_check.cpp
@@ -10,7 +10,8 @@
   return answer.tokens.size() == expected;
 }
 
-bool isTrulyLabelled(const ReceivedAnswer& answer, const std::string& prompt, std::uint64_t seed) {
+bool hasCorrectVersions(const ReceivedAnswer& answer, const std::string& prompt,
+                        std::uint64_t seed) {
   if (!ledger::spansCover(answer.spans, answer.tokens.size())) {
     return false;
   }
--- a/src/checking/answer_check.h
+++ b/src/checking/answer_check.h
@@ -21,7 +21,7 @@
 [[nodiscard]] bool isWhole(const ReceivedAnswer& answer, const std::string& prompt,
                            std::uint64_t seed, std::uint32_t maximumTokens);
 /// True when every token is what its labelled version produces, and every token is labelled.
-[[nodiscard]] bool isTrulyLabelled(const ReceivedAnswer& answer, const std::string& prompt,
-                                   std::uint64_t seed);
+[[nodiscard]] bool hasCorrectVersions(const ReceivedAnswer& answer, const std::string& prompt,
+                                      std::uint64_t seed);
 
 }  // namespace tackpick::checking
--- a/src/config/cluster_settings.cpp
+++ b/src/config/cluster_settings.cpp
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-bool formsItself(const std::string& file) {
+bool isSelfFormed(const std::string& file) {
   return base::recover(
       [&]() -> base::Result<bool> {
         BOOST_LEAF_AUTO(document, loadYaml(file));
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -50,7 +50,7 @@
 };
 
 /// True when the file's `formation` is `self`.
-[[nodiscard]] bool formsItself(const std::string& file);
+[[nodiscard]] bool isSelfFormed(const std::string& file);
 /// Reads and checks a file. Keys it does not know are refused.
 [[nodiscard]] base::Result<ClusterSettings> loadClusterSettings(const std::string& file);
 /// The number of a node at that IPv4 address.
--- a/src/config/process_limits.h
+++ b/src/config/process_limits.h
@@ -18,7 +18,7 @@
   std::optional<double> linkMbps;
 
   /// Usual cores that this process has to itself; zero: unknown.
-  [[nodiscard]] double processorCores() const {
+  [[nodiscard]] double cpuCores() const {
     return processorShare.value_or(0) * processorSpeed.value_or(1);
   }
 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -168,7 +168,7 @@
   if (refusal.verdict == base::Verdict::kNotRun) {
     ++counters_.requestsRefusedNotRun;
   } else {
-    ++counters_.requestsUnclear;
+    ++counters_.requestsIndeterminate;
   }
   actions_.actions.emplace_back(refusal);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -83,13 +83,13 @@
   std::uint64_t requestsReceived = 0;
   std::uint64_t requestsAnswered = 0;
   std::uint64_t requestsRefusedNotRun = 0;
-  std::uint64_t requestsUnclear = 0;
+  std::uint64_t requestsIndeterminate = 0;
   std::uint64_t attemptsStarted = 0;
   std::uint64_t attemptsRetried = 0;
   std::uint64_t attemptsHedged = 0;
   std::uint64_t attemptsStalled = 0;
   std::uint64_t tokensReceived = 0;
-  std::uint64_t tokensWasted = 0;  ///< received and then thrown away
+  std::uint64_t tokensDiscarded = 0;  ///< received and then thrown away
   std::uint64_t samplesLeased = 0;
   std::uint64_t samplesCommitted = 0;
   std::uint64_t samplesTooOld = 0;
--- a/src/gateway/gateway_attempts.cpp
+++ b/src/gateway/gateway_attempts.cpp
@@ -15,7 +15,7 @@
   counters_.tokensReceived += chunk.tokens.size();
   Job* job = jobOf(chunk.attempt);
   if (job == nullptr) {
-    counters_.tokensWasted += chunk.tokens.size();
+    counters_.tokensDiscarded += chunk.tokens.size();
     return;
   }
   const auto attempt = std::find_if(job->attempts.begin(), job->attempts.end(),
@@ -101,7 +101,7 @@
   if (keep) {
     job.partial = std::move(attempt->output);
   } else {
-    counters_.tokensWasted += gained;
+    counters_.tokensDiscarded += gained;
   }
   job.attempts.erase(attempt);
 }
@@ -185,7 +185,7 @@
   if (notRun) {
     ++counters_.requestsRefusedNotRun;
   } else {
-    ++counters_.requestsUnclear;
+    ++counters_.requestsIndeterminate;
   }
   recordOutcome(job, notRun ? ledger::ClaimOutcome::kNotRun : ledger::ClaimOutcome::kUnknown, {},
                 now, Action{std::move(refusal)});
--- a/src/http/header_list.cpp
+++ b/src/http/header_list.cpp
@@ -23,7 +23,7 @@
                 [&](const HeaderField& field) { return sameHeaderName(field.name, name); });
 }
 
-void HeaderList::removeConnectionFields() {
+void HeaderList::removeHopByHopHeaders() {
   static constexpr std::array<std::string_view, 9> kConnectionFields = {
       "connection", "keep-alive",        "proxy-connection", "te",    "trailer",
       "upgrade",    "transfer-encoding", "content-length",   "expect"};
--- a/src/http/header_list.h
+++ b/src/http/header_list.h
@@ -25,7 +25,7 @@
   void set(std::string_view name, std::string value);
   void remove(std::string_view name);
   /// Removes the fields that concern one connection only (RFC 9110, section 7.6.1), and framing.
-  void removeConnectionFields();
+  void removeHopByHopHeaders();
   /// The first value, or an empty text.
   [[nodiscard]] std::string value(std::string_view name) const;
   [[nodiscard]] bool has(std::string_view name) const;
--- a/src/http/upstream_client.h
+++ b/src/http/upstream_client.h
@@ -43,7 +43,7 @@
 };
 
 /// How an exchange ended.
-struct UpstreamEnd {
+struct UpstreamResult {
   bool complete = false;  ///< the whole answer arrived
   /// kNotRun: no byte of the request went out.
   base::Verdict verdict = base::Verdict::kMayHaveRun;
@@ -54,7 +54,7 @@
 struct UpstreamEvents {
   std::function<void(int status, const HeaderList& headers)> onHead;
   std::function<void(std::string_view data)> onData;
-  std::function<void(const UpstreamEnd& end)> onEnd;
+  std::function<void(const UpstreamResult& end)> onEnd;
 };
 
 /// Knobs of UpstreamClient.
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -286,7 +286,7 @@
   // A server that answers before it has read the whole request may read the rest of it later:
   // nothing else may follow on that connection.
   const bool reusable = keep_ && written_ && !closed_;
-  UpstreamEnd result;
+  UpstreamResult result;
   result.complete = true;
   result.verdict = base::Verdict::kRan;
   result.answerBegan = true;
@@ -307,14 +307,14 @@
   if (!busy_) {
     return;
   }
-  UpstreamEnd result;
+  UpstreamResult result;
   result.verdict = sent_any_ ? base::Verdict::kMayHaveRun : base::Verdict::kNotRun;
   result.answerBegan = head_seen_;
   result.error = error;
   end(result);
 }
 
-void UpstreamConnection::end(const UpstreamEnd& result) {
+void UpstreamConnection::end(const UpstreamResult& result) {
   busy_ = false;
   close();
   client_->active.erase(id_);
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -132,7 +132,7 @@
   void resetParser();
   void fail(const std::string& error);
   void succeed();
-  void end(const UpstreamEnd& result);
+  void end(const UpstreamResult& result);
 
   std::shared_ptr<UpstreamPool> client_;
   const Address address_;
--- a/src/jobs/gateway_capacity.cpp
+++ b/src/jobs/gateway_capacity.cpp
@@ -43,7 +43,7 @@
 std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity) {
   std::optional<double> fewest;
   for (const std::optional<double>& bound :
-       {places(capacity.processorCores, kMaxCores, kProcessorForItems, kCoresPerSlot),
+       {places(capacity.cpuCores, kMaxCores, kProcessorForItems, kCoresPerSlot),
         places(capacity.memoryMb, kMaxMemoryMb, kMemoryForItems, kMegabytesPerSlot),
         places(capacity.fileDescriptors, kMaxDescriptors, kDescriptorsForItems,
                kDescriptorsPerSlot),
--- a/src/jobs/gateway_capacity.h
+++ b/src/jobs/gateway_capacity.h
@@ -12,16 +12,16 @@
 
 /// What a gateway has, and how it fares, as it tells the ledgers' leader. Zero: unknown.
 struct GatewayCapacity {
-  double processorCores = 0;
+  double cpuCores = 0;
   std::uint32_t memoryMb = 0;
   std::uint32_t fileDescriptors = 0;
   double linkMbps = 0;
   std::uint64_t bufferedTextBytes = 0;  ///< of the items that it runs
-  base::Duration tickLateness{0};       ///< how late its event loop ticks
+  base::Duration eventLoopLag{0};       ///< how late its event loop ticks
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(processorCores, memoryMb, fileDescriptors, linkMbps, bufferedTextBytes, tickLateness);
+    archive(cpuCores, memoryMb, fileDescriptors, linkMbps, bufferedTextBytes, eventLoopLag);
   }
 };
 
--- a/src/jobs/gateway_selector.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -44,7 +44,7 @@
   const std::uint32_t size = jobs::slotsFor(capacity).value_or(m_settings.slotsPerGateway);
   const bool wasSlow = gateway.slow.isSlow();
   const bool first = gateway.askedAt == base::TimePoint{};
-  gateway.lateness = capacity.tickLateness;
+  gateway.lateness = capacity.eventLoopLag;
   if (gateway.active && !first) {
     gateway.lateness = std::max(gateway.lateness, now - gateway.askedAt - m_settings.usualInterval);
   }
--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -86,7 +86,8 @@
   progress.item = leased_.key.item;
   progress.added.point = {leased_.lease, *last_event_};
   progress.added.versions = versions_;
-  progress.added.text = base::PackedText(std::string_view(text_).substr(kept_ ? kept_->bytes : 0));
+  progress.added.text =
+      base::CompressedText(std::string_view(text_).substr(kept_ ? kept_->bytes : 0));
   if (kept_) {
     progress.after = kept_->point;
   }
@@ -147,7 +148,7 @@
 }
 
 ItemResult ItemRun::completed() const {
-  ItemResult result{leased_.key.item, ItemState::kCompleted, base::PackedText(text_), versions_,
+  ItemResult result{leased_.key.item, ItemState::kCompleted, base::CompressedText(text_), versions_,
                     score_};
   result.events = last_event_.value_or(0);
   return result;
@@ -158,7 +159,7 @@
     return completed();
   }
   const std::string_view added = std::string_view(text_).substr(kept_->bytes);
-  ItemResult result{leased_.key.item, ItemState::kCompleted, base::PackedText(added), versions_,
+  ItemResult result{leased_.key.item, ItemState::kCompleted, base::CompressedText(added), versions_,
                     score_};
   result.after = kept_->point;
   result.events = last_event_.value_or(0);
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -12,8 +12,8 @@
 #include <variant>
 #include <vector>
 
+#include "base/compressed_text.h"
 #include "base/identifiers.h"
-#include "base/packed_text.h"
 #include "base/serialization.h"
 #include "base/time.h"
 #include "jobs/event_interval_report.h"
@@ -94,7 +94,7 @@
 struct ItemResult {
   std::uint32_t item = 0;  ///< its index in the job
   ItemState state = ItemState::kCompleted;
-  base::PackedText text;
+  base::CompressedText text;
   std::set<std::uint64_t> versions;  ///< that made the text
   std::string score = {};            ///< of the item's scoring call; empty when it has none
   /// While the result is on its way: `text` follows the kept text, which reaches this point.
@@ -112,7 +112,7 @@
 /// continue it behind its last event.
 struct PartialText {
   ProgressPoint point;
-  base::PackedText text;
+  base::CompressedText text;
   std::set<std::uint64_t> versions;  ///< that made the text
   bool whole = false;                ///< only its score is missing
 
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -57,7 +57,7 @@
   if (kept == job.partial.end() || kept->second.point != *result.after) {
     return false;
   }
-  base::PackedText whole = kept->second.text;
+  base::CompressedText whole = kept->second.text;
   whole.append(result.text);
   result.text = std::move(whole);
   result.after.reset();
--- a/src/jobs/slowness_detector.h
+++ b/src/jobs/slowness_detector.h
@@ -14,7 +14,7 @@
   base::Duration late = base::milliseconds(40);
   /// When all gateways are late, as on a full host, none of them is slow.
   int timesUsual = 3;
-  /// Late for so long without a break: longer than one window of a TickLateness.
+  /// Late for so long without a break: longer than one window of a EventLoopLag.
   base::Duration confirm = base::milliseconds(800);
   /// In time for so long without a break; doubled each time that the gateway turns slow again soon.
   base::Duration recover = base::seconds(2);
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -31,7 +31,7 @@
 void logUnanswered(std::string_view call, std::string_view subject, int status,
                    base::Duration took) {
   telemetry::logEvent(telemetry::EventId::kCallUnanswered,
-                      telemetry::Detail()
+                      telemetry::EventFields()
                           .add("call", call)
                           .add("subject", subject)
                           .add("status", static_cast<std::uint64_t>(status))
@@ -93,7 +93,7 @@
 void ControlServer::onUnreadable(const http::RawRequest& request, const edge::MalformedCall& call) {
   node_.metrics().count(telemetry::CounterId::kUnreadableCalls, call.why);
   if (const auto times = m_unreadable.note(node_.now())) {
-    telemetry::logEvent(telemetry::EventId::kChangeRefused, telemetry::Detail()
+    telemetry::logEvent(telemetry::EventId::kChangeRefused, telemetry::EventFields()
                                                                 .add("path", request.path())
                                                                 .add("reason", call.why)
                                                                 .add("calls", *times)
@@ -174,7 +174,7 @@
                         std::string(name.call) + "_" + std::to_string(status));
   node_.metrics().observe(telemetry::HistogramId::kControlCallTime, took);
   const bool leaves = name.call == "drain" || name.call == "leave";
-  telemetry::Detail detail;
+  telemetry::EventFields detail;
   detail.add("call", name.call).add("subject", name.subject);
   detail.add("status", static_cast<std::uint64_t>(status)).add("took_ms", took);
   if (reply == nullptr) {
--- a/src/node/control_server.h
+++ b/src/node/control_server.h
@@ -9,7 +9,7 @@
 #include "edge/api_adapter.h"
 #include "edge/work_call.h"
 #include "http/exchange_server.h"
-#include "telemetry/log_limiter.h"
+#include "telemetry/log_rate_limiter.h"
 
 namespace tackpick::node {
 
@@ -43,7 +43,7 @@
   Node& node_;
   directory::HeartbeatRelay relay_;
   http::ExchangeServer server_;
-  telemetry::LogLimiter m_unreadable{base::seconds(1)};
+  telemetry::LogRateLimiter m_unreadable{base::seconds(1)};
 };
 
 }  // namespace tackpick::node
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -99,9 +99,9 @@
   void armHedge();
   void onHead(std::uint64_t number, int status, const http::HeaderList& headers);
   void onData(std::uint64_t number, std::string_view data);
-  void onEnd(std::uint64_t number, const http::UpstreamEnd& end);
+  void onEnd(std::uint64_t number, const http::UpstreamResult& end);
   [[nodiscard]] std::pair<AttemptResult, AttemptOutcome> classify(
-      const Send& send, const http::UpstreamEnd& end) const;
+      const Send& send, const http::UpstreamResult& end) const;
   [[nodiscard]] const quarantine::RequestFingerprint& fingerprint();
   /// The instance broke off under the request.
   void onBroken(const Send& send);
@@ -213,7 +213,7 @@
   upstream.method = request_.method;
   upstream.target = request_.target;
   upstream.headers = request_.headers;
-  upstream.headers.removeConnectionFields();
+  upstream.headers.removeHopByHopHeaders();
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(policy_.deadline() - node_.now());
   upstream.headers.set(names.deadline, std::to_string(left.count()));
@@ -241,7 +241,7 @@
   events.onData = [self = shared_from_this(), number](std::string_view data) {
     self->onData(number, data);
   };
-  events.onEnd = [self = shared_from_this(), number](const http::UpstreamEnd& end) {
+  events.onEnd = [self = shared_from_this(), number](const http::UpstreamResult& end) {
     self->onEnd(number, end);
   };
   Send& record = sends_[number];
@@ -273,7 +273,7 @@
   Send& send = found->second;
   send.status = status;
   send.headers = headers;
-  send.headers.removeConnectionFields();
+  send.headers.removeHopByHopHeaders();
   m_guard.onAnswered(send.instance, send.sentAt);
   if (const auto load = node_.apiAdapter().load(headers.value(node_.apiAdapter().headers().load))) {
     instances_.onLoad(send.instance, *load, node_.now());
@@ -304,7 +304,7 @@
 }
 
 std::pair<AttemptResult, AttemptOutcome> ForwardedRequest::classify(
-    const Send& send, const http::UpstreamEnd& end) const {
+    const Send& send, const http::UpstreamResult& end) const {
   if (!end.complete) {
     return end.verdict == base::Verdict::kNotRun
                ? std::pair(AttemptResult::kNotRun, AttemptOutcome::kUnreached)
@@ -322,7 +322,7 @@
   return {AttemptResult::kAnswered, AttemptOutcome::kServed};
 }
 
-void ForwardedRequest::onEnd(std::uint64_t number, const http::UpstreamEnd& end) {
+void ForwardedRequest::onEnd(std::uint64_t number, const http::UpstreamResult& end) {
   const auto found = sends_.find(number);
   if (done_ || found == sends_.end()) {
     return;
@@ -410,7 +410,7 @@
   node_.metrics().count(telemetry::CounterId::kRequestsGivenUp, base::toString(policy_.verdict()));
   telemetry::logEvent(
       telemetry::EventId::kRequestGivenUp,
-      telemetry::Detail()
+      telemetry::EventFields()
           .add("request", request_.headers.value(node_.apiAdapter().headers().requestId))
           .add("route", route_.name)
           .add("status", static_cast<std::uint64_t>(status))
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -204,7 +204,7 @@
   if (read == nullptr) {
     node_.metrics().observe(telemetry::HistogramId::kLedgerCallTime, took);
   }
-  telemetry::Detail detail;
+  telemetry::EventFields detail;
   detail.add("job", name.job).add("call", name.call);
   detail.add("status", static_cast<std::uint64_t>(answer.status)).add("took_ms", took);
   if (reply == nullptr) {
@@ -276,7 +276,7 @@
     if (const auto times = m_cutReaders.note(node_.now())) {
       telemetry::logEvent(
           telemetry::EventId::kSlowReaderCut,
-          telemetry::Detail().add("times", *times).add("unread_bytes", unread.bytes).text());
+          telemetry::EventFields().add("times", *times).add("unread_bytes", unread.bytes).text());
     }
   }
 }
--- a/src/node/gateway_server.h
+++ b/src/node/gateway_server.h
@@ -15,7 +15,7 @@
 #include "node/rejection_log.h"
 #include "node/request_guard.h"
 #include "node/usage_sender.h"
-#include "telemetry/log_limiter.h"
+#include "telemetry/log_rate_limiter.h"
 #include "tenancy/tenant_table.h"
 
 namespace tackpick::node {
@@ -64,7 +64,7 @@
   forwarding::InstanceTable instances_;
   const directory::RejectionPolicy m_refusalPolicy;
   RejectionLog m_refusals;
-  telemetry::LogLimiter m_cutReaders{base::seconds(1)};
+  telemetry::LogRateLimiter m_cutReaders{base::seconds(1)};
   std::uint64_t m_toldCuts = 0;
   UsageSender usage_;
   RequestGuard m_guard;
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -16,7 +16,7 @@
 
 using forwarding::AttemptOutcome;
 using telemetry::CounterId;
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 
 constexpr base::Duration kLeaseInterval = base::milliseconds(80);
@@ -105,11 +105,11 @@
 jobs::GatewayCapacity ItemRunner::capacity() const {
   const config::ProcessLimits& limits = node_.settings().limits;
   jobs::GatewayCapacity capacity;
-  capacity.processorCores = limits.processorCores();
+  capacity.cpuCores = limits.cpuCores();
   capacity.memoryMb = limits.memoryMb.value_or(0);
   capacity.fileDescriptors = limits.fileDescriptors.value_or(0);
   capacity.linkMbps = limits.linkMbps.value_or(0);
-  capacity.tickLateness = m_lateness.average();
+  capacity.eventLoopLag = m_lateness.average();
   for (const auto& [key, item] : items_) {
     capacity.bufferedTextBytes += item->run.textBytes();
   }
@@ -165,7 +165,7 @@
 void ItemRunner::giveBack() {
   const std::size_t released =
       std::erase_if(items_, [](const auto& entry) { return !entry.second->outcome; });
-  telemetry::logEvent(EventId::kItemsReleased, Detail().add("items", released).text());
+  telemetry::logEvent(EventId::kItemsReleased, EventFields().add("items", released).text());
   lease(node_.now());
 }
 
@@ -217,7 +217,7 @@
   for (const auto& [job, count] : items) {
     telemetry::logEvent(
         EventId::kItemLeased,
-        Detail().add("job", job).add("items", count).add("continued", continued[job]).text());
+        EventFields().add("job", job).add("items", count).add("continued", continued[job]).text());
   }
 }
 
@@ -282,7 +282,7 @@
     onHead(key, status, headers);
   };
   events.onData = [this, key](std::string_view data) { onData(key, data); };
-  events.onEnd = [this, key](const http::UpstreamEnd& end) { onEnd(key, end); };
+  events.onEnd = [this, key](const http::UpstreamResult& end) { onEnd(key, end); };
   item.exchange = node_.upstream().start(std::move(request), std::move(events));
 }
 
@@ -358,7 +358,7 @@
   }
 }
 
-void ItemRunner::onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end) {
+void ItemRunner::onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end) {
   const auto found = items_.find(key);
   if (found == items_.end()) {
     return;
@@ -428,7 +428,7 @@
   // Refusals for want of room are many and repeated soon: they are counted only.
   if (outcome != AttemptOutcome::kFull) {
     telemetry::logEvent(EventId::kAttemptFailed,
-                        Detail()
+                        EventFields()
                             .add("job", key.job)
                             .add("item", item.run.leased().item.id)
                             .add("instance", item.instance)
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "base/tick_lateness.h"
+#include "base/event_loop_lag.h"
 #include "directory/model_demand.h"
 #include "directory/route_table.h"
 #include "forwarding/instance_table.h"
@@ -112,7 +112,7 @@
   void startAttempt(const jobs::ItemKey& key, Running& item, base::TimePoint now);
   void onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers);
   void onData(const jobs::ItemKey& key, std::string_view data);
-  void onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end);
+  void onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end);
   [[nodiscard]] static bool isTextComplete(const Running& item);
   static void noteLeased(const std::vector<jobs::LeasedItem>& leased);
   void retryLater(Running& item, base::Duration delay);
@@ -173,7 +173,7 @@
   base::TimePoint renewed_at_{};
   base::TimePoint m_lastIntervalReportAt{};
   directory::ModelDemand demand_;
-  base::TickLateness m_lateness{kTickInterval};
+  base::EventLoopLag m_lateness{kTickInterval};
   double typical_tokens_ = 0;  ///< moving average of the expected length of an item
 };
 
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -12,7 +12,7 @@
 
 using forwarding::AttemptOutcome;
 using telemetry::CounterId;
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 
 /// An attempt without a byte for so long is broken off and continued elsewhere.
@@ -186,7 +186,7 @@
 void ItemRunner::moveTo(const jobs::ItemKey& key, Running& item, const std::string& instance,
                         std::string_view reason) {
   node_.metrics().count(CounterId::kItemsMoved, reason);
-  telemetry::logEvent(EventId::kItemMoved, Detail()
+  telemetry::logEvent(EventId::kItemMoved, EventFields()
                                                .add("job", key.job)
                                                .add("item", item.run.leased().item.id)
                                                .add("from", item.instance)
--- a/src/node/item_runner_results.cpp
+++ b/src/node/item_runner_results.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using telemetry::CounterId;
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 using telemetry::HistogramId;
 
@@ -71,7 +71,7 @@
   node_.metrics().count(CounterId::kItemsFinished, completed ? "completed" : "terminated");
   const base::TimePoint now = node_.now();
   const jobs::LeasedItem& leased = item.run.leased();
-  Detail detail;
+  EventFields detail;
   detail.add("job", key.job).add("item", leased.item.id).add("group", leased.item.group);
   detail.add("instance", item.instance).add("status", static_cast<std::uint64_t>(item.status));
   detail.add("lease_age_ms", leased.age).add("wait_ms", item.firstSentAt - item.leasedAt);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,7 +19,7 @@
 namespace tackpick::node {
 namespace {
 
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 using telemetry::logEvent;
 
@@ -267,7 +267,7 @@
 }
 
 int Node::run() {
-  logEvent(EventId::kProcessStarted, Detail()
+  logEvent(EventId::kProcessStarted, EventFields()
                                          .add("node", self_.value)
                                          .add("name", settings_.name)
                                          .add("zone", settings_.zone)
@@ -286,7 +286,7 @@
     }
     if (signal == SIGHUP) {
       // Nothing that may change while a process runs stands in its settings file.
-      logEvent(EventId::kSettingsChanged, Detail().add("name", settings_.name).text());
+      logEvent(EventId::kSettingsChanged, EventFields().add("name", settings_.name).text());
     } else {
       beginStop();
     }
@@ -386,7 +386,7 @@
   const base::Duration took = now() - begun;
   metrics_.observe(telemetry::HistogramId::kTurnTime, took);
   if (took > kSlowTurn) {
-    logEvent(EventId::kSlowTurn, Detail().add("took_ms", took).text());
+    logEvent(EventId::kSlowTurn, EventFields().add("took_ms", took).text());
   }
 }
 
--- a/src/node/node_calls.cpp
+++ b/src/node/node_calls.cpp
@@ -11,12 +11,12 @@
 namespace tackpick::node {
 
 using telemetry::CounterId;
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 using telemetry::logEvent;
 
 void Node::sendLoadCommand(const directory::LoadCommand& order) {
-  logEvent(EventId::kEngineOrdered, Detail()
+  logEvent(EventId::kEngineOrdered, EventFields()
                                         .add("instance", order.instance)
                                         .add("model", order.model)
                                         .add("version", order.version)
@@ -25,14 +25,14 @@
   const auto status = std::make_shared<int>(0);
   http::UpstreamEvents events;
   events.onHead = [status](int code, const http::HeaderList&) { *status = code; };
-  events.onEnd = [this, order, status](const http::UpstreamEnd& end) {
+  events.onEnd = [this, order, status](const http::UpstreamResult& end) {
     const directory::LoadCommandOutcome outcome = end.complete
                                                       ? m_apiAdapter.loadCommandOutcome(*status)
                                                       : directory::LoadCommandOutcome::kUncertain;
     metrics_.count(CounterId::kOrdersGiven, directory::toString(outcome));
     if (outcome == directory::LoadCommandOutcome::kRefused ||
         outcome == directory::LoadCommandOutcome::kUncertain) {
-      logEvent(EventId::kEngineOrderFailed, Detail()
+      logEvent(EventId::kEngineOrderFailed, EventFields()
                                                 .add("instance", order.instance)
                                                 .add("outcome", directory::toString(outcome))
                                                 .add("status", static_cast<std::uint64_t>(*status))
@@ -63,7 +63,7 @@
   const auto body = std::make_shared<std::string>();
   http::UpstreamEvents events;
   events.onData = [body](std::string_view data) { body->append(data); };
-  events.onEnd = [this, body, id = engine.id](const http::UpstreamEnd& end) {
+  events.onEnd = [this, body, id = engine.id](const http::UpstreamResult& end) {
     const auto versions = end.complete ? m_apiAdapter.reportedVersions(*body) : std::nullopt;
     if (versions) {
       directory_->onReport(id, *versions, now());
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -9,7 +9,7 @@
 namespace tackpick::node {
 
 using telemetry::CounterId;
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 using telemetry::GaugeId;
 using telemetry::logEvent;
@@ -35,7 +35,7 @@
       metrics_.count(CounterId::kElectionsWon);
     }
     logEvent(reported_leader_ ? EventId::kBecameLeader : EventId::kLostLeadership,
-             Detail()
+             EventFields()
                  .add("group", replica.group().value)
                  .add("term", raft.currentTerm())
                  .add("applied", replica.appliedIndex())
@@ -45,7 +45,7 @@
   const consensus::Membership& membership = raft.membership();
   if (membership != m_reportedMembership) {
     m_reportedMembership = membership;
-    logEvent(EventId::kMembershipChanged, Detail()
+    logEvent(EventId::kMembershipChanged, EventFields()
                                               .add("group", replica.group().value)
                                               .add("voters", membership.voters.size())
                                               .add("learners", membership.learners.size())
@@ -55,7 +55,7 @@
   if (raft.failed() && !failed_) {
     failed_ = true;
     disk_failed_ = true;
-    logEvent(EventId::kReplicaFailed, Detail().add("group", replica.group().value).text());
+    logEvent(EventId::kReplicaFailed, EventFields().add("group", replica.group().value).text());
   }
 }
 
@@ -78,7 +78,7 @@
     return;
   }
   logEvent(health->isAtTargetSize() ? EventId::kGroupOfSize : EventId::kGroupBelowSize,
-           Detail()
+           EventFields()
                .add("group", replica.group().value)
                .add("voters", health->voters)
                .add("heard", health->heard)
@@ -104,7 +104,7 @@
 
 void Node::logCapacityDecisions(const std::vector<duties::CapacityDecision>& decisions) {
   for (const duties::CapacityDecision& decision : decisions) {
-    logEvent(EventId::kCapacityDecided, Detail()
+    logEvent(EventId::kCapacityDecided, EventFields()
                                             .add("service", decision.subject.service)
                                             .add("zone", decision.subject.zone)
                                             .add("kind", duties::toString(decision.subject.kind))
--- a/src/node/platform_client.cpp
+++ b/src/node/platform_client.cpp
@@ -61,7 +61,7 @@
   request.headers.set("Host", platform.host);
   http::UpstreamEvents events;
   events.onHead = [call](int status, const http::HeaderList&) { call->status = status; };
-  events.onEnd = [call](const http::UpstreamEnd& end) {
+  events.onEnd = [call](const http::UpstreamResult& end) {
     call->deadline.cancel();
     onEnd(call, end.complete, end.error);
   };
@@ -89,7 +89,7 @@
   telemetry::logEvent(outcome == duties::UsageReportOutcome::kTaken
                           ? telemetry::EventId::kUsageReported
                           : telemetry::EventId::kUsageReportFailed,
-                      telemetry::Detail()
+                      telemetry::EventFields()
                           .add("window", report.usage.window)
                           .add("total", totalOf(report.usage))
                           .add("fence", report.fence)
@@ -105,7 +105,7 @@
   telemetry::logEvent(outcome == duties::ScaleOutcome::kTaken
                           ? telemetry::EventId::kCapacityAsked
                           : telemetry::EventId::kCapacityCallFailed,
-                      telemetry::Detail()
+                      telemetry::EventFields()
                           .add("service", call.subject.service)
                           .add("zone", call.subject.zone)
                           .add("kind", duties::toString(call.subject.kind))
--- a/src/node/rejection_log.cpp
+++ b/src/node/rejection_log.cpp
@@ -10,7 +10,7 @@
   if (!requests) {
     return;
   }
-  telemetry::Detail detail;
+  telemetry::EventFields detail;
   detail.add("status", static_cast<std::uint64_t>(status)).add("version", version);
   if (age) {
     detail.add("age_ms", *age);
--- a/src/node/rejection_log.h
+++ b/src/node/rejection_log.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "base/time.h"
-#include "telemetry/log_limiter.h"
+#include "telemetry/log_rate_limiter.h"
 
 namespace tackpick::node {
 
@@ -19,7 +19,7 @@
             base::TimePoint now);
 
  private:
-  telemetry::LogLimiter m_limiter{base::seconds(1)};
+  telemetry::LogRateLimiter m_limiter{base::seconds(1)};
 };
 
 }  // namespace tackpick::node
--- a/src/node/request_guard.cpp
+++ b/src/node/request_guard.cpp
@@ -8,7 +8,7 @@
 namespace tackpick::node {
 namespace {
 
-using telemetry::Detail;
+using telemetry::EventFields;
 using telemetry::EventId;
 using telemetry::logEvent;
 
@@ -33,10 +33,10 @@
 
 void RequestGuard::logHolds(const quarantine::HoldChanges& changes) const {
   for (const quarantine::RequestFingerprint& request : changes.held) {
-    logEvent(EventId::kRequestHeld, Detail().add("fingerprint", request.text()).text());
+    logEvent(EventId::kRequestHeld, EventFields().add("fingerprint", request.text()).text());
   }
   for (const quarantine::RequestFingerprint& request : changes.released) {
-    logEvent(EventId::kRequestReleased, Detail().add("fingerprint", request.text()).text());
+    logEvent(EventId::kRequestReleased, EventFields().add("fingerprint", request.text()).text());
   }
 }
 
@@ -86,7 +86,7 @@
       [request, callback = std::move(callback)](const directory::DirectoryReply* reply) {
         const bool granted = reply != nullptr && reply->status == directory::DirectoryStatus::kDone;
         if (granted) {
-          logEvent(EventId::kTrialBegun, Detail().add("fingerprint", request.text()).text());
+          logEvent(EventId::kTrialBegun, EventFields().add("fingerprint", request.text()).text());
         }
         callback(granted);
       });
@@ -120,7 +120,7 @@
   const base::TimePoint now = m_node.now();
   m_gate.observer().onBroken(crash, now);
   const std::size_t crashes = m_gate.observer().crashes(crash.request);
-  logEvent(EventId::kRunBroken, Detail()
+  logEvent(EventId::kRunBroken, EventFields()
                                     .add("request", id)
                                     .add("fingerprint", crash.request.text())
                                     .add("service", crash.service)
--- a/src/node/run_until_stopped.cpp
+++ b/src/node/run_until_stopped.cpp
@@ -41,9 +41,10 @@
     if (refusal && refusal->code != base::ErrorCode::kStorage) {
       return base::fail(refusal->code, refusal->message);
     }
-    telemetry::logEvent(
-        telemetry::EventId::kDiskUnavailable,
-        telemetry::Detail().add("error", refusal ? refusal->message : "a write failed").text());
+    telemetry::logEvent(telemetry::EventId::kDiskUnavailable,
+                        telemetry::EventFields()
+                            .add("error", refusal ? refusal->message : "a write failed")
+                            .text());
     telemetry::flushLog();
     std::this_thread::sleep_for(kReopenInterval);
   }
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -121,7 +121,7 @@
   events.onHead = [this, key = key](int status, const http::HeaderList& headers) {
     onHead(key, status, headers);
   };
-  events.onEnd = [this, key = key](const http::UpstreamEnd& end) { onEnd(key, end); };
+  events.onEnd = [this, key = key](const http::UpstreamResult& end) { onEnd(key, end); };
   m_instances.onSent(call.instance);
   m_window.onSent();
   call.exchange = m_node.upstream().start(std::move(request), std::move(events));
@@ -162,7 +162,7 @@
 void ScoringClient::noteFailure(const jobs::ItemKey& key, const Call& call, AttemptOutcome outcome,
                                 base::TimePoint now) {
   telemetry::logEvent(telemetry::EventId::kScoringCallFailed,
-                      telemetry::Detail()
+                      telemetry::EventFields()
                           .add("job", key.job)
                           .add("call", call.request.id)
                           .add("instance", call.instance)
@@ -172,7 +172,7 @@
                           .text());
 }
 
-void ScoringClient::onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end) {
+void ScoringClient::onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end) {
   const auto found = m_calls.find(key);
   if (found == m_calls.end()) {
     return;
--- a/src/node/scoring_client.h
+++ b/src/node/scoring_client.h
@@ -65,7 +65,7 @@
   [[nodiscard]] const quarantine::RequestFingerprint& fingerprintOf(Call& call) const;
   void send(const jobs::ItemKey& key, Call& call, base::TimePoint now);
   void onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers);
-  void onEnd(const jobs::ItemKey& key, const http::UpstreamEnd& end);
+  void onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end);
   static void noteFailure(const jobs::ItemKey& key, const Call& call,
                           forwarding::AttemptOutcome outcome, base::TimePoint now);
   void breakOff(Call& call, forwarding::AttemptOutcome outcome, base::TimePoint now);
--- a/src/runtime/caller_api.cpp
+++ b/src/runtime/caller_api.cpp
@@ -136,19 +136,19 @@
   daemon_.gateway()->onCallerRequest(call, daemon_.now());
 }
 
-void CallerApi::carryOut(const gateway::Action& action) {
+void CallerApi::execute(const gateway::Action& action) {
   if (const auto* tokens = std::get_if<gateway::StreamTokens>(&action)) {
-    carryOut(*tokens);
+    execute(*tokens);
   } else if (const auto* answer = std::get_if<gateway::CompleteRequest>(&action)) {
-    carryOut(*answer);
+    execute(*answer);
   } else if (const auto* repeat = std::get_if<gateway::ReplayResponse>(&action)) {
-    carryOut(*repeat);
+    execute(*repeat);
   } else if (const auto* refusal = std::get_if<gateway::RejectRequest>(&action)) {
-    carryOut(*refusal);
+    execute(*refusal);
   }
 }
 
-void CallerApi::carryOut(const gateway::StreamTokens& tokens) {
+void CallerApi::execute(const gateway::StreamTokens& tokens) {
   const auto found = callers_.find(tokens.caller);
   if (found == callers_.end()) {
     return;
@@ -176,7 +176,7 @@
   caller.responder->sendEvent(event);
 }
 
-void CallerApi::carryOut(const gateway::CompleteRequest& answer) {
+void CallerApi::execute(const gateway::CompleteRequest& answer) {
   const auto found = callers_.find(answer.caller);
   if (found == callers_.end()) {
     return;
@@ -201,7 +201,7 @@
   caller.responder->endStream();
 }
 
-void CallerApi::carryOut(const gateway::ReplayResponse& repeat) {
+void CallerApi::execute(const gateway::ReplayResponse& repeat) {
   const auto answer = gateway::decodeAnswer(repeat.answer);
   const auto found = callers_.find(repeat.caller);
   if (!answer || found == callers_.end()) {
@@ -212,13 +212,13 @@
   if (found->second.stream) {
     found->second.streaming = true;
     found->second.responder->beginStream({});
-    carryOut(gateway::StreamTokens{repeat.caller, 0, ledger::oldestVersion(again.answer.spans),
-                                   again.answer.tokens});
+    execute(gateway::StreamTokens{repeat.caller, 0, ledger::oldestVersion(again.answer.spans),
+                                  again.answer.tokens});
   }
-  carryOut(again);
+  execute(again);
 }
 
-void CallerApi::carryOut(const gateway::RejectRequest& refusal) {
+void CallerApi::execute(const gateway::RejectRequest& refusal) {
   const auto found = callers_.find(refusal.caller);
   if (found == callers_.end()) {
     return;
--- a/src/runtime/caller_api.h
+++ b/src/runtime/caller_api.h
@@ -23,7 +23,7 @@
 
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
   /// Carries out an action meant for a caller.
-  void carryOut(const gateway::Action& action);
+  void execute(const gateway::Action& action);
   /// Callers whose answer is not complete.
   [[nodiscard]] std::size_t openRequests() const { return callers_.size(); }
 
@@ -39,10 +39,10 @@
       const http::Request& request) const;
   void completions(const http::Request& request, const control::CredentialRecord& credential,
                    const ResponderPointer& responder);
-  void carryOut(const gateway::StreamTokens& tokens);
-  void carryOut(const gateway::CompleteRequest& answer);
-  void carryOut(const gateway::ReplayResponse& answer);
-  void carryOut(const gateway::RejectRequest& refusal);
+  void execute(const gateway::StreamTokens& tokens);
+  void execute(const gateway::CompleteRequest& answer);
+  void execute(const gateway::ReplayResponse& answer);
+  void execute(const gateway::RejectRequest& refusal);
 
   Daemon& daemon_;
   TrainerApi trainer_api_;
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -238,12 +238,12 @@
   }
   const gateway::GatewayActions actions = gateway_->takeActions();
   for (const gateway::Action& action : actions.actions) {
-    carryOut(action);
+    execute(action);
   }
   sendAll(actions.messages);
 }
 
-void Daemon::carryOut(const gateway::Action& action) {
+void Daemon::execute(const gateway::Action& action) {
   if (const auto* start = std::get_if<gateway::StartAttempt>(&action)) {
     engine_link_->startAttempt(start->engine, start->request);
   } else if (const auto* cancel = std::get_if<gateway::CancelAttempt>(&action)) {
@@ -251,7 +251,7 @@
   } else if (const auto* read = std::get_if<gateway::PollEngine>(&action)) {
     engine_link_->readReport(read->engine);
   } else {
-    caller_api_->carryOut(action);
+    caller_api_->execute(action);
   }
 }
 
--- a/src/runtime/daemon.h
+++ b/src/runtime/daemon.h
@@ -73,7 +73,7 @@
   void onHttp(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
   void tick();
   void turn();
-  void carryOut(const gateway::Action& action);
+  void execute(const gateway::Action& action);
   void sendAll(const transport::Outbox& outbox);
   void readMachineList();
   void observe();
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -35,13 +35,14 @@
   count("requests_answered_total", "whole answers", counters.requestsAnswered);
   count("requests_refused_not_run_total", "requests refused and not run",
         counters.requestsRefusedNotRun);
-  count("requests_unclear_total", "requests that ended and may have run", counters.requestsUnclear);
+  count("requests_unclear_total", "requests that ended and may have run",
+        counters.requestsIndeterminate);
   count("attempts_started_total", "dispatches to engines", counters.attemptsStarted);
   count("attempts_retried_total", "dispatches after a failure", counters.attemptsRetried);
   count("attempts_hedged_total", "second dispatches of slow samples", counters.attemptsHedged);
   count("attempts_stalled_total", "attempts given up for silence", counters.attemptsStalled);
   count("tokens_received_total", "tokens from engines", counters.tokensReceived);
-  count("tokens_wasted_total", "tokens received and not used", counters.tokensWasted);
+  count("tokens_wasted_total", "tokens received and not used", counters.tokensDiscarded);
   count("samples_leased_total", "samples leased from ledgers", counters.samplesLeased);
   count("samples_committed_total", "samples committed first", counters.samplesCommitted);
   count("samples_too_old_total", "samples refused by the staleness bound", counters.samplesTooOld);
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -37,7 +37,7 @@
   base::Random& random = environment_.random;
   constexpr double kMinAnswer = 4.0;
   constexpr double kTailIndex = 1.1;
-  const double tokens = std::min(random.pareto(kMinAnswer, kTailIndex), load.longestAnswer);
+  const double tokens = std::min(random.pareto(kMinAnswer, kTailIndex), load.maxResponseTokens);
   return planFor(static_cast<std::uint32_t>(tokens), random.chance(load.notRepeatableShare));
 }
 
--- a/src/simulation/environment.h
+++ b/src/simulation/environment.h
@@ -37,9 +37,9 @@
   base::SeededRandom random;
   SimulatedNetwork network;
   Observations observations;
-  std::ostream* trace = nullptr;    ///< set to see the run
-  bool metering = false;            ///< whether meters are filled; decisions never depend on it
-  std::array<RoleMeter, 3> meters;  ///< by NodeRole
+  std::ostream* trace = nullptr;   ///< set to see the run
+  bool metering = false;           ///< whether meters are filled; decisions never depend on it
+  std::array<RoleCost, 3> meters;  ///< by NodeRole
 
   std::vector<std::unique_ptr<NodeHost>> nodes;
   std::vector<std::unique_ptr<EngineHost>> engines;
--- a/src/simulation/metering.h
+++ b/src/simulation/metering.h
@@ -20,8 +20,8 @@
 };
 
 /// Sums over all nodes of a role.
-struct RoleMeter {
-  std::uint64_t processorNanoseconds = 0;  ///< of the host machine's thread
+struct RoleCost {
+  std::uint64_t cpuNanoseconds = 0;  ///< of the host machine's thread
   std::uint64_t engineReads = 0;
   std::array<MessageCount, kMessageKinds> sent;
   std::array<MessageCount, kMessageKinds> received;
@@ -36,20 +36,20 @@
 };
 
 /// Adds the processor time of its scope to a meter; does nothing without one.
-class ProcessorTimer {
+class CpuTimer {
  public:
-  explicit ProcessorTimer(RoleMeter* meter) : meter_(meter) {
+  explicit CpuTimer(RoleCost* meter) : meter_(meter) {
     if (meter_ != nullptr) {
       started_ = now();
     }
   }
-  ~ProcessorTimer() {
+  ~CpuTimer() {
     if (meter_ != nullptr) {
-      meter_->processorNanoseconds += now() - started_;
+      meter_->cpuNanoseconds += now() - started_;
     }
   }
-  ProcessorTimer(const ProcessorTimer&) = delete;
-  ProcessorTimer& operator=(const ProcessorTimer&) = delete;
+  CpuTimer(const CpuTimer&) = delete;
+  CpuTimer& operator=(const CpuTimer&) = delete;
 
  private:
   static std::uint64_t now() {
@@ -60,7 +60,7 @@
            static_cast<std::uint64_t>(time.tv_nsec);
   }
 
-  RoleMeter* meter_;
+  RoleCost* meter_;
   std::uint64_t started_ = 0;
 };
 
--- a/src/simulation/node_clients.cpp
+++ b/src/simulation/node_clients.cpp
@@ -121,7 +121,7 @@
   if (gateway_) {
     RunFigures& figures = environment_.observations.figures();
     figures.tokensReceived += gateway_->counters().tokensReceived;
-    figures.tokensWasted += gateway_->counters().tokensWasted;
+    figures.tokensDiscarded += gateway_->counters().tokensDiscarded;
   }
 }
 
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -209,12 +209,12 @@
   }
 }
 
-RoleMeter* NodeHost::meter() {
+RoleCost* NodeHost::meter() {
   return environment_.metering ? &environment_.meters.at(static_cast<std::size_t>(role_)) : nullptr;
 }
 
 void NodeHost::deliver(const EventLoop::Action& action) {
-  const ProcessorTimer timer(meter());
+  const CpuTimer timer(meter());
   action();
   turn();
 }
@@ -224,7 +224,7 @@
     return;
   }
   if (!frozen_) {
-    const ProcessorTimer timer(meter());
+    const CpuTimer timer(meter());
     const base::TimePoint now = localNow();
     if (controller_) {
       controller_->tick(now);
@@ -277,7 +277,7 @@
     sendLoadCommand(order);
   }
   for (const gateway::Action& action : actions) {
-    carryOut(action);
+    execute(action);
   }
   checkLease();
   const consensus::Replica* own = replica();
@@ -319,7 +319,7 @@
     }
     environment_.loop.note(base::mix(outgoing.to.value, outgoing.message.index()));
     const auto message = std::make_shared<transport::InternalMessage>(outgoing.message);
-    if (RoleMeter* own = meter()) {
+    if (RoleCost* own = meter()) {
       const std::size_t bytes = base::encode(outgoing.message).size();
       const std::size_t kind = outgoing.message.index();
       own->sent.at(kind).messages += 1;
@@ -343,7 +343,7 @@
   roles::deliver(roles, from, message, localNow());
 }
 
-void NodeHost::carryOut(const gateway::Action& action) {
+void NodeHost::execute(const gateway::Action& action) {
   if (const auto* start = std::get_if<gateway::StartAttempt>(&action)) {
     startAttempt(*start);
   } else if (const auto* cancelled = std::get_if<gateway::CancelAttempt>(&action)) {
@@ -353,7 +353,7 @@
         [engine, attempt = cancelled->attempt] { engine->cancel(attempt); });
   } else if (const auto* read = std::get_if<gateway::PollEngine>(&action)) {
     EngineHost* engine = environment_.engine(read->engine);
-    if (RoleMeter* own = meter()) {
+    if (RoleCost* own = meter()) {
       ++own->engineReads;
     }
     environment_.network.sendOrdered(
--- a/src/simulation/node_host.h
+++ b/src/simulation/node_host.h
@@ -103,9 +103,9 @@
   /// Notes when two replicas of a group lead in one term, or hold the leader's lease at once.
   void checkLease();
   /// This role's meter while the run is metered.
-  [[nodiscard]] RoleMeter* meter();
+  [[nodiscard]] RoleCost* meter();
   void sendAll(const transport::Outbox& outbox);
-  void carryOut(const gateway::Action& action);
+  void execute(const gateway::Action& action);
   void startAttempt(const gateway::StartAttempt& start);
   void loseAttempt(base::AttemptId attempt, base::Verdict verdict, base::Duration delay);
   void reply(base::CallerId caller, CallerReply reply);
--- a/src/simulation/observations.cpp
+++ b/src/simulation/observations.cpp
@@ -57,7 +57,7 @@
   ++figures_.requestsAnswered;
   if (!checking::isWhole(answer, request.prompt, request.seed, request.maximumTokens)) {
     broken(Promise::kWholeAnswer, "answer of another length: " + request.prompt);
-  } else if (!checking::isTrulyLabelled(answer, request.prompt, request.seed)) {
+  } else if (!checking::hasCorrectVersions(answer, request.prompt, request.seed)) {
     broken(Promise::kTrueVersions,
            "answer with a token its label does not give: " + request.prompt);
   }
@@ -73,7 +73,7 @@
     ++figures_.requestsNotRun;
     ++prompts_[request.prompt].notRun;
   } else {
-    ++figures_.requestsUnclear;
+    ++figures_.requestsIndeterminate;
   }
 }
 
@@ -147,7 +147,7 @@
   const checking::ReceivedAnswer answer{sample.tokens, sample.spans};
   if (!checking::isWhole(answer, asked.prompt, asked.seed, asked.maximumTokens)) {
     broken(Promise::kWholeAnswer, "sample of another length: " + name);
-  } else if (!checking::isTrulyLabelled(answer, asked.prompt, asked.seed)) {
+  } else if (!checking::hasCorrectVersions(answer, asked.prompt, asked.seed)) {
     broken(Promise::kTrueVersions, "sample with a token its label does not give: " + name);
   }
   const base::WeightsVersion oldest = ledger::oldestVersion(sample.spans);
--- a/src/simulation/observations.h
+++ b/src/simulation/observations.h
@@ -63,7 +63,7 @@
   std::uint64_t requestsSent = 0;
   std::uint64_t requestsAnswered = 0;
   std::uint64_t requestsNotRun = 0;
-  std::uint64_t requestsUnclear = 0;
+  std::uint64_t requestsIndeterminate = 0;
   std::uint64_t connectionsLost = 0;
   std::uint64_t samplesDelivered = 0;
   std::uint64_t batchesDelivered = 0;
@@ -72,7 +72,7 @@
   std::uint64_t kills = 0;
   std::uint64_t engineRuns = 0;
   std::uint64_t tokensReceived = 0;       ///< by gateways, from engines
-  std::uint64_t tokensWasted = 0;         ///< of these, thrown away
+  std::uint64_t tokensDiscarded = 0;      ///< of these, thrown away
   std::vector<double> changeSeconds;      ///< from an operator's submission to its acceptance
   std::vector<double> firstTokenSeconds;  ///< callers, from sending
   std::vector<double> answerSeconds;      ///< callers, from sending to the whole answer
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -48,13 +48,13 @@
   double notRepeatableShare = 0.3;
   double resendShare = 0.3;  ///< of not-repeatable requests: sent again under the same key
   double streamShare = 0.5;
-  double longestAnswer = 120.0;  ///< tokens
+  double maxResponseTokens = 120.0;  ///< tokens
   base::Duration deadline = base::seconds(6);
   std::uint32_t trainers = 1;
   std::uint32_t batchesAhead = 0;  ///< submitted before they are needed
   std::uint32_t samplesPerBatch = 16;
-  double longestSample = 400.0;  ///< tokens
-  std::uint64_t prompts = 500;   ///< of a trainer, drawn again and again
+  double maxSampleTokens = 400.0;  ///< tokens
+  std::uint64_t prompts = 500;     ///< of a trainer, drawn again and again
   std::uint64_t stalenessBound = 3;
   base::Duration trainingTime = base::milliseconds(300);
   bool trainerPublishesOnce = false;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -17,7 +17,7 @@
 
 void swapMidStream(SimulationOptions& options) {
   options.load.trainingTime = milliseconds(20);
-  options.load.longestAnswer = 300;
+  options.load.maxResponseTokens = 300;
   options.engine.swapFailure = 0.1;
   options.faults.failSwap = kOften;
   options.faults.crashEngine = kSometimes;
@@ -64,7 +64,7 @@
 
 void overload(SimulationOptions& options) {
   options.load.requestsPerSecond = 300;
-  options.load.longestAnswer = 300;
+  options.load.maxResponseTokens = 300;
   options.load.deadline = milliseconds(1500);
   options.engines = 3;
   options.faults.crashEngine = kSometimes;
@@ -89,7 +89,7 @@
 }
 
 void plannedStop(SimulationOptions& options) {
-  options.load.longestAnswer = 300;
+  options.load.maxResponseTokens = 300;
   options.load.requestsPerSecond = 40;
   options.faults.stopGateway = kOften;
   options.faults.stopLedger = kOften;
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -75,13 +75,13 @@
     // Steps repeat prompts, whose answers resemble each other in length.
     const std::uint64_t prompt = environment_.random.below(load.prompts);
     base::SeededRandom lengths(base::mix(prompt, number_));
-    const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.longestSample);
+    const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.maxSampleTokens);
     ledger::SampleSpecification sample;
     sample.index = index;
     sample.prompt = engine::aroundDirective(static_cast<std::uint32_t>(tokens)) + "sample " +
                     std::to_string(prompt);
     sample.seed = batch_number_ * 1000 + index;
-    sample.maximumTokens = static_cast<std::uint32_t>(load.longestSample);
+    sample.maximumTokens = static_cast<std::uint32_t>(load.maxSampleTokens);
     if (traced != nullptr) {
       sample.prompt = engine::lengthDirective(traced->at(index)) + "traced";
       sample.maximumTokens = traced->at(index);
--- a/src/simulation/world.h
+++ b/src/simulation/world.h
@@ -23,7 +23,7 @@
   base::Duration simulated{0};
   std::vector<Violation> violations;
   RunFigures figures;
-  std::array<RoleMeter, 3> meters;  ///< by NodeRole; filled when the run is metered
+  std::array<RoleCost, 3> meters;  ///< by NodeRole; filled when the run is metered
   double trainerIdle = 0.0;
   double meanStaleness = 0.0;
   double busyShare = 0.0;  ///< of the engines' slots, while load was offered
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -95,7 +95,7 @@
   return {sink().buffer().droppedLines(), sink().buffer().writtenBytes()};
 }
 
-Detail& Detail::add(std::string_view key, std::string_view value) {
+EventFields& EventFields::add(std::string_view key, std::string_view value) {
   m_text += m_text.empty() ? "" : " ";
   m_text += key;
   m_text += '=';
@@ -106,11 +106,11 @@
   return *this;
 }
 
-Detail& Detail::add(std::string_view key, std::uint64_t value) {
+EventFields& EventFields::add(std::string_view key, std::uint64_t value) {
   return add(key, std::string_view(std::to_string(value)));
 }
 
-Detail& Detail::add(std::string_view key, base::Duration value) {
+EventFields& EventFields::add(std::string_view key, base::Duration value) {
   return add(key, std::string_view(std::to_string(
                       std::chrono::duration_cast<std::chrono::milliseconds>(value).count())));
 }
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -31,12 +31,12 @@
 
 /// Builds the `key=value` pairs of an event. Blanks and line ends in values become underscores, so
 /// that a line always splits at its blanks.
-class Detail {
+class EventFields {
  public:
-  Detail& add(std::string_view key, std::string_view value);
-  Detail& add(std::string_view key, std::uint64_t value);
+  EventFields& add(std::string_view key, std::string_view value);
+  EventFields& add(std::string_view key, std::uint64_t value);
   /// In whole milliseconds.
-  Detail& add(std::string_view key, base::Duration value);
+  EventFields& add(std::string_view key, base::Duration value);
   [[nodiscard]] const std::string& text() const { return m_text; }
 
  private:
--- a/src/telemetry/log_limiter.h
+++ b/src/telemetry/log_rate_limiter.h
@@ -10,9 +10,9 @@
 namespace tackpick::telemetry {
 
 /// At most one line in an interval.
-class LogLimiter {
+class LogRateLimiter {
  public:
-  explicit LogLimiter(base::Duration interval) : m_interval(interval) {}
+  explicit LogRateLimiter(base::Duration interval) : m_interval(interval) {}
 
   /// It happened once more. When a line is due: how often since the last one.
   [[nodiscard]] std::optional<std::uint64_t> note(base::TimePoint now) {
--- a/test/base/packed_text_test.cpp
+++ b/test/base/compressed_text_test.cpp
@@ -1,5 +1,5 @@
 /// Texts that are kept and sent compressed.
-#include "base/packed_text.h"
+#include "base/compressed_text.h"
 
 #include <criterion/criterion.h>
 
@@ -18,28 +18,28 @@
 
 }  // namespace
 
-Test(packed_text, texts_come_back_as_they_were_also_joined) {
-  base::PackedText packed(longText('a'));
+Test(compressed_text, texts_come_back_as_they_were_also_joined) {
+  base::CompressedText packed(longText('a'));
   cr_assert_lt(base::encode(packed).size(), longText('a').size());
-  packed.append(base::PackedText("\nshort"));
-  packed.append(base::PackedText());
-  packed.append(base::PackedText(longText('k')));
+  packed.append(base::CompressedText("\nshort"));
+  packed.append(base::CompressedText());
+  packed.append(base::CompressedText(longText('k')));
   const std::string whole = longText('a') + "\nshort" + longText('k');
   cr_assert_eq(packed.length(), whole.size());
   cr_assert(packed == whole);
-  cr_assert(packed == base::PackedText(whole), "however it was joined");
-  const auto decoded = base::decode<base::PackedText>(base::encode(packed));
+  cr_assert(packed == base::CompressedText(whole), "however it was joined");
+  const auto decoded = base::decode<base::CompressedText>(base::encode(packed));
   cr_assert(decoded->unpack() == whole);
-  cr_assert(base::PackedText().unpack() == "");
+  cr_assert(base::CompressedText().unpack() == "");
 }
 
-Test(packed_text, damage_is_noticed) {
-  base::Bytes bytes = base::encode(base::PackedText(longText('a')));
+Test(compressed_text, damage_is_noticed) {
+  base::Bytes bytes = base::encode(base::CompressedText(longText('a')));
   bool noticed = false;
   for (std::size_t i = 0; i < bytes.size() && !noticed; ++i) {
     base::Bytes damaged = bytes;
     damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
-    const auto decoded = base::decode<base::PackedText>(damaged);
+    const auto decoded = base::decode<base::CompressedText>(damaged);
     noticed = decoded && !decoded->unpack();
   }
   cr_assert(noticed);
--- a/test/base/tick_lateness_test.cpp
+++ b/test/base/event_loop_lag_test.cpp
@@ -1,5 +1,5 @@
 /// How late the ticks of an event loop come.
-#include "base/tick_lateness.h"
+#include "base/event_loop_lag.h"
 
 #include <criterion/criterion.h>
 
@@ -17,20 +17,20 @@
     }
   }
 
-  base::TickLateness lateness{kInterval};
+  base::EventLoopLag lateness{kInterval};
   base::TimePoint now{base::seconds(1)};
 };
 
 }  // namespace
 
-Test(tick_lateness, is_zero_while_ticks_come_in_time) {
+Test(event_loop_lag, is_zero_while_ticks_come_in_time) {
   Loop loop;
   cr_assert_eq(loop.lateness.average(), base::Duration{0});
   loop.run(base::seconds(2), kInterval);
   cr_assert_eq(loop.lateness.average(), base::Duration{0});
 }
 
-Test(tick_lateness, shows_a_starved_loop_as_long_as_it_lasts) {
+Test(event_loop_lag, shows_a_starved_loop_as_long_as_it_lasts) {
   Loop loop;
   loop.run(base::seconds(2), base::milliseconds(100));
   cr_assert_eq(loop.lateness.average(), base::milliseconds(80));
@@ -38,7 +38,7 @@
   cr_assert_eq(loop.lateness.average(), base::Duration{0});
 }
 
-Test(tick_lateness, one_pause_shows_for_one_window) {
+Test(event_loop_lag, one_pause_shows_for_one_window) {
   Loop loop;
   loop.run(base::seconds(1), kInterval);
   loop.run(base::milliseconds(20), base::seconds(6));
--- a/test/cluster/cluster_world_test.cpp
+++ b/test/cluster/cluster_world_test.cpp
@@ -145,22 +145,23 @@
   void runItems(WorldNode& gateway) {
     jobs::LeaseItems lease;
     lease.wanted.add("", 1, 3);
-    gateway.member->call(
-        jobs::JobRequest{lease}, base::seconds(2), world_.now(),
-        [this, &gateway](const jobs::JobReply* reply) {
-          if (reply == nullptr || reply->leased.empty() || !gateway.running) {
-            return;
-          }
-          jobs::CommitResults commit;
-          for (const jobs::LeasedItem& leased : reply->leased) {
-            const std::string text = "run" + std::to_string(++runs_);
-            commit.jobs.push_back(
-                {leased.key.job,
-                 {{leased.key.item, jobs::ItemState::kCompleted, base::PackedText(text), {1}}}});
-          }
-          gateway.member->call(jobs::JobRequest{commit}, base::seconds(4), world_.now(),
-                               [](const jobs::JobReply*) {});
-        });
+    gateway.member->call(jobs::JobRequest{lease}, base::seconds(2), world_.now(),
+                         [this, &gateway](const jobs::JobReply* reply) {
+                           if (reply == nullptr || reply->leased.empty() || !gateway.running) {
+                             return;
+                           }
+                           jobs::CommitResults commit;
+                           for (const jobs::LeasedItem& leased : reply->leased) {
+                             const std::string text = "run" + std::to_string(++runs_);
+                             commit.jobs.push_back({leased.key.job,
+                                                    {{leased.key.item,
+                                                      jobs::ItemState::kCompleted,
+                                                      base::CompressedText(text),
+                                                      {1}}}});
+                           }
+                           gateway.member->call(jobs::JobRequest{commit}, base::seconds(4),
+                                                world_.now(), [](const jobs::JobReply*) {});
+                         });
   }
 
   ClusterWorld& world_;
--- a/test/http/stream_relay_test.cpp
+++ b/test/http/stream_relay_test.cpp
@@ -57,7 +57,7 @@
       relay->begin(status, headers);
     };
     events.onData = [this](std::string_view data) { held += relay->pass(data) ? 1 : 0; };
-    events.onEnd = [this](const http::UpstreamEnd& result) {
+    events.onEnd = [this](const http::UpstreamResult& result) {
       end = result;
       open[0]->finish();
     };
@@ -77,7 +77,7 @@
   std::optional<RawPeer> upstream;
   http::ExchangeId exchange;
   std::shared_ptr<http::StreamRelay> relay;
-  std::optional<http::UpstreamEnd> end;
+  std::optional<http::UpstreamResult> end;
   int held = 0;
 };
 
--- a/test/http/upstream_client_test.cpp
+++ b/test/http/upstream_client_test.cpp
@@ -34,7 +34,7 @@
     http::UpstreamEvents events;
     events.onHead = [this](int code, const http::HeaderList&) { status = code; };
     events.onData = [this](std::string_view data) { answer.append(data); };
-    events.onEnd = [this](const http::UpstreamEnd& result) { end = result; };
+    events.onEnd = [this](const http::UpstreamResult& result) { end = result; };
     return client.start(std::move(wanted), std::move(events));
   }
   RawPeer accept() {
@@ -56,7 +56,7 @@
   http::UpstreamClient client;
   int status = 0;
   std::string answer;
-  std::optional<http::UpstreamEnd> end;
+  std::optional<http::UpstreamResult> end;
 };
 
 std::string whole(const std::string& id, const std::string& body) {
@@ -161,7 +161,7 @@
   http::UpstreamRequest request;
   request.address = {"127.0.0.1", port};
   http::UpstreamEvents events;
-  events.onEnd = [&](const http::UpstreamEnd& result) { fixture.end = result; };
+  events.onEnd = [&](const http::UpstreamResult& result) { fixture.end = result; };
   fixture.client.start(std::move(request), std::move(events));
   cr_assert(fixture.waitEnd());
   cr_assert_eq(fixture.end->verdict, base::Verdict::kNotRun);
--- a/test/integration/fleet.cpp
+++ b/test/integration/fleet.cpp
@@ -299,7 +299,7 @@
           }
           const std::string prompt =
               engine::lengthDirective(static_cast<std::uint32_t>(answer.tokens.size())) + name;
-          cr_assert(checking::isTrulyLabelled(answer, prompt, index), "sample %u", index);
+          cr_assert(checking::hasCorrectVersions(answer, prompt, index), "sample %u", index);
         }
         cursor = page["cursor"].get<std::uint32_t>();
         return seen.size() == samples;
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -16,7 +16,7 @@
 
 jobs::GatewayCapacity machine(double cores) {
   jobs::GatewayCapacity capacity;
-  capacity.processorCores = cores;
+  capacity.cpuCores = cores;
   capacity.memoryMb = 160;
   capacity.fileDescriptors = 4100;
   capacity.linkMbps = 60;
@@ -70,7 +70,7 @@
   constexpr double kInfinity = std::numeric_limits<double>::infinity();
   for (const double cores : {-1.0, std::nan(""), kInfinity, 1e300}) {
     jobs::GatewayCapacity nonsense;
-    nonsense.processorCores = cores;
+    nonsense.cpuCores = cores;
     nonsense.linkMbps = cores;
     cr_assert_not(jobs::slotsFor(nonsense).has_value());
     nonsense.memoryMb = 10;
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -81,7 +81,7 @@
 
 jobs::GatewayCapacity cores(double count) {
   jobs::GatewayCapacity capacity;
-  capacity.processorCores = count;
+  capacity.cpuCores = count;
   return capacity;
 }
 
@@ -152,7 +152,7 @@
   bool slow = false;
   const auto size = [&](std::uint32_t i) {
     jobs::GatewayCapacity capacity = cores(0.12);
-    capacity.tickLateness = base::milliseconds(slow && i == 2 ? 120 : 5);
+    capacity.eventLoopLag = base::milliseconds(slow && i == 2 ? 120 : 5);
     return capacity;
   };
   callFor(gatewaySelector, 10, base::seconds(1), now, size);
@@ -176,7 +176,7 @@
   base::TimePoint now = kNow;
   const auto size = [](std::uint32_t i) {
     jobs::GatewayCapacity capacity = cores(0.12);
-    capacity.tickLateness = base::milliseconds(i == 2 ? 120 : 5);
+    capacity.eventLoopLag = base::milliseconds(i == 2 ? 120 : 5);
     return capacity;
   };
   callFor(gatewaySelector, 3, base::seconds(3), now, size);
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -130,7 +130,7 @@
   cr_assert_eq(before.at("m").front().items, 3U);
   cr_assert_eq(before.at("m").front().waiting, 3U);
   cr_assert(before.at("m").front().slack == base::Duration::max(), "nothing says when it is due");
-  const base::PackedText text("t");
+  const base::CompressedText text("t");
   (void)ledger.ask(jobs::CommitResults{{{"j", {{1, jobs::ItemState::kCompleted, text, {1}}}}}});
   cr_assert_eq(ledger.role->openJobs(ledger.now)->at("m").front().items, 2U);
   cr_assert_eq(ledger.role->workChanges(), submitted);
@@ -232,7 +232,7 @@
   const base::Duration before = slack();
   jobs::JobResults results{"j", {}};
   for (std::uint32_t item = 0; item < 30; ++item) {
-    results.results.push_back({item, jobs::ItemState::kCompleted, base::PackedText("t"), {1}});
+    results.results.push_back({item, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}});
     results.results.back().events = 400;
   }
   (void)ledger.ask(jobs::CommitResults{{results}});
@@ -260,8 +260,8 @@
     submit.job.items.resize(4, submit.job.items[0]);
     (void)ledger.ask(submit);
   }
-  (void)ledger.ask(
-      jobs::CommitResults{{{"z", {{0, jobs::ItemState::kCompleted, base::PackedText("t"), {1}}}}}});
+  (void)ledger.ask(jobs::CommitResults{
+      {{"z", {{0, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}}}}}});
   ledger.restart();
   ledger.role->setEngines({{"e", 20, {{"", 1}}, "z"}});
   jobs::LeaseItems lease;
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -30,7 +30,7 @@
 }
 
 jobs::ItemResult result(std::uint32_t item, const std::string& text) {
-  return {item, jobs::ItemState::kCompleted, base::PackedText(text), {1}};
+  return {item, jobs::ItemState::kCompleted, base::CompressedText(text), {1}};
 }
 
 /// Places at engines that hold version 1.
@@ -254,9 +254,9 @@
   leases.reset(1, now, base::Duration{0});
   leases.addJob("j", *state.find("j"), now);
   jobs::GatewayCapacity small;
-  small.processorCores = 0.06;
+  small.cpuCores = 0.06;
   jobs::GatewayCapacity large;
-  large.processorCores = 0.5;
+  large.cpuCores = 0.5;
   leases.onAsked(kGateway, "a", true, now, small);
   for (std::uint32_t number = 2; number < 20; ++number) {
     leases.onAsked(base::makeNodeId(number, 1), "a", true, now, large);
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -215,7 +215,7 @@
       return;
     }
     OpenJob& open = found->second;
-    jobs::ItemResult result{key.item, jobs::ItemState::kCompleted, base::PackedText("t"), {1}};
+    jobs::ItemResult result{key.item, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}};
     result.events = open.lengths[key.item];
     m_leases.forecast().learn(m_state.find(key.job)->submission, result);
     m_leases.eventIntervals().note(m_state.find(key.job)->submission.model,
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -38,7 +38,7 @@
 
   /// Estimates of a model count events.
   void learn(const std::string& model) {
-    jobs::ItemResult result{0, jobs::ItemState::kCompleted, base::PackedText("t"), {1}};
+    jobs::ItemResult result{0, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}};
     result.events = 50;
     leases.forecast().learn(draft("x", "t", model, {50}), result);
   }
@@ -67,7 +67,7 @@
       for (const jobs::GrantedItem& item : granted) {
         order.push_back(item.key);
         const jobs::ItemResult result{
-            item.key.item, jobs::ItemState::kCompleted, base::PackedText("t"), {1}};
+            item.key.item, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}};
         apply(jobs::CommitResults{{{item.key.job, {result}}}});
       }
       leases.refresh(state, now);
@@ -226,7 +226,7 @@
   for (const jobs::GrantedItem& item : before) {
     cr_assert(leased.insert(item.key).second);
     const jobs::ItemResult result{
-        item.key.item, jobs::ItemState::kCompleted, base::PackedText("t"), {1}};
+        item.key.item, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}};
     ledger.apply(jobs::CommitResults{{{item.key.job, {result}}}});
   }
   ledger.leases.refresh(ledger.state, ledger.now);
--- a/test/jobs/length_forecast_test.cpp
+++ b/test/jobs/length_forecast_test.cpp
@@ -100,7 +100,7 @@
   job.model = "m";
   job.host = "h";
   job.items.push_back({"i", "/", {}, "", "g", 100});
-  jobs::ItemResult result{0, jobs::ItemState::kCompleted, base::PackedText("t"), {1}};
+  jobs::ItemResult result{0, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}};
   result.events = 300;
   for (int i = 0; i < 100; ++i) {
     forecast.learn(job, result);
@@ -119,8 +119,8 @@
   jobs::ItemResult failed{0, jobs::ItemState::kTerminated, {}, {}};
   failed.events = 5;
   forecast.learn(job, failed);
-  forecast.learn(job, {0, jobs::ItemState::kCompleted, base::PackedText("t"), {1}});
-  forecast.learn(job, {7, jobs::ItemState::kCompleted, base::PackedText("t"), {1}});
+  forecast.learn(job, {0, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}});
+  forecast.learn(job, {7, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}});
   cr_assert_eq(forecast.rest(job, job.items[0], 0), 0);
 }
 
--- a/test/jobs/progress_test.cpp
+++ b/test/jobs/progress_test.cpp
@@ -33,7 +33,7 @@
 
 jobs::ItemProgress piece(std::optional<jobs::ProgressPoint> after, jobs::ProgressPoint reached,
                          const std::string& text, std::uint64_t version = 2) {
-  return {0, after, {reached, base::PackedText(text), {version}}};
+  return {0, after, {reached, base::CompressedText(text), {version}}};
 }
 
 void save(jobs::JobState& state, const jobs::ItemProgress& progress) {
@@ -93,14 +93,15 @@
 Test(job_state, finished_items_and_ended_jobs_keep_no_progress) {
   jobs::JobState state = stateWithJob();
   save(state, piece(std::nullopt, {1, 4}, "a"));
-  apply(state, jobs::CommitResults{
-                   {{"j", {{0, jobs::ItemState::kCompleted, base::PackedText("whole"), {2}}}}}});
+  apply(state,
+        jobs::CommitResults{
+            {{"j", {{0, jobs::ItemState::kCompleted, base::CompressedText("whole"), {2}}}}}});
   cr_assert_null(kept(state));
   save(state, piece(std::nullopt, {2, 4}, "a"));
   cr_assert_null(kept(state));
   apply(state,
         jobs::SaveProgress{
-            {{"j", {{1, std::nullopt, {{1, 4}, base::PackedText("a"), {2}}}, {7, {}, {}}}}}});
+            {{"j", {{1, std::nullopt, {{1, 4}, base::CompressedText("a"), {2}}}, {7, {}, {}}}}}});
   cr_assert_eq(state.find("j")->partial.size(), 1U);
   apply(state, jobs::EndJob{"j"});
   cr_assert(state.find("j")->partial.empty());
@@ -139,7 +140,7 @@
 Test(item_run, text_begun_anew_is_not_offered) {
   jobs::LeasedItem item = leased(1, stateWithJob());
   item.singleVersion = true;
-  item.progress = jobs::PartialText{{0, 6}, base::PackedText("old"), {2}};
+  item.progress = jobs::PartialText{{0, 6}, base::CompressedText("old"), {2}};
   jobs::ItemRun run(item);
   cr_assert_not(run.onHead(3), "the text so far is version 2's");
   cr_assert(run.onHead(3));
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -177,7 +177,7 @@
   jobs::JobReply reply;
   reply.total = 2;
   reply.results.push_back(
-      {"i", {0, jobs::ItemState::kCompleted, base::PackedText("a\nb"), {6, 7}}});
+      {"i", {0, jobs::ItemState::kCompleted, base::CompressedText("a\nb"), {6, 7}}});
   reply.results.push_back({"k", {1, jobs::ItemState::kTerminated, {}, {}}});
   const Json answer = Json::parse(platform::resultsJson(5, reply).value());
   cr_assert_eq(answer["nextPageToken"].get<int>(), 7);
@@ -269,8 +269,9 @@
   cr_assert_eq(call.body, "\xab\xcd\xef\x12\x34\x56\x78\x90");
 
   jobs::JobReply reply;
-  reply.results = {{"i", {0, jobs::ItemState::kCompleted, base::PackedText("text"), {1}, "signed"}},
-                   {"k", {1, jobs::ItemState::kTerminated, {}, {}}}};
+  reply.results = {
+      {"i", {0, jobs::ItemState::kCompleted, base::CompressedText("text"), {1}, "signed"}},
+      {"k", {1, jobs::ItemState::kTerminated, {}, {}}}};
   const Json told = Json::parse(platform::resultsJson(0, reply).value());
   cr_assert_eq(told["results"][0]["score"], "signed");
   cr_assert_not(told["results"][1].contains("score"));
--- a/test/replay/replay_test.cpp
+++ b/test/replay/replay_test.cpp
@@ -37,7 +37,7 @@
     sim::SimulationOptions options;
     options.load.trace = load(name);
     options.load.resendShare = 0.0;
-    options.load.longestSample = 500;
+    options.load.maxSampleTokens = 500;
     options.load.stalenessBound = 6;
     sim::World world(options, seed, nullptr);
     const sim::RunResult result = world.run();
--- a/test/runtime/process_limits_test.cpp
+++ b/test/runtime/process_limits_test.cpp
@@ -54,7 +54,7 @@
 Test(process_limits, unknown_when_they_are_left_out) {
   const Loaded loaded("");
   cr_assert(loaded.problem.empty(), "%s", loaded.problem.c_str());
-  cr_assert_eq(loaded.limits.processorCores(), 0);
+  cr_assert_eq(loaded.limits.cpuCores(), 0);
   cr_assert_not(loaded.limits.memoryMb.has_value());
 }
 
@@ -63,7 +63,7 @@
       "processor_share: 0.25\nprocessor_speed: 0.6\nmemory_mb: 260\nfile_descriptors: 4100\n"
       "link_mbps: 1000.0\n");
   cr_assert(loaded.problem.empty(), "%s", loaded.problem.c_str());
-  cr_assert_float_eq(loaded.limits.processorCores(), 0.15, 1e-9);
+  cr_assert_float_eq(loaded.limits.cpuCores(), 0.15, 1e-9);
   cr_assert_eq(loaded.limits.memoryMb.value(), 260U);
   cr_assert_eq(loaded.limits.fileDescriptors.value(), 4100U);
   cr_assert_eq(loaded.limits.linkMbps.value(), 1000.0);
