--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -106,9 +106,9 @@
 PlanCost measurePlans(std::uint32_t items, std::uint32_t engines, jobs::SchedulerPolicy policy) {
   constexpr std::uint32_t kPlans = 100;
   constexpr std::uint32_t kGivingBack = 100;
-  const std::uint32_t places = engines * (kSlots + 1);
-  const std::uint32_t gateways = places / kSlotsPerGateway;
-  const jobs::JobState state = stateWith(items + places);
+  const std::uint32_t slots = engines * (kSlots + 1);
+  const std::uint32_t gateways = slots / kSlotsPerGateway;
+  const jobs::JobState state = stateWith(items + slots);
   base::TimePoint now{base::seconds(1)};
   jobs::ItemLeases leases(base::seconds(1000), base::milliseconds(5), policy);
   leases.reset(1, now, base::Duration{0});
--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -56,7 +56,7 @@
   Fleet fleet(engineCount);
   directory::LoadSchedulerSettings settings;
   settings.loadOrder = order;
-  // Each engine follows a model: none is in reserve.
+  // Each engine follows a model: none is on standby.
   settings.assignments.wanted.minEngines = static_cast<std::size_t>(engineCount);
   directory::LoadScheduler orders(settings);
   orders.reset({}, fleet.assignments);
@@ -73,7 +73,7 @@
     orders.setOpenJobs(works, now);
     for (int turn = 0; turn < kTurnsPerStep; ++turn) {
       for (auto& [id, engine] : fleet.engines) {
-        engine.heardAt = now;
+        engine.lastSeenAt = now;
       }
       const auto begun = std::chrono::steady_clock::now();
       const auto given = orders.step(fleet.state, fleet.engines, {}, 1, now);
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -96,7 +96,7 @@
 }
 
 void ClusterMember::accept(directory::DirectoryView news, base::TimePoint now) {
-  heard_at_ = now;
+  m_lastContactAt = now;
   // Views may come from an earlier leader over a slow path; a configuration never goes back.
   if (news.configuration && news.configuration->version > configuration_.version) {
     configuration_ = *news.configuration;
@@ -106,7 +106,7 @@
       m_onConfiguration(configuration_);
     }
   }
-  if (!news.whole && news.since != view_.revision) {
+  if (!news.isFull && news.since != view_.revision) {
     requestFullView();  // these are changes to another view
     return;
   }
@@ -136,13 +136,13 @@
   }
   std::vector<base::NodeId> voters;
   std::vector<base::NodeId> heard;
-  for (const directory::LedgerSummary& sight : view_.ledgers) {
-    if (sight.silence >= kLedgerSilence) {
+  for (const directory::LedgerSummary& summary : view_.ledgers) {
+    if (summary.silence >= kLedgerSilence) {
       continue;
     }
-    heard.push_back(sight.node);
-    if (ledger_voters_.contains(sight.node)) {
-      voters.push_back(sight.node);
+    heard.push_back(summary.node);
+    if (ledger_voters_.contains(summary.node)) {
+      voters.push_back(summary.node);
     }
   }
   return voters.empty() ? heard : voters;
@@ -159,12 +159,12 @@
 
 base::NodeId ClusterMember::zoneLedger() const {
   const directory::LedgerSummary* nearest = nullptr;
-  for (const directory::LedgerSummary& sight : view_.ledgers) {
-    const bool member = ledger_voters_.empty() || ledger_voters_.contains(sight.node);
-    const bool usable =
-        member && sight.zone == self_.zone && !sight.retiring && sight.silence < kLedgerSilence;
-    if (usable && (nearest == nullptr || sight.silence < nearest->silence)) {
-      nearest = &sight;
+  for (const directory::LedgerSummary& summary : view_.ledgers) {
+    const bool member = ledger_voters_.empty() || ledger_voters_.contains(summary.node);
+    const bool usable = member && summary.zone == self_.zone && !summary.retiring &&
+                        summary.silence < kLedgerSilence;
+    if (usable && (nearest == nullptr || summary.silence < nearest->silence)) {
+      nearest = &summary;
     }
   }
   return nearest == nullptr ? base::NodeId{} : nearest->node;
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -92,7 +92,7 @@
   /// been long on its way, or waited for a process that stood still.
   [[nodiscard]] std::optional<base::TimePoint> confirmedAt() const { return m_confirmedAt; }
   /// When the controllers were last heard.
-  [[nodiscard]] std::optional<base::TimePoint> heardAt() const { return heard_at_; }
+  [[nodiscard]] std::optional<base::TimePoint> lastContactAt() const { return m_lastContactAt; }
 
  private:
   void watch(base::TimePoint now);
@@ -114,7 +114,7 @@
   directory::DirectoryView view_;
   std::set<base::NodeId> ledger_voters_;  ///< the last that were told
   directory::Configuration configuration_;
-  std::optional<base::TimePoint> heard_at_;
+  std::optional<base::TimePoint> m_lastContactAt;
   std::optional<base::TimePoint> m_confirmedAt;
   ViewHandler on_view_;
   ConfigurationHandler m_onConfiguration;
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -78,11 +78,11 @@
   bool unresponsive = false;                      ///< heartbeats are overdue: it may be dead
   std::map<std::string, std::uint64_t> versions;  ///< weights by model
   bool loading = false;  ///< it was ordered to change weights and has not reported them
-  bool reserve = false;  ///< no model needs it now: it gets work only when the others are full
+  bool standby = false;  ///< no model needs it now: it gets work only when the others are full
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(record, unresponsive, versions, loading, reserve);
+    archive(record, unresponsive, versions, loading, standby);
   }
 };
 
@@ -255,7 +255,7 @@
 /// What a node learns from a watch.
 struct DirectoryView {
   std::uint64_t revision = 0;
-  bool whole = true;                           ///< else `instances` and `removed` are changes
+  bool isFull = true;                          ///< else `instances` and `removed` are changes
   std::uint64_t since = 0;                     ///< ... to the view of this revision
   std::vector<std::string> removed;            ///< ids of instances that are gone
   std::optional<Configuration> configuration;  ///< when newer than the node's
@@ -276,7 +276,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(revision, whole, since, removed, configuration, configurationVersion, instances,
+    archive(revision, isFull, since, removed, configuration, configurationVersion, instances,
             publishedVersions, controllers, ledgers, initialLedgerVoters, ledgerVoters, gateways,
             allNodesSeen, firstOpenUsageWindow, heldRequests, clusterTime);
   }
--- a/src/directory/directory_quarantine.cpp
+++ b/src/directory/directory_quarantine.cpp
@@ -42,7 +42,7 @@
 void DirectoryRole::onRequest(const Caller& caller, const quarantine::ReadQuarantine& /*request*/,
                               base::TimePoint now) {
   DirectoryReply answer;
-  answer.holds = state_.quarantine().sights(clusterTime(now));
+  answer.holds = state_.quarantine().summaries(clusterTime(now));
   replyWith(caller, answer);
 }
 
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -73,7 +73,7 @@
     }
     sequence = heartbeat.sequence;
     const auto [report, added] = reports_.try_emplace(heartbeat.id);
-    report->second.heardAt = now;
+    report->second.lastSeenAt = now;
     if (heartbeat.versions) {
       report->second.versions = *heartbeat.versions;
     } else if (const auto held = state_.heldVersions().find(heartbeat.id);
@@ -87,7 +87,7 @@
 void DirectoryRole::observeReport(const InstanceHeartbeat& heartbeat, base::TimePoint now) {
   m_heartbeatSequences[heartbeat.record.id] = heartbeat.sequence;
   ReportedEngine& report = reports_[heartbeat.record.id];
-  report.heardAt = now;
+  report.lastSeenAt = now;
   report.versions = heartbeat.versions;
 }
 
@@ -146,15 +146,15 @@
 void DirectoryRole::onRequest(const Caller& caller, const duties::ReadCapacity& /*request*/,
                               base::TimePoint /*now*/) {
   DirectoryReply answer;
-  answer.capacity = m_capacity.sights();
+  answer.capacity = m_capacity.summaries();
   replyWith(caller, answer);
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const ReadWeights& /*request*/,
                               base::TimePoint /*now*/) {
   DirectoryReply answer;
-  if (const WeightsSummary* sight = weights()) {
-    answer.weights = *sight;
+  if (const WeightsSummary* summary = weights()) {
+    answer.weights = *summary;
   }
   replyWith(caller, answer);
 }
@@ -194,7 +194,7 @@
     if (heard.record.name == request.name) {
       known = true;
     } else if (!state_.retirements().contains(heard.record.name) &&
-               now - heard.heardAt < settings_.repair.silenceLimit) {
+               now - heard.lastSeenAt < settings_.repair.silenceLimit) {
       ++remaining;
     }
   }
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -75,7 +75,7 @@
   if (report == reports_.end()) {
     return;
   }
-  report->second.heardAt = now;
+  report->second.lastSeenAt = now;
   report->second.versions = versions;
 }
 
@@ -115,7 +115,7 @@
   for (const auto& [node, heard] : nodes_) {
     const HeardNode*& known = newest[base::nodeNumber(node)];
     if (heard.record.role == NodeRole::kGateway &&
-        (known == nullptr || heard.heardAt > known->heardAt)) {
+        (known == nullptr || heard.lastSeenAt > known->lastSeenAt)) {
       known = &heard;
     }
   }
@@ -199,7 +199,7 @@
 std::map<std::string, double> DirectoryRole::modelDemand(base::TimePoint now) const {
   std::map<std::string, double> demand;
   for (const auto& [node, heard] : nodes_) {
-    if (now - heard.heardAt < settings_.repair.silenceLimit) {
+    if (now - heard.lastSeenAt < settings_.repair.silenceLimit) {
       for (const auto& [model, work] : heard.recentWork) {
         demand[model] += work;
       }
@@ -237,8 +237,8 @@
   base::SortedCursor reports(reports_);
   for (const auto& [id, record] : state_.instances()) {
     const ReportedEngine* report = reports.find(id);
-    const base::TimePoint heardAt = report == nullptr ? leader_since_ : report->heardAt;
-    if (now - heardAt > settings_.instanceSilenceLimit) {
+    const base::TimePoint lastSeenAt = report == nullptr ? leader_since_ : report->lastSeenAt;
+    if (now - lastSeenAt > settings_.instanceSilenceLimit) {
       forgotten.ids.push_back(id);
     }
   }
@@ -246,10 +246,10 @@
     proposeOnce(forgotten, forgetting_, now);
   }
   std::erase_if(reports_, [&](const auto& entry) {
-    return now - entry.second.heardAt > settings_.instanceSilenceLimit;
+    return now - entry.second.lastSeenAt > settings_.instanceSilenceLimit;
   });
   std::erase_if(nodes_, [&](const auto& entry) {
-    return now - entry.second.heardAt > settings_.nodeSilenceLimit;
+    return now - entry.second.lastSeenAt > settings_.nodeSilenceLimit;
   });
 }
 
@@ -313,7 +313,7 @@
     reports_.try_emplace(id, ReportedEngine{leader_since_, versions});
   }
   m_loadScheduler.reset(m_commandLease.freeFrom(leader_since_), state_.assignments());
-  // Which engines are in reserve must be known before the first view is told, or all would be news.
+  // Which engines are on standby must be known before the first view is told, or all would be news.
   (void)m_loadScheduler.step(state_, reports_, {}, replica_.raft().currentTerm(), now);
   usage_.reset(state_.usage(), m_commandLease.restOfLease());
   m_capacity.reset(state_.capacity(), m_commandLease.restOfLease(), now);
@@ -349,7 +349,7 @@
                              const std::vector<duties::ScaleCall>& scaleCalls,
                              base::TimePoint now) {
   for (const duties::UsageReport& report : reports) {
-    usage_.onOutcome(report, duties::UsageReportOutcome::kUncertain, now);
+    usage_.onOutcome(report, duties::UsageReportOutcome::kUnknown, now);
   }
   for (const duties::ScaleCall& call : scaleCalls) {
     m_capacity.onOutcome(call, duties::ScaleOutcome::kBusy, now);
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -91,11 +91,11 @@
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
   /// Where the weights of all models stand; nothing while this controller does not lead.
   [[nodiscard]] const WeightsSummary* weights() const {
-    return begun_ && replica_.raft().isLeader() ? &m_loadScheduler.sight() : nullptr;
+    return begun_ && replica_.raft().isLeader() ? &m_loadScheduler.summary() : nullptr;
   }
   /// Numbers of instances, as this process last decided about them as leader.
   [[nodiscard]] const std::vector<duties::PoolSummary>& capacity() const {
-    return m_capacity.sights();
+    return m_capacity.summaries();
   }
   /// Of the controllers' group, as its leader sees it.
   [[nodiscard]] const std::optional<cluster::GroupHealth>& groupHealth() const {
@@ -106,7 +106,7 @@
   using Caller = cluster::ServiceCaller;
   struct HeardNode {
     NodeRecord record;
-    base::TimePoint heardAt{};
+    base::TimePoint lastSeenAt{};
     std::map<std::string, double> recentWork;
   };
 
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -25,7 +25,7 @@
   for (const auto& [node, heard] : nodes_) {
     if (heard.record.role == role) {
       nodes.push_back(
-          {node, now - heard.heardAt, state_.retirements().contains(heard.record.name)});
+          {node, now - heard.lastSeenAt, state_.retirements().contains(heard.record.name)});
     }
   }
   return nodes;
@@ -38,14 +38,14 @@
   base::SortedCursor reports(reports_);
   for (const auto& [id, record] : state_.instances()) {
     const ReportedEngine* report = reports.find(id);
-    const base::TimePoint heardAt = report == nullptr ? leader_since_ : report->heardAt;
-    InstanceViewRef sight;
-    sight.record = &record;
-    sight.versions = report == nullptr ? &kNoVersions : &report->versions;
-    sight.unresponsive = now - heardAt > settings_.instanceSilence;
-    sight.loading = m_loadScheduler.isLoading(id, reports_, now);
-    sight.reserve = m_loadScheduler.isStandby(record);
-    instances.push_back(sight);
+    const base::TimePoint lastSeenAt = report == nullptr ? leader_since_ : report->lastSeenAt;
+    InstanceViewRef instance;
+    instance.record = &record;
+    instance.versions = report == nullptr ? &kNoVersions : &report->versions;
+    instance.unresponsive = now - lastSeenAt > settings_.instanceSilence;
+    instance.loading = m_loadScheduler.isLoading(id, reports_, now);
+    instance.standby = m_loadScheduler.isStandby(record);
+    instances.push_back(instance);
   }
   return instances;
 }
@@ -60,9 +60,9 @@
   view.gateways = 0;
   for (const auto& [node, heard] : nodes_) {
     if (heard.record.role == NodeRole::kGateway) {
-      view.gateways += now - heard.heardAt < settings_.repair.silenceLimit ? 1 : 0;
+      view.gateways += now - heard.lastSeenAt < settings_.repair.silenceLimit ? 1 : 0;
     } else if (heard.record.role == NodeRole::kLedger) {
-      view.ledgers.push_back({node, now - heard.heardAt,
+      view.ledgers.push_back({node, now - heard.lastSeenAt,
                               state_.retirements().contains(heard.record.name), heard.record.zone});
     }
   }
--- a/src/directory/engine_assigner.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -81,14 +81,14 @@
   }
   std::vector<const InstanceRecord*> unassigned;
   std::size_t engineCount = 0;
-  std::size_t places = 0;
+  std::size_t totalSlots = 0;
   base::SortedCursor assignments(m_homes);
   for (const auto& [id, record] : state.instances()) {
     if (record.service != service.name || record.draining) {
       continue;
     }
     ++engineCount;
-    places += record.slots;
+    totalSlots += record.slots;
     const std::string* home = assignments.find(id);
     if (home != nullptr && counts.contains(*home)) {
       ++counts[*home];
@@ -97,7 +97,7 @@
     }
   }
   m_engineCount += engineCount;
-  const std::size_t slots = engineCount == 0 ? 1 : places / engineCount;
+  const std::size_t slots = engineCount == 0 ? 1 : totalSlots / engineCount;
   const auto wanted = requiredEngines(service, static_cast<std::uint32_t>(slots));
   const std::size_t wantedOfAll =
       std::accumulate(wanted.begin(), wanted.end(), std::size_t{0},
@@ -205,7 +205,7 @@
 bool EngineAssigner::isHeard(const std::string& instance, const ReportedEngines& engines,
                              base::TimePoint now) const {
   const auto engine = engines.find(instance);
-  return engine != engines.end() && now - engine->second.heardAt <= m_silenceLimit;
+  return engine != engines.end() && now - engine->second.lastSeenAt <= m_silenceLimit;
 }
 
 std::map<std::string, std::size_t> EngineAssigner::requiredEngines(const Service& service,
@@ -261,7 +261,7 @@
     }
     const ReportedEngine* report = reports.find(id);
     if (record.service != service.name || record.draining || report == nullptr ||
-        now - report->heardAt > m_silenceLimit) {
+        now - report->lastSeenAt > m_silenceLimit) {
       continue;
     }
     const std::uint64_t held = versionOf(*report, model);
--- a/src/directory/engine_assigner.h
+++ b/src/directory/engine_assigner.h
@@ -16,7 +16,7 @@
 
 /// What the leader has heard of an engine.
 struct ReportedEngine {
-  base::TimePoint heardAt{};
+  base::TimePoint lastSeenAt{};
   std::map<std::string, std::uint64_t> versions;
 };
 using ReportedEngines = std::map<std::string, ReportedEngine>;
@@ -42,7 +42,7 @@
 /// When engines hold several trained models, each engine follows one of them; the others keep the
 /// versions they have. Models get engines in proportion to what they are asked. Where there are
 /// more engines than all models want, each model gets what it wants, spread over zones, and the
-/// rest stay in reserve: without orders, and without work while others have room. Deterministic;
+/// rest stay on standby: without orders, and without work while others have room. Deterministic;
 /// owned by one thread.
 class EngineAssigner {
  public:
@@ -79,7 +79,7 @@
                        const ReportedEngines& engines,
                        const std::map<std::string, std::size_t>& shares,
                        std::map<std::string, std::size_t>& counts);
-  /// By model, of engines with `slots` places each.
+  /// By model, of engines with `slots` each.
   [[nodiscard]] std::map<std::string, std::size_t> requiredEngines(const Service& service,
                                                                    std::uint32_t slots) const;
   /// Gives each model what it wants of more engines than all want.
--- a/src/directory/engine_requirements.cpp
+++ b/src/directory/engine_requirements.cpp
@@ -39,8 +39,8 @@
   }
   constexpr std::uint32_t kWholePercent = 100;
   const std::uint32_t perEngine = std::max(slots, 1U) * kWholePercent;
-  const std::uint32_t places = found->second.items * m_settings.headroomPercent;
-  return std::max<std::size_t>(m_settings.minEngines, (places + perEngine - 1) / perEngine);
+  const std::uint32_t requiredSlots = found->second.items * m_settings.headroomPercent;
+  return std::max<std::size_t>(m_settings.minEngines, (requiredSlots + perEngine - 1) / perEngine);
 }
 
 }  // namespace tackpick::directory
--- a/src/directory/engine_requirements.h
+++ b/src/directory/engine_requirements.h
@@ -16,11 +16,11 @@
 
 /// Knobs of EngineRequirements.
 struct EngineRequirementsSettings {
-  /// Places for each open item at the peak, in percent: while half of a model's engines change
+  /// Slots for each open item at the peak, in percent: while half of a model's engines change
   /// their weights the others still hold three quarters of a step.
   std::uint32_t headroomPercent = 150;
   /// A model has at least so many, known demand or none: enough for a first step of 384 items at
-  /// six places an engine. Deployments with fewer engines than this for each model use all.
+  /// six slots an engine. Deployments with fewer engines than this for each model use all.
   std::size_t minEngines = 64;
   /// Peaks are forgotten after this time, so that a pause of some steps loses no engine.
   base::Duration memory = base::seconds(20);
@@ -37,7 +37,7 @@
   void note(const OpenItems& items, base::TimePoint now);
   /// Open items of `model` at the peak; zero when none are known.
   [[nodiscard]] std::uint32_t openItems(const std::string& model) const;
-  /// Engines of `slots` places each that `model` should use.
+  /// Engines of `slots` each that `model` should use.
   [[nodiscard]] std::size_t of(const std::string& model, std::uint32_t slots) const;
 
  private:
--- a/src/directory/heartbeat_relay.cpp
+++ b/src/directory/heartbeat_relay.cpp
@@ -6,7 +6,7 @@
 
 HeartbeatRelay::Verdict HeartbeatRelay::take(const DirectoryState& state,
                                              const InstanceHeartbeat& heartbeat,
-                                             std::optional<base::TimePoint> heardAt,
+                                             std::optional<base::TimePoint> lastContactAt,
                                              base::TimePoint now) {
   const std::string& id = heartbeat.record.id;
   const auto known = state.instances().find(id);
@@ -15,19 +15,19 @@
   if (!changesNothing) {
     return Verdict::kForward;
   }
-  if (!heardAt || now - *heardAt > m_settings.contact) {
+  if (!lastContactAt || now - *lastContactAt > m_settings.contact) {
     return Verdict::kRefused;
   }
   RelayedHeartbeat& heard = m_heard[id];
   if (heartbeat.sequence < heard.sequence) {
-    return Verdict::kTaken;  // an earlier one that comes late
+    return Verdict::kAccepted;  // an earlier one that comes late
   }
   heard = {id, heartbeat.sequence, std::nullopt};
   const auto told = m_told.find(id);
   if (told == m_told.end() || told->second != heartbeat.versions) {
     heard.versions = heartbeat.versions;
   }
-  return Verdict::kTaken;
+  return Verdict::kAccepted;
 }
 
 std::optional<RelayHeartbeats> HeartbeatRelay::due(base::TimePoint now) {
--- a/src/directory/heartbeat_relay.h
+++ b/src/directory/heartbeat_relay.h
@@ -32,13 +32,13 @@
   explicit HeartbeatRelay(HeartbeatRelaySettings settings) : m_settings(settings) {}
 
   enum class Verdict : std::uint8_t {
-    kTaken,    ///< this controller answers
-    kRefused,  ///< it hears no leader: another controller may
-    kForward,  ///< it changes a registration: the leader decides
+    kAccepted,  ///< this controller answers
+    kRefused,   ///< it hears no leader: another controller may
+    kForward,   ///< it changes a registration: the leader decides
   };
-  /// `heardAt`: when this controller last heard the leader.
+  /// `lastContactAt`: when this controller last heard the leader.
   [[nodiscard]] Verdict take(const DirectoryState& state, const InstanceHeartbeat& heartbeat,
-                             std::optional<base::TimePoint> heardAt, base::TimePoint now);
+                             std::optional<base::TimePoint> lastContactAt, base::TimePoint now);
   /// What is to be told now; nothing while nothing was heard or a call is under way.
   [[nodiscard]] std::optional<RelayHeartbeats> due(base::TimePoint now);
   /// The call ended; `known`: the leader has it.
--- a/src/directory/load_policy.h
+++ b/src/directory/load_policy.h
@@ -21,13 +21,13 @@
   std::uint32_t slots = 0;
 };
 
-/// Places of engines by version.
+/// Slots of engines by version.
 using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
 /// Those with `version` or newer.
-[[nodiscard]] inline std::uint32_t slotsFrom(const SlotsByVersion& places, std::uint64_t version) {
+[[nodiscard]] inline std::uint32_t slotsFrom(const SlotsByVersion& slots, std::uint64_t version) {
   std::uint32_t sum = 0;
-  for (auto found = places.lower_bound(version); found != places.end(); ++found) {
+  for (auto found = slots.lower_bound(version); found != slots.end(); ++found) {
     sum += found->second;
   }
   return sum;
--- a/src/directory/load_scheduler.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -40,7 +40,7 @@
 
 std::string_view toString(LoadCommandOutcome outcome) {
   switch (outcome) {
-    case LoadCommandOutcome::kTaken:
+    case LoadCommandOutcome::kAccepted:
       return "taken";
     case LoadCommandOutcome::kAlreadyLoaded:
       return "holds";
@@ -48,7 +48,7 @@
       return "busy";
     case LoadCommandOutcome::kRefused:
       return "refused";
-    case LoadCommandOutcome::kUncertain:
+    case LoadCommandOutcome::kUnknown:
       return "uncertain";
   }
   return "unknown";
@@ -67,7 +67,7 @@
   m_forecast.reset();
   m_budget.reset();
   m_told.reset();
-  m_sight = {};
+  m_summary = {};
   published_.clear();
   m_issued.clear();
 }
@@ -199,7 +199,7 @@
     fleet.loading += loading ? 1 : 0;
     const auto model = fleet.models.find(home);
     const bool isUsable = record != nullptr && report != nullptr && !record->draining &&
-                          now - report->heardAt <= settings_.silenceLimit;
+                          now - report->lastSeenAt <= settings_.silenceLimit;
     if (!isUsable || model == fleet.models.end()) {
       continue;
     }
@@ -237,7 +237,7 @@
   }
   const base::Duration loadTime = m_budget.loadTime().value_or(settings_.usualLoad);
   for (const PlannedLoad& load : m_policy->plan(fleet.candidates, fleet.models, loadTime, now)) {
-    if (fleet.loading >= m_sight.budget) {
+    if (fleet.loading >= m_summary.budget) {
       break;
     }
     ModelEngines& ofModel = fleet.engines[*load.candidate->model];
@@ -274,22 +274,23 @@
 }
 
 void LoadScheduler::updateSummary(const Fleet& fleet, base::TimePoint now) {
-  m_sight = {};
-  m_sight.loading = fleet.loading;
-  m_sight.budget = fleet.knowsSteps ? m_budget.most() : configuredMaxLoads();
+  m_summary = {};
+  m_summary.loading = fleet.loading;
+  m_summary.budget = fleet.knowsSteps ? m_budget.most() : configuredMaxLoads();
   for (const auto& [name, model] : fleet.models) {
-    ModelWeightsSummary& sight = m_sight.models[name];
-    sight.published = model.published;
+    ModelWeightsSummary& summary = m_summary.models[name];
+    summary.published = model.published;
     if (!model.needs.empty()) {
       const StepNeed& first = model.needs.front();
-      sight.neededVersion = first.version;
-      sight.requiredSlots = first.places;
-      sight.expectedIn = first.expectedAt - now;
+      summary.neededVersion = first.version;
+      summary.requiredSlots = first.slots;
+      summary.expectedIn = first.expectedAt - now;
     }
     // Where no step is known, engines get what is published.
-    const std::uint64_t wanted = sight.neededVersion == 0 ? model.published : sight.neededVersion;
-    sight.readySlots = slotsFrom(model.readySlots, wanted);
-    sight.loadingSlots = slotsFrom(model.loadingSlots, wanted);
+    const std::uint64_t wanted =
+        summary.neededVersion == 0 ? model.published : summary.neededVersion;
+    summary.readySlots = slotsFrom(model.readySlots, wanted);
+    summary.loadingSlots = slotsFrom(model.loadingSlots, wanted);
   }
 }
 
@@ -302,7 +303,7 @@
   }
   constexpr base::Duration kBusyRetry = base::milliseconds(700);
   constexpr base::Duration kRefusedRetry = base::seconds(2);
-  if (outcome != LoadCommandOutcome::kTaken) {
+  if (outcome != LoadCommandOutcome::kAccepted) {
     m_budget.onAbandoned(order.instance);
   }
   if (outcome == LoadCommandOutcome::kBusy) {
@@ -311,7 +312,7 @@
   } else if (outcome == LoadCommandOutcome::kRefused) {
     found->second.retryAt = now + kRefusedRetry;
     found->second.loadingUntil = now;
-  } else if (outcome == LoadCommandOutcome::kUncertain) {
+  } else if (outcome == LoadCommandOutcome::kUnknown) {
     found->second.loadingUntil = now + settings_.uncertainLoad;
   }
 }
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -75,11 +75,11 @@
 
 /// What an engine answered to an order.
 enum class LoadCommandOutcome : std::uint8_t {
-  kTaken,          ///< under way
+  kAccepted,       ///< under way
   kAlreadyLoaded,  ///< it has that version already
   kBusy,           ///< another is under way
   kRefused,        ///< a higher fence was seen, or another instance is there
-  kUncertain,      ///< no answer: it may be taken, now or later
+  kUnknown,        ///< no answer: it may be taken, now or later
 };
 
 [[nodiscard]] std::string_view toString(LoadCommandOutcome outcome);
@@ -112,7 +112,7 @@
   [[nodiscard]] bool isLoading(const std::string& instance, const ReportedEngines& engines,
                                base::TimePoint now) const;
   void onOutcome(const LoadCommand& order, LoadCommandOutcome outcome, base::TimePoint now);
-  [[nodiscard]] const WeightsSummary& sight() const { return m_sight; }
+  [[nodiscard]] const WeightsSummary& summary() const { return m_summary; }
 
  private:
   struct IssuedCommand {
@@ -169,7 +169,7 @@
   LoadLimiter m_budget;
   std::unique_ptr<const LoadPolicy> m_policy;
   std::optional<ToldWork> m_told;
-  WeightsSummary m_sight;
+  WeightsSummary m_summary;
   std::map<std::string, IssuedCommand> m_issued;  ///< latest order by instance
   struct Published {
     std::uint64_t version = 0;
--- a/src/directory/model_ranking.cpp
+++ b/src/directory/model_ranking.cpp
@@ -56,17 +56,17 @@
   if (step.version > m_model.published) {
     return;  // no load helps before that version is there
   }
-  std::uint32_t places = slotsFrom(m_model.readySlots, step.version) +
-                         slotsFrom(m_model.loadingSlots, step.version) + m_promised;
+  std::uint32_t availableSlots = slotsFrom(m_model.readySlots, step.version) +
+                                 slotsFrom(m_model.loadingSlots, step.version) + m_promised;
   const base::Duration left = step.open ? step.slack : step.expectedAt - m_now;
   Candidates others;
   for (const LoadCandidate* candidate : candidates) {
-    if (candidate->held >= step.version || places >= step.places) {
+    if (candidate->held >= step.version || availableSlots >= step.slots) {
       others.push_back(candidate);
       continue;
     }
-    const double covered = static_cast<double>(places) / step.places;
-    places += candidate->slots;
+    const double covered = static_cast<double>(availableSlots) / step.slots;
+    availableSlots += candidate->slots;
     m_promised += candidate->slots;
     if (!reserve(*candidate)) {
       ranked.push_back({step.open ? LoadUrgency::kOpenStep : LoadUrgency::kExpectedStep,
--- a/src/directory/model_ranking.h
+++ b/src/directory/model_ranking.h
@@ -16,7 +16,7 @@
 struct RankedLoad {
   LoadUrgency urgency = LoadUrgency::kNone;
   base::Duration key{0};  ///< of one urgency the lowest goes first
-  double covered = 0;     ///< share of the step's places that are there without this load
+  double covered = 0;     ///< share of the step's slots that are there without this load
   PlannedLoad load;
 };
 
@@ -32,7 +32,7 @@
   void rank(Candidates candidates, std::vector<RankedLoad>& ranked);
 
  private:
-  /// Ranks engines for one step until it has places for its items; takes them off `candidates`.
+  /// Ranks engines for one step until it has slots for its items; takes them off `candidates`.
   void rankForStep(const StepNeed& step, Candidates& candidates, std::vector<RankedLoad>& ranked);
   /// Ranks what no known step needs.
   void rankRest(const Candidates& candidates, std::vector<RankedLoad>& ranked);
@@ -50,8 +50,8 @@
   const base::Duration m_settlingTime;
   const base::Duration m_loadTime;
   const base::TimePoint m_now;
-  std::uint32_t m_promised = 0;  ///< places of engines that are ranked: they will hold the newest
-  /// Places that steps which are beginning need not have, when the next one presses.
+  std::uint32_t m_promised = 0;  ///< slots of engines that are ranked: they will hold the newest
+  /// Slots that steps which are beginning need not have, when the next one presses.
   std::uint32_t m_spare = 0;
 };
 
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -22,12 +22,13 @@
                                                const std::map<std::string, double>& recentWork,
                                                base::TimePoint now) {
   // What else a service runs is not told.
-  const bool known = !service.models.empty() && work.heardAt && now - *work.heardAt < kWorkLifetime;
+  const bool known =
+      !service.models.empty() && work.reportedAt && now - *work.reportedAt < kWorkLifetime;
   if (!known) {
     return std::nullopt;
   }
   duties::CapacityDemand demand;
-  demand.reportAge = now - *work.heardAt;
+  demand.reportAge = now - *work.reportedAt;
   for (const std::string& model : service.models) {
     const auto open = work.works.find(model);
     if (open != work.works.end() && !open->second.empty()) {
@@ -63,12 +64,12 @@
     if (!service.scaling) {
       continue;
     }
-    duties::ScaledService& sight = services.emplace_back();
-    sight.name = service.name;
-    sight.scaling = *service.scaling;
-    sight.slots = std::max(service.slots, 1U);
-    sight.demand = demandOf(service, work, recentWork, now);
-    addInstances(instances, sight);
+    duties::ScaledService& scaled = services.emplace_back();
+    scaled.name = service.name;
+    scaled.scaling = *service.scaling;
+    scaled.slots = std::max(service.slots, 1U);
+    scaled.demand = demandOf(service, work, recentWork, now);
+    addInstances(instances, scaled);
   }
   return services;
 }
--- a/src/directory/scaled_services.h
+++ b/src/directory/scaled_services.h
@@ -17,7 +17,7 @@
 /// Open work as the ledgers' leader last told it.
 struct ReportedOpenJobs {
   jobs::OpenJobsByModel works;
-  std::optional<base::TimePoint> heardAt;
+  std::optional<base::TimePoint> reportedAt;
 };
 
 /// The services with bounds on their instances. `recentWork` by model: see ModelDemand.
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -144,12 +144,12 @@
   // The first steps of a trainer may all allow the first version: they do not count as the rule.
   const std::uint64_t increment = medianOf(steps.increments, std::uint64_t{1}, Median::kUpper);
   const std::uint64_t lag = medianOf(steps.lags, std::uint64_t{1});
-  const std::uint32_t places = medianOf(steps.items, 0U);
+  const std::uint32_t slots = medianOf(steps.items, 0U);
   const base::TimePoint firstDue = nextDue(steps, interval);
   for (std::uint64_t ahead = 1; ahead <= kMaxExpected; ++ahead) {
     const std::uint64_t version = steps.minimum + ahead * increment;
     const base::TimePoint due = firstDue + interval * static_cast<int>(ahead - 1);
-    needs.push_back({false, version, places, places, due, steps.slack});
+    needs.push_back({false, version, slots, slots, due, steps.slack});
     // The one after it comes when a version is published that is not there yet.
     if (version + lag > published) {
       break;
--- a/src/directory/step_forecast.h
+++ b/src/directory/step_forecast.h
@@ -1,5 +1,5 @@
 /// \file
-/// When a trainer's next step comes, which weights it needs, and how many places.
+/// When a trainer's next step comes, which weights it needs, and how many slots.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 struct StepNeed {
   bool open = false;             ///< submitted, and has items that wait; else it is expected
   std::uint64_t version = 0;     ///< oldest weights that may make its texts
-  std::uint32_t places = 0;      ///< its items without a result
+  std::uint32_t slots = 0;       ///< its items without a result
   std::uint32_t waiting = 0;     ///< of those, at no engine
   base::TimePoint expectedAt{};  ///< when it was submitted, or can be at the earliest
   base::Duration slack = base::Duration::max();
--- a/src/directory/view_history.cpp
+++ b/src/directory/view_history.cpp
@@ -12,13 +12,13 @@
 
 bool isTold(const InstanceView& told, const InstanceViewRef& now) {
   return told.unresponsive == now.unresponsive && told.loading == now.loading &&
-         told.reserve == now.reserve && told.versions == *now.versions &&
+         told.standby == now.standby && told.versions == *now.versions &&
          told.record == *now.record;
 }
 
 base::Bytes encodeWithoutSilences(DirectoryView view) {
-  for (LedgerSummary& sight : view.ledgers) {
-    sight.silence = {};
+  for (LedgerSummary& summary : view.ledgers) {
+    summary.silence = {};
   }
   return base::encode(view);
 }
@@ -52,8 +52,8 @@
                                   std::uint64_t next) {
   bool changed = false;
   auto known = m_instances.begin();
-  for (const InstanceViewRef& sight : instances) {
-    const std::string& id = sight.record->id;
+  for (const InstanceViewRef& instance : instances) {
+    const std::string& id = instance.record->id;
     while (known != m_instances.end() && known->first < id) {
       known = forget(known, next);
       changed = true;
@@ -62,8 +62,8 @@
     if (added) {
       known = m_instances.emplace_hint(known, id, Told{});
     }
-    if (added || !isTold(known->second.instance, sight)) {
-      note(known->second, sight, next);
+    if (added || !isTold(known->second.instance, instance)) {
+      note(known->second, instance, next);
       changed = true;
     }
     ++known;
@@ -76,8 +76,8 @@
   return changed;
 }
 
-void ViewHistory::note(Told& told, const InstanceViewRef& sight, std::uint64_t next) {
-  const std::string& id = sight.record->id;
+void ViewHistory::note(Told& told, const InstanceViewRef& instance, std::uint64_t next) {
+  const std::string& id = instance.record->id;
   const auto removed = m_removed.find(id);
   if (removed != m_removed.end()) {
     m_removedByRevision.erase({removed->second, id});
@@ -86,8 +86,8 @@
   m_changed.erase({told.changedAt, id});
   m_changed.emplace(next, id);
   told.changedAt = next;
-  told.instance = {*sight.record, sight.unresponsive, *sight.versions, sight.loading,
-                   sight.reserve};
+  told.instance = {*instance.record, instance.unresponsive, *instance.versions, instance.loading,
+                   instance.standby};
 }
 
 ViewHistory::Instances::iterator ViewHistory::forget(Instances::iterator known,
@@ -111,7 +111,7 @@
 DirectoryView ViewHistory::withoutInstances(std::uint64_t held) const {
   DirectoryView view = m_rest;
   view.revision = held;
-  view.whole = false;
+  view.isFull = false;
   view.since = held;
   return view;
 }
@@ -119,8 +119,8 @@
 DirectoryView ViewHistory::since(std::uint64_t held) const {
   DirectoryView view = m_rest;
   view.revision = m_revision;
-  view.whole = needsFullView(held);
-  if (view.whole) {
+  view.isFull = needsFullView(held);
+  if (view.isFull) {
     for (const auto& [id, told] : m_instances) {
       view.instances.push_back(told.instance);
     }
--- a/src/directory/view_history.h
+++ b/src/directory/view_history.h
@@ -22,7 +22,7 @@
   const std::map<std::string, std::uint64_t>* versions = nullptr;
   bool unresponsive = false;
   bool loading = false;
-  bool reserve = false;
+  bool standby = false;
 };
 
 /// The leading controller's. Deterministic. Heartbeats alone change nothing. A comparison costs a
@@ -58,7 +58,7 @@
 
   /// True when anything differs from what was told.
   bool updateInstances(const std::vector<InstanceViewRef>& instances, std::uint64_t next);
-  void note(Told& told, const InstanceViewRef& sight, std::uint64_t next);
+  void note(Told& told, const InstanceViewRef& instance, std::uint64_t next);
   Instances::iterator forget(Instances::iterator known, std::uint64_t next);
   void forgetOldRemovals();
 
--- a/src/directory/watch_queue.cpp
+++ b/src/directory/watch_queue.cpp
@@ -15,12 +15,12 @@
 /// without).
 void keepVoters(DirectoryView& view) {
   const bool heard =
-      std::any_of(view.ledgers.begin(), view.ledgers.end(), [&](const LedgerSummary& sight) {
-        return view.ledgerVoters.contains(sight.node) && sight.silence < kHeardRecently;
+      std::any_of(view.ledgers.begin(), view.ledgers.end(), [&](const LedgerSummary& summary) {
+        return view.ledgerVoters.contains(summary.node) && summary.silence < kHeardRecently;
       });
   if (heard) {
-    std::erase_if(view.ledgers, [&](const LedgerSummary& sight) {
-      return !view.ledgerVoters.contains(sight.node);
+    std::erase_if(view.ledgers, [&](const LedgerSummary& summary) {
+      return !view.ledgerVoters.contains(summary.node);
     });
   }
 }
--- a/src/directory/weights_plan.h
+++ b/src/directory/weights_plan.h
@@ -9,9 +9,9 @@
 
 namespace tackpick::directory {
 
-/// Loads first for open steps that have fewer places than items, by slack; then for expected steps
+/// Loads first for open steps that have fewer slots than items, by slack; then for expected steps
 /// by the time they can come; then the rest. Steps that are due within one load time of each other
-/// are equals: the one with the smallest share of its places goes first, so that what cannot be
+/// are equals: the one with the smallest share of its slots goes first, so that what cannot be
 /// loaded in time is missing a little everywhere. Engines that serve a step which is about to begin
 /// are left to it for `settlingTime`. Models whose steps are unknown are planned as by OldestFirst.
 class WeightsPlan final : public LoadPolicy {
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -30,7 +30,7 @@
   m_plans.clear();
   m_subjects.clear();
   m_wishes.clear();
-  m_sights.clear();
+  m_summaries.clear();
   m_confirm.clear();
   for (const auto& [subject, desired] : state.desired()) {
     // What the predecessor asked for last may be starting.
@@ -51,17 +51,17 @@
   if (known.proposed == noted.count) {
     known.proposed.reset();
   }
-  PoolCounts sight;
-  sight.there = registered.there;
-  sight.desired = known.proposed.value_or(noted.count);
-  sight.asked = known.proposed || state.desired(subject);
-  sight.unavailable = now < known.availableFrom;
+  PoolCounts counts;
+  counts.there = registered.there;
+  counts.desired = known.proposed.value_or(noted.count);
+  counts.asked = known.proposed || state.desired(subject);
+  counts.unavailable = now < known.availableFrom;
   const bool toBeAsked = known.unanswered || !noted.taken;
   const bool starting = known.askedAt && now - *known.askedAt <= startTime + m_settings.startMargin;
-  if ((toBeAsked || starting) && !sight.unavailable) {
-    sight.starting = sight.desired - std::min(sight.desired, registered.there);
+  if ((toBeAsked || starting) && !counts.unavailable) {
+    counts.starting = counts.desired - std::min(counts.desired, registered.there);
   }
-  return sight;
+  return counts;
 }
 
 std::vector<ZoneCounts> Autoscaler::zonesOf(const ScaledService& service,
@@ -70,7 +70,7 @@
   for (const std::string& zone : state.zones(service.name)) {
     zones.try_emplace(zone);
   }
-  std::vector<ZoneCounts> sights;
+  std::vector<ZoneCounts> zoneCounts;
   for (const auto& [zone, registered] : zones) {
     const InstancePool onDemand{service.name, zone, InstanceKind::kOnDemand};
     const InstancePool preemptible{service.name, zone, InstanceKind::kPreemptible};
@@ -79,26 +79,26 @@
       withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
     }
     const base::Duration start = service.scaling.startTime;
-    ZoneCounts sight;
-    sight.zone = zone;
-    sight.onDemand =
+    ZoneCounts counts;
+    counts.zone = zone;
+    counts.onDemand =
         poolCounts(onDemand, {registered.onDemand, registered.onDemandDraining}, state, start, now);
-    sight.preemptible = poolCounts(
+    counts.preemptible = poolCounts(
         preemptible, {registered.preemptible, registered.preemptibleDraining}, state, start, now);
-    sight.unresponsive = registered.unresponsive;
-    sight.draining = registered.onDemandDraining + registered.preemptibleDraining;
-    sight.baseline = state.baseline(onDemand);
-    sight.preemptibleBaseline = state.baseline(preemptible);
-    sights.push_back(sight);
+    counts.unresponsive = registered.unresponsive;
+    counts.draining = registered.onDemandDraining + registered.preemptibleDraining;
+    counts.baseline = state.baseline(onDemand);
+    counts.preemptibleBaseline = state.baseline(preemptible);
+    zoneCounts.push_back(counts);
     for (const auto& [subject, kind, draining] :
-         {std::tuple(onDemand, sight.onDemand, registered.onDemandDraining),
-          std::tuple(preemptible, sight.preemptible, registered.preemptibleDraining)}) {
+         {std::tuple(onDemand, counts.onDemand, registered.onDemandDraining),
+          std::tuple(preemptible, counts.preemptible, registered.preemptibleDraining)}) {
       const bool taken = state.desired(subject).value_or(DesiredCapacity{}).taken;
-      m_sights.push_back({subject, kind.desired, taken, kind.there, kind.starting, draining,
-                          m_subjects[subject].refusals});
+      m_summaries.push_back({subject, kind.desired, taken, kind.there, kind.starting, draining,
+                             m_subjects[subject].refusals});
     }
   }
-  return sights;
+  return zoneCounts;
 }
 
 void Autoscaler::noteBaselines(const ScaledService& service, const CapacityState& state,
@@ -246,7 +246,7 @@
     return work;
   }
   m_wishes.clear();
-  m_sights.clear();
+  m_summaries.clear();
   for (const ScaledService& service : present.services) {
     plan(service, state, present, work);
   }
@@ -284,7 +284,7 @@
   m_callAt = now + m_settings.callInterval;
   Subject& known = m_subjects[call.subject];
   switch (outcome) {
-    case ScaleOutcome::kTaken:
+    case ScaleOutcome::kAccepted:
       m_retry = {};
       known.taken = call.count;
       known.unanswered = false;
@@ -299,7 +299,7 @@
       m_retry = {};
       noteUnavailable(known, now);
       return;
-    case ScaleOutcome::kUncertain:
+    case ScaleOutcome::kUnknown:
       known.uncertain = std::min(call.count, known.uncertain.value_or(call.count));
       known.uncertainUntil = now + m_settings.latestEffect;
       pauseCalls(now);
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -101,7 +101,7 @@
   [[nodiscard]] AutoscalerActions step(const CapacityState& state, const Present& present);
   void onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now);
 
-  [[nodiscard]] const std::vector<PoolSummary>& sights() const { return m_sights; }
+  [[nodiscard]] const std::vector<PoolSummary>& summaries() const { return m_summaries; }
   [[nodiscard]] bool enabled() const { return m_settings.plan.mode != CapacityMode::kHold; }
 
  private:
@@ -165,7 +165,7 @@
   std::map<std::string, CapacityPlanner> m_plans;  ///< by service
   std::map<InstancePool, Subject> m_subjects;
   std::map<InstancePool, Wish> m_wishes;  ///< of the present step
-  std::vector<PoolSummary> m_sights;
+  std::vector<PoolSummary> m_summaries;
   std::vector<ConfirmCapacity> m_confirm;  ///< to be written to the log
   struct CallUnderWay {
     std::uint64_t fence = 0;
--- a/src/duties/capacity_messages.cpp
+++ b/src/duties/capacity_messages.cpp
@@ -8,7 +8,7 @@
 
 std::string_view toString(ScaleOutcome outcome) {
   switch (outcome) {
-    case ScaleOutcome::kTaken:
+    case ScaleOutcome::kAccepted:
       return "taken";
     case ScaleOutcome::kRefused:
       return "refused";
@@ -16,7 +16,7 @@
       return "none_available";
     case ScaleOutcome::kBusy:
       return "busy";
-    case ScaleOutcome::kUncertain:
+    case ScaleOutcome::kUnknown:
       return "uncertain";
   }
   return "unknown";
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -103,11 +103,11 @@
 
 /// What the platform answered to a ScaleCall.
 enum class ScaleOutcome : std::uint8_t {
-  kTaken,
+  kAccepted,
   kRefused,        ///< a higher fence was seen: another holds the duty
   kNoneAvailable,  ///< no preemptible instances can be had in that zone now
   kBusy,           ///< too many calls
-  kUncertain,      ///< no answer, or none that says more; it may be carried out later
+  kUnknown,        ///< no answer, or none that says more; it may be carried out later
 };
 
 [[nodiscard]] std::string_view toString(ScaleOutcome outcome);
--- a/src/duties/capacity_planner.cpp
+++ b/src/duties/capacity_planner.cpp
@@ -44,7 +44,7 @@
 
 /// What a zone gets, as far as it is decided.
 struct CapacityPlanner::ZonePlan {
-  const ZoneCounts* sight = nullptr;
+  const ZoneCounts* counts = nullptr;
   double price = 1;
   std::uint32_t floor = 0;  ///< of on-demand instances
   std::uint32_t onDemand = 0;
@@ -94,7 +94,7 @@
   std::vector<ZonePlan> plans;
   for (const ZoneCounts& zone : inputs.zones) {
     ZonePlan plan;
-    plan.sight = &zone;
+    plan.counts = &zone;
     plan.price = priceOf(zone.zone, inputs.scaling);
     plan.floor = floorOf(zone, inputs);
     plan.preemptible = zone.preemptible.coming();
@@ -128,9 +128,9 @@
     // Who follows a lost leader, or hears nothing, keeps to what was asked for.
     return std::clamp(std::max(asked, m_wanted), kept, most);
   }
-  const std::uint32_t places = m_policy->targetSlots(*inputs.demand, inputs.now);
+  const std::uint32_t requiredSlots = m_policy->targetSlots(*inputs.demand, inputs.now);
   const std::uint32_t slots = std::max(inputs.slots, 1U);
-  return std::clamp((places + slots - 1) / slots, kept, most);
+  return std::clamp((requiredSlots + slots - 1) / slots, kept, most);
 }
 
 /// One instance after the other, each in the next zone by price, so that no zone carries them all.
@@ -140,7 +140,7 @@
   std::uint32_t share = 0;
   for (const ZonePlan& plan : plans) {
     preemptible += plan.preemptible;
-    share += plan.sight->preemptibleBaseline;
+    share += plan.counts->preemptibleBaseline;
   }
   const std::uint32_t extra = difference(m_wanted, keptOf(inputs));
   share += extra * m_settings.preemptiblePercent / kWholePercent;
@@ -158,8 +158,8 @@
   };
   const std::uint32_t planned = cheaper;
   spread(cheaper, [](ZonePlan& plan) {
-    plan.preemptible += plan.sight->preemptible.unavailable ? 0 : 1;
-    return !plan.sight->preemptible.unavailable;
+    plan.preemptible += plan.counts->preemptible.unavailable ? 0 : 1;
+    return !plan.counts->preemptible.unavailable;
   });
   std::uint32_t rest = missing - (planned - cheaper);
   spread(rest, [](ZonePlan& plan) {
@@ -171,15 +171,15 @@
 /// Ordinary ones of the dearest zone first.
 std::optional<CapacityTarget> CapacityPlanner::dearest(const std::vector<ZonePlan>& plans) {
   for (auto plan = plans.rbegin(); plan != plans.rend(); ++plan) {
-    const std::uint32_t onDemand = plan->sight->onDemand.there;
+    const std::uint32_t onDemand = plan->counts->onDemand.there;
     if (onDemand > plan->floor) {
-      return CapacityTarget{plan->sight->zone, InstanceKind::kOnDemand, onDemand - 1, true};
+      return CapacityTarget{plan->counts->zone, InstanceKind::kOnDemand, onDemand - 1, true};
     }
   }
   for (auto plan = plans.rbegin(); plan != plans.rend(); ++plan) {
-    const std::uint32_t preemptible = plan->sight->preemptible.there;
+    const std::uint32_t preemptible = plan->counts->preemptible.there;
     if (preemptible > 0) {
-      return CapacityTarget{plan->sight->zone, InstanceKind::kPreemptible, preemptible - 1, true};
+      return CapacityTarget{plan->counts->zone, InstanceKind::kPreemptible, preemptible - 1, true};
     }
   }
   return std::nullopt;
@@ -190,7 +190,7 @@
   std::uint32_t there = 0;
   bool quiet = inputs.settled && inputs.demand.has_value();
   for (const ZonePlan& plan : plans) {
-    const ZoneCounts& zone = *plan.sight;
+    const ZoneCounts& zone = *plan.counts;
     there += zone.onDemand.there + zone.preemptible.there;
     quiet = quiet && zone.unresponsive == 0 && zone.draining == 0 && zone.onDemand.starting == 0 &&
             zone.preemptible.starting == 0;
@@ -233,7 +233,7 @@
   add(plans, difference(m_wanted, held), inputs);
   std::vector<CapacityTarget> targets;
   for (const ZonePlan& plan : plans) {
-    const ZoneCounts& zone = *plan.sight;
+    const ZoneCounts& zone = *plan.counts;
     if (plan.onDemand > zone.onDemand.there) {
       targets.push_back({zone.zone, InstanceKind::kOnDemand, plan.onDemand});
     }
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -41,7 +41,7 @@
 /// All that a decision is made from.
 struct CapacityInputs {
   Scaling scaling;
-  std::uint32_t slots = 1;  ///< places of an instance
+  std::uint32_t slots = 1;  ///< slots of an instance
   std::vector<ZoneCounts> zones;
   /// Nothing: it is not known, or too old.
   std::optional<CapacityDemand> demand;
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -6,7 +6,7 @@
 namespace tackpick::duties {
 namespace {
 
-/// Waiting items beyond the free places. Items that wait although places are free wait for weights:
+/// Waiting items beyond the free slots. Items that wait although slots are free wait for weights:
 /// more engines would share the same loads.
 std::uint32_t shortageOf(const CapacityDemand& demand) {
   std::uint32_t waiting = 0;
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many places of a service the open work calls for.
+/// How many slots of a service the open work calls for.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 /// Which rule decides how many instances are ordered.
 enum class CapacityMode : std::uint8_t {
   kHold,           ///< what is there is left as it is; no call is made
-  kWaitingWork,    ///< places for what waits
-  kExpectedSteps,  ///< places for whole steps, as large as the last ones, before they come
+  kWaitingWork,    ///< slots for what waits
+  kExpectedSteps,  ///< slots for whole steps, as large as the last ones, before they come
 };
 
 /// The open work of a service.
@@ -37,7 +37,7 @@
 class CapacityPolicy {
  public:
   virtual ~CapacityPolicy() = default;
-  /// Places that should be there, or be starting.
+  /// Slots that should be there, or be starting.
   [[nodiscard]] virtual std::uint32_t targetSlots(const CapacityDemand& demand,
                                                   base::TimePoint now) = 0;
 
--- a/src/duties/usage_reporter.cpp
+++ b/src/duties/usage_reporter.cpp
@@ -7,13 +7,13 @@
 
 std::string_view toString(UsageReportOutcome outcome) {
   switch (outcome) {
-    case UsageReportOutcome::kTaken:
+    case UsageReportOutcome::kAccepted:
       return "taken";
     case UsageReportOutcome::kRefused:
       return "refused";
     case UsageReportOutcome::kBusy:
       return "busy";
-    case UsageReportOutcome::kUncertain:
+    case UsageReportOutcome::kUnknown:
       return "uncertain";
   }
   return "unknown";
@@ -151,7 +151,7 @@
                               base::TimePoint now) {
   m_calling = false;
   m_callAt = now + m_settings.callInterval;
-  if (outcome == UsageReportOutcome::kTaken) {
+  if (outcome == UsageReportOutcome::kAccepted) {
     m_retry = {};
     m_taken.insert(report.usage.window);
     m_confirm = report.usage.window;
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -39,10 +39,10 @@
 
 /// What the platform answered to a call.
 enum class UsageReportOutcome : std::uint8_t {
-  kTaken,
-  kRefused,    ///< a higher fence was seen: another holds the duty
-  kBusy,       ///< too many calls
-  kUncertain,  ///< no answer, or none that says more
+  kAccepted,
+  kRefused,  ///< a higher fence was seen: another holds the duty
+  kBusy,     ///< too many calls
+  kUnknown,  ///< no answer, or none that says more
 };
 
 [[nodiscard]] std::string_view toString(UsageReportOutcome outcome);
--- a/src/edge/capacity_call.cpp
+++ b/src/edge/capacity_call.cpp
@@ -9,16 +9,16 @@
 
 constexpr std::string_view kPath = "/v1/capacity";
 
-Json toJson(const duties::PoolSummary& sight) {
-  return {{"service", sight.subject.service},
-          {"zone", sight.subject.zone},
-          {"kind", duties::toString(sight.subject.kind)},
-          {"desired", sight.desired},
-          {"taken", sight.taken},
-          {"there", sight.there},
-          {"starting", sight.starting},
-          {"leaving", sight.draining},
-          {"refusals", sight.refusals}};
+Json toJson(const duties::PoolSummary& summary) {
+  return {{"service", summary.subject.service},
+          {"zone", summary.subject.zone},
+          {"kind", duties::toString(summary.subject.kind)},
+          {"desired", summary.desired},
+          {"taken", summary.taken},
+          {"there", summary.there},
+          {"starting", summary.starting},
+          {"leaving", summary.draining},
+          {"refusals", summary.refusals}};
 }
 
 }  // namespace
@@ -39,8 +39,8 @@
     return std::nullopt;
   }
   Json pools = Json::array();
-  for (const duties::PoolSummary& sight : reply.capacity) {
-    pools.push_back(toJson(sight));
+  for (const duties::PoolSummary& summary : reply.capacity) {
+    pools.push_back(toJson(summary));
   }
   Response answer;
   answer.body = Json{{"pools", pools}}.dump();
--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -44,7 +44,7 @@
 Json toJson(const jobs::GatewayReport& gateway) {
   const asio::ip::address_v4 address(base::nodeNumber(gateway.gateway));
   return {{"gateway", address.to_string()}, {"zone", gateway.zone},
-          {"places", gateway.places},       {"held", gateway.held},
+          {"places", gateway.slots},        {"held", gateway.held},
           {"active", gateway.active},       {"slow_s", secondsOrNull(gateway.slowFor)}};
 }
 
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -62,7 +62,7 @@
                                              base::Random& random, base::TimePoint now) const {
   std::vector<const InstanceEntry*> idle;
   for (const auto& [id, entry] : instancesOf(need.service)) {
-    if (!entry->reserve && isSound(*entry, need, now) && hasFreeSlot(*entry, now) &&
+    if (!entry->standby && isSound(*entry, need, now) && hasFreeSlot(*entry, now) &&
         !tried.contains(id)) {
       idle.push_back(entry);
     }
@@ -119,7 +119,7 @@
       rank = kAvoided;
     } else if (entry->unresponsive) {
       rank = kUnresponsive;
-    } else if (entry->reserve) {
+    } else if (entry->standby) {
       rank = kStandby;
     }
     ranked.at(rank).push_back(entry);
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -22,9 +22,9 @@
 /// An instance in another zone counts as this much busier, in requests.
 constexpr double kOtherZoneCost = 0.4;
 
-/// Its places count when work is asked for.
+/// Its slots count when work is asked for.
 bool takesWork(const InstanceEntry& entry) {
-  return !entry.record.draining && !entry.gone && !entry.reserve && entry.record.slots > 0;
+  return !entry.record.draining && !entry.gone && !entry.standby && entry.record.slots > 0;
 }
 
 }  // namespace
@@ -95,7 +95,7 @@
   entry.record.draining = draining;
   entry.unresponsive = instance.unresponsive;
   entry.loading = instance.loading;
-  entry.reserve = instance.reserve;
+  entry.standby = instance.standby;
   for (const auto& [model, version] : instance.versions) {
     std::uint64_t& held = entry.versions[model];
     held = std::max(held, version);
@@ -177,11 +177,11 @@
     return;
   }
   for (const auto& [model, version] : entry.versions) {
-    SlotsByVersion& places = m_slots[entry.record.service][model];
-    const auto found = places.find(version);
+    SlotsByVersion& slots = m_slots[entry.record.service][model];
+    const auto found = slots.find(version);
     found->second -= entry.record.slots;
     if (found->second == 0) {
-      places.erase(found);
+      slots.erase(found);
     }
   }
 }
@@ -364,9 +364,9 @@
       if (!run.contains(model)) {
         continue;
       }
-      for (const auto& [version, places] : byVersion) {
+      for (const auto& [version, slots] : byVersion) {
         if (version > 0) {
-          room.add(model, version, places);
+          room.add(model, version, slots);
         }
       }
     }
@@ -376,14 +376,14 @@
 
 double InstanceTable::occupancy(const std::string& service) const {
   double taken = 0;
-  double places = 0;
+  double totalSlots = 0;
   for (const auto& [id, entry] : instancesOf(service)) {
     if (!entry->record.draining && !entry->gone) {
       taken += std::max<double>(entry->inFlight, entry->load.running + entry->load.waiting);
-      places += entry->record.slots;
+      totalSlots += entry->record.slots;
     }
   }
-  return places > 0 ? taken / places : 1.0;
+  return totalSlots > 0 ? taken / totalSlots : 1.0;
 }
 
 }  // namespace tackpick::forwarding
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -90,7 +90,7 @@
   bool gone = false;
   bool ended = false;    ///< it has started again: what ran there is over
   bool loading = false;  ///< it changes weights and refuses new requests
-  bool reserve = false;  ///< items go elsewhere while there is room
+  bool standby = false;  ///< items go elsewhere while there is room
 
   [[nodiscard]] std::uint64_t version(const std::string& model) const;
 };
@@ -154,9 +154,9 @@
       base::TimePoint now) const;
   /// Instances of a service that do not leave.
   [[nodiscard]] std::size_t count(const std::string& service) const;
-  /// Places at engines, by model and the version of it that they hold.
+  /// Slots at engines, by model and the version of it that they hold.
   [[nodiscard]] jobs::FreeSlots freeSlots(const ServiceModels& models) const;
-  /// Share of the places of a service that are taken, as last reported; requests of this gateway
+  /// Share of the slots of a service that are taken, as last reported; requests of this gateway
   /// count at least.
   [[nodiscard]] double occupancy(const std::string& service) const;
   [[nodiscard]] const std::map<std::string, InstanceEntry>& entries() const { return entries_; }
@@ -177,7 +177,7 @@
   [[nodiscard]] double cost(const InstanceEntry& entry, const InstanceRequirements& need,
                             base::TimePoint now) const;
 
-  /// Places by version of one model.
+  /// Slots by version of one model.
   using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
   /// The cheapest of this gateway's favourites; nothing when they are busy, or there are so few
@@ -199,7 +199,7 @@
   /// Those of one service.
   [[nodiscard]] const std::map<std::string, InstanceEntry*>& instancesOf(
       const std::string& service) const;
-  /// Counts the instance's places in m_slots, or takes them out again before it changes.
+  /// Counts the instance's slots in m_slots, or takes them out again before it changes.
   void addSlots(const InstanceEntry& entry);
   void removeSlots(const InstanceEntry& entry);
 
--- a/src/jobs/engine_affinity.cpp
+++ b/src/jobs/engine_affinity.cpp
@@ -9,13 +9,13 @@
 namespace tackpick::jobs {
 namespace {
 
-/// The highest wins; a gateway wins in proportion to its places.
+/// The highest wins; a gateway wins in proportion to its slots.
 double scoreOf(const ActiveGateway& gateway, std::uint64_t engineHash) {
   constexpr unsigned kUnusedBits = 11;  // a double holds 53
   constexpr double kUnit = 1.0 / 9007199254740992.0;
   const std::uint64_t bits = base::mix(engineHash, gateway.gateway.value) >> kUnusedBits;
   const double drawn = (static_cast<double>(bits) + 1.0) * kUnit;
-  return std::log(drawn) / std::max(gateway.places, 1U);
+  return std::log(drawn) / std::max(gateway.slots, 1U);
 }
 
 }  // namespace
--- a/src/jobs/engine_affinity.h
+++ b/src/jobs/engine_affinity.h
@@ -20,17 +20,17 @@
   base::Duration anyAfter = base::milliseconds(80);
 };
 
-/// A gateway that runs items, and how many places it takes.
+/// A gateway that runs items, and how many slots it takes.
 struct ActiveGateway {
   base::NodeId gateway;
-  std::uint32_t places = 0;
+  std::uint32_t slots = 0;
 
   bool operator==(const ActiveGateway&) const = default;
 };
 
 /// Each connection to an engine serves one item at a time and is closed when it is idle for long,
 /// so items of an engine should go to gateways that hold connections to it. Of a zone's gateways
-/// each engine has two preferred ones, drawn by its name (rendezvous hashing, weighted by places),
+/// each engine has two preferred ones, drawn by its name (rendezvous hashing, weighted by slots),
 /// so that few engines change theirs when a gateway comes or goes. Deterministic.
 class EngineAffinity {
  public:
--- a/src/jobs/engine_cost.h
+++ b/src/jobs/engine_cost.h
@@ -10,7 +10,7 @@
 inline constexpr double kUnknownEventIntervalMs = 1.0;
 
 /// `eventIntervalMs` between two events; `occupied`: items there, with the one to come, as a part
-/// of its places. A full batch is hardly slower than an empty one, so speed counts more than
+/// of its slots. A full batch is hardly slower than an empty one, so speed counts more than
 /// balance; but what waits for a place makes no progress.
 [[nodiscard]] inline double engineCost(double eventIntervalMs, double occupied) {
   constexpr double kSharing = 0.06;
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -52,10 +52,10 @@
   m_taking += told.acceptsItems ? 1 : 0;
   engine.told = std::move(told);
   attach(engine);
-  if (engine.told.acceptsItems && !engine.told.reserve) {
+  if (engine.told.acceptsItems && !engine.told.standby) {
     putInUse(known->first, engine);
   }
-  if (engine.told.reserve) {
+  if (engine.told.standby) {
     for (const auto& [model, version] : engine.told.versions) {
       std::uint64_t& newest = m_newestStandbyVersion[model];
       newest = std::max(newest, version);
@@ -198,11 +198,11 @@
 }
 
 std::map<std::string, std::uint32_t> EnginePlacement::slotsByZone() const {
-  std::map<std::string, std::uint32_t> places;
+  std::map<std::string, std::uint32_t> slots;
   for (const auto& [id, engine] : m_inUse) {
-    places[engine->told.zone] += engine->told.slots;
+    slots[engine->told.zone] += engine->told.slots;
   }
-  return places;
+  return slots;
 }
 
 void EnginePlacement::takeBack(const std::string& id) {
@@ -215,24 +215,24 @@
 
 std::uint32_t EnginePlacement::readySlots(const std::string& model,
                                           std::uint64_t minimumVersion) const {
-  std::uint32_t places = 0;
+  std::uint32_t slots = 0;
   for (const auto& [id, engine] : m_engines) {
     if (engine.told.acceptsItems && engine.told.holds(model, minimumVersion)) {
-      places += engine.told.slots;
+      slots += engine.told.slots;
     }
   }
-  return places;
+  return slots;
 }
 
-std::vector<EngineSummary> EnginePlacement::sight(base::TimePoint now) const {
-  std::vector<EngineSummary> sights;
-  sights.reserve(m_engines.size());
+std::vector<EngineSummary> EnginePlacement::summaries(base::TimePoint now) const {
+  std::vector<EngineSummary> summaries;
+  summaries.reserve(m_engines.size());
   for (const auto& [id, engine] : m_engines) {
     const EngineEventInterval& pace = engine.pace->pace;
-    sights.push_back({id, engine.told.zone, m_eventIntervals.expectedMs(*engine.pace, now),
-                      pace.slowdownPercent(now), pace.age(now), engine.load});
+    summaries.push_back({id, engine.told.zone, m_eventIntervals.expectedMs(*engine.pace, now),
+                         pace.slowdownPercent(now), pace.age(now), engine.load});
   }
-  return sights;
+  return summaries;
 }
 
 SpeedTiers EnginePlacement::candidatesFor(const std::string& model, std::uint64_t minimumVersion) {
@@ -284,7 +284,7 @@
   const auto from = m_standbyCursor.try_emplace({model, minimumVersion}, m_engines.begin()).first;
   for (; from->second != m_engines.end(); ++from->second) {
     EngineWork& engine = from->second->second;
-    if (engine.told.reserve && engine.told.acceptsItems && !engine.isFull() &&
+    if (engine.told.standby && engine.told.acceptsItems && !engine.isFull() &&
         engine.told.holds(model, minimumVersion)) {
       addLoad(engine, 1);
       return engine.told.id;
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -55,21 +55,21 @@
   [[nodiscard]] double eventIntervalOf(const std::string& engine) const;
   /// The zone of a known engine; else empty.
   [[nodiscard]] std::string zoneOf(const std::string& engine) const;
-  /// Places at all engines that take items and are not in reserve, by zone.
+  /// Slots at all engines that take items and are not on standby, by zone.
   [[nodiscard]] std::map<std::string, std::uint32_t> slotsByZone() const;
   /// The engine that will have run an item soonest, counting the item there from now on. A few
-  /// items more than an engine has places wait there, so that it never stands idle between a result
+  /// items more than an engine has slots wait there, so that it never stands idle between a result
   /// and the next lease. Empty when every engine that may run the item is full.
   [[nodiscard]] std::string place(const ItemRequirements& need);
 
   /// The item was not leased after all.
   void takeBack(const std::string& engine);
-  /// Places at engines that take items and hold these weights or newer, engines in reserve
+  /// Slots at engines that take items and hold these weights or newer, engines on standby
   /// included.
   [[nodiscard]] std::uint32_t readySlots(const std::string& model,
                                          std::uint64_t minimumVersion) const;
   /// All engines, by id.
-  [[nodiscard]] std::vector<EngineSummary> sight(base::TimePoint now) const;
+  [[nodiscard]] std::vector<EngineSummary> summaries(base::TimePoint now) const;
 
  private:
   using Engines = std::map<std::string, EngineWork, std::less<>>;
@@ -97,11 +97,11 @@
 
   Engines m_engines;
   std::size_t m_taking = 0;                           ///< engines that take items
-  EnginesById m_inUse;                                ///< those of them that are not in reserve
+  EnginesById m_inUse;                                ///< those of them that are not on standby
   std::map<std::string, EnginesById> m_inUseByModel;  ///< by model that they hold
-  /// By model: no engine in reserve holds newer weights.
+  /// By model: no engine on standby holds newer weights.
   std::map<std::string, std::uint64_t> m_newestStandbyVersion;
-  /// By model and minimum version: those in reserve before this one have no room.
+  /// By model and minimum version: those on standby before this one have no room.
   std::map<std::pair<std::string, std::uint64_t>, Engines::iterator> m_standbyCursor;
   std::set<EngineWork*> m_loaded;  ///< engines with items
   /// By model and minimum version; made anew after loads or engines changed.
--- a/src/jobs/free_slots.cpp
+++ b/src/jobs/free_slots.cpp
@@ -5,20 +5,20 @@
 
 namespace tackpick::jobs {
 
-void FreeSlots::add(const std::string& model, std::uint64_t version, std::uint32_t places) {
+void FreeSlots::add(const std::string& model, std::uint64_t version, std::uint32_t slots) {
   Room& room = m_rooms[model];
   const auto newer = room.upper_bound(version);
   room.try_emplace(version, newer == room.end() ? 0 : newer->second);
   for (auto it = room.begin(); it != room.end() && it->first <= version; ++it) {
-    it->second += places;
+    it->second += slots;
   }
 }
 
 void FreeSlots::share(std::uint32_t parts, std::uint32_t percent) {
   constexpr std::uint32_t kWholePercent = 100;
   for (auto& [model, room] : m_rooms) {
-    for (auto& [version, places] : room) {
-      places = (places * percent / kWholePercent + parts - 1) / parts;
+    for (auto& [version, slots] : room) {
+      slots = (slots * percent / kWholePercent + parts - 1) / parts;
     }
   }
 }
@@ -48,8 +48,8 @@
   if (found == m_rooms.end()) {
     return;
   }
-  for (auto& [version, places] : found->second) {
-    places -= places > 0 ? 1 : 0;
+  for (auto& [version, slots] : found->second) {
+    slots -= slots > 0 ? 1 : 0;
     if (version >= minimumVersion) {
       break;
     }
--- a/src/jobs/free_slots.h
+++ b/src/jobs/free_slots.h
@@ -10,14 +10,14 @@
 
 namespace tackpick::jobs {
 
-/// An item of minimum version m may run at engines that hold m or newer, so items share places: of
+/// An item of minimum version m may run at engines that hold m or newer, so items share slots: of
 /// those at engines with version v or newer, all items whose minimum is above the next older
 /// version have their part. Deterministic.
 class FreeSlots {
  public:
-  /// `places` more at engines that hold `version` of `model`.
-  void add(const std::string& model, std::uint64_t version, std::uint32_t places);
-  /// Keeps one part in `parts` of all places, rounded up, after adding `percent` of them for items
+  /// `slots` more at engines that hold `version` of `model`.
+  void add(const std::string& model, std::uint64_t version, std::uint32_t slots);
+  /// Keeps one part in `parts` of all slots, rounded up, after adding `percent` of them for items
   /// that may wait at the engines.
   void share(std::uint32_t parts, std::uint32_t percent);
   /// Takes a place for an item. False, and nothing taken, when there is none.
@@ -32,7 +32,7 @@
   }
 
  private:
-  /// By version: places at engines with that version or a newer one.
+  /// By version: slots at engines with that version or a newer one.
   using Room = std::map<std::uint64_t, std::uint32_t>;
 
   std::map<std::string, Room> m_rooms;
--- a/src/jobs/gateway_capacity.cpp
+++ b/src/jobs/gateway_capacity.cpp
@@ -28,7 +28,7 @@
 constexpr double kMaxMbps = 1e7;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
-std::optional<double> places(double told, double most, double share, double perSlot) {
+std::optional<double> slots(double told, double most, double share, double perSlot) {
   const bool known = told > 0 && told <= most;  // false for what is no number, too
   return known ? std::optional(told * share / perSlot) : std::nullopt;
 }
@@ -43,11 +43,10 @@
 std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity) {
   std::optional<double> fewest;
   for (const std::optional<double>& bound :
-       {places(capacity.cpuCores, kMaxCores, kProcessorForItems, kCoresPerSlot),
-        places(capacity.memoryMb, kMaxMemoryMb, kMemoryForItems, kMegabytesPerSlot),
-        places(capacity.fileDescriptors, kMaxDescriptors, kDescriptorsForItems,
-               kDescriptorsPerSlot),
-        places(capacity.linkMbps, kMaxMbps, kLinkForItems, kMbpsPerSlot)}) {
+       {slots(capacity.cpuCores, kMaxCores, kProcessorForItems, kCoresPerSlot),
+        slots(capacity.memoryMb, kMaxMemoryMb, kMemoryForItems, kMegabytesPerSlot),
+        slots(capacity.fileDescriptors, kMaxDescriptors, kDescriptorsForItems, kDescriptorsPerSlot),
+        slots(capacity.linkMbps, kMaxMbps, kLinkForItems, kMbpsPerSlot)}) {
     if (bound) {
       fewest = std::min(fewest.value_or(*bound), *bound);
     }
--- a/src/jobs/gateway_capacity.h
+++ b/src/jobs/gateway_capacity.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many places at engines a gateway can serve.
+/// How many slots at engines a gateway can serve.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,7 @@
 inline constexpr std::uint32_t kMinGatewaySlots = 6;
 inline constexpr std::uint32_t kMaxGatewaySlots = 48;
 
-/// Places at engines that a gateway of that capacity can serve; nothing when it tells none of what
+/// Slots at engines that a gateway of that capacity can serve; nothing when it tells none of what
 /// bounds them. Values that no machine has count as unknown.
 [[nodiscard]] std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity);
 
--- a/src/jobs/gateway_selector.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -10,10 +10,10 @@
 }
 
 void GatewaySelector::setSlots(const std::map<std::string, std::uint32_t>& slotsByZone) {
-  for (const auto& [name, places] : slotsByZone) {
+  for (const auto& [name, slots] : slotsByZone) {
     Zone& zone = m_zones[name];
-    zone.outdated = zone.outdated || places > zone.places;
-    zone.places = std::max(zone.places, places);
+    zone.outdated = zone.outdated || slots > zone.slots;
+    zone.slots = std::max(zone.slots, slots);
   }
 }
 
@@ -104,8 +104,8 @@
 
 std::uint32_t GatewaySelector::slotsFor(const Zone& zone, const Gateway& gateway) const {
   const bool equal = zone.sizes.size() <= 1;
-  const std::uint32_t places = equal ? m_settings.slotsPerGateway : gateway.size;
-  return gateway.slow.isSlow() ? std::max(places / m_settings.slowDivisor, 1U) : places;
+  const std::uint32_t slots = equal ? m_settings.slotsPerGateway : gateway.size;
+  return gateway.slow.isSlow() ? std::max(slots / m_settings.slowDivisor, 1U) : slots;
 }
 
 bool GatewaySelector::isSound(const Gateway& gateway, base::TimePoint now) const {
@@ -122,7 +122,7 @@
   zone.active.clear();
   zone.foundAt = now;
   zone.outdated = false;
-  std::uint32_t places = 0;
+  std::uint32_t availableSlots = 0;
   std::uint32_t spare = 0;
   zone.enough = false;
   for (const Rank& next : zone.ranked) {
@@ -130,15 +130,15 @@
     if (!isSound(gateway, now)) {
       continue;
     }
-    zone.enough = places >= zone.places && spare == m_settings.spareGateways;
+    zone.enough = availableSlots >= zone.slots && spare == m_settings.spareGateways;
     if (zone.enough) {
       return;
     }
-    spare += places >= zone.places ? 1 : 0;
-    places += slotsFor(zone, gateway);
+    spare += availableSlots >= zone.slots ? 1 : 0;
+    availableSlots += slotsFor(zone, gateway);
     zone.active.insert(next.gateway);
   }
-  zone.enough = places >= zone.places && spare == m_settings.spareGateways;
+  zone.enough = availableSlots >= zone.slots && spare == m_settings.spareGateways;
 }
 
 bool GatewaySelector::isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const {
@@ -192,15 +192,16 @@
   return active;
 }
 
-std::vector<GatewaySummary> GatewaySelector::sight() const {
-  std::vector<GatewaySummary> sight;
+std::vector<GatewaySummary> GatewaySelector::summaries() const {
+  std::vector<GatewaySummary> summaries;
   for (const auto& [name, zone] : m_zones) {
     for (const auto& [node, gateway] : zone.gateways) {
       const bool active = !zone.enough || zone.active.contains(node);
-      sight.push_back({node, name, slotsFor(zone, gateway), 0, active, gateway.slow.slowSince()});
+      summaries.push_back(
+          {node, name, slotsFor(zone, gateway), 0, active, gateway.slow.slowSince()});
     }
   }
-  return sight;
+  return summaries;
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -19,7 +19,7 @@
 
 /// Knobs of a GatewaySelector.
 struct GatewaySelectorSettings {
-  /// Places at engines that one gateway serves where all are of the same size: an item costs a
+  /// Slots at engines that one gateway serves where all are of the same size: an item costs a
   /// gateway about half a millisecond of processor time and runs for half a second and more, so
   /// this is far from its limit.
   std::uint32_t slotsPerGateway = 24;
@@ -31,9 +31,9 @@
   base::Duration standbySilence = base::milliseconds(2500);
   /// A gateway that runs items asks within this time; what it takes longer, it is late.
   base::Duration usualInterval = base::milliseconds(300);
-  /// A slow gateway takes one in so many of its places.
+  /// A slow gateway takes one in so many of its slots.
   std::uint32_t slowDivisor = 4;
-  /// Items that a gateway may hold for each of its places: some wait at engines, and the gateways
+  /// Items that a gateway may hold for each of its slots: some wait at engines, and the gateways
   /// of a zone may be fewer than their share.
   std::uint32_t itemsPerSlot = 2;
   SlownessDetectorSettings slow;
@@ -43,9 +43,9 @@
 struct GatewaySummary {
   base::NodeId gateway;
   std::string zone;
-  std::uint32_t places = 0;  ///< that it takes now
-  std::uint32_t held = 0;    ///< items
-  bool active = false;       ///< it runs items; else it stands by
+  std::uint32_t slots = 0;  ///< that it takes now
+  std::uint32_t held = 0;   ///< items
+  bool active = false;      ///< it runs items; else it stands by
   std::optional<base::TimePoint> slowSince;
 };
 
@@ -58,7 +58,7 @@
   explicit GatewaySelector(GatewaySelectorSettings settings = {}) : m_settings(settings) {}
 
   void clear() { m_zones.clear(); }
-  /// Places of all engines in each zone; the most that was told counts, since engines that change
+  /// Slots of all engines in each zone; the most that was told counts, since engines that change
   /// their weights are left out for a moment.
   void setSlots(const std::map<std::string, std::uint32_t>& slotsByZone);
   /// A gateway asks for items (`acceptsItems`), or for none any more.
@@ -67,7 +67,7 @@
   void forget(std::uint32_t gatewayNumber);
   /// True when the gateway is one of those that run items; also while nothing is known of it.
   [[nodiscard]] bool isActive(base::NodeId gateway, const std::string& zone, base::TimePoint now);
-  /// Gateways that share the places of all engines.
+  /// Gateways that share the slots of all engines.
   [[nodiscard]] std::uint32_t activeCount(base::TimePoint now);
   /// Items that the gateway may hold; nothing: as many as it asks for.
   [[nodiscard]] std::optional<std::uint32_t> maxItems(base::NodeId gateway, const std::string& zone,
@@ -75,13 +75,13 @@
   /// Those of a zone that run items.
   [[nodiscard]] std::vector<ActiveGateway> activeIn(const std::string& zone, base::TimePoint now);
   /// All gateways that ask, without what they hold.
-  [[nodiscard]] std::vector<GatewaySummary> sight() const;
+  [[nodiscard]] std::vector<GatewaySummary> summaries() const;
 
  private:
   struct Gateway {
     base::TimePoint askedAt{};
     bool active = false;
-    std::uint32_t size = 0;  ///< places by its capacity
+    std::uint32_t size = 0;  ///< slots by its capacity
     base::Duration lateness{0};
     SlownessDetector slow;
   };
@@ -94,7 +94,7 @@
     bool operator<(const Rank& other) const;
   };
   struct Zone {
-    std::uint32_t places = 0;
+    std::uint32_t slots = 0;
     std::map<base::NodeId, Gateway> gateways;
     std::set<Rank> ranked;                         ///< all of `gateways`
     std::map<std::uint32_t, std::uint32_t> sizes;  ///< gateways of each size
@@ -104,7 +104,7 @@
     /// unresponsive. Every call of every gateway asks for it: counting them each time grows with
     /// their square.
     std::set<base::NodeId> active;
-    bool enough = false;  ///< `active` has all places and the spare gateways
+    bool enough = false;  ///< `active` has all slots and the spare gateways
     base::TimePoint foundAt{};
     bool outdated = true;
   };
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -322,10 +322,10 @@
 }
 
 std::vector<GatewaySummary> ItemLeases::gateways() const {
-  std::vector<GatewaySummary> gateways = m_gatewaySelector.sight();
-  for (GatewaySummary& sight : gateways) {
-    const auto owned = leases_by_gateway_.find(sight.gateway);
-    sight.held =
+  std::vector<GatewaySummary> gateways = m_gatewaySelector.summaries();
+  for (GatewaySummary& summary : gateways) {
+    const auto owned = leases_by_gateway_.find(summary.gateway);
+    summary.held =
         owned == leases_by_gateway_.end() ? 0 : static_cast<std::uint32_t>(owned->second.size());
   }
   return gateways;
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -105,7 +105,7 @@
   /// How fast texts are made.
   [[nodiscard]] ModelEventIntervals& eventIntervals() { return m_eventIntervals; }
   /// For operators: open jobs, and what each tenant has of the engines.
-  [[nodiscard]] WorkSummary sight(const JobState& state, base::TimePoint now) const;
+  [[nodiscard]] WorkSummary summary(const JobState& state, base::TimePoint now) const;
   /// Items of a job that are leased.
   [[nodiscard]] std::uint32_t runningItems(const std::string& job) const;
   /// All engines there are.
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -210,8 +210,8 @@
   return due - m_eventIntervals.timeFor(job.submission.model, longest);
 }
 
-WorkSummary ItemLeases::sight(const JobState& state, base::TimePoint now) const {
-  WorkSummary sight;
+WorkSummary ItemLeases::summary(const JobState& state, base::TimePoint now) const {
+  WorkSummary summary;
   std::map<std::pair<std::string, std::uint64_t>, std::uint32_t> readySlots;
   for (const auto* entry : state.bySubmission()) {
     const auto& [id, job] = *entry;
@@ -222,25 +222,25 @@
     const auto open = static_cast<std::uint32_t>(submission.items.size() - job.results.size());
     JobSummary seen{id, submission.tenant, submission.model};
     seen.minimumVersion = submission.minimumVersion;
-    const auto [places, isNew] = readySlots.try_emplace({seen.model, seen.minimumVersion}, 0);
+    const auto [slots, isNew] = readySlots.try_emplace({seen.model, seen.minimumVersion}, 0);
     if (isNew) {
-      places->second = placement_.readySlots(seen.model, seen.minimumVersion);
+      slots->second = placement_.readySlots(seen.model, seen.minimumVersion);
     }
-    seen.readySlots = places->second;
+    seen.readySlots = slots->second;
     seen.priority = m_priorities.of(submission.tenant, submission.priority);
     seen.running = std::min(open, runningItems(id));
     seen.waiting = open - seen.running;
     seen.slack = slackOf(job, id, now);
     seen.age = now - firstSeen(id, now);
-    TenantSummary& tenant = sight.tenants[submission.tenant];
+    TenantSummary& tenant = summary.tenants[submission.tenant];
     tenant.waiting += seen.waiting;
     tenant.running += seen.running;
-    sight.jobs.push_back(std::move(seen));
+    summary.jobs.push_back(std::move(seen));
   }
-  for (auto& [name, tenant] : sight.tenants) {
+  for (auto& [name, tenant] : summary.tenants) {
     tenant.share = leases_.empty() ? 0 : tenant.running / static_cast<double>(leases_.size());
   }
-  return sight;
+  return summary;
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -330,7 +330,7 @@
   std::vector<ItemKey> revoked;     ///< LeaseItems: held ones that need not be run any more
   /// LeaseItems: other gateways run the items of this one's zone; it need not ask often.
   bool standby = false;
-  std::uint32_t activeGateways = 0;  ///< LeaseItems: gateways that share the places of all engines
+  std::uint32_t activeGateways = 0;  ///< LeaseItems: gateways that share the slots of all engines
   /// LeaseItems that tell event intervals: items of all gateways, by the engine where they run.
   std::map<std::string, std::uint32_t> itemsByEngine;
   /// LeaseItems: this leader has not heard event intervals of the gateway; its next call should
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -180,7 +180,7 @@
 
 void JobRole::onRequest(const Caller& caller, const ReadWork& /*request*/, base::TimePoint now) {
   JobReply reply;
-  reply.work = makeWorkReport(leases_.sight(state_, now), leases_.placement().sight(now),
+  reply.work = makeWorkReport(leases_.summary(state_, now), leases_.placement().summaries(now),
                               leases_.gateways(), now);
   replyWith(caller, reply);
 }
@@ -239,7 +239,7 @@
 }
 
 std::optional<WorkSummary> JobRole::workSummary(base::TimePoint now) const {
-  return replica_.canRead(now) ? std::optional(leases_.sight(state_, now)) : std::nullopt;
+  return replica_.canRead(now) ? std::optional(leases_.summary(state_, now)) : std::nullopt;
 }
 
 void JobRole::tick(base::TimePoint now) {
--- a/src/jobs/placement_engine.h
+++ b/src/jobs/placement_engine.h
@@ -21,7 +21,7 @@
   std::map<std::string, std::uint64_t> versions;  ///< weights by model
   std::string zone = {};
   bool acceptsItems = true;  ///< now; what is known of its pace outlasts a change of weights
-  bool reserve = false;      ///< only when the others are full
+  bool standby = false;      ///< only when the others are full
   /// Where it runs: what is known of the pace outlasts the engine's restarts. Empty: as the id.
   std::string machine = {};
 
@@ -51,7 +51,7 @@
   }
   [[nodiscard]] std::uint32_t usedSlots() const { return std::min(load, told.slots); }
   [[nodiscard]] bool isFull() const {
-    /// One item may wait for so many places.
+    /// One item may wait for so many slots.
     constexpr std::uint32_t kSlotsPerQueuedItem = 8;
     return load >= told.slots + told.slots / kSlotsPerQueuedItem;
   }
--- a/src/jobs/speed_tiers.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -8,7 +8,7 @@
 /// A text may be so much longer than expected: estimates err with a spread of 0.5 (log-normal), and
 /// one text of some 400 is longer than this.
 constexpr double kLengthMargin = 4.0;
-/// Places are short when this part of them is taken. Until then an item on a fast engine is in
+/// Slots are short when this part of them is taken. Until then an item on a fast engine is in
 /// nobody's way, and there no error of its estimate makes it late.
 constexpr double kShortShare = 0.85;
 /// From the placement to the first event, and from the last one to the result: a lease on its way,
@@ -47,7 +47,7 @@
 void SpeedTiers::add(EngineWork& engine) {
   SpeedTier& own = m_classes.at(engine.speedTier);
   own.push({engine.cost(), m_added, &engine});
-  own.places += engine.told.slots;
+  own.slots += engine.told.slots;
   own.taken += engine.usedSlots();
   ++m_added;
 }
@@ -87,15 +87,15 @@
     return nullptr;
   }
   SpeedTier* slowest = nullptr;
-  std::uint32_t places = 0;  // at the faster classes
+  std::uint32_t fasterSlots = 0;  // at the faster classes
   std::uint32_t taken = 0;
   for (SpeedTier& each : m_classes) {
-    if (taken < kShortShare * places) {
+    if (taken < kShortShare * fasterSlots) {
       return slowest;
     }
     const bool safe = !each.heap.empty() && isSafe(*each.front().engine, need);
     slowest = safe ? &each : slowest;
-    places += each.places;
+    fasterSlots += each.slots;
     taken += each.taken;
   }
   return slowest;
--- a/src/jobs/speed_tiers.h
+++ b/src/jobs/speed_tiers.h
@@ -39,8 +39,8 @@
   /// Engines of about the same pace.
   struct SpeedTier {
     std::vector<Candidate> heap;
-    std::uint32_t places = 0;
-    std::uint32_t taken = 0;  ///< of the places
+    std::uint32_t slots = 0;
+    std::uint32_t taken = 0;  ///< of the slots
 
     [[nodiscard]] const Candidate& front() const { return heap.front(); }
     void push(const Candidate& candidate);
@@ -55,7 +55,7 @@
   /// When a class's front will have run the item, to compare; of equals the first added is less.
   [[nodiscard]] static std::pair<double, std::size_t> endOf(const SpeedTier& of,
                                                             const ItemRequirements& need);
-  /// The slowest class whose front is safe, slower ones only while places at the faster are short;
+  /// The slowest class whose front is safe, slower ones only while slots at the faster are short;
   /// null: none is, or the need is not known.
   [[nodiscard]] SpeedTier* slowestSafe(const ItemRequirements& need);
   /// The class whose front will have run the item soonest; null: all are full.
@@ -64,7 +64,7 @@
   std::array<SpeedTier, kSpeedTiers> m_classes;  ///< fastest first
   std::size_t m_added = 0;
   SpeedTier* m_chosen = nullptr;
-  std::uint32_t m_takenBefore = 0;  ///< places of the chosen engine
+  std::uint32_t m_takenBefore = 0;  ///< slots of the chosen engine
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/work_report.cpp
+++ b/src/jobs/work_report.cpp
@@ -19,10 +19,11 @@
                                      base::TimePoint now) {
   std::vector<GatewayReport> reports;
   reports.reserve(gateways.size());
-  for (const GatewaySummary& sight : gateways) {
-    GatewayReport report{sight.gateway, sight.zone, sight.places, sight.held, sight.active, {}};
-    if (sight.slowSince) {
-      report.slowFor = now - *sight.slowSince;
+  for (const GatewaySummary& summary : gateways) {
+    GatewayReport report{summary.gateway, summary.zone,   summary.slots,
+                         summary.held,    summary.active, {}};
+    if (summary.slowSince) {
+      report.slowFor = now - *summary.slowSince;
     }
     reports.push_back(std::move(report));
   }
@@ -47,8 +48,8 @@
   report.gateways = reportsOf(gateways, now);
   report.totalGateways =
       keepFirst(report.gateways, [](const GatewayReport& left, const GatewayReport& right) {
-        return std::pair(left.slowFor.has_value(), left.places) >
-               std::pair(right.slowFor.has_value(), right.places);
+        return std::pair(left.slowFor.has_value(), left.slots) >
+               std::pair(right.slowFor.has_value(), right.slots);
       });
   return report;
 }
--- a/src/jobs/work_report.h
+++ b/src/jobs/work_report.h
@@ -23,14 +23,14 @@
 struct GatewayReport {
   base::NodeId gateway;
   std::string zone;
-  std::uint32_t places = 0;  ///< that it takes now
-  std::uint32_t held = 0;    ///< items
-  bool active = false;       ///< it runs items; else it stands by
+  std::uint32_t slots = 0;  ///< that it takes now
+  std::uint32_t held = 0;   ///< items
+  bool active = false;      ///< it runs items; else it stands by
   std::optional<base::Duration> slowFor;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(gateway, zone, places, held, active, slowFor);
+    archive(gateway, zone, slots, held, active, slowFor);
   }
 };
 
@@ -41,7 +41,7 @@
   std::map<std::string, TenantSummary> tenants;
   std::vector<EngineSummary> engines;  ///< slowest first, those of unknown pace last
   std::uint64_t totalEngines = 0;
-  std::vector<GatewayReport> gateways;  ///< slow ones first, then those with most places
+  std::vector<GatewayReport> gateways;  ///< slow ones first, then those with most slots
   std::uint64_t totalGateways = 0;
 
   template <class Archive>
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -126,12 +126,12 @@
 bool ControlServer::answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
                                     const std::shared_ptr<http::Exchange>& exchange) {
   using Verdict = directory::HeartbeatRelay::Verdict;
-  const Verdict verdict =
-      relay_.take(node_.directory().state(), heartbeat, node_.member().heardAt(), node_.now());
+  const Verdict verdict = relay_.take(node_.directory().state(), heartbeat,
+                                      node_.member().lastContactAt(), node_.now());
   if (verdict == Verdict::kForward) {
     return false;
   }
-  const bool taken = verdict == Verdict::kTaken;
+  const bool taken = verdict == Verdict::kAccepted;
   const edge::Response answer = taken ? answerFor(directory::DirectoryRequest{heartbeat}, {})
                                       : edge::controlTimeoutResponse();
   exchange->respond(answer.status, answer.headers, answer.body);
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -84,7 +84,7 @@
 void GatewayServer::onView(const directory::DirectoryView& view) {
   usage_.onView(view);
   m_guard.onView(view);
-  if (view.whole) {
+  if (view.isFull) {
     instances_.update(view.instances);
   } else {
     instances_.change(view.instances, view.removed);
@@ -227,7 +227,7 @@
       ++states["leaving"];
     } else if (entry.loading) {
       ++states["loading"];
-    } else if (entry.reserve) {
+    } else if (entry.standby) {
       ++states["reserve"];
     } else {
       ++states[node_.now() < entry.avoidUntil ? "avoided" : "ready"];
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -35,7 +35,7 @@
 constexpr base::Duration kHeldDelay = base::milliseconds(100);
 /// How often the ledgers are told how fast engines are.
 constexpr base::Duration kEventIntervalRefresh = base::milliseconds(500);
-/// A gateway takes up to this share of its part of all places, in percent: some items may wait at
+/// A gateway takes up to this share of its part of all slots, in percent: some items may wait at
 /// engines, and a zone's engines may have fewer gateways than their share, as when one is down.
 constexpr std::uint32_t kOvercommitPercent = 220;
 
@@ -260,7 +260,7 @@
   const edge::HeaderNames& names = node_.apiAdapter().headers();
   request.address = {entry->record.host, entry->record.port};
   request.headers.set(names.expectedInstance, directory::instanceName(entry->record.id));
-  request.headers.set(names.urgency, std::to_string(jobs::urgencyOf(sightOf(item, now))));
+  request.headers.set(names.urgency, std::to_string(jobs::urgencyOf(runStateOf(item, now))));
   request.echoHeader = names.requestId;
   request.echoValue = leased.item.id;
   item.tried.insert(entry->record.id);
@@ -286,15 +286,15 @@
   item.exchange = node_.upstream().start(std::move(request), std::move(events));
 }
 
-jobs::RunState ItemRunner::sightOf(const Running& item, base::TimePoint now) const {
-  jobs::RunState sight;
-  sight.expectedLong = isLong(item);
-  sight.moved = item.moves > 0;
-  sight.events = item.run.lastEvent().value_or(0);
-  sight.begun = item.exchange.valid() && item.intervalStart != base::TimePoint{};
-  sight.silence = now - item.lastByteAt;
-  sight.moves = item.queueMoves;
-  return sight;
+jobs::RunState ItemRunner::runStateOf(const Running& item, base::TimePoint now) const {
+  jobs::RunState state;
+  state.expectedLong = isLong(item);
+  state.moved = item.moves > 0;
+  state.events = item.run.lastEvent().value_or(0);
+  state.begun = item.exchange.valid() && item.intervalStart != base::TimePoint{};
+  state.silence = now - item.lastByteAt;
+  state.moves = item.queueMoves;
+  return state;
 }
 
 forwarding::InstanceRequirements ItemRunner::requirementsOf(const Running& item) const {
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -125,7 +125,7 @@
   [[nodiscard]] static jobs::RunForecast forecastOf(const Running& item, base::TimePoint now);
   /// Sends items elsewhere that wait at a full engine while another has room.
   void moveFromQueues(base::TimePoint now);
-  [[nodiscard]] jobs::RunState sightOf(const Running& item, base::TimePoint now) const;
+  [[nodiscard]] jobs::RunState runStateOf(const Running& item, base::TimePoint now) const;
   [[nodiscard]] forwarding::InstanceRequirements requirementsOf(const Running& item) const;
   /// Continues texts elsewhere whose engine makes no events of them any more.
   void moveFromStalls(base::TimePoint now);
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -125,7 +125,7 @@
 
 void ItemRunner::moveFromStalls(base::TimePoint now) {
   for (const auto& [key, item] : items_) {
-    if (item->trial || !jobs::isStalled(sightOf(*item, now))) {
+    if (item->trial || !jobs::isStalled(runStateOf(*item, now))) {
       continue;
     }
     const auto* idle =
@@ -149,7 +149,7 @@
     }
   }
   // What was noted first is nearest to when it was said.
-  if (view.whole) {
+  if (view.isFull) {
     std::erase_if(m_terminationTimes,
                   [&](const auto& entry) { return !told.contains(entry.first); });
   }
--- a/src/node/metrics_server.cpp
+++ b/src/node/metrics_server.cpp
@@ -50,8 +50,8 @@
   tell(CounterId::kLogLinesDropped, m_told.droppedLines, telemetry::logCounters().droppedLines);
   const cluster::ClusterMember& member = m_node.member();
   metrics.set(GaugeId::kConfigurationVersion, static_cast<double>(member.configuration().version));
-  if (const auto heardAt = member.heardAt()) {
-    metrics.set(GaugeId::kControllersHeardAge, base::toSeconds(m_node.now() - *heardAt));
+  if (const auto lastContactAt = member.lastContactAt()) {
+    metrics.set(GaugeId::kControllersHeardAge, base::toSeconds(m_node.now() - *lastContactAt));
   }
   if (const auto confirmedAt = member.confirmedAt()) {
     metrics.set(GaugeId::kConfigurationAge, base::toSeconds(m_node.now() - *confirmedAt));
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -46,7 +46,7 @@
                               !instance.unresponsive && instance.record.slots > 0 &&
                               !instance.versions.empty();
     engines.push_back({instance.record.id, instance.record.slots, instance.versions,
-                       instance.record.zone, acceptsItems, instance.reserve,
+                       instance.record.zone, acceptsItems, instance.standby,
                        directory::instanceName(instance.record.id)});
   }
   return engines;
@@ -445,7 +445,7 @@
   if (!ledger_) {
     return;
   }
-  if (view.whole) {
+  if (view.isFull) {
     ledger_->setEngines(placementEngines(view.instances));
   } else {
     ledger_->changeEngines(placementEngines(view.instances), view.removed);
@@ -454,8 +454,8 @@
     return;
   }
   std::vector<cluster::GroupNode> nodes;
-  for (const directory::LedgerSummary& sight : view.ledgers) {
-    nodes.push_back({sight.node, sight.silence, sight.retiring});
+  for (const directory::LedgerSummary& summary : view.ledgers) {
+    nodes.push_back({summary.node, summary.silence, summary.retiring});
   }
   ledger_->setNodes(std::move(nodes));
 }
--- a/src/node/node_calls.cpp
+++ b/src/node/node_calls.cpp
@@ -28,10 +28,10 @@
   events.onEnd = [this, order, status](const http::UpstreamResult& end) {
     const directory::LoadCommandOutcome outcome = end.complete
                                                       ? m_apiAdapter.loadCommandOutcome(*status)
-                                                      : directory::LoadCommandOutcome::kUncertain;
+                                                      : directory::LoadCommandOutcome::kUnknown;
     metrics_.count(CounterId::kOrdersGiven, directory::toString(outcome));
     if (outcome == directory::LoadCommandOutcome::kRefused ||
-        outcome == directory::LoadCommandOutcome::kUncertain) {
+        outcome == directory::LoadCommandOutcome::kUnknown) {
       logEvent(EventId::kEngineOrderFailed, EventFields()
                                                 .add("instance", order.instance)
                                                 .add("outcome", directory::toString(outcome))
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -88,18 +88,18 @@
 
 void Node::reportWeights() {
   const directory::WeightsSummary* leading = directory_->weights();
-  const directory::WeightsSummary sight =
+  const directory::WeightsSummary summary =
       leading == nullptr ? directory::WeightsSummary{} : *leading;
   for (const auto& [name, version] : directory_->state().versions()) {
-    const auto found = sight.models.find(name);
+    const auto found = summary.models.find(name);
     const auto model =
-        found == sight.models.end() ? directory::ModelWeightsSummary{} : found->second;
+        found == summary.models.end() ? directory::ModelWeightsSummary{} : found->second;
     metrics_.set(GaugeId::kPlacesReady, name, model.readySlots);
     metrics_.set(GaugeId::kPlacesLoading, name, model.loadingSlots);
     metrics_.set(GaugeId::kPlacesNeeded, name, model.requiredSlots);
   }
-  metrics_.set(GaugeId::kEnginesLoading, static_cast<double>(sight.loading));
-  metrics_.set(GaugeId::kLoadBudget, static_cast<double>(sight.budget));
+  metrics_.set(GaugeId::kEnginesLoading, static_cast<double>(summary.loading));
+  metrics_.set(GaugeId::kLoadBudget, static_cast<double>(summary.budget));
 }
 
 void Node::logCapacityDecisions(const std::vector<duties::CapacityDecision>& decisions) {
@@ -124,14 +124,14 @@
 void Node::reportCapacity() {
   const bool leads = replica()->raft().isLeader();
   const auto told = [leads](std::uint32_t figure) { return leads ? figure : 0; };
-  for (const duties::PoolSummary& sight : directory_->capacity()) {
-    const std::string pool = sight.subject.service + "/" + sight.subject.zone + "/" +
-                             std::string(duties::toString(sight.subject.kind));
-    metrics_.set(GaugeId::kInstancesDesired, pool, told(sight.desired));
-    metrics_.set(GaugeId::kInstancesThere, pool, told(sight.there));
-    metrics_.set(GaugeId::kInstancesStarting, pool, told(sight.starting));
-    metrics_.set(GaugeId::kInstancesLeaving, pool, told(sight.draining));
-    metrics_.set(GaugeId::kInstancesRefused, pool, told(sight.refusals));
+  for (const duties::PoolSummary& summary : directory_->capacity()) {
+    const std::string pool = summary.subject.service + "/" + summary.subject.zone + "/" +
+                             std::string(duties::toString(summary.subject.kind));
+    metrics_.set(GaugeId::kInstancesDesired, pool, told(summary.desired));
+    metrics_.set(GaugeId::kInstancesThere, pool, told(summary.there));
+    metrics_.set(GaugeId::kInstancesStarting, pool, told(summary.starting));
+    metrics_.set(GaugeId::kInstancesLeaving, pool, told(summary.draining));
+    metrics_.set(GaugeId::kInstancesRefused, pool, told(summary.refusals));
   }
 }
 
--- a/src/node/platform_client.cpp
+++ b/src/node/platform_client.cpp
@@ -36,7 +36,7 @@
         [this, report, callback = std::move(callback)](const CallEnd& end) {
           const duties::UsageReportOutcome outcome =
               end.complete ? m_node.apiAdapter().usageReportOutcome(end.status)
-                           : duties::UsageReportOutcome::kUncertain;
+                           : duties::UsageReportOutcome::kUnknown;
           tell(report, outcome, end);
           callback(outcome);
         });
@@ -47,7 +47,7 @@
         [this, call, callback = std::move(callback)](const CallEnd& end) {
           const duties::ScaleOutcome outcome =
               end.complete ? m_node.apiAdapter().scaleOutcome(call, end.status)
-                           : duties::ScaleOutcome::kUncertain;
+                           : duties::ScaleOutcome::kUnknown;
           tell(call, outcome, end);
           callback(outcome);
         });
@@ -86,7 +86,7 @@
 void PlatformClient::tell(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
                           const CallEnd& end) {
   m_node.metrics().count(telemetry::CounterId::kDutyCalls, duties::toString(outcome));
-  telemetry::logEvent(outcome == duties::UsageReportOutcome::kTaken
+  telemetry::logEvent(outcome == duties::UsageReportOutcome::kAccepted
                           ? telemetry::EventId::kUsageReported
                           : telemetry::EventId::kUsageReportFailed,
                       telemetry::EventFields()
@@ -102,7 +102,7 @@
 void PlatformClient::tell(const duties::ScaleCall& call, duties::ScaleOutcome outcome,
                           const CallEnd& end) {
   m_node.metrics().count(telemetry::CounterId::kScaleCalls, duties::toString(outcome));
-  telemetry::logEvent(outcome == duties::ScaleOutcome::kTaken
+  telemetry::logEvent(outcome == duties::ScaleOutcome::kAccepted
                           ? telemetry::EventId::kCapacityAsked
                           : telemetry::EventId::kCapacityCallFailed,
                       telemetry::EventFields()
--- a/src/quarantine/crash_observer.cpp
+++ b/src/quarantine/crash_observer.cpp
@@ -15,28 +15,29 @@
   if (!m_suspects.contains(crash.request)) {
     makeRoom();
   }
-  Sight& sight = m_suspects[crash.request][crash.instance];
-  sight.crash = crash;
-  sight.brokenAt = now;
+  SuspectedCrash& suspected = m_suspects[crash.request][crash.instance];
+  suspected.crash = crash;
+  suspected.brokenAt = now;
   m_dueAt = std::min(m_dueAt, now + m_settings.certainty);
 }
 
 // A run that was sent after the break is answered only by a process that lives: this one, or its
 // successor under the same name, which takes some time to be there. A run that was sent before may
 // have been answered before the process ended.
-bool CrashObserver::showsLife(const Sight& sight, base::TimePoint sentAt,
+bool CrashObserver::showsLife(const SuspectedCrash& suspected, base::TimePoint sentAt,
                               base::TimePoint now) const {
-  const base::Duration since = now - sight.brokenAt;
-  return sentAt > sight.brokenAt ? since < m_settings.minRestartTime
-                                 : since >= m_settings.maxResponseDelay;
+  const base::Duration since = now - suspected.brokenAt;
+  return sentAt > suspected.brokenAt ? since < m_settings.minRestartTime
+                                     : since >= m_settings.maxResponseDelay;
 }
 
 void CrashObserver::onAnswered(const std::string& instance, base::TimePoint sentAt,
                                base::TimePoint now) {
-  for (auto& [request, sights] : m_suspects) {
-    const auto seen = sights.find(instance);
-    if (seen != sights.end() && !seen->second.certain && showsLife(seen->second, sentAt, now)) {
-      sights.erase(seen);
+  for (auto& [request, suspectedCrashes] : m_suspects) {
+    const auto seen = suspectedCrashes.find(instance);
+    if (seen != suspectedCrashes.end() && !seen->second.certain &&
+        showsLife(seen->second, sentAt, now)) {
+      suspectedCrashes.erase(seen);
     }
   }
   dropCleared();
@@ -54,14 +55,14 @@
   forgetOld(now);
   m_dueAt = now + kForgetInterval;
   std::vector<Crash> certain;
-  for (auto& [request, sights] : m_suspects) {
-    for (auto& [instance, sight] : sights) {
-      sight.certain = sight.certain || now - sight.brokenAt >= m_settings.certainty;
-      if (sight.certain && !sight.told) {
-        sight.told = true;
-        certain.push_back(sight.crash);
-      } else if (!sight.certain) {
-        m_dueAt = std::min(m_dueAt, sight.brokenAt + m_settings.certainty);
+  for (auto& [request, suspectedCrashes] : m_suspects) {
+    for (auto& [instance, suspected] : suspectedCrashes) {
+      suspected.certain = suspected.certain || now - suspected.brokenAt >= m_settings.certainty;
+      if (suspected.certain && !suspected.told) {
+        suspected.told = true;
+        certain.push_back(suspected.crash);
+      } else if (!suspected.certain) {
+        m_dueAt = std::min(m_dueAt, suspected.brokenAt + m_settings.certainty);
       }
     }
   }
@@ -69,17 +70,17 @@
 }
 
 void CrashObserver::tellAgain() {
-  for (auto& [request, sights] : m_suspects) {
-    for (auto& [instance, sight] : sights) {
-      sight.told = false;
+  for (auto& [request, suspectedCrashes] : m_suspects) {
+    for (auto& [instance, suspected] : suspectedCrashes) {
+      suspected.told = false;
     }
   }
   m_dueAt = base::TimePoint::min();
 }
 
 void CrashObserver::forgetOld(base::TimePoint now) {
-  for (auto& [request, sights] : m_suspects) {
-    std::erase_if(sights,
+  for (auto& [request, suspectedCrashes] : m_suspects) {
+    std::erase_if(suspectedCrashes,
                   [&](const auto& entry) { return now - entry.second.brokenAt > kCrashMemory; });
   }
   dropCleared();
@@ -95,8 +96,8 @@
   }
   const auto newest = [](const auto& suspect) {
     base::TimePoint at{};
-    for (const auto& [instance, sight] : suspect.second) {
-      at = std::max(at, sight.brokenAt);
+    for (const auto& [instance, suspected] : suspect.second) {
+      at = std::max(at, suspected.brokenAt);
     }
     return at;
   };
--- a/src/quarantine/crash_observer.h
+++ b/src/quarantine/crash_observer.h
@@ -45,15 +45,15 @@
   [[nodiscard]] bool empty() const { return m_suspects.empty(); }
 
  private:
-  struct Sight {
+  struct SuspectedCrash {
     Crash crash;
     base::TimePoint brokenAt{};
     bool certain = false;
     bool told = false;
   };
-  using Sights = std::map<std::string, Sight>;  ///< by instance
+  using SuspectedCrashes = std::map<std::string, SuspectedCrash>;  ///< by instance
 
-  [[nodiscard]] bool showsLife(const Sight& sight, base::TimePoint sentAt,
+  [[nodiscard]] bool showsLife(const SuspectedCrash& suspected, base::TimePoint sentAt,
                                base::TimePoint now) const;
   void forgetOld(base::TimePoint now);
   /// Drops requests of which no crash is left.
@@ -64,7 +64,7 @@
   /// Nothing becomes certain or is forgotten before: suspects are kept for minutes, and whoever
   /// asks for news many times a second must not walk over all of them each time.
   base::TimePoint m_dueAt = base::TimePoint::max();
-  std::map<RequestFingerprint, Sights> m_suspects;
+  std::map<RequestFingerprint, SuspectedCrashes> m_suspects;
 };
 
 }  // namespace tackpick::quarantine
--- a/src/quarantine/quarantine_state.cpp
+++ b/src/quarantine/quarantine_state.cpp
@@ -52,15 +52,15 @@
   return held;
 }
 
-std::vector<HoldSummary> QuarantineState::sights(base::WallTime now) const {
-  std::vector<HoldSummary> sights;
+std::vector<HoldSummary> QuarantineState::summaries(base::WallTime now) const {
+  std::vector<HoldSummary> summaries;
   for (const auto& [request, hold] : m_holds) {
     const bool last = hold.trialAt == base::WallTime::max();
     const base::Duration untilTrial = last ? base::Duration::max() : hold.trialAt - now;
-    sights.push_back(
+    summaries.push_back(
         {request, hold.service, hold.instances, hold.trials, now - hold.since, untilTrial});
   }
-  return sights;
+  return summaries;
 }
 
 void QuarantineState::makeRoom() {
--- a/src/quarantine/quarantine_state.h
+++ b/src/quarantine/quarantine_state.h
@@ -46,7 +46,7 @@
   /// As gateways are told.
   [[nodiscard]] std::vector<HeldRequest> told() const;
   /// As operators are told.
-  [[nodiscard]] std::vector<HoldSummary> sights(base::WallTime now) const;
+  [[nodiscard]] std::vector<HoldSummary> summaries(base::WallTime now) const;
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/test/cluster/cluster_member_test.cpp
+++ b/test/cluster/cluster_member_test.cpp
@@ -151,8 +151,8 @@
   directory::DirectoryView view = viewOfLedgers(30);
   cr_assert_not(fixture.member.zoneLedger().valid());
   view.ledgerVoters = {ledger(17)};
-  for (directory::LedgerSummary& sight : view.ledgers) {
-    sight.silence = base::milliseconds(10);
+  for (directory::LedgerSummary& summary : view.ledgers) {
+    summary.silence = base::milliseconds(10);
   }
   view.ledgers[17].silence = base::milliseconds(400);
   fixture.tell(view);
@@ -171,10 +171,10 @@
   view.instances.resize(2);
   fixture.tell(view);
   cr_assert_eq(passedOn.size(), 1U);
-  cr_assert(passedOn[0].whole);
+  cr_assert(passedOn[0].isFull);
   cr_assert_eq(passedOn[0].instances.size(), 2U);
   directory::DirectoryView news = viewOfLedgers(2);
-  news.whole = false;
+  news.isFull = false;
   news.since = 1;
   news.revision = 2;
   news.removed = {"a"};
@@ -194,7 +194,7 @@
   fixture.member.onView([&](const directory::DirectoryView&) { ++passedOn; });
   fixture.tell(viewOfLedgers(1));
   directory::DirectoryView news = viewOfLedgers(1);
-  news.whole = false;
+  news.isFull = false;
   news.since = 7;
   news.revision = 8;
   fixture.tell(news);
@@ -206,7 +206,7 @@
   Fixture fixture;
   fixture.tell(viewOfLedgers(1));
   directory::DirectoryView rest = viewOfLedgers(3);
-  rest.whole = false;
+  rest.isFull = false;
   rest.since = 1;
   rest.revision = 1;
   fixture.tell(rest);
@@ -222,7 +222,7 @@
       [&](const directory::Configuration& newest) { passedOn = newest.version; });
   fixture.tell(viewOfLedgers(1));
   directory::DirectoryView news = viewOfLedgers(1);
-  news.whole = false;
+  news.isFull = false;
   news.since = 7;
   news.revision = 8;
   news.configuration.emplace();
@@ -242,7 +242,7 @@
   fixture.now += base::seconds(3);
   fixture.tell(viewOfLedgers(1));
   cr_assert(fixture.member.confirmedAt() == asked);
-  cr_assert(fixture.member.heardAt() == fixture.now);
+  cr_assert(fixture.member.lastContactAt() == fixture.now);
 }
 
 // Seeds that are gone for good would cost a resend interval each, with every change of leader.
--- a/test/cluster/cluster_world.cpp
+++ b/test/cluster/cluster_world.cpp
@@ -139,8 +139,8 @@
     return;
   }
   std::vector<cluster::GroupNode> nodes;
-  for (const directory::LedgerSummary& sight : view.ledgers) {
-    nodes.push_back({sight.node, sight.silence, sight.retiring});
+  for (const directory::LedgerSummary& summary : view.ledgers) {
+    nodes.push_back({summary.node, summary.silence, summary.retiring});
   }
   node.ledger->setNodes(std::move(nodes));
 }
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -221,7 +221,7 @@
   }
   std::vector<directory::LoadCommand> step() {
     for (auto& [id, engine] : engines) {
-      engine.heardAt = now;
+      engine.lastSeenAt = now;
     }
     return orders.step(state, engines, demand, 3, now);
   }
@@ -346,7 +346,7 @@
   std::size_t lost = 0;
   for (auto& [id, engine] : fleet.engines) {
     const bool dies = !fleet.orders.isStandby(fleet.state.instances().at(id)) && lost < 30;
-    engine.heardAt = dies ? fleet.now - base::seconds(5) : fleet.now;
+    engine.lastSeenAt = dies ? fleet.now - base::seconds(5) : fleet.now;
     lost += dies ? 1 : 0;
   }
   (void)fleet.orders.step(fleet.state, fleet.engines, {}, 3, fleet.now);
@@ -517,7 +517,7 @@
   (void)fixture.step();
   OrdersFixture unresponsive(1);
   apply(unresponsive.state, directory::PublishVersion{"m", 5});
-  unresponsive.engines["e0"].heardAt = unresponsive.now - base::seconds(9);
+  unresponsive.engines["e0"].lastSeenAt = unresponsive.now - base::seconds(9);
   cr_assert(
       unresponsive.orders.step(unresponsive.state, unresponsive.engines, {}, 3, unresponsive.now)
           .empty());
@@ -528,7 +528,7 @@
   apply(fixture.state, directory::PublishVersion{"m", 5});
   const auto orders = fixture.step();
   cr_assert_eq(orders.size(), 1U);
-  fixture.orders.onOutcome(orders[0], directory::LoadCommandOutcome::kUncertain, fixture.now);
+  fixture.orders.onOutcome(orders[0], directory::LoadCommandOutcome::kUnknown, fixture.now);
   fixture.now += base::seconds(2);
   cr_assert(fixture.step().empty());
   fixture.now += base::seconds(3);
--- a/test/directory/heartbeat_relay_test.cpp
+++ b/test/directory/heartbeat_relay_test.cpp
@@ -25,14 +25,16 @@
                              directory::RegisterInstance{heartbeat(0, 1).record}}));
   }
   Verdict verdict(const directory::InstanceHeartbeat& heard) {
-    return relay.take(state, heard, heardAt, now);
+    return relay.take(state, heard, lastContactAt, now);
+  }
+  bool take(const directory::InstanceHeartbeat& heard) {
+    return verdict(heard) == Verdict::kAccepted;
   }
-  bool take(const directory::InstanceHeartbeat& heard) { return verdict(heard) == Verdict::kTaken; }
 
   directory::DirectoryState state;
   directory::HeartbeatRelay relay{directory::HeartbeatRelaySettings{}};
   base::TimePoint now{base::seconds(100)};
-  std::optional<base::TimePoint> heardAt = now;
+  std::optional<base::TimePoint> lastContactAt = now;
 };
 
 }  // namespace
@@ -54,7 +56,7 @@
   const auto versionsTold = [&](std::uint64_t sequence, std::uint64_t version, bool known) {
     cr_assert(fixture.take(heartbeat(sequence, version)));
     fixture.now += base::milliseconds(200);
-    fixture.heardAt = fixture.now;
+    fixture.lastContactAt = fixture.now;
     const auto told = fixture.relay.due(fixture.now);
     cr_assert(told.has_value());
     fixture.relay.onTold(known);
@@ -84,7 +86,7 @@
   cr_assert(fixture.verdict(heartbeat(1, 1)) == Verdict::kRefused);
   cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kForward,
             "a leaving waits for a leader");
-  fixture.heardAt.reset();
+  fixture.lastContactAt.reset();
   cr_assert(fixture.verdict(heartbeat(1, 1)) == Verdict::kRefused);
 }
 
--- a/test/directory/step_forecast_test.cpp
+++ b/test/directory/step_forecast_test.cpp
@@ -64,7 +64,7 @@
   cr_assert_eq(needs[0].waiting, 100U);
   cr_assert_not(needs[1].open);
   cr_assert_eq(needs[1].version, 5U);
-  cr_assert_eq(needs[1].places, 100U);
+  cr_assert_eq(needs[1].slots, 100U);
   cr_assert(needs[1].expectedAt == trainer.start + kInterval * 6);
 }
 
--- a/test/directory/view_history_test.cpp
+++ b/test/directory/view_history_test.cpp
@@ -26,11 +26,11 @@
 }
 
 void update(directory::ViewHistory& history, const std::vector<directory::InstanceView>& views) {
-  std::vector<directory::InstanceViewRef> sights;
+  std::vector<directory::InstanceViewRef> instances;
   for (const directory::InstanceView& view : views) {
-    sights.push_back({&view.record, &view.versions, view.unresponsive, view.loading});
+    instances.push_back({&view.record, &view.versions, view.unresponsive, view.loading});
   }
-  history.update(sights, {});
+  history.update(instances, {});
 }
 
 directory::ViewHistory historyOf(const std::vector<directory::InstanceView>& instances) {
@@ -64,11 +64,11 @@
 Test(view_history, only_what_changed_since_is_told) {
   directory::ViewHistory history = historyOf({instance("a", 1), instance("b", 1)});
   const std::uint64_t held = history.revision();
-  cr_assert(history.since(0).whole);
+  cr_assert(history.since(0).isFull);
   cr_assert_eq(history.since(0).instances.size(), 2U);
   update(history, {instance("a", 2), instance("c", 1)});
   const directory::DirectoryView news = history.since(held);
-  cr_assert_not(news.whole);
+  cr_assert_not(news.isFull);
   cr_assert_eq(news.since, held);
   cr_assert_eq(news.instances.size(), 2U);
   cr_assert_eq(news.instances[0].record.id, "a");
@@ -111,13 +111,13 @@
   const std::uint64_t held = history.revision();
   update(history, fleet(kReplaced));
   const directory::DirectoryView news = history.since(held);
-  cr_assert_not(news.whole);
+  cr_assert_not(news.isFull);
   cr_assert_eq(news.removed.size(), static_cast<std::size_t>(kReplaced));
   cr_assert_eq(news.instances.size(), static_cast<std::size_t>(kReplaced));
   update(history, fleet(2 * kReplaced));
   update(history, fleet(4 * kReplaced));
-  cr_assert(history.since(held).whole, "removals are not remembered for ever");
-  cr_assert_not(history.since(history.revision() - 1).whole);
+  cr_assert(history.since(held).isFull, "removals are not remembered for ever");
+  cr_assert_not(history.since(history.revision() - 1).isFull);
 }
 
 // Comparing 10,000 instances of six models took 26 ms when each was copied; now 5 ms.
@@ -144,8 +144,8 @@
   const std::uint64_t former = history.revision();
   history.reset(2 * kFirst);
   update(history, {instance("a", 1)});
-  cr_assert(history.since(former).whole);
-  cr_assert(history.since(history.revision() + 5).whole);
+  cr_assert(history.since(former).isFull);
+  cr_assert(history.since(history.revision() + 5).isFull);
 }
 
 Test(watch_queue, gateways_are_told_together_and_ledgers_at_once) {
@@ -200,7 +200,7 @@
   answer();
   cr_assert_eq(answers.nodes.size(), 2U);
   cr_assert_eq(answers.views[1].configuration->version, 7U);
-  cr_assert_not(answers.views[1].whole);
+  cr_assert_not(answers.views[1].isFull);
 }
 
 Test(watch_queue, gateways_are_told_of_ledgers_that_vote_while_one_is_heard) {
@@ -248,7 +248,7 @@
   const auto answer = [&](const cluster::ServiceCaller& caller, const base::Bytes& payload) {
     directory::DirectoryView& view = held[caller.node.value];
     view = *directory::decodeView(*base::decode<directory::DirectoryReply>(payload));
-    wholeBytes += view.whole ? payload.size() : 0;
+    wholeBytes += view.isFull ? payload.size() : 0;
   };
   // All hold a view of the former leader; the last are ledgers.
   for (std::uint64_t node = 1; node <= kNodes; ++node) {
@@ -261,12 +261,12 @@
   std::size_t whole = 0;
   for (const auto& [node, view] : held) {
     cr_assert_eq(view.configuration->version, 7U);
-    whole += view.whole ? 1 : 0;
-    cr_assert(view.whole || (view.since == kFirst - 1 && view.revision == kFirst - 1));
+    whole += view.isFull ? 1 : 0;
+    cr_assert(view.isFull || (view.since == kFirst - 1 && view.revision == kFirst - 1));
   }
   cr_assert_gt(whole, 0U);
   cr_assert_lt(whole, kNodes);
-  cr_assert(held.at(kNodes).whole, "ledgers come first");
+  cr_assert(held.at(kNodes).isFull, "ledgers come first");
   // The others ask on until they have the whole, and never more than the leader's link bears.
   const base::TimePoint begun = now;
   while (now - begun < base::seconds(60) && whole < kNodes) {
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -53,7 +53,7 @@
   double loaded = 0;  ///< seconds of the load that are done at full pace
 };
 
-/// How long items waited for places, in seconds.
+/// How long items waited for slots, in seconds.
 struct Waits {
   double meanMedian = 0;     ///< of the steps' medians
   double meanLastTenth = 0;  ///< ... and last tenths
@@ -236,7 +236,7 @@
       m_reports[id].versions = m_engines[id].versions;
     }
     for (auto& [id, report] : m_reports) {
-      report.heardAt = m_now;
+      report.lastSeenAt = m_now;
     }
     for (const auto& order : m_orders.step(m_state, m_reports, demand, 3, m_now)) {
       Engine& engine = m_engines[order.instance];
--- a/test/directory/weights_plan_test.cpp
+++ b/test/directory/weights_plan_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr base::Duration kInterval = base::seconds(4);
 
-/// Twelve engines of eight places, two models, and trainers whose step k needs version k - 1.
+/// Twelve engines of eight slots, two models, and trainers whose step k needs version k - 1.
 struct SharedFleet {
   SharedFleet() {
     directory::Configuration configuration;
@@ -56,7 +56,7 @@
   }
   std::vector<directory::LoadCommand> step() {
     for (auto& [id, engine] : engines) {
-      engine.heardAt = now;
+      engine.lastSeenAt = now;
     }
     auto given = orders.step(state, engines, {}, 3, now);
     for (const directory::LoadCommand& order : given) {
@@ -124,7 +124,8 @@
   fleet.submit("m", 7, 48);  // needs version 6, which no engine holds
   fleet.tell();
   (void)fleet.step();
-  cr_assert_eq(fleet.ordered("m").size(), fleet.orders.sight().budget, "at once, and all of them");
+  cr_assert_eq(fleet.ordered("m").size(), fleet.orders.summary().budget,
+               "at once, and all of them");
   cr_assert(fleet.ordered("n").empty());
 }
 
@@ -164,13 +165,13 @@
   fleet.now += base::seconds(1);
   fleet.apply(directory::PublishVersion{"m", 6});
   (void)fleet.step();
-  const auto& sight = fleet.orders.sight();
-  cr_assert_eq(sight.models.at("m").published, 6U);
-  cr_assert_eq(sight.models.at("m").neededVersion, 5U);
-  cr_assert_eq(sight.models.at("m").readySlots, 48U);
-  cr_assert_eq(sight.models.at("m").requiredSlots, 48U);
-  cr_assert(sight.models.at("m").expectedIn == base::seconds(3));
-  cr_assert_eq(sight.budget, 2U);
+  const auto& summary = fleet.orders.summary();
+  cr_assert_eq(summary.models.at("m").published, 6U);
+  cr_assert_eq(summary.models.at("m").neededVersion, 5U);
+  cr_assert_eq(summary.models.at("m").readySlots, 48U);
+  cr_assert_eq(summary.models.at("m").requiredSlots, 48U);
+  cr_assert(summary.models.at("m").expectedIn == base::seconds(3));
+  cr_assert_eq(summary.budget, 2U);
 }
 
 Test(weights_plan, one_model_or_unknown_steps_are_ordered_as_they_were_published) {
@@ -205,7 +206,8 @@
   fleet.orders.reset(fleet.now + base::seconds(1), assignments);
   fleet.tell();
   cr_assert(fleet.step().empty(), "not before the order lease is over");
-  cr_assert_eq(fleet.orders.sight().models.at("m").neededVersion, 6U, "it is planned for already");
+  cr_assert_eq(fleet.orders.summary().models.at("m").neededVersion, 6U,
+               "it is planned for already");
   fleet.now += base::milliseconds(1050);
   fleet.tell();
   (void)fleet.step();
@@ -225,7 +227,7 @@
   fleet.submit("m", 7, 48);
   fleet.tell();
   for (const directory::LoadCommand& order : fleet.step()) {
-    fleet.orders.onOutcome(order, directory::LoadCommandOutcome::kUncertain, fleet.now);
+    fleet.orders.onOutcome(order, directory::LoadCommandOutcome::kUnknown, fleet.now);
   }
   const std::set<std::string> lost = fleet.ordered("m");
   fleet.log.clear();
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -194,7 +194,7 @@
   CapacityWorld world;
   world.answer = [](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
     const bool none = call.subject.kind == kPreemptible && call.subject.zone == "b";
-    return none ? ScaleOutcome::kNoneAvailable : ScaleOutcome::kTaken;
+    return none ? ScaleOutcome::kNoneAvailable : ScaleOutcome::kAccepted;
   };
   world.offer(480, base::milliseconds(10));
   world.run(base::seconds(8));
@@ -307,7 +307,7 @@
   ++world.fence;
   world.run(base::milliseconds(500));
   cr_assert_eq(world.sent.size(), 1U, "two calls about one subject never run at once");
-  world.duty->onOutcome(world.sent[0], ScaleOutcome::kUncertain, world.now);
+  world.duty->onOutcome(world.sent[0], ScaleOutcome::kUnknown, world.now);
   world.run(base::milliseconds(500));
   cr_assert_eq(world.sent.size(), 2U);
   cr_assert_gt(world.sent[1].fence, world.sent[0].fence);
@@ -340,7 +340,7 @@
   ++world.fence;
   world.run(base::milliseconds(3200));
   cr_assert_eq(world.sent.size(), 2U, "the former call counts as ended after its limit");
-  world.duty->onOutcome(former, ScaleOutcome::kTaken, world.now);
+  world.duty->onOutcome(former, ScaleOutcome::kAccepted, world.now);
   world.run(base::seconds(1));
   cr_assert_eq(world.sent.size(), 2U, "the present call has no answer yet");
 }
@@ -351,7 +351,7 @@
   world.run(base::seconds(10));
   const std::uint32_t before = world.platform.total();
   const std::size_t calls = world.sent.size();
-  world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kUncertain; };
+  world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kUnknown; };
   world.platform.withdraw("b", kPreemptible, 30);
   world.platform.withdraw("b", kOnDemand, 4);
   world.run(base::seconds(4));
@@ -370,9 +370,9 @@
   world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
     if (!late) {
       late = call;
-      return ScaleOutcome::kUncertain;
+      return ScaleOutcome::kUnknown;
     }
-    return ScaleOutcome::kTaken;
+    return ScaleOutcome::kAccepted;
   };
   world.platform.withdraw("b", kOnDemand, 6);
   world.run(base::milliseconds(200));
@@ -394,9 +394,9 @@
   world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
     if (!late) {
       late = call;
-      return ScaleOutcome::kUncertain;
+      return ScaleOutcome::kUnknown;
     }
-    return ScaleOutcome::kTaken;
+    return ScaleOutcome::kAccepted;
   };
   world.platform.withdraw("b", kOnDemand, 6);
   world.run(base::milliseconds(200));
@@ -442,7 +442,7 @@
   CapacityWorld world;
   world.run(base::seconds(1));
   world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
-    world.duty->onOutcome(call, ScaleOutcome::kTaken, world.now);
+    world.duty->onOutcome(call, ScaleOutcome::kAccepted, world.now);
     return std::nullopt;  // taken, and nothing starts
   };
   world.platform.withdraw("a", kOnDemand, 6);
@@ -463,12 +463,12 @@
         case 0:
           return ScaleOutcome::kBusy;
         case 1:
-          return ScaleOutcome::kUncertain;  // and it is never carried out
+          return ScaleOutcome::kUnknown;  // and it is never carried out
         case 2:
           return call.subject.kind == kPreemptible ? ScaleOutcome::kNoneAvailable
-                                                   : ScaleOutcome::kTaken;
+                                                   : ScaleOutcome::kAccepted;
         default:
-          return ScaleOutcome::kTaken;
+          return ScaleOutcome::kAccepted;
       }
     };
     for (int round = 0; round < 60; ++round) {
--- a/test/duties/capacity_world.cpp
+++ b/test/duties/capacity_world.cpp
@@ -101,11 +101,11 @@
     return;
   }
   sent.push_back(*work.call);
-  std::optional<duties::ScaleOutcome> outcome = duties::ScaleOutcome::kTaken;
+  std::optional<duties::ScaleOutcome> outcome = duties::ScaleOutcome::kAccepted;
   if (answer) {
     outcome = answer(*work.call);
   }
-  if (outcome == duties::ScaleOutcome::kTaken) {
+  if (outcome == duties::ScaleOutcome::kAccepted) {
     platform.set(*work.call, now);
   }
   if (outcome) {
--- a/test/duties/capacity_world.h
+++ b/test/duties/capacity_world.h
@@ -42,7 +42,7 @@
   const base::Duration m_startTime;
 };
 
-/// One service "e" of 8 places an instance, in zones a, b and c.
+/// One service "e" of 8 slots an instance, in zones a, b and c.
 struct CapacityWorld {
   explicit CapacityWorld(duties::CapacityMode mode = duties::CapacityMode::kExpectedSteps);
 
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -157,7 +157,7 @@
   }
 }
 
-duties::ScaledService EngineLoad::sight() const {
+duties::ScaledService EngineLoad::scaledService() const {
   duties::ScaledService service;
   service.name = std::string("e");
   service.scaling = m_scaling;
@@ -194,13 +194,13 @@
 }
 
 void EngineLoad::decide() {
-  const duties::AutoscalerActions work = m_duty.step(m_state, {{sight()}, true, 1, m_now});
+  const duties::AutoscalerActions work = m_duty.step(m_state, {{scaledService()}, true, 1, m_now});
   for (const auto& command : work.commands) {
     std::visit([this](const auto& typed) { m_state.apply(typed); }, command);
   }
   if (work.call) {
     set(*work.call);
-    m_duty.onOutcome(*work.call, duties::ScaleOutcome::kTaken, m_now);
+    m_duty.onOutcome(*work.call, duties::ScaleOutcome::kAccepted, m_now);
   }
 }
 
--- a/test/duties/engine_load.h
+++ b/test/duties/engine_load.h
@@ -31,7 +31,7 @@
   std::uint32_t stepPercent = 100;  ///< size of the steps
 };
 
-/// 45 engines of 8 places in three zones, of which a fifth may be withdrawn, and four trainers with
+/// 45 engines of 8 slots in three zones, of which a fifth may be withdrawn, and four trainers with
 /// a step each 4 s. Engines follow one model each; a new one follows that with most waiting.
 class EngineLoad {
  public:
@@ -59,7 +59,7 @@
   void set(const duties::ScaleCall& call);
   void decide();
   [[nodiscard]] std::size_t neediestModel() const;
-  [[nodiscard]] duties::ScaledService sight() const;
+  [[nodiscard]] duties::ScaledService scaledService() const;
   void account(base::Duration step);
 
   const LoadScenario m_scenario;
--- a/test/duties/usage_test.cpp
+++ b/test/duties/usage_test.cpp
@@ -163,7 +163,7 @@
   for (int tries = 0; tries < 6; ++tries) {
     const std::size_t before = leader.sent.size();
     const base::TimePoint failedAt = leader.now;
-    leader.answer(tries % 2 == 0 ? duties::UsageReportOutcome::kUncertain
+    leader.answer(tries % 2 == 0 ? duties::UsageReportOutcome::kUnknown
                                  : duties::UsageReportOutcome::kBusy);
     double seconds = base::toSeconds(leader.now.time_since_epoch());
     while (leader.sent.size() == before && seconds < 60) {
@@ -196,7 +196,7 @@
   leader.step(0.1);
   leader.duty->onTold(kFirst, told(9, 0, {{"a", 2}}));
   leader.steps(5, 6);
-  leader.answer(duties::UsageReportOutcome::kTaken);
+  leader.answer(duties::UsageReportOutcome::kAccepted);
   leader.steps(6, 11);
   cr_assert_eq(leader.sent.size(), 2U);
   cr_assert_eq(leader.sent[1].usage.window, 1U);
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -96,7 +96,7 @@
   cr_assert(fixture.chosen({"s", "m", 1}) == (std::set<std::string>{"c", "d"}));
   cr_assert_not_null(fixture.table.find("b"), "an answer may still come");
   jobs::FreeSlots room = fixture.table.freeSlots(models);
-  for (int places = 0; places < 8; ++places) {
+  for (int slots = 0; slots < 8; ++slots) {
     cr_assert(room.take("m", 3));
   }
   cr_assert_not(room.take("m", 1), "a leaves, b is gone");
@@ -107,9 +107,9 @@
 }
 
 Test(instance_table, engines_in_reserve_come_after_the_others) {
-  auto reserve = view("reserve", 5);
-  reserve.reserve = true;
-  Fixture fixture({reserve, view("used")});
+  auto standby = view("reserve", 5);
+  standby.standby = true;
+  Fixture fixture({standby, view("used")});
   const forwarding::InstanceRequirements need{"s", "m", 1};
   cr_assert(fixture.chosen(need) == std::set<std::string>{"used"});
   cr_assert(fixture.chosen({"s", "m", 5}) == std::set<std::string>{"reserve"});
@@ -199,7 +199,7 @@
   fixture.table.onVersion("a", "m", 5);
   fixture.table.onEnded("b", AttemptOutcome::kGone, {}, fixture.now);
   jobs::FreeSlots room = fixture.table.freeSlots(models);
-  for (int places = 0; places < 4; ++places) {
+  for (int slots = 0; slots < 4; ++slots) {
     cr_assert(room.take("m", 5));
   }
   cr_assert_not(room.take("m", 1));
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -19,11 +19,11 @@
 /// A server that runs some requests, lets a few more wait, and refuses the rest.
 struct Server {
   std::vector<base::TimePoint> endsAt;
-  std::size_t places = 0;
+  std::size_t slots = 0;
 
   bool take(base::TimePoint now, base::Duration work) {
     std::erase_if(endsAt, [&](base::TimePoint end) { return end <= now; });
-    if (endsAt.size() >= places) {
+    if (endsAt.size() >= slots) {
       return false;
     }
     endsAt.push_back(now + work);
@@ -44,7 +44,7 @@
       directory::InstanceView view;
       view.record = {id, "s", "10.0.0.1", 1, "z", kSlots, false};
       views.push_back(view);
-      servers[id].places = kSlots + 2;
+      servers[id].slots = kSlots + 2;
     }
     table.update(views);
     route.kind = directory::RouteKind::kAtMostOnce;
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -21,10 +21,10 @@
 
 base::NodeId gateway(std::uint32_t number) { return base::makeNodeId(number, 1); }
 
-std::vector<jobs::ActiveGateway> gateways(std::uint32_t count, std::uint32_t places = 24) {
+std::vector<jobs::ActiveGateway> gateways(std::uint32_t count, std::uint32_t slots = 24) {
   std::vector<jobs::ActiveGateway> made;
   for (std::uint32_t i = 1; i <= count; ++i) {
-    made.push_back({gateway(i), places});
+    made.push_back({gateway(i), slots});
   }
   return made;
 }
@@ -282,7 +282,7 @@
 Test(engine_affinity, able_gateways_are_preferred_by_more_engines) {
   jobs::EngineAffinity affinity;
   std::vector<jobs::ActiveGateway> uneven = gateways(4, 12);
-  uneven[0].places = 48;
+  uneven[0].slots = 48;
   affinity.setGateways("a", uneven);
   std::map<std::string, std::uint32_t> items;
   for (int i = 0; i < 400; ++i) {
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -213,17 +213,17 @@
   Fixture fixture;
   fixture.placement.changeEngines({engine("unseen")}, {});
   fixture.placement.setLoads({{"slow", 3}}, fixture.now);
-  const auto sights = fixture.placement.sight(fixture.now + base::milliseconds(200));
-  cr_assert_eq(sights.size(), 4U);
-  const jobs::EngineSummary& slow = sights[2];
+  const auto summaries = fixture.placement.summaries(fixture.now + base::milliseconds(200));
+  cr_assert_eq(summaries.size(), 4U);
+  const jobs::EngineSummary& slow = summaries[2];
   cr_assert_eq(slow.id, "slow");
   cr_assert_eq(slow.zone, "z");
   cr_assert_float_eq(slow.eventIntervalMs, 90, 0.1);
   cr_assert_eq(slow.items, 3U);
   cr_assert(slow.sampleAge == base::milliseconds(200));
-  cr_assert_eq(sights[3].id, "unseen");
-  cr_assert_not(sights[3].sampleAge.has_value());
-  cr_assert_float_eq(sights[3].eventIntervalMs, 41, 0.1, "typical");
+  cr_assert_eq(summaries[3].id, "unseen");
+  cr_assert_not(summaries[3].sampleAge.has_value());
+  cr_assert_float_eq(summaries[3].eventIntervalMs, 41, 0.1, "typical");
   cr_assert_float_eq(fixture.placement.eventIntervalOf("slow"), 90, 0.1);
   cr_assert_eq(fixture.placement.eventIntervalOf("gone"), 0.0);
 }
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -1,4 +1,4 @@
-/// How many places a gateway takes, and whether it is slow.
+/// How many slots a gateway takes, and whether it is slow.
 #include "jobs/gateway_capacity.h"
 
 #include <criterion/criterion.h>
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -32,7 +32,7 @@
   return active;
 }
 
-/// One zone with places for three gateways, and one to spare.
+/// One zone with slots for three gateways, and one to spare.
 jobs::GatewaySelector makeFourGateways() {
   jobs::GatewaySelectorSettings settings;
   settings.slotsPerGateway = 10;
@@ -85,7 +85,7 @@
   return capacity;
 }
 
-/// Places for the engines of one zone of a real size.
+/// Slots for the engines of one zone of a real size.
 jobs::GatewaySelector makeMixedZone() {
   jobs::GatewaySelector gatewaySelector;
   gatewaySelector.setSlots({{"a", 88}});
@@ -160,11 +160,11 @@
   slow = true;
   callFor(gatewaySelector, 10, base::milliseconds(1500), now, size);
   cr_assert(active(gatewaySelector, 10, now) == numbers({1, 3, 4, 5, 6, 7}));
-  for (const jobs::GatewaySummary& sight : gatewaySelector.sight()) {
-    const bool second = sight.gateway == gateway(2);
-    cr_assert_eq(sight.slowSince.has_value(), second);
-    cr_assert_eq(sight.places, second ? 6U : 24U);
-    cr_assert_eq(sight.zone, "a");
+  for (const jobs::GatewaySummary& summary : gatewaySelector.summaries()) {
+    const bool second = summary.gateway == gateway(2);
+    cr_assert_eq(summary.slowSince.has_value(), second);
+    cr_assert_eq(summary.slots, second ? 6U : 24U);
+    cr_assert_eq(summary.zone, "a");
   }
   slow = false;
   callFor(gatewaySelector, 10, base::seconds(4), now, size);
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -211,11 +211,11 @@
   cr_assert_eq(leased.size(), 2U);
   cr_assert_eq(leased[0].tenant, "b");
   cr_assert_eq(leased[1].tenant, "b");
-  const jobs::WorkSummary sight = *ledger.role->workSummary(ledger.now);
-  cr_assert_eq(sight.jobs.size(), 2U);
-  cr_assert_eq(sight.jobs[0].tenant, "a");
-  cr_assert_eq(sight.jobs[0].priority, 2U);
-  cr_assert_eq(sight.jobs[1].running, 2U);
+  const jobs::WorkSummary summary = *ledger.role->workSummary(ledger.now);
+  cr_assert_eq(summary.jobs.size(), 2U);
+  cr_assert_eq(summary.jobs[0].tenant, "a");
+  cr_assert_eq(summary.jobs[0].priority, 2U);
+  cr_assert_eq(summary.jobs[1].running, 2U);
 }
 
 Test(job_role, lengths_and_paces_are_learnt_and_tell_the_slack) {
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -33,10 +33,10 @@
   return {item, jobs::ItemState::kCompleted, base::CompressedText(text), {1}};
 }
 
-/// Places at engines that hold version 1.
-jobs::FreeSlots room(const std::map<std::string, std::uint32_t>& places) {
+/// Slots at engines that hold version 1.
+jobs::FreeSlots room(const std::map<std::string, std::uint32_t>& slots) {
   jobs::FreeSlots made;
-  for (const auto& [model, count] : places) {
+  for (const auto& [model, count] : slots) {
     made.add(model, 1, count);
   }
   return made;
@@ -264,11 +264,11 @@
   cr_assert_eq(leases.lease(kGateway, room({{"", 200}}), state, now).size(), 20U);
   cr_assert(leases.lease(kGateway, room({{"", 200}}), state, now).empty());
   cr_assert_eq(leases.lease(kOther, room({{"", 200}}), state, now).size(), 96U);
-  for (const jobs::GatewaySummary& sight : leases.gateways()) {
-    if (sight.gateway == kGateway) {
-      cr_assert_eq(sight.held, 20U);
-      cr_assert_eq(sight.places, 10U);
-      cr_assert_not(sight.active);
+  for (const jobs::GatewaySummary& summary : leases.gateways()) {
+    if (summary.gateway == kGateway) {
+      cr_assert_eq(summary.held, 20U);
+      cr_assert_eq(summary.slots, 10U);
+      cr_assert_not(summary.active);
     }
   }
 }
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -247,13 +247,13 @@
   ledger.draft("early-name", "b", "n", {50, 40}).priority = 2;
   ledger.submit();
   (void)ledger.lease();
-  const jobs::WorkSummary sight = ledger.leases.sight(ledger.state, ledger.now);
-  cr_assert_eq(sight.jobs.size(), 2U);
-  cr_assert_eq(sight.jobs[0].job, "late-name", "in the order of submission");
-  cr_assert_eq(sight.jobs[0].priority, 7U);
-  cr_assert_eq(sight.jobs[1].priority, 2U);
-  cr_assert_eq(sight.jobs[1].running, 2U);
-  cr_assert_eq(sight.jobs[0].waiting, 1U);
-  cr_assert_lt(sight.jobs[0].slack, base::milliseconds(7500));
-  cr_assert_float_eq(sight.tenants.at("b").share, 2.0 / 3, 0.01);
+  const jobs::WorkSummary summary = ledger.leases.summary(ledger.state, ledger.now);
+  cr_assert_eq(summary.jobs.size(), 2U);
+  cr_assert_eq(summary.jobs[0].job, "late-name", "in the order of submission");
+  cr_assert_eq(summary.jobs[0].priority, 7U);
+  cr_assert_eq(summary.jobs[1].priority, 2U);
+  cr_assert_eq(summary.jobs[1].running, 2U);
+  cr_assert_eq(summary.jobs[0].waiting, 1U);
+  cr_assert_lt(summary.jobs[0].slack, base::milliseconds(7500));
+  cr_assert_float_eq(summary.tenants.at("b").share, 2.0 / 3, 0.01);
 }
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -23,8 +23,8 @@
   return {id, "a", eventIntervalMs, 100, {}, 0};
 }
 
-jobs::GatewaySummary gateway(std::uint32_t number, std::uint32_t places, bool slow) {
-  jobs::GatewaySummary made{base::makeNodeId(number, 1), "a", places, 0, true, {}};
+jobs::GatewaySummary gateway(std::uint32_t number, std::uint32_t slots, bool slow) {
+  jobs::GatewaySummary made{base::makeNodeId(number, 1), "a", slots, 0, true, {}};
   if (slow) {
     made.slowSince = kNow - base::seconds(2);
   }
@@ -80,11 +80,11 @@
   jobs::EnginePlacement placement;
   jobs::PlacementEngine older{"older", 4, {{"m", 1}}};
   jobs::PlacementEngine newer{"newer", 8, {{"m", 2}}};
-  jobs::PlacementEngine reserve{"reserve", 2, {{"m", 2}}};
-  reserve.reserve = true;
+  jobs::PlacementEngine standby{"reserve", 2, {{"m", 2}}};
+  standby.standby = true;
   jobs::PlacementEngine loading{"loading", 16, {{"m", 3}}};
   loading.acceptsItems = false;
-  placement.setEngines({older, newer, reserve, loading});
+  placement.setEngines({older, newer, standby, loading});
   cr_assert_eq(placement.readySlots("m", 1), 14U);
   cr_assert_eq(placement.readySlots("m", 2), 10U);
   cr_assert_eq(placement.readySlots("m", 3), 0U);
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -337,11 +337,11 @@
   cr_assert(Json::parse(call.body) == Json({{"service", "e"}, {"zone", "z"}, {"desiredCount", 6}}));
   const duties::ScaleCall preemptible{{"e", "z", duties::InstanceKind::kPreemptible}, 2, 12};
   cr_assert(Json::parse(apiAdapter.scaleRequest(preemptible, "core-1").body).at("spot") == true);
-  cr_assert(apiAdapter.scaleOutcome(onDemand, 200) == duties::ScaleOutcome::kTaken);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 200) == duties::ScaleOutcome::kAccepted);
   cr_assert(apiAdapter.scaleOutcome(onDemand, 409) == duties::ScaleOutcome::kRefused);
   cr_assert(apiAdapter.scaleOutcome(preemptible, 409) == duties::ScaleOutcome::kNoneAvailable);
   cr_assert(apiAdapter.scaleOutcome(onDemand, 429) == duties::ScaleOutcome::kBusy);
-  cr_assert(apiAdapter.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUncertain);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUnknown);
 }
 
 Test(platform_dialect, usage_report) {
@@ -355,10 +355,10 @@
   const http::UpstreamRequest idle = apiAdapter.usageRequest({{8, {}}, 12}, "core-1");
   cr_assert_eq(Json::parse(idle.body), Json::parse(R"({"windowNumber":8,"counts":{}})"));
   using tackpick::duties::UsageReportOutcome;
-  cr_assert(apiAdapter.usageReportOutcome(200) == UsageReportOutcome::kTaken);
+  cr_assert(apiAdapter.usageReportOutcome(200) == UsageReportOutcome::kAccepted);
   cr_assert(apiAdapter.usageReportOutcome(409) == UsageReportOutcome::kRefused);
   cr_assert(apiAdapter.usageReportOutcome(429) == UsageReportOutcome::kBusy);
-  cr_assert(apiAdapter.usageReportOutcome(503) == UsageReportOutcome::kUncertain);
+  cr_assert(apiAdapter.usageReportOutcome(503) == UsageReportOutcome::kUnknown);
 }
 
 namespace {
