--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -80,15 +80,16 @@
       "slots", "sequences decoded together",
       cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.slots)))(
       "waiting-limit", "requests an engine queues",
-      cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.waitingLimit)))(
+      cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.maxQueuedRequests)))(
       "step-us", "base time of a decode step",
-      cxxopts::value<std::int64_t>()->default_value(std::to_string(defaults.stepBase.count())))(
+      cxxopts::value<std::int64_t>()->default_value(
+          std::to_string(defaults.stepBaseDuration.count())))(
       "step-per-sequence-us", "time each sequence adds to a step",
       cxxopts::value<std::int64_t>()->default_value(
-          std::to_string(defaults.stepPerSequence.count())))(
+          std::to_string(defaults.stepDurationPerSequence.count())))(
       "prefill-us", "time each uncached prompt token adds to a step",
       cxxopts::value<std::int64_t>()->default_value(
-          std::to_string(defaults.prefillPerToken.count())))(
+          std::to_string(defaults.prefillDurationPerToken.count())))(
       "tokens-per-chunk", "tokens sent together",
       cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.tokensPerChunk)))(
       "swap-failure", "share of weight swaps that fail partway",
@@ -115,12 +116,13 @@
   options.seed = parsed["seed"].as<std::uint64_t>();
   options.storeRate = parsed["store-rate"].as<std::uint64_t>();
   options.model.slots = parsed["slots"].as<std::uint32_t>();
-  options.model.waitingLimit = parsed["waiting-limit"].as<std::uint32_t>();
-  options.model.stepBase = base::Duration(parsed["step-us"].as<std::int64_t>());
-  options.model.stepPerSequence = base::Duration(parsed["step-per-sequence-us"].as<std::int64_t>());
-  options.model.prefillPerToken = base::Duration(parsed["prefill-us"].as<std::int64_t>());
+  options.model.maxQueuedRequests = parsed["waiting-limit"].as<std::uint32_t>();
+  options.model.stepBaseDuration = base::Duration(parsed["step-us"].as<std::int64_t>());
+  options.model.stepDurationPerSequence =
+      base::Duration(parsed["step-per-sequence-us"].as<std::int64_t>());
+  options.model.prefillDurationPerToken = base::Duration(parsed["prefill-us"].as<std::int64_t>());
   options.model.tokensPerChunk = parsed["tokens-per-chunk"].as<std::uint32_t>();
-  options.model.swapFailure = parsed["swap-failure"].as<double>();
+  options.model.swapFailureRate = parsed["swap-failure"].as<double>();
   return options;
 }
 
--- a/apps/load/options.h
+++ b/apps/load/options.h
@@ -27,7 +27,7 @@
   double tailIndex = 1.35;
   double maxTokens = 700.0;
   std::uint64_t stalenessBound = 0;  ///< as declared in the settings tree
-  std::uint32_t batchesAhead = 1;    ///< submitted before they are needed
+  std::uint32_t batchLookahead = 1;  ///< submitted before they are needed
   base::Duration trainingTime = base::seconds(2);
 };
 
--- a/apps/load/trainers.cpp
+++ b/apps/load/trainers.cpp
@@ -62,7 +62,7 @@
 }
 
 void Trainer::submitAhead() {
-  while (batches_.size() <= workload_.batchesAhead && clock_.now() < end_) {
+  while (batches_.size() <= workload_.batchLookahead && clock_.now() < end_) {
     batches_.push_back(std::make_shared<Batch>(makeBatch()));
     report_.samplesExpected += workload_.samples;
     submit(batches_.back());
@@ -211,7 +211,7 @@
 }
 
 void Trainer::call(const std::string& method, const std::string& path, const std::string& body,
-                   OnAnswer onAnswer) {
+                   OnAnswer onResponse) {
   http::ClientRequest request;
   request.method = method;
   request.url = options_.gateways[gateway_ % options_.gateways.size()] + path;
@@ -219,23 +219,24 @@
   request.headers["Content-Type"] = "application/json";
   request.body = body;
   request.timeout = base::seconds(15);
-  client_.start(
-      request, nullptr,
-      [this, method, path, body, onAnswer = std::move(onAnswer)](const http::ClientResult& result) {
-        constexpr int kConflict = 409;
-        // Another trainer may have published a higher version of the shared model.
-        const bool overtaken = result.status == kConflict && path == "/v1/weights";
-        const bool answered =
-            result.complete && (result.status == kOk || result.status == kAccepted ||
-                                result.status == kGone || overtaken);
-        if (answered) {
-          onAnswer(result);
-          return;
-        }
-        ++gateway_;
-        after(kRetryPause,
-              [this, method, path, body, onAnswer] { call(method, path, body, onAnswer); });
-      });
+  client_.start(request, nullptr,
+                [this, method, path, body,
+                 onResponse = std::move(onResponse)](const http::ClientResult& result) {
+                  constexpr int kConflict = 409;
+                  // Another trainer may have published a higher version of the shared model.
+                  const bool overtaken = result.status == kConflict && path == "/v1/weights";
+                  const bool answered =
+                      result.complete && (result.status == kOk || result.status == kAccepted ||
+                                          result.status == kGone || overtaken);
+                  if (answered) {
+                    onResponse(result);
+                    return;
+                  }
+                  ++gateway_;
+                  after(kRetryPause, [this, method, path, body, onResponse] {
+                    call(method, path, body, onResponse);
+                  });
+                });
 }
 
 }  // namespace tackpick::load
--- a/apps/load/trainers.h
+++ b/apps/load/trainers.h
@@ -67,7 +67,7 @@
   void after(base::Duration pause, std::function<void()> then);
   /// Repeats until a gateway gives an answer that `accepts` takes.
   void call(const std::string& method, const std::string& path, const std::string& body,
-            OnAnswer onAnswer);
+            OnAnswer onResponse);
 
   asio::io_context& context_;
   http::Client& client_;
--- a/apps/sim/main.cpp
+++ b/apps/sim/main.cpp
@@ -96,7 +96,7 @@
        << std::dec << "\",\"simulated_seconds\":" << tackpick::base::toSeconds(result.simulated)
        << ",\"violations\":" << result.violations.size()
        << ",\"requests_sent\":" << figures.requestsSent
-       << ",\"requests_answered\":" << figures.requestsAnswered
+       << ",\"requests_answered\":" << figures.requestsCompleted
        << ",\"requests_not_run\":" << figures.requestsNotRun
        << ",\"requests_unclear\":" << figures.requestsIndeterminate
        << ",\"connections_lost\":" << figures.connectionsLost
--- a/apps/tackpickctl/capacity_commands.cpp
+++ b/apps/tackpickctl/capacity_commands.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 int capacity(const Invocation& invocation) {
-  const ControlAnswer answer = callControl(invocation.address, "GET", "/v1/capacity", "");
+  const ControlAnswer answer = callControllers(invocation.address, "GET", "/v1/capacity", "");
   if (answer.status != kOk || !answer.body.contains("pools")) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
--- a/apps/tackpickctl/commands.cpp
+++ b/apps/tackpickctl/commands.cpp
@@ -21,7 +21,7 @@
 
 /// Reads the whole state; nothing, with a message, when no controller answered.
 std::optional<Json> readState(const Invocation& invocation) {
-  const ControlAnswer answer = callControl(invocation.address, "GET", "/v1/control/state", "");
+  const ControlAnswer answer = callControllers(invocation.address, "GET", "/v1/control/state", "");
   if (answer.status != kOk) {
     std::cerr << "no leading controller answered\n";
     return std::nullopt;
@@ -67,7 +67,7 @@
 }
 
 int post(const Invocation& invocation, const std::string& path, const Json& body) {
-  return printAnswer(invocation, callControl(invocation.address, "POST", path, body.dump()));
+  return printAnswer(invocation, callControllers(invocation.address, "POST", path, body.dump()));
 }
 
 using Nodes = std::map<std::string, Json>;
@@ -155,7 +155,7 @@
     node.path = item["path"].get<std::string>();
     node.revision = {item["revision"].get<std::uint64_t>()};
     for (const auto& [name, value] : item["values"].items()) {
-      const auto key = control::settingKeyNamed(name);
+      const auto key = control::findSettingKey(name);
       const auto typed = runtime::settingValue(value);
       if (key && typed) {
         node.values[*key] = *typed;
@@ -230,7 +230,7 @@
   for (std::size_t i = 1; i < invocation.arguments.size(); ++i) {
     const std::string& argument = invocation.arguments[i];
     const std::size_t equals = argument.find('=');
-    const auto key = control::settingKeyNamed(argument.substr(0, equals));
+    const auto key = control::findSettingKey(argument.substr(0, equals));
     if (!key || equals == std::string::npos) {
       std::cerr << argument << ": expected KEY=VALUE with a known key\n";
       return kUsage;
@@ -296,7 +296,7 @@
 int history(const Invocation& invocation) {
   const std::string after = invocation.arguments.empty() ? "0" : invocation.arguments[0];
   const ControlAnswer answer =
-      callControl(invocation.address, "GET", "/v1/control/history?after=" + after, "");
+      callControllers(invocation.address, "GET", "/v1/control/history?after=" + after, "");
   if (answer.status != kOk) {
     return printAnswer(invocation, answer);
   }
--- a/apps/tackpickctl/control_client.cpp
+++ b/apps/tackpickctl/control_client.cpp
@@ -36,8 +36,8 @@
   return answer;
 }
 
-ControlAnswer callControl(const ControlAddress& address, const std::string& method,
-                          const std::string& path, const std::string& body) {
+ControlAnswer callControllers(const ControlAddress& address, const std::string& method,
+                              const std::string& path, const std::string& body) {
   ControlAnswer last;
   for (int round = 0; round < kRounds; ++round) {
     for (const std::string& url : address.urls) {
--- a/apps/tackpickctl/control_client.h
+++ b/apps/tackpickctl/control_client.h
@@ -23,8 +23,9 @@
 
 /// Tries the controllers in turn until one that leads answers; waits out an election. Sends a
 /// change again only under its request id.
-[[nodiscard]] ControlAnswer callControl(const ControlAddress& address, const std::string& method,
-                                        const std::string& path, const std::string& body);
+[[nodiscard]] ControlAnswer callControllers(const ControlAddress& address,
+                                            const std::string& method, const std::string& path,
+                                            const std::string& body);
 
 /// Asks one controller, whether it leads or not.
 [[nodiscard]] ControlAnswer callOne(const std::string& url, const std::string& token,
--- a/apps/tackpickctl/quarantine_commands.cpp
+++ b/apps/tackpickctl/quarantine_commands.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 int quarantine(const Invocation& invocation) {
-  const ControlAnswer answer = callControl(invocation.address, "GET", kPath, "");
+  const ControlAnswer answer = callControllers(invocation.address, "GET", kPath, "");
   if (answer.status != kOk || !answer.body.contains("held")) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
@@ -45,7 +45,7 @@
     return kUsage;
   }
   const std::string path = std::string(kPath) + "/" + invocation.arguments.front();
-  const ControlAnswer answer = callControl(invocation.address, "DELETE", path, "");
+  const ControlAnswer answer = callControllers(invocation.address, "DELETE", path, "");
   if (answer.status == 0) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -87,7 +87,7 @@
     }
     (void)leases.renew(gateway, own, state, now);
     leases.giveBack(gateway, own, state);
-    leases.onAsked(gateway, "zone" + std::to_string(index % kZones), true, now);
+    leases.onLeaseRequest(gateway, "zone" + std::to_string(index % kZones), true, now);
     for (const jobs::GrantedItem& granted : leases.lease(gateway, room, state, now)) {
       own.push_back({granted.key, granted.engine});
     }
@@ -118,7 +118,7 @@
   leases.setEngines(makeEngines(engines, 1));
   const jobs::FreeSlots room = roomFor(kSlotsPerGateway / kModels);
   for (std::uint32_t number = 1; number <= gateways; ++number) {
-    leases.onAsked(base::makeNodeId(number, 1), "zone0", true, now);
+    leases.onLeaseRequest(base::makeNodeId(number, 1), "zone0", true, now);
     (void)leases.lease(base::makeNodeId(number, 1), room, state, now);
   }
   PlanCost cost;
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -36,7 +36,7 @@
   options.load.trainers = 2;
   options.load.samplesPerBatch = 512;
   options.load.maxSampleTokens = 900;
-  options.load.batchesAhead = 2;
+  options.load.batchLookahead = 2;
   options.load.stalenessBound = 6;
   options.load.trainingTime = base::milliseconds(4000);
 }
@@ -45,12 +45,12 @@
   options.engines = 14;
   options.load.requestsPerSecond = 26;
   options.load.notRepeatableShare = 0.45;
-  options.load.resendShare = 0;
+  options.load.resendFraction = 0;
   options.load.maxResponseTokens = 120;
   options.load.trainers = 1;
   options.load.samplesPerBatch = 1024;
   options.load.maxSampleTokens = 900;
-  options.load.batchesAhead = 1;
+  options.load.batchLookahead = 1;
   options.load.stalenessBound = 2;
   options.load.trainingTime = base::milliseconds(3500);
 }
--- a/src/checking/answer_check.cpp
+++ b/src/checking/answer_check.cpp
@@ -12,7 +12,7 @@
 
 bool hasCorrectVersions(const ReceivedAnswer& answer, const std::string& prompt,
                         std::uint64_t seed) {
-  if (!ledger::spansCover(answer.spans, answer.tokens.size())) {
+  if (!ledger::spansCoverTokens(answer.spans, answer.tokens.size())) {
     return false;
   }
   const std::uint64_t hash = engine::promptHash(prompt);
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -67,7 +67,7 @@
     request.ledgerMembership = ledger_membership_();
   }
   if (work_) {
-    request.recentWork = work_();
+    request.recentDemand = work_();
   }
   if (m_openJobs) {
     request.openJobs = m_openJobs();
--- a/src/cluster/group_repair.cpp
+++ b/src/cluster/group_repair.cpp
@@ -25,7 +25,7 @@
   const GroupNode* known = findNode(nodes, member);
   return std::any_of(nodes.begin(), nodes.end(), [&](const GroupNode& other) {
     const bool sameAddress = base::nodeNumber(other.node) == base::nodeNumber(member);
-    return sameAddress && other.node != member && other.silence < settings.silenceLimit &&
+    return sameAddress && other.node != member && other.silence < settings.heartbeatTimeout &&
            (known == nullptr || other.silence < known->silence);
   });
 }
@@ -33,7 +33,7 @@
 bool isSound(base::NodeId member, const std::vector<GroupNode>& nodes,
              const GroupRepairSettings& settings) {
   const GroupNode* known = findNode(nodes, member);
-  return known != nullptr && !known->retiring && known->silence < settings.silenceLimit;
+  return known != nullptr && !known->retiring && known->silence < settings.heartbeatTimeout;
 }
 
 std::optional<base::NodeId> bestCandidate(const std::set<base::NodeId>& members,
@@ -42,7 +42,7 @@
   const GroupNode* best = nullptr;
   for (const GroupNode& node : nodes) {
     const bool usable =
-        !members.contains(node.node) && !node.retiring && node.silence < settings.silenceLimit;
+        !members.contains(node.node) && !node.retiring && node.silence < settings.heartbeatTimeout;
     if (usable && (best == nullptr || node.silence < best->silence)) {
       best = &node;
     }
@@ -53,7 +53,7 @@
 bool isHeard(base::NodeId member, const std::vector<GroupNode>& nodes,
              const GroupRepairSettings& settings) {
   const GroupNode* known = findNode(nodes, member);
-  return known != nullptr && known->silence < settings.silenceLimit;
+  return known != nullptr && known->silence < settings.heartbeatTimeout;
 }
 
 /// An unresponsive voter that only raises the quorum.
@@ -93,8 +93,8 @@
           settings.targetSize};
 }
 
-bool canGrow(const Membership& membership, const std::vector<GroupNode>& nodes,
-             const GroupRepairSettings& settings) {
+bool canAddMember(const Membership& membership, const std::vector<GroupNode>& nodes,
+                  const GroupRepairSettings& settings) {
   return countSoundMembers(membership, nodes, settings) < settings.targetSize &&
          bestCandidate(allMembers(membership), nodes, settings).has_value();
 }
@@ -112,7 +112,7 @@
   if (const auto useless = uselessVoter(self, membership, nodes, settings)) {
     return MembershipChange{*useless, true};
   }
-  if (canGrow(membership, nodes, settings)) {
+  if (canAddMember(membership, nodes, settings)) {
     return MembershipChange{*bestCandidate(members, nodes, settings), false};
   }
   const auto sound = [&](base::NodeId member) { return isSound(member, nodes, settings); };
--- a/src/cluster/group_repair.h
+++ b/src/cluster/group_repair.h
@@ -24,7 +24,7 @@
 struct GroupRepairSettings {
   std::size_t targetSize = 3;  ///< voters wanted
   /// A member unresponsive for longer is replaced when another node can take its place.
-  base::Duration silenceLimit = base::milliseconds(2500);
+  base::Duration heartbeatTimeout = base::milliseconds(2500);
 };
 
 /// How much of a group stands against what it must bear.
@@ -65,8 +65,8 @@
     const GroupRepairSettings& settings);
 
 /// True when a node that is heard could still join, and is wanted.
-[[nodiscard]] bool canGrow(const consensus::Membership& membership,
-                           const std::vector<GroupNode>& nodes,
-                           const GroupRepairSettings& settings);
+[[nodiscard]] bool canAddMember(const consensus::Membership& membership,
+                                const std::vector<GroupNode>& nodes,
+                                const GroupRepairSettings& settings);
 
 }  // namespace tackpick::cluster
--- a/src/config/cluster_settings.cpp
+++ b/src/config/cluster_settings.cpp
@@ -91,8 +91,8 @@
       reader.number("duty_calls_per_s", settings.dutyCallsPerSecond, kMinCalls, kMaxCalls);
   settings.capacity = readCapacityMode(reader, settings);
   settings.usageWindow = readDuration(reader, "usage_window_s", base::seconds(1), {});
-  settings.usageDelay =
-      readDuration(reader, "usage_delay_s", base::seconds(1), settings.usageDelay);
+  settings.usageReportDelay =
+      readDuration(reader, "usage_delay_s", base::seconds(1), settings.usageReportDelay);
   if (settings.usageWindow > base::Duration{0} && settings.dutyPlatform.host.empty()) {
     reader.problem("usage_window_s", "reports of usage need a duty_platform");
   }
@@ -176,9 +176,9 @@
       readDuration(reader, "order_lease_ms", base::milliseconds(1), settings.commandLease);
   settings.instanceHeartbeat = readDuration(reader, "instance_heartbeat_ms", base::milliseconds(1),
                                             settings.instanceHeartbeat);
-  settings.configurationLag = readDuration(reader, "configuration_lag_ms", base::milliseconds(1),
-                                           settings.configurationLag);
-  settings.enginesCheckFences = reader.flag("engines_check_fences", false);
+  settings.maxConfigurationLag = readDuration(reader, "configuration_lag_ms", base::milliseconds(1),
+                                              settings.maxConfigurationLag);
+  settings.enginesEnforceFences = reader.flag("engines_check_fences", false);
   readDutySettings(reader, settings);
   settings.concurrentLoads = static_cast<std::uint32_t>(
       reader.integer("concurrent_weight_loads", settings.concurrentLoads, 1, kMaxMachines));
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -36,17 +36,18 @@
   base::Duration commandLease = base::milliseconds(3000);       ///< between orders of two leaders
   base::Duration instanceHeartbeat = base::milliseconds(1200);  ///< between two of an instance
   /// An accepted change of the configuration must be in force at every gateway after this time.
-  base::Duration configurationLag = base::milliseconds(2000);
-  bool enginesCheckFences = false;  ///< engines refuse orders with a lower fence than they saw
+  base::Duration maxConfigurationLag = base::milliseconds(2000);
+  bool enginesEnforceFences = false;  ///< engines refuse orders with a lower fence than they saw
   /// The platform's service for calls that one machine at a time may make; may be left out.
   transport::Endpoint dutyPlatform;
   double dutyCallsPerSecond = 10;  ///< most calls that the platform takes there
   /// Calls to it set the numbers of instances where a service has bounds on them.
   duties::CapacityMode capacity = duties::CapacityMode::kHold;
-  base::Duration usageWindow{0};                  ///< of usage reports; zero: none are wanted
-  base::Duration usageDelay = base::seconds(10);  ///< a report is due so long after its window
-  std::uint32_t concurrentLoads = 2;              ///< engines that change weights at once
-  ProcessLimits limits;                           ///< of the process's machine
+  base::Duration usageWindow{0};  ///< of usage reports; zero: none are wanted
+  base::Duration usageReportDelay =
+      base::seconds(10);              ///< a report is due so long after its window
+  std::uint32_t concurrentLoads = 2;  ///< engines that change weights at once
+  ProcessLimits limits;               ///< of the process's machine
 };
 
 /// True when the file's `formation` is `self`.
--- a/src/config/declarations.cpp
+++ b/src/config/declarations.cpp
@@ -74,7 +74,7 @@
 
   static void readSetting(const YAML::Node& name, const YAML::Node& value, const std::string& where,
                           DeclaredNode& node, Problems& problems) {
-    const auto key = control::settingKeyNamed(name.as<std::string>(""));
+    const auto key = control::findSettingKey(name.as<std::string>(""));
     if (!key) {
       problems.add(name, where + "." + name.as<std::string>(""), "no such setting");
       return;
@@ -112,7 +112,7 @@
       value = number;
     }
   }
-  if (const auto problem = control::checkSetting(key, value)) {
+  if (const auto problem = control::validateSetting(key, value)) {
     return base::fail(base::ErrorCode::kInvalidInput, *problem);
   }
   return value;
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -108,7 +108,7 @@
     return change.path + ": only a node without children can be removed";
   }
   for (const auto& [key, value] : change.set) {
-    if (const auto problem = checkSetting(key, value)) {
+    if (const auto problem = validateSetting(key, value)) {
       return change.path + ": " + *problem;
     }
   }
--- a/src/control/settings.cpp
+++ b/src/control/settings.cpp
@@ -47,7 +47,7 @@
   return settingSpecs().at(static_cast<std::size_t>(key));
 }
 
-std::optional<SettingKey> settingKeyNamed(std::string_view name) {
+std::optional<SettingKey> findSettingKey(std::string_view name) {
   for (const SettingSpec& specification : settingSpecs()) {
     if (specification.name == name) {
       return specification.key;
@@ -56,7 +56,7 @@
   return std::nullopt;
 }
 
-std::optional<std::string> checkSetting(SettingKey key, const SettingValue& value) {
+std::optional<std::string> validateSetting(SettingKey key, const SettingValue& value) {
   if (static_cast<std::size_t>(key) >= settingSpecs().size()) {
     return "unknown setting";
   }
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -39,10 +39,10 @@
 /// All settings, in the order of SettingKey.
 [[nodiscard]] const std::vector<SettingSpec>& settingSpecs();
 [[nodiscard]] const SettingSpec& settingSpec(SettingKey key);
-[[nodiscard]] std::optional<SettingKey> settingKeyNamed(std::string_view name);
+[[nodiscard]] std::optional<SettingKey> findSettingKey(std::string_view name);
 
 /// What is wrong with `value` for `key`, in one sentence; nothing when it is valid.
-[[nodiscard]] std::optional<std::string> checkSetting(SettingKey key, const SettingValue& value);
+[[nodiscard]] std::optional<std::string> validateSetting(SettingKey key, const SettingValue& value);
 [[nodiscard]] std::string toString(const SettingValue& value);
 
 }  // namespace tackpick::control
--- a/src/directory/command_lease.cpp
+++ b/src/directory/command_lease.cpp
@@ -33,7 +33,7 @@
     return {};
   }
   // How much older than this process the orders are is not known.
-  if (isOlderThanProcess(*m_newest) && m_settings.enginesCheckFences) {
+  if (isOlderThanProcess(*m_newest) && m_settings.enginesEnforceFences) {
     return {};
   }
   return latestCommandTime(*m_newest) + m_settings.duration;
--- a/src/directory/command_lease.h
+++ b/src/directory/command_lease.h
@@ -19,7 +19,7 @@
   base::Duration transit = base::milliseconds(700);
   /// Engines refuse orders with a lower fence than they have seen, so that a leader which was
   /// replaced while this process did not run cannot undo what this one orders.
-  bool enginesCheckFences = false;
+  bool enginesEnforceFences = false;
 };
 
 /// A leader writes a note into the log before it gives orders. From the notes a new leader learns
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -142,14 +142,14 @@
   /// From the ledgers' leader: who belongs to its group, once no change of that is under way.
   std::optional<consensus::Membership> ledgerMembership;
   /// From gateways: recent work by model (see ModelDemand).
-  std::map<std::string, double> recentWork;
+  std::map<std::string, double> recentDemand;
   /// From the ledgers' leader only.
   std::optional<jobs::OpenJobsByModel> openJobs;
   duties::GatewayUsage usage;  ///< from gateways
   base::WallTime clock;        ///< what the node's clock shows
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(node, configurationVersion, revision, hold, ledgerMembership, recentWork, openJobs,
+    archive(node, configurationVersion, revision, hold, ledgerMembership, recentDemand, openJobs,
             usage, clock);
   }
 };
@@ -409,12 +409,11 @@
   }
 };
 
-using DirectoryCommand =
-    std::variant<ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances,
-                 PublishVersion, BootstrapLedgers, BeginRetirement, CompleteRetirement,
-                 RecordVersions, ClaimCommandLease, duties::BeginUsage, duties::RecordUsage,
-                 duties::FinalizeUsage, duties::ConfirmUsage, RecordAssignments,
-                 quarantine::HoldRequest, quarantine::RecordTrial, quarantine::ReleaseRequest,
-                 duties::RecordBaseline, duties::SetCapacity, duties::ConfirmCapacity>;
+using DirectoryCommand = std::variant<
+    ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances, PublishVersion,
+    BootstrapLedgers, BeginRetirement, CompleteRetirement, RecordVersions, ClaimCommandLease,
+    duties::StartUsageReporting, duties::RecordUsage, duties::FinalizeUsage, duties::ConfirmUsage,
+    RecordAssignments, quarantine::HoldRequest, quarantine::RecordTrial, quarantine::ReleaseRequest,
+    duties::RecordBaseline, duties::SetCapacity, duties::ConfirmCapacity>;
 
 }  // namespace tackpick::directory
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -114,7 +114,7 @@
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const Watch& request, base::TimePoint now) {
-  nodes_[request.node.node] = {request.node, now, request.recentWork};
+  nodes_[request.node.node] = {request.node, now, request.recentDemand};
   if (request.clock != base::WallTime{}) {
     clock_.onTold(request.node.node, request.clock, now);
   }
@@ -171,7 +171,7 @@
     // A group that cannot grow, since no other ledger is heard, must not hold a machine for ever.
     const bool settled =
         ledgers.voters.size() >= settings_.repair.targetSize ||
-        !cluster::canGrow(ledgers, nodesOf(NodeRole::kLedger, now), settings_.repair);
+        !cluster::canAddMember(ledgers, nodesOf(NodeRole::kLedger, now), settings_.repair);
     if (!member && settled) {
       proposeQuietly(CompleteRetirement{name}, now);
     }
@@ -194,7 +194,7 @@
     if (heard.record.name == request.name) {
       known = true;
     } else if (!state_.retirements().contains(heard.record.name) &&
-               now - heard.lastSeenAt < settings_.repair.silenceLimit) {
+               now - heard.lastSeenAt < settings_.repair.heartbeatTimeout) {
       ++remaining;
     }
   }
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -124,7 +124,7 @@
       present.gateways.insert(heard->record.node);
     }
   }
-  present.settled = now - leader_since_ > settings_.repair.silenceLimit;
+  present.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
   present.fence = replica_.raft().currentTerm();
   present.wall = clusterTime(now);
   present.now = now;
@@ -152,7 +152,7 @@
     return;
   }
   duties::Autoscaler::Present present;
-  present.settled = now - leader_since_ > settings_.repair.silenceLimit;
+  present.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
   present.fence = replica_.raft().currentTerm();
   present.now = now;
   present.services =
@@ -199,8 +199,8 @@
 std::map<std::string, double> DirectoryRole::modelDemand(base::TimePoint now) const {
   std::map<std::string, double> demand;
   for (const auto& [node, heard] : nodes_) {
-    if (now - heard.lastSeenAt < settings_.repair.silenceLimit) {
-      for (const auto& [model, work] : heard.recentWork) {
+    if (now - heard.lastSeenAt < settings_.repair.heartbeatTimeout) {
+      for (const auto& [model, work] : heard.recentDemand) {
         demand[model] += work;
       }
     }
@@ -214,7 +214,7 @@
   }
   std::set<base::NodeId> initialVoters;
   for (const cluster::GroupNode& node : nodesOf(NodeRole::kLedger, now)) {
-    if (node.silence < settings_.repair.silenceLimit &&
+    if (node.silence < settings_.repair.heartbeatTimeout &&
         initialVoters.size() < settings_.initialLedgerVoters) {
       initialVoters.insert(node.node);
     }
@@ -227,7 +227,7 @@
 
 void DirectoryRole::repairOwnGroup(base::TimePoint now) {
   // Until every node had the time to report, silence means nothing.
-  if (now - leader_since_ >= settings_.repair.silenceLimit) {
+  if (now - leader_since_ >= settings_.repair.heartbeatTimeout) {
     service_.repair(nodesOf(NodeRole::kController, now), settings_.repair, now);
   }
 }
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -107,7 +107,7 @@
   struct HeardNode {
     NodeRecord record;
     base::TimePoint lastSeenAt{};
-    std::map<std::string, double> recentWork;
+    std::map<std::string, double> recentDemand;
   };
 
   /// A trial that is on its way to the log.
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -18,19 +18,19 @@
   applying_ = index;
   const auto decoded = base::decode<DirectoryCommand>(command);
   if (decoded) {
-    std::visit([this](const auto& typed) { applyTyped(typed); }, *decoded);
+    std::visit([this](const auto& typed) { applyCommand(typed); }, *decoded);
   }
   return {};
 }
 
-void DirectoryState::applyTyped(const ReplaceConfiguration& command) {
+void DirectoryState::applyCommand(const ReplaceConfiguration& command) {
   if (command.configuration.version > data_.configuration.version) {
     data_.configuration = command.configuration;
     ++data_.revision;
   }
 }
 
-void DirectoryState::applyTyped(const RegisterInstance& command) {
+void DirectoryState::applyCommand(const RegisterInstance& command) {
   const InstanceRecord& record = command.record;
   if (hasLeft(record.id)) {
     return;
@@ -110,7 +110,7 @@
   data_.assignments.erase(id);
 }
 
-void DirectoryState::applyTyped(const RemoveInstance& command) {
+void DirectoryState::applyCommand(const RemoveInstance& command) {
   erase(command.id);
   ++data_.revision;
   if (command.final) {
@@ -118,7 +118,7 @@
   }
 }
 
-void DirectoryState::applyTyped(const ForgetInstances& command) {
+void DirectoryState::applyCommand(const ForgetInstances& command) {
   for (const std::string& id : command.ids) {
     erase(id);
   }
@@ -136,7 +136,7 @@
   }
 }
 
-void DirectoryState::applyTyped(const PublishVersion& command) {
+void DirectoryState::applyCommand(const PublishVersion& command) {
   std::uint64_t& version = data_.versions[command.model];
   if (command.version > version) {
     version = command.version;
@@ -144,25 +144,25 @@
   }
 }
 
-void DirectoryState::applyTyped(const BootstrapLedgers& command) {
+void DirectoryState::applyCommand(const BootstrapLedgers& command) {
   if (data_.initialLedgerVoters.empty()) {
     data_.initialLedgerVoters = command.initialVoters;
     ++data_.revision;
   }
 }
 
-void DirectoryState::applyTyped(const BeginRetirement& command) {
+void DirectoryState::applyCommand(const BeginRetirement& command) {
   if (data_.retirements.try_emplace(command.name, Retirement::kRunning).second) {
     ++data_.revision;
   }
 }
 
-void DirectoryState::applyTyped(const CompleteRetirement& command) {
+void DirectoryState::applyCommand(const CompleteRetirement& command) {
   data_.retirements[command.name] = Retirement::kCompleted;
   ++data_.revision;
 }
 
-void DirectoryState::applyTyped(const RecordVersions& command) {
+void DirectoryState::applyCommand(const RecordVersions& command) {
   for (const HeldVersions& held : command.instances) {
     if (data_.instances.contains(held.id)) {
       data_.heldVersions[held.id] = held.versions;
@@ -170,7 +170,7 @@
   }
 }
 
-void DirectoryState::applyTyped(const RecordAssignments& command) {
+void DirectoryState::applyCommand(const RecordAssignments& command) {
   for (const EngineAssignment& home : command.changed) {
     if (home.model.empty()) {
       data_.assignments.erase(home.id);
@@ -180,7 +180,7 @@
   }
 }
 
-void DirectoryState::applyTyped(const ClaimCommandLease& command) {
+void DirectoryState::applyCommand(const ClaimCommandLease& command) {
   constexpr std::size_t kHoldersKept = 16;
   data_.commandLeaseClaims[command.holder] = applying_;
   if (data_.commandLeaseClaims.size() > kHoldersKept) {
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -93,27 +93,27 @@
     }
   };
 
-  void applyTyped(const ReplaceConfiguration& command);
-  void applyTyped(const RegisterInstance& command);
-  void applyTyped(const RemoveInstance& command);
-  void applyTyped(const ForgetInstances& command);
-  void applyTyped(const PublishVersion& command);
-  void applyTyped(const BootstrapLedgers& command);
-  void applyTyped(const BeginRetirement& command);
-  void applyTyped(const CompleteRetirement& command);
-  void applyTyped(const RecordVersions& command);
-  void applyTyped(const RecordAssignments& command);
-  void applyTyped(const ClaimCommandLease& command);
-  void applyTyped(const duties::BeginUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::RecordUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::FinalizeUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::ConfirmUsage& command) { data_.usage.apply(command); }
-  void applyTyped(const duties::RecordBaseline& command) { data_.capacity.apply(command); }
-  void applyTyped(const duties::SetCapacity& command) { data_.capacity.apply(command); }
-  void applyTyped(const duties::ConfirmCapacity& command) { data_.capacity.apply(command); }
-  void applyTyped(const quarantine::HoldRequest& command) { data_.quarantine.apply(command); }
-  void applyTyped(const quarantine::RecordTrial& command) { data_.quarantine.apply(command); }
-  void applyTyped(const quarantine::ReleaseRequest& command) { data_.quarantine.apply(command); }
+  void applyCommand(const ReplaceConfiguration& command);
+  void applyCommand(const RegisterInstance& command);
+  void applyCommand(const RemoveInstance& command);
+  void applyCommand(const ForgetInstances& command);
+  void applyCommand(const PublishVersion& command);
+  void applyCommand(const BootstrapLedgers& command);
+  void applyCommand(const BeginRetirement& command);
+  void applyCommand(const CompleteRetirement& command);
+  void applyCommand(const RecordVersions& command);
+  void applyCommand(const RecordAssignments& command);
+  void applyCommand(const ClaimCommandLease& command);
+  void applyCommand(const duties::StartUsageReporting& command) { data_.usage.apply(command); }
+  void applyCommand(const duties::RecordUsage& command) { data_.usage.apply(command); }
+  void applyCommand(const duties::FinalizeUsage& command) { data_.usage.apply(command); }
+  void applyCommand(const duties::ConfirmUsage& command) { data_.usage.apply(command); }
+  void applyCommand(const duties::RecordBaseline& command) { data_.capacity.apply(command); }
+  void applyCommand(const duties::SetCapacity& command) { data_.capacity.apply(command); }
+  void applyCommand(const duties::ConfirmCapacity& command) { data_.capacity.apply(command); }
+  void applyCommand(const quarantine::HoldRequest& command) { data_.quarantine.apply(command); }
+  void applyCommand(const quarantine::RecordTrial& command) { data_.quarantine.apply(command); }
+  void applyCommand(const quarantine::ReleaseRequest& command) { data_.quarantine.apply(command); }
 
   using Address = std::pair<std::string, std::uint16_t>;
 
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -60,7 +60,7 @@
   view.gateways = 0;
   for (const auto& [node, heard] : nodes_) {
     if (heard.record.role == NodeRole::kGateway) {
-      view.gateways += now - heard.lastSeenAt < settings_.repair.silenceLimit ? 1 : 0;
+      view.gateways += now - heard.lastSeenAt < settings_.repair.heartbeatTimeout ? 1 : 0;
     } else if (heard.record.role == NodeRole::kLedger) {
       view.ledgers.push_back({node, now - heard.lastSeenAt,
                               state_.retirements().contains(heard.record.name), heard.record.zone});
@@ -69,7 +69,7 @@
   view.gateways = std::max(view.gateways, 1U);
   view.heldRequests = state_.quarantine().told();
   view.firstOpenUsageWindow = state_.usage().next().value_or(0);
-  view.allNodesSeen = now - leader_since_ > settings_.repair.silenceLimit;
+  view.allNodesSeen = now - leader_since_ > settings_.repair.heartbeatTimeout;
   return view;
 }
 
--- a/src/directory/engine_assigner.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -45,15 +45,15 @@
 
 }  // namespace
 
-std::uint64_t versionOf(const ReportedEngine& engine, const std::string& model) {
+std::uint64_t reportedVersion(const ReportedEngine& engine, const std::string& model) {
   const auto version = engine.versions.find(model);
   return version == engine.versions.end() ? 0 : version->second;
 }
 
-std::uint64_t versionOf(const ReportedEngines& engines, const std::string& instance,
-                        const std::string& model) {
+std::uint64_t reportedVersion(const ReportedEngines& engines, const std::string& instance,
+                              const std::string& model) {
   const auto engine = engines.find(instance);
-  return engine == engines.end() ? 0 : versionOf(engine->second, model);
+  return engine == engines.end() ? 0 : reportedVersion(engine->second, model);
 }
 
 void EngineAssigner::reset(EngineAssignments assignments) {
@@ -119,7 +119,7 @@
   const auto backlog = [&](const InstanceRecord& record, const std::string& model) {
     const auto published = state.versions().find(model);
     const std::uint64_t newest = published == state.versions().end() ? 1 : published->second;
-    const std::uint64_t held = versionOf(engines, record.id, model);
+    const std::uint64_t held = reportedVersion(engines, record.id, model);
     return newest > held ? newest - held : 0;
   };
   // A new leader finds each engine's home in what the engine holds: the model nearest to its
@@ -186,7 +186,7 @@
   std::vector<std::pair<std::uint64_t, EngineAssignments::iterator>> candidates;
   for (auto home = m_homes.begin(); home != m_homes.end(); ++home) {
     if (shares.contains(home->second) && home->second != model) {
-      candidates.emplace_back(versionOf(engines, home->first, model), home);
+      candidates.emplace_back(reportedVersion(engines, home->first, model), home);
     }
   }
   std::stable_sort(candidates.begin(), candidates.end(),
@@ -264,7 +264,7 @@
         now - report->lastSeenAt > m_silenceLimit) {
       continue;
     }
-    const std::uint64_t held = versionOf(*report, model);
+    const std::uint64_t held = reportedVersion(*report, model);
     candidates.push_back({held, byZone[{held, record.zone}]++, &id});
   }
   for (Candidate& candidate : candidates) {
--- a/src/directory/engine_assigner.h
+++ b/src/directory/engine_assigner.h
@@ -22,9 +22,9 @@
 using ReportedEngines = std::map<std::string, ReportedEngine>;
 
 /// The version of `model` that an engine reported; zero when it reported none.
-[[nodiscard]] std::uint64_t versionOf(const ReportedEngine& engine, const std::string& model);
-[[nodiscard]] std::uint64_t versionOf(const ReportedEngines& engines, const std::string& instance,
-                                      const std::string& model);
+[[nodiscard]] std::uint64_t reportedVersion(const ReportedEngine& engine, const std::string& model);
+[[nodiscard]] std::uint64_t reportedVersion(const ReportedEngines& engines,
+                                            const std::string& instance, const std::string& model);
 
 /// The model that each engine follows, its home.
 using EngineAssignments = std::map<std::string, std::string>;
@@ -46,9 +46,9 @@
 /// owned by one thread.
 class EngineAssigner {
  public:
-  /// Engines unresponsive for longer than `silenceLimit` are not counted on.
-  EngineAssigner(EngineAssignerSettings settings, base::Duration silenceLimit)
-      : m_settings(settings), m_silenceLimit(silenceLimit), m_wanted(settings.wanted) {}
+  /// Engines unresponsive for longer than `heartbeatTimeout` are not counted on.
+  EngineAssigner(EngineAssignerSettings settings, base::Duration heartbeatTimeout)
+      : m_settings(settings), m_silenceLimit(heartbeatTimeout), m_wanted(settings.wanted) {}
 
   void reset(EngineAssignments assignments);
   void note(const OpenItems& items, base::TimePoint now) { m_wanted.note(items, now); }
--- a/src/directory/load_scheduler.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -56,7 +56,7 @@
 
 LoadScheduler::LoadScheduler(LoadSchedulerSettings settings)
     : settings_(settings),
-      m_homes(settings.assignments, settings.silenceLimit),
+      m_homes(settings.assignments, settings.heartbeatTimeout),
       m_forecast(settings.forecast),
       m_budget(settings.budget),
       m_policy(makePolicy(settings)) {}
@@ -92,7 +92,8 @@
   base::SortedCursor reports(engines);
   for (auto& [instance, given] : m_issued) {
     const ReportedEngine* engine = reports.find(instance);
-    if (!given.isDone && engine != nullptr && versionOf(*engine, given.model) >= given.version) {
+    if (!given.isDone && engine != nullptr &&
+        reportedVersion(*engine, given.model) >= given.version) {
       given.isDone = true;
       // An older order that is carried out after this one takes it back: it may be given again.
       given.loadingUntil = now;
@@ -114,7 +115,7 @@
 
 bool LoadScheduler::isUnderWay(const IssuedCommand& given, const ReportedEngine& engine,
                                base::TimePoint now) {
-  return now < given.loadingUntil && versionOf(engine, given.model) < given.version;
+  return now < given.loadingUntil && reportedVersion(engine, given.model) < given.version;
 }
 
 bool LoadScheduler::isLoading(const std::string& instance, const ReportedEngines& engines,
@@ -199,12 +200,12 @@
     fleet.loading += loading ? 1 : 0;
     const auto model = fleet.models.find(home);
     const bool isUsable = record != nullptr && report != nullptr && !record->draining &&
-                          now - report->lastSeenAt <= settings_.silenceLimit;
+                          now - report->lastSeenAt <= settings_.heartbeatTimeout;
     if (!isUsable || model == fleet.models.end()) {
       continue;
     }
     ModelLoadState& weights = model->second;
-    const std::uint64_t held = versionOf(*report, home);
+    const std::uint64_t held = reportedVersion(*report, home);
     if (loading) {
       weights.loadingSlots[weights.published] += record->slots;
     } else {
@@ -251,7 +252,7 @@
     ++fleet.loading;
     ++ofModel.loading;
     orders.push_back(makeCommand(state, *load.candidate, term, now));
-    if (!orders.back().finishRunsFirst) {
+    if (!orders.back().drainFirst) {
       m_budget.onBegun(orders.back().instance, fleet.loading, now);
     }
   }
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -54,7 +54,7 @@
   /// An order without an answer no longer counts as a load after this time.
   base::Duration uncertainLoad = base::milliseconds(1500);
   /// Engines unresponsive for longer get no orders.
-  base::Duration silenceLimit = base::seconds(4);
+  base::Duration heartbeatTimeout = base::seconds(4);
   /// How long a load takes, before any was seen.
   base::Duration usualLoad = base::seconds(1);
   EngineAssignerSettings assignments;
@@ -69,8 +69,8 @@
   std::uint16_t port = 0;
   std::string model;
   std::uint64_t version = 0;
-  std::uint64_t fence = 0;       ///< the term of the leader that gives it
-  bool finishRunsFirst = false;  ///< else running requests go on under the new weights
+  std::uint64_t fence = 0;  ///< the term of the leader that gives it
+  bool drainFirst = false;  ///< else running requests go on under the new weights
 };
 
 /// What an engine answered to an order.
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -19,7 +19,7 @@
 }
 
 std::optional<duties::CapacityDemand> demandOf(const Service& service, const ReportedOpenJobs& work,
-                                               const std::map<std::string, double>& recentWork,
+                                               const std::map<std::string, double>& recentDemand,
                                                base::TimePoint now) {
   // What else a service runs is not told.
   const bool known =
@@ -34,8 +34,8 @@
     if (open != work.works.end() && !open->second.empty()) {
       demand.works.insert(*open);
     }
-    const auto recent = recentWork.find(model);
-    demand.recentEvents += recent == recentWork.end() ? 0 : recent->second;
+    const auto recent = recentDemand.find(model);
+    demand.recentEvents += recent == recentDemand.end() ? 0 : recent->second;
   }
   return demand;
 }
@@ -57,7 +57,7 @@
 std::vector<duties::ScaledService> scaledServices(const DirectoryState& state,
                                                   const std::vector<InstanceViewRef>& instances,
                                                   const ReportedOpenJobs& work,
-                                                  const std::map<std::string, double>& recentWork,
+                                                  const std::map<std::string, double>& recentDemand,
                                                   base::TimePoint now) {
   std::vector<duties::ScaledService> services;
   for (const Service& service : state.configuration().services) {
@@ -68,7 +68,7 @@
     scaled.name = service.name;
     scaled.scaling = *service.scaling;
     scaled.slots = std::max(service.slots, 1U);
-    scaled.demand = demandOf(service, work, recentWork, now);
+    scaled.demand = demandOf(service, work, recentDemand, now);
     addInstances(instances, scaled);
   }
   return services;
--- a/src/directory/scaled_services.h
+++ b/src/directory/scaled_services.h
@@ -20,10 +20,10 @@
   std::optional<base::TimePoint> reportedAt;
 };
 
-/// The services with bounds on their instances. `recentWork` by model: see ModelDemand.
+/// The services with bounds on their instances. `recentDemand` by model: see ModelDemand.
 [[nodiscard]] std::vector<duties::ScaledService> scaledServices(
     const DirectoryState& state, const std::vector<InstanceViewRef>& instances,
-    const ReportedOpenJobs& work, const std::map<std::string, double>& recentWork,
+    const ReportedOpenJobs& work, const std::map<std::string, double>& recentDemand,
     base::TimePoint now);
 
 }  // namespace tackpick::directory
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -13,8 +13,8 @@
   if (!service.demand) {
     return decision;
   }
-  decision.workKnown = true;
-  decision.workAge = service.demand->reportAge;
+  decision.demandKnown = true;
+  decision.demandAge = service.demand->reportAge;
   for (const auto& [model, works] : service.demand->works) {
     for (const jobs::OpenJob& work : works) {
       decision.items += work.items;
@@ -41,7 +41,7 @@
 }
 
 PoolCounts Autoscaler::poolCounts(const InstancePool& subject, RegisteredKind registered,
-                                  const CapacityState& state, base::Duration startTime,
+                                  const CapacityState& state, base::Duration startupDuration,
                                   base::TimePoint now) {
   Subject& known = m_subjects[subject];
   known.lost = known.lost || registered.there < known.seen.there ||
@@ -57,7 +57,8 @@
   counts.asked = known.proposed || state.desired(subject);
   counts.unavailable = now < known.availableFrom;
   const bool toBeAsked = known.unanswered || !noted.taken;
-  const bool starting = known.askedAt && now - *known.askedAt <= startTime + m_settings.startMargin;
+  const bool starting =
+      known.askedAt && now - *known.askedAt <= startupDuration + m_settings.startMargin;
   if ((toBeAsked || starting) && !counts.unavailable) {
     counts.starting = counts.desired - std::min(counts.desired, registered.there);
   }
@@ -78,7 +79,7 @@
       Subject& withdrawn = m_subjects[preemptible];
       withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
     }
-    const base::Duration start = service.scaling.startTime;
+    const base::Duration start = service.scaling.startupDuration;
     ZoneCounts counts;
     counts.zone = zone;
     counts.onDemand =
@@ -168,7 +169,7 @@
     CapacityDecision decision = common;
     decision.subject = {service.name, target.zone, target.kind};
     const RegisteredKind seen = m_subjects[decision.subject].seen;
-    m_wishes.insert_or_assign(decision.subject, Wish{target, service.scaling.startTime});
+    m_wishes.insert_or_assign(decision.subject, Wish{target, service.scaling.startupDuration});
     decision.count = target.count;
     decision.there = seen.there;
     decision.draining = seen.draining;
@@ -188,7 +189,8 @@
   if (!taken || known.lost || !known.askedAt) {
     return true;
   }
-  const base::Duration patience = std::max(wish.startTime + m_settings.startMargin, known.repeat);
+  const base::Duration patience =
+      std::max(wish.startupDuration + m_settings.startMargin, known.repeat);
   return now - *known.askedAt > patience;
 }
 
@@ -281,7 +283,7 @@
     return;  // of a former term: what it asked for is asked for anew
   }
   m_calling.reset();
-  m_callAt = now + m_settings.callInterval;
+  m_callAt = now + m_settings.minCallInterval;
   Subject& known = m_subjects[call.subject];
   switch (outcome) {
     case ScaleOutcome::kAccepted:
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -20,7 +20,7 @@
 struct AutoscalerSettings {
   CapacityPlannerSettings plan;
   /// Between two calls at least; the platform limits the rate of all of them.
-  base::Duration callInterval = base::milliseconds(100);
+  base::Duration minCallInterval = base::milliseconds(100);
   /// A call without an answer is repeated after this time, and then after twice as long each time.
   base::Duration firstRetry = base::milliseconds(300);
   base::Duration maxRetry = base::milliseconds(2400);
@@ -67,10 +67,10 @@
   std::uint32_t there = 0;
   std::uint32_t draining = 0;
   std::uint32_t wanted = 0;  ///< in all zones, of both kinds
-  bool workKnown = false;    ///< the open work below decided too
+  bool demandKnown = false;  ///< the open work below decided too
   std::uint32_t items = 0;   ///< open ones
   std::uint32_t waiting = 0;
-  base::Duration workAge{0};  ///< since the open work was told
+  base::Duration demandAge{0};  ///< since the open work was told
 };
 
 /// What the leader is to do now.
@@ -129,13 +129,13 @@
   };
   struct Wish {
     CapacityTarget target;
-    base::Duration startTime{0};
+    base::Duration startupDuration{0};
   };
 
   [[nodiscard]] std::vector<ZoneCounts> zonesOf(const ScaledService& service,
                                                 const CapacityState& state, base::TimePoint now);
   [[nodiscard]] PoolCounts poolCounts(const InstancePool& subject, RegisteredKind registered,
-                                      const CapacityState& state, base::Duration startTime,
+                                      const CapacityState& state, base::Duration startupDuration,
                                       base::TimePoint now);
   static void noteBaselines(const ScaledService& service, const CapacityState& state,
                             AutoscalerActions& work);
--- a/src/duties/scaling.cpp
+++ b/src/duties/scaling.cpp
@@ -23,7 +23,7 @@
   if (scaling.minimum > scaling.maximum) {
     return invalid("its minimum is above its maximum");
   }
-  if (scaling.startTime < base::Duration{0} || scaling.startTime > kMaxStart) {
+  if (scaling.startupDuration < base::Duration{0} || scaling.startupDuration > kMaxStart) {
     return invalid("its start time is out of range");
   }
   if (!isPrice(scaling.preemptiblePrice)) {
--- a/src/duties/scaling.h
+++ b/src/duties/scaling.h
@@ -16,15 +16,15 @@
 struct Scaling {
   std::uint32_t minimum = 0;  ///< instances in a zone, of both kinds together
   std::uint32_t maximum = 0;
-  base::Duration startTime{0};  ///< from a call until a new instance serves
-  double preemptiblePrice = 1;  ///< of a preemptible instance, relative to an on-demand one
+  base::Duration startupDuration{0};  ///< from a call until a new instance serves
+  double preemptiblePrice = 1;        ///< of a preemptible instance, relative to an on-demand one
   std::map<std::string, double> zonePrices;  ///< of an on-demand instance for a second, by zone
 
   bool operator==(const Scaling&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(minimum, maximum, startTime, preemptiblePrice, zonePrices);
+    archive(minimum, maximum, startupDuration, preemptiblePrice, zonePrices);
   }
 };
 
--- a/src/duties/usage_messages.h
+++ b/src/duties/usage_messages.h
@@ -55,7 +55,7 @@
 // Through the log.
 
 /// From this window on usage is reported. Counts only once.
-struct BeginUsage {
+struct StartUsageReporting {
   WindowNumber window = 0;
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/duties/usage_reporter.cpp
+++ b/src/duties/usage_reporter.cpp
@@ -126,7 +126,7 @@
     return work;
   }
   if (!state.next()) {
-    work.commands.emplace_back(BeginUsage{windowOf(present.wall, m_settings.window)});
+    work.commands.emplace_back(StartUsageReporting{windowOf(present.wall, m_settings.window)});
     return work;
   }
   m_told.erase(m_told.begin(), m_told.lower_bound(*state.next()));
@@ -150,7 +150,7 @@
 void UsageReporter::onOutcome(const UsageReport& report, UsageReportOutcome outcome,
                               base::TimePoint now) {
   m_calling = false;
-  m_callAt = now + m_settings.callInterval;
+  m_callAt = now + m_settings.minCallInterval;
   if (outcome == UsageReportOutcome::kAccepted) {
     m_retry = {};
     m_taken.insert(report.usage.window);
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -31,7 +31,7 @@
   /// ... and less often where much is told, to bound what is written.
   base::Duration noteIntervalPerCount = base::microseconds(100);
   /// Between two calls at least; the platform limits the rate of all of them.
-  base::Duration callInterval = base::milliseconds(100);
+  base::Duration minCallInterval = base::milliseconds(100);
   /// A call without an answer is repeated after this time, and then after twice as long each time.
   base::Duration firstRetry = base::milliseconds(300);
   base::Duration maxRetry = base::milliseconds(2400);
@@ -50,7 +50,7 @@
 /// What the leader is to do now.
 struct UsageReporterActions {
   /// To be written to the log.
-  std::vector<std::variant<BeginUsage, RecordUsage, FinalizeUsage, ConfirmUsage>> commands;
+  std::vector<std::variant<StartUsageReporting, RecordUsage, FinalizeUsage, ConfirmUsage>> commands;
   std::optional<UsageReport> report;  ///< to be sent
 };
 
--- a/src/duties/usage_state.cpp
+++ b/src/duties/usage_state.cpp
@@ -12,7 +12,7 @@
   }
 }
 
-void UsageState::apply(const BeginUsage& command) {
+void UsageState::apply(const StartUsageReporting& command) {
   if (!m_next) {
     m_next = command.window;
   }
--- a/src/duties/usage_state.h
+++ b/src/duties/usage_state.h
@@ -15,7 +15,7 @@
  public:
   using ByGateway = std::map<base::NodeId, WindowUsage>;
 
-  void apply(const BeginUsage& command);
+  void apply(const StartUsageReporting& command);
   void apply(const RecordUsage& command);
   void apply(const FinalizeUsage& command);
   void apply(const ConfirmUsage& command);
--- a/src/engine/engine_simulator.cpp
+++ b/src/engine/engine_simulator.cpp
@@ -34,7 +34,7 @@
   if (active_ < request.minimumVersion) {
     return "weights too old";
   }
-  if (waiting_.size() >= settings_.waitingLimit) {
+  if (waiting_.size() >= settings_.maxQueuedRequests) {
     return "queue full";
   }
   Sequence sequence;
@@ -143,11 +143,11 @@
   if (running_.empty()) {
     return;
   }
-  base::Duration duration = settings_.stepBase;
+  base::Duration duration = settings_.stepBaseDuration;
   for (Sequence& sequence : running_) {
-    duration += settings_.stepPerSequence;
+    duration += settings_.stepDurationPerSequence;
     if (!sequence.prefilled) {
-      duration += settings_.prefillPerToken * sequence.uncachedTokens;
+      duration += settings_.prefillDurationPerToken * sequence.uncachedTokens;
       sequence.prefilled = true;
     }
   }
@@ -247,7 +247,8 @@
   for (Sequence& sequence : running_) {
     flushChunk(sequence, output);
   }
-  const bool fails = std::exchange(fail_next_swap_, false) || random_.chance(settings_.swapFailure);
+  const bool fails =
+      std::exchange(fail_next_swap_, false) || random_.chance(settings_.swapFailureRate);
   const base::WeightsVersion target = std::exchange(swapping_to_, {});
   last_swap_failed_ = fails;
   if (fails) {
--- a/src/engine/engine_simulator.h
+++ b/src/engine/engine_simulator.h
@@ -23,11 +23,11 @@
 /// near zero.
 struct EngineSimulatorSettings {
   std::string model = "default";
-  std::uint32_t slots = 16;         ///< sequences decoded together
-  std::uint32_t waitingLimit = 64;  ///< beyond it a request is refused, not run
-  base::Duration stepBase = base::milliseconds(6);
-  base::Duration stepPerSequence = base::microseconds(250);
-  base::Duration prefillPerToken = base::microseconds(30);
+  std::uint32_t slots = 16;              ///< sequences decoded together
+  std::uint32_t maxQueuedRequests = 64;  ///< beyond it a request is refused, not run
+  base::Duration stepBaseDuration = base::milliseconds(6);
+  base::Duration stepDurationPerSequence = base::microseconds(250);
+  base::Duration prefillDurationPerToken = base::microseconds(30);
   std::uint32_t tokensPerChunk = 4;
   std::size_t cacheBlocks = 4096;
   base::Duration loadReportLag = base::milliseconds(150);
@@ -35,7 +35,7 @@
   double cacheEventLoss = 0.02;  ///< share of cache events that never come
   std::uint64_t weightBytes = 2'000'000'000;
   base::Duration swapDuration = base::milliseconds(120);
-  double swapFailure = 0.0;  ///< share of swaps that fail partway
+  double swapFailureRate = 0.0;  ///< share of swaps that fail partway
   base::WeightsVersion initialVersion{1};
   bool acceptLowerFence = false;  ///< a deliberate fault, used only by the simulator
 };
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -56,7 +56,7 @@
   std::set<std::string> present;
   for (const directory::InstanceView& instance : view) {
     present.insert(instance.record.id);
-    takeIn(instance);
+    upsert(instance);
   }
   std::vector<std::string> missing;
   for (const auto& [id, entry] : entries_) {
@@ -72,12 +72,12 @@
                            const std::vector<std::string>& removed) {
   std::for_each(removed.begin(), removed.end(), [&](const std::string& id) { remove(id); });
   for (const directory::InstanceView& instance : changed) {
-    takeIn(instance);
+    upsert(instance);
   }
   forgetDeparted();
 }
 
-void InstanceTable::takeIn(const directory::InstanceView& instance) {
+void InstanceTable::upsert(const directory::InstanceView& instance) {
   const auto [known, added] = entries_.try_emplace(instance.record.id);
   InstanceEntry& entry = known->second;
   if (added) {
@@ -199,9 +199,9 @@
 }
 
 double InstanceTable::slowdown(const InstanceEntry& entry, base::TimePoint now) {
-  constexpr double kUsualPercent = 100.0;
+  constexpr double kNormalPercent = 100.0;
   const bool fresh = now - entry.loadAt < kSlowdownMaxAge;
-  return fresh ? entry.load.slowdownPercent / kUsualPercent : 1.0;
+  return fresh ? entry.load.slowdownPercent / kNormalPercent : 1.0;
 }
 
 double InstanceTable::cost(const InstanceEntry& entry, const InstanceRequirements& need,
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -187,7 +187,7 @@
                                                      base::TimePoint now) const;
   [[nodiscard]] static const InstanceEntry* leastBusy(
       const std::vector<const InstanceEntry*>& candidates, base::TimePoint now);
-  void takeIn(const directory::InstanceView& instance);
+  void upsert(const directory::InstanceView& instance);
   /// The instance's earlier incarnations have ended. It runs on their machine, so that it takes
   /// over their pace.
   void endEarlier(const std::string& id, InstanceEntry& successor);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -140,8 +140,8 @@
             std::move(callback));
 }
 
-void Gateway::callControl(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
-                          consensus::GroupClient::Callback callback) {
+void Gateway::callControllers(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
+                              consensus::GroupClient::Callback callback) {
   callGroup(control_, kind, std::move(payload), now, std::move(callback));
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -81,7 +81,7 @@
 /// Counted since the start of the process; served as metrics.
 struct GatewayCounters {
   std::uint64_t requestsReceived = 0;
-  std::uint64_t requestsAnswered = 0;
+  std::uint64_t requestsCompleted = 0;
   std::uint64_t requestsRefusedNotRun = 0;
   std::uint64_t requestsIndeterminate = 0;
   std::uint64_t attemptsStarted = 0;
@@ -126,8 +126,8 @@
   void callLedger(const base::BatchId& batch, transport::CommandKind kind, base::Bytes payload,
                   base::TimePoint now, consensus::GroupClient::Callback callback);
   /// Calls the controllers.
-  void callControl(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
-                   consensus::GroupClient::Callback callback);
+  void callControllers(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
+                       consensus::GroupClient::Callback callback);
 
   /// Planned stop: refuses new work, returns samples not begun, finishes the rest.
   void beginDrain(base::TimePoint now);
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -190,7 +190,7 @@
   }
   if (decoded->status == ledger::LedgerStatus::kRefused &&
       decoded->outcome == ledger::ClaimOutcome::kCompleted) {
-    ++counters_.requestsAnswered;
+    ++counters_.requestsCompleted;
     actions_.actions.emplace_back(ReplayResponse{caller, decoded->answer});
   } else if (decoded->status == ledger::LedgerStatus::kRefused) {
     refuse({caller, RejectionReason::kAlreadyClaimed, base::Verdict::kMayHaveRun,
--- a/src/gateway/gateway_attempts.cpp
+++ b/src/gateway/gateway_attempts.cpp
@@ -161,7 +161,7 @@
     commitSample(job, std::move(result), now);
     return;
   }
-  ++counters_.requestsAnswered;
+  ++counters_.requestsCompleted;
   CompleteRequest answer{job.caller->id, std::move(output), std::move(finishReason)};
   base::Bytes recorded = job.claim == ClaimState::kHeld ? encodeAnswer(answer) : base::Bytes{};
   recordOutcome(job, ledger::ClaimOutcome::kCompleted, std::move(recorded), now,
--- a/src/jobs/engine_event_interval.cpp
+++ b/src/jobs/engine_event_interval.cpp
@@ -28,7 +28,7 @@
 constexpr base::Duration kLongRunHalfLife = base::seconds(60);
 /// What an engine says of the moment is over by then.
 constexpr base::Duration kMoment = base::milliseconds(500);
-constexpr std::uint32_t kUsualPercent = 100;
+constexpr std::uint32_t kNormalPercent = 100;
 /// More is taken as this: the delay of a moment is bounded anyway.
 constexpr std::uint32_t kMaxPercent = 10'000;
 
@@ -96,7 +96,7 @@
     return;
   }
   m_slowdownAt = saidAt;
-  m_slowdownPercent = std::clamp(report.slowdownPercent, kUsualPercent, kMaxPercent);
+  m_slowdownPercent = std::clamp(report.slowdownPercent, kNormalPercent, kMaxPercent);
 }
 
 double EngineEventInterval::expectedMs(double typicalMs, base::TimePoint now) const {
@@ -117,11 +117,11 @@
 
 base::Duration EngineEventInterval::momentaryDelay(base::TimePoint now) const {
   const std::uint32_t percent = slowdownPercent(now);
-  return kMoment * (percent - kUsualPercent) / percent;
+  return kMoment * (percent - kNormalPercent) / percent;
 }
 
 std::uint32_t EngineEventInterval::slowdownPercent(base::TimePoint now) const {
-  return m_slowdownAt && now - *m_slowdownAt < kMoment ? m_slowdownPercent : kUsualPercent;
+  return m_slowdownAt && now - *m_slowdownAt < kMoment ? m_slowdownPercent : kNormalPercent;
 }
 
 std::optional<base::Duration> EngineEventInterval::age(base::TimePoint now) const {
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -20,7 +20,7 @@
   std::set<std::string> present;
   for (PlacementEngine& told : engines) {
     present.insert(told.id);
-    takeIn(std::move(told));
+    upsert(std::move(told));
   }
   std::vector<std::string> missing;
   for (const auto& [id, engine] : m_engines) {
@@ -37,11 +37,11 @@
     remove(id);
   }
   for (PlacementEngine& told : changed) {
-    takeIn(std::move(told));
+    upsert(std::move(told));
   }
 }
 
-void EnginePlacement::takeIn(PlacementEngine told) {
+void EnginePlacement::upsert(PlacementEngine told) {
   const auto [known, added] = m_engines.try_emplace(told.id);
   EngineWork& engine = known->second;
   if (!added) {
@@ -153,9 +153,9 @@
   const EngineEventInterval& pace = engine.pace->pace;
   engine.momentaryDelay = pace.momentaryDelay(now);
   // Apart from those of its pace: within a class engines are compared by the pace alone.
-  constexpr double kUsualPercent = 100.0;
+  constexpr double kNormalPercent = 100.0;
   engine.speedTier =
-      speedTierOf(engine.eventIntervalMs * pace.slowdownPercent(now) / kUsualPercent);
+      speedTierOf(engine.eventIntervalMs * pace.slowdownPercent(now) / kNormalPercent);
 }
 
 std::size_t EnginePlacement::speedTierOf(double eventIntervalMs) const {
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -76,7 +76,7 @@
   using EnginesById = std::map<std::string_view, EngineWork*>;
 
   [[nodiscard]] EngineWork* find(std::string_view id);
-  void takeIn(PlacementEngine told);
+  void upsert(PlacementEngine told);
   void putInUse(std::string_view id, EngineWork& engine);
   void takeOutOfUse(std::string_view id, const EngineWork& engine);
   /// Joins the engine with what is known of its machine.
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -72,8 +72,8 @@
   /// Returns all leases of `gateway` to the queue, but those of items that it holds.
   void giveBack(base::NodeId gateway, const std::vector<HeldItem>& held, const JobState& state);
   /// A gateway asks for items, or for none any more.
-  void onAsked(base::NodeId gateway, const std::string& zone, bool acceptsItems,
-               base::TimePoint now, const GatewayCapacity& capacity = {}) {
+  void onLeaseRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
+                      base::TimePoint now, const GatewayCapacity& capacity = {}) {
     affinity_.note(gateway, zone, acceptsItems, now);
     m_gatewaySelector.note(gateway, zone, acceptsItems, now, capacity);
   }
--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -175,7 +175,7 @@
   return failures_ >= leased_.attempts;
 }
 
-bool ItemRun::outOfTime(base::Duration sinceLease) const {
+bool ItemRun::isExpired(base::Duration sinceLease) const {
   return leased_.age + sinceLease > leased_.queueTimeout;
 }
 
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -29,7 +29,7 @@
   void feed(std::string_view bytes) { buffer_ += bytes; }
   [[nodiscard]] std::optional<StreamEvent> next();
   /// True when bytes of an unfinished event are left.
-  [[nodiscard]] bool hasRest() const { return !buffer_.empty(); }
+  [[nodiscard]] bool hasPartialEvent() const { return !buffer_.empty(); }
 
  private:
   std::string version_field_;
@@ -76,7 +76,7 @@
   /// The engine answered with a failure. True when the item is to be given up.
   [[nodiscard]] bool onFailure();
   /// True when the item is too old to be tried again.
-  [[nodiscard]] bool outOfTime(base::Duration sinceLease) const;
+  [[nodiscard]] bool isExpired(base::Duration sinceLease) const;
 
  private:
   [[nodiscard]] bool accepts(std::uint64_t version) const;
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -99,7 +99,7 @@
   if (request.draining) {
     leases_.giveBack(caller.node, request.held, state_);
   }
-  leases_.onAsked(caller.node, request.zone, !request.wanted.empty(), now, request.capacity);
+  leases_.onLeaseRequest(caller.node, request.zone, !request.wanted.empty(), now, request.capacity);
   reply.standby = !leases_.gatewaySelector().isActive(caller.node, request.zone, now);
   reply.activeGateways = leases_.gatewaySelector().activeCount(now);
   if (!reply.standby) {
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -85,13 +85,13 @@
   const auto bytes = base::decompress(command, kMaxStateBytes);
   const auto decoded = bytes ? base::decode<JobCommand>(*bytes) : std::nullopt;
   if (decoded) {
-    std::visit([&](const auto& typed) { applyTyped(typed, index); }, *decoded);
+    std::visit([&](const auto& typed) { applyCommand(typed, index); }, *decoded);
     ++revision_;
   }
   return {};
 }
 
-void JobState::applyTyped(const SubmitJob& command, consensus::LogIndex index) {
+void JobState::applyCommand(const SubmitJob& command, consensus::LogIndex index) {
   const auto [entry, added] = jobs_.try_emplace(command.job.id);
   if (added) {
     entry->second.submission = command.job;
@@ -102,7 +102,7 @@
   }
 }
 
-void JobState::applyTyped(const EndJob& command, consensus::LogIndex /*index*/) {
+void JobState::applyCommand(const EndJob& command, consensus::LogIndex /*index*/) {
   const auto found = jobs_.find(command.id);
   if (found != jobs_.end()) {
     found->second.ended = true;
@@ -114,7 +114,7 @@
   }
 }
 
-void JobState::applyTyped(const CommitResults& command, consensus::LogIndex /*index*/) {
+void JobState::applyCommand(const CommitResults& command, consensus::LogIndex /*index*/) {
   for (const JobResults& results : command.jobs) {
     const auto found = jobs_.find(results.job);
     if (found == jobs_.end()) {
@@ -128,13 +128,13 @@
   }
 }
 
-void JobState::applyTyped(const ForgetJobs& command, consensus::LogIndex /*index*/) {
+void JobState::applyCommand(const ForgetJobs& command, consensus::LogIndex /*index*/) {
   for (const std::string& id : command.ids) {
     jobs_.erase(id);
   }
 }
 
-void JobState::applyTyped(const SaveProgress& command, consensus::LogIndex /*index*/) {
+void JobState::applyCommand(const SaveProgress& command, consensus::LogIndex /*index*/) {
   for (const JobProgress& progress : command.jobs) {
     const auto found = jobs_.find(progress.job);
     if (found == jobs_.end() || found->second.settled()) {
--- a/src/jobs/job_state.h
+++ b/src/jobs/job_state.h
@@ -69,11 +69,11 @@
   [[nodiscard]] std::uint64_t workChanges() const { return m_workChanges; }
 
  private:
-  void applyTyped(const SubmitJob& command, consensus::LogIndex index);
-  void applyTyped(const EndJob& command, consensus::LogIndex index);
-  void applyTyped(const CommitResults& command, consensus::LogIndex index);
-  void applyTyped(const ForgetJobs& command, consensus::LogIndex index);
-  void applyTyped(const SaveProgress& command, consensus::LogIndex index);
+  void applyCommand(const SubmitJob& command, consensus::LogIndex index);
+  void applyCommand(const EndJob& command, consensus::LogIndex index);
+  void applyCommand(const CommitResults& command, consensus::LogIndex index);
+  void applyCommand(const ForgetJobs& command, consensus::LogIndex index);
+  void applyCommand(const SaveProgress& command, consensus::LogIndex index);
 
   Jobs jobs_;
   std::uint64_t revision_ = 0;
--- a/src/jobs/scoring_attempts.cpp
+++ b/src/jobs/scoring_attempts.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-ScoringStep ScoringAttempts::onAnswer(const ScorerAnswer& answer) {
+ScoringStep ScoringAttempts::onResponse(const ScorerResponse& answer) {
   using namespace http::status;
   const bool success = answer.complete && answer.status >= kOk && answer.status < kFirstRedirect;
   if (success && !answer.signature.empty()) {
--- a/src/jobs/scoring_attempts.h
+++ b/src/jobs/scoring_attempts.h
@@ -10,7 +10,7 @@
 namespace tackpick::jobs {
 
 /// A whole answer of a scorer, or the end of a call without one.
-struct ScorerAnswer {
+struct ScorerResponse {
   bool complete = false;
   bool notRun = false;  ///< the server says so, or was not reached
   int status = 0;
@@ -29,7 +29,7 @@
  public:
   explicit ScoringAttempts(std::uint32_t attempts) : m_attempts(attempts) {}
 
-  [[nodiscard]] ScoringStep onAnswer(const ScorerAnswer& answer);
+  [[nodiscard]] ScoringStep onResponse(const ScorerResponse& answer);
   /// How long to wait before the next call: nothing after a failure of the scorer, which another
   /// server may not share; a little, growing, while servers refuse or cannot be reached.
   [[nodiscard]] base::Duration delay() const;
--- a/src/ledger/batch.cpp
+++ b/src/ledger/batch.cpp
@@ -14,7 +14,7 @@
   return oldest;
 }
 
-bool spansCover(const std::vector<VersionSpan>& spans, std::size_t tokenCount) {
+bool spansCoverTokens(const std::vector<VersionSpan>& spans, std::size_t tokenCount) {
   std::size_t next = 0;
   for (const VersionSpan& span : spans) {
     if (span.first != next || span.count == 0 || !span.version.valid()) {
@@ -33,7 +33,7 @@
       minimum_version_(submission.minimumVersion),
       content_hash_(contentHash) {
   samples_.resize(submission.samples.size());
-  for (const SampleSpecification& specification : submission.samples) {
+  for (const SampleSpec& specification : submission.samples) {
     Sample& sample = samples_.at(specification.index);
     sample.specification = specification;
     if (estimates != nullptr) {
@@ -96,7 +96,8 @@
 
 LedgerStatus Batch::commit(const CommitSample& commit, const Mutants& mutants) {
   const std::uint32_t index = commit.result.index;
-  if (index >= samples_.size() || !spansCover(commit.result.spans, commit.result.tokens.size())) {
+  if (index >= samples_.size() ||
+      !spansCoverTokens(commit.result.spans, commit.result.tokens.size())) {
     return LedgerStatus::kInvalid;
   }
   Sample& sample = samples_[index];
--- a/src/ledger/batch.h
+++ b/src/ledger/batch.h
@@ -78,7 +78,7 @@
     }
   };
   struct Sample {
-    SampleSpecification specification;
+    SampleSpec specification;
     std::uint32_t expectedTokens = 0;
     std::uint64_t fence = 0;
     bool committed = false;
--- a/src/ledger/ledger_commands.h
+++ b/src/ledger/ledger_commands.h
@@ -28,7 +28,7 @@
 };
 
 /// A sample to be produced.
-struct SampleSpecification {
+struct SampleSpec {
   std::uint32_t index = 0;
   std::string prompt;
   std::uint64_t seed = 0;
@@ -56,7 +56,7 @@
 /// Oldest version among the spans; none when there are none.
 [[nodiscard]] base::WeightsVersion oldestVersion(const std::vector<VersionSpan>& spans);
 /// True when the spans are adjacent, start at zero and cover exactly `tokenCount` tokens.
-[[nodiscard]] bool spansCover(const std::vector<VersionSpan>& spans, std::size_t tokenCount);
+[[nodiscard]] bool spansCoverTokens(const std::vector<VersionSpan>& spans, std::size_t tokenCount);
 
 /// Repeating it with the same content is harmless; with other content it is refused.
 struct SubmitBatch {
@@ -64,7 +64,7 @@
   base::WorkloadPath workload;
   std::string model;
   base::WeightsVersion minimumVersion;  ///< fixed now from the agreed staleness bound
-  std::vector<SampleSpecification> samples;
+  std::vector<SampleSpec> samples;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -210,7 +210,7 @@
   std::uint64_t fence = 0;
   std::uint32_t remaining = 0;       ///< samples of the batch not yet committed
   std::uint32_t expectedTokens = 0;  ///< estimated from earlier samples
-  SampleSpecification sample;
+  SampleSpec sample;
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/ledger/ledger_state.cpp
+++ b/src/ledger/ledger_state.cpp
@@ -18,7 +18,7 @@
 /// What is wrong with a submission; empty when nothing is.
 std::string checkSubmission(const SubmitBatch& submission) {
   std::vector<bool> seen(submission.samples.size());
-  for (const SampleSpecification& sample : submission.samples) {
+  for (const SampleSpec& sample : submission.samples) {
     if (sample.index >= seen.size() || seen[sample.index]) {
       return "the sample indices must be 0 to n-1, each once";
     }
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -63,7 +63,7 @@
     : node_(node),
       configuration_(std::make_unique<directory::Configuration>()),
       instances_(instanceSettings(node)),
-      m_refusalPolicy(node.settings().configurationLag),
+      m_refusalPolicy(node.settings().maxConfigurationLag),
       usage_(node),
       m_guard(node),
       forwarder_(node, instances_, usage_, m_guard),
@@ -151,9 +151,9 @@
 std::optional<std::string> GatewayServer::identifyTenant(
     const http::RawRequest& request, const directory::Route* route,
     const std::shared_ptr<http::Exchange>& exchange) {
-  const bool needsKey = route == nullptr || !route->open;
+  const bool keyRequired = route == nullptr || !route->open;
   const tenancy::TenantTable::Verdict verdict =
-      tenants_.judge(node_.apiAdapter().apiKey(request.headers), needsKey);
+      tenants_.judge(node_.apiAdapter().apiKey(request.headers), keyRequired);
   if (verdict.allowed) {
     return verdict.tenant;
   }
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -239,7 +239,7 @@
 void ItemRunner::startAttempt(const jobs::ItemKey& key, Running& item, base::TimePoint now) {
   const jobs::LeasedItem& leased = item.run.leased();
   const directory::Route* route = routes_.find(leased.host, leased.item.path);
-  if (route == nullptr || item.run.outOfTime(now - item.leasedAt)) {
+  if (route == nullptr || item.run.isExpired(now - item.leasedAt)) {
     finishItem(key, item, jobs::ItemState::kTerminated);
     return;
   }
@@ -417,7 +417,7 @@
 }
 
 bool ItemRunner::isTextComplete(const Running& item) {
-  return !item.unusable && !item.parser.hasRest() && item.run.lastEvent();
+  return !item.unusable && !item.parser.hasPartialEvent() && item.run.lastEvent();
 }
 
 void ItemRunner::onAttemptFailed(const jobs::ItemKey& key, Running& item, AttemptOutcome outcome,
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -196,20 +196,20 @@
   settings.initialLedgerVoters = 2 * settings_.toleratedLosses + 1;
   settings.orders.concurrentLoads = settings_.concurrentLoads;
   settings.instanceSilence = settings_.instanceHeartbeat + kHeartbeatSlack;
-  settings.orders.silenceLimit = settings.instanceSilence;
+  settings.orders.heartbeatTimeout = settings.instanceSilence;
   constexpr base::Duration kOrderMargin = base::milliseconds(100);
   settings.commandLease.duration = settings_.commandLease + kOrderMargin;
-  settings.commandLease.enginesCheckFences = settings_.enginesCheckFences;
+  settings.commandLease.enginesEnforceFences = settings_.enginesEnforceFences;
   constexpr double kMicrosPerSecond = 1e6;
   // Both duties share the rate, with others.
   constexpr double kShareOfRate = 0.5;
   constexpr double kCapacityShareOfRate = 0.25;
   settings.usage.window = settings_.usageWindow;
-  settings.usage.delay = settings_.usageDelay;
-  settings.usage.callInterval = base::Duration(static_cast<base::Duration::rep>(
+  settings.usage.delay = settings_.usageReportDelay;
+  settings.usage.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
       kMicrosPerSecond / (settings_.dutyCallsPerSecond * kShareOfRate)));
   settings.capacity.plan.mode = settings_.capacity;
-  settings.capacity.callInterval = base::Duration(static_cast<base::Duration::rep>(
+  settings.capacity.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
       kMicrosPerSecond / (settings_.dutyCallsPerSecond * kCapacityShareOfRate)));
   directory_ = std::make_unique<directory::DirectoryRole>(ownRecord(), settings, *log_, *random_,
                                                           wall_clock_, now());
@@ -245,8 +245,8 @@
   // The machines of such a cluster share no secret; the key keeps strangers' bytes out, no more.
   network.key = "self-formed cluster " + settings_.cluster;
   network.listen = {settings_.address, settings_.internalPort};
-  network.addressedPort = settings_.internalPort;
-  network.onLost = [this](std::uint32_t number) { onPeerLost(number); };
+  network.derivedPeerPort = settings_.internalPort;
+  network.onConnectionLost = [this](std::uint32_t number) { onPeerLost(number); };
   try {
     network_ = std::make_unique<transport::PeerNetwork>(
         context_, network, [this](base::NodeId from, const transport::InternalMessage& message) {
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -113,10 +113,10 @@
                                             .add("there", decision.there)
                                             .add("leaving", decision.draining)
                                             .add("wanted", decision.wanted)
-                                            .add("work_known", decision.workKnown)
+                                            .add("work_known", decision.demandKnown)
                                             .add("items", decision.items)
                                             .add("waiting", decision.waiting)
-                                            .add("work_age_ms", decision.workAge)
+                                            .add("work_age_ms", decision.demandAge)
                                             .text());
   }
 }
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -194,7 +194,7 @@
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
   m_window.onEnded(call.crowded || outcome == AttemptOutcome::kFull, now);
   m_node.metrics().count(CounterId::kScoringCallsEnded, toString(outcome));
-  const jobs::ScoringStep step = call.attempts->onAnswer(call.answer);
+  const jobs::ScoringStep step = call.attempts->onResponse(call.answer);
   if (step != jobs::ScoringStep::kScored) {
     noteFailure(key, call, outcome, now);
   }
--- a/src/node/scoring_client.h
+++ b/src/node/scoring_client.h
@@ -53,7 +53,7 @@
     base::TimePoint sentAt{};
     base::TimePoint notBefore{};
     base::Duration patience{0};  ///< a running call without an answer is broken off after this
-    jobs::ScorerAnswer answer;
+    jobs::ScorerResponse answer;
     bool crowded = false;  ///< requests wait at its server
     std::string service;
     std::optional<quarantine::RequestFingerprint> fingerprint;  ///< once it is needed
--- a/src/runtime/control_json.cpp
+++ b/src/runtime/control_json.cpp
@@ -16,7 +16,7 @@
     return;
   }
   for (const auto& [name, value] : item["set"].items()) {
-    const auto key = control::settingKeyNamed(name);
+    const auto key = control::findSettingKey(name);
     const auto typed = settingValue(value);
     if (!key || !typed) {
       reader.problem(change.path + ": " + name + ": " +
@@ -41,7 +41,7 @@
     readSet(item, change, reader);
     for (const Json& name : item.value("unset", Json::array())) {
       const auto key =
-          name.is_string() ? control::settingKeyNamed(name.get<std::string>()) : std::nullopt;
+          name.is_string() ? control::findSettingKey(name.get<std::string>()) : std::nullopt;
       if (!key) {
         reader.problem(change.path + ": unset: no such setting");
         break;
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -32,7 +32,7 @@
     writer.counter(name, help, static_cast<double>(value));
   };
   count("requests_received_total", "callers' requests", counters.requestsReceived);
-  count("requests_answered_total", "whole answers", counters.requestsAnswered);
+  count("requests_answered_total", "whole answers", counters.requestsCompleted);
   count("requests_refused_not_run_total", "requests refused and not run",
         counters.requestsRefusedNotRun);
   count("requests_unclear_total", "requests that ended and may have run",
--- a/src/runtime/trainer_api.cpp
+++ b/src/runtime/trainer_api.cpp
@@ -56,7 +56,7 @@
   const auto trainerVersion = reader.integer("trainer_version", 0, 0, kMaximumInteger);
   for (const Json& item : reader.array("samples")) {
     JsonReader sample(item);
-    ledger::SampleSpecification specification;
+    ledger::SampleSpec specification;
     specification.index = static_cast<std::uint32_t>(submission.samples.size());
     specification.prompt = sample.requiredText("prompt");
     specification.seed = static_cast<std::uint64_t>(sample.integer("seed", 0, 0, kMaximumInteger));
@@ -214,7 +214,7 @@
     respondError(*responder, kBadRequest, "invalid", reader.firstProblem());
     return;
   }
-  daemon_.gateway()->callControl(
+  daemon_.gateway()->callControllers(
       transport::CommandKind::kCommand, base::encode(control::ControlCommand{{}, command}),
       daemon_.now(), [responder](const base::Bytes* result, base::TimePoint) {
         const auto outcome =
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -63,7 +63,7 @@
   // The accepted limit itself: a gateway under an older configuration would refuse it.
   plan.sent.maximumTokens = static_cast<std::uint32_t>(environment_.observations.acceptedCounter());
   plan.request.maximumTokens = plan.sent.maximumTokens;
-  const bool resend = plan.sent.notRepeatable && random.chance(load.resendShare);
+  const bool resend = plan.sent.notRepeatable && random.chance(load.resendFraction);
   plan.resendsLeft = resend ? 2 : 0;
   if (resend && random.chance(0.5)) {
     // The client lost patience: the same request again, elsewhere, while the first still runs.
@@ -89,7 +89,7 @@
   --outstanding_;
   Observations& observations = environment_.observations;
   if (reply.answer) {
-    observations.onAnswer(plan.sent, *reply.answer);
+    observations.onResponse(plan.sent, *reply.answer);
     return;
   }
   if (reply.refusal) {
--- a/src/simulation/node_clients.cpp
+++ b/src/simulation/node_clients.cpp
@@ -61,11 +61,11 @@
       });
 }
 
-void NodeHost::callControl(base::Bytes payload, ResultHandler handler) {
+void NodeHost::callControllers(base::Bytes payload, ResultHandler handler) {
   environment_.network.sendOrdered(
       kClientMachine, machine_, [this, payload = std::move(payload), handler = std::move(handler)] {
         post(epoch_, [this, payload, handler] {
-          gateway_->callControl(
+          gateway_->callControllers(
               transport::CommandKind::kCommand, payload, localNow(),
               [this, handler](const base::Bytes* result, base::TimePoint) {
                 const bool known = result != nullptr;
--- a/src/simulation/node_host.h
+++ b/src/simulation/node_host.h
@@ -68,7 +68,7 @@
   using ResultHandler = std::function<void(const base::Bytes*)>;
   void callLedger(const base::BatchId& batch, transport::CommandKind kind, base::Bytes payload,
                   ResultHandler handler);
-  void callControl(base::Bytes payload, ResultHandler handler);
+  void callControllers(base::Bytes payload, ResultHandler handler);
   using ChangeHandler = std::function<void(const control::ChangeOutcome*)>;
   void submitChange(const control::ControlCommand& command, ChangeHandler handler);
   using ReadHandler = std::function<void(std::optional<CounterReading>)>;
--- a/src/simulation/observations.cpp
+++ b/src/simulation/observations.cpp
@@ -53,8 +53,8 @@
   record.notRepeatable = request.notRepeatable;
 }
 
-void Observations::onAnswer(const SentRequest& request, const checking::ReceivedAnswer& answer) {
-  ++figures_.requestsAnswered;
+void Observations::onResponse(const SentRequest& request, const checking::ReceivedAnswer& answer) {
+  ++figures_.requestsCompleted;
   if (!checking::isWhole(answer, request.prompt, request.seed, request.maximumTokens)) {
     broken(Promise::kWholeAnswer, "answer of another length: " + request.prompt);
   } else if (!checking::hasCorrectVersions(answer, request.prompt, request.seed)) {
@@ -143,7 +143,7 @@
     broken(Promise::kExactlyOnce, "delivered twice: " + name);
     return;
   }
-  const ledger::SampleSpecification& asked = batch.samples[sample.index];
+  const ledger::SampleSpec& asked = batch.samples[sample.index];
   const checking::ReceivedAnswer answer{sample.tokens, sample.spans};
   if (!checking::isWhole(answer, asked.prompt, asked.seed, asked.maximumTokens)) {
     broken(Promise::kWholeAnswer, "sample of another length: " + name);
--- a/src/simulation/observations.h
+++ b/src/simulation/observations.h
@@ -55,13 +55,13 @@
 struct SentBatch {
   base::BatchId batch;
   base::WeightsVersion oldestAllowed;
-  std::vector<ledger::SampleSpecification> samples;
+  std::vector<ledger::SampleSpec> samples;
 };
 
 /// How often things happened, to show that a scenario exercised what it claims.
 struct RunFigures {
   std::uint64_t requestsSent = 0;
-  std::uint64_t requestsAnswered = 0;
+  std::uint64_t requestsCompleted = 0;
   std::uint64_t requestsNotRun = 0;
   std::uint64_t requestsIndeterminate = 0;
   std::uint64_t connectionsLost = 0;
@@ -88,7 +88,7 @@
 
   // Callers.
   void onRequestSent(const SentRequest& request);
-  void onAnswer(const SentRequest& request, const checking::ReceivedAnswer& answer);
+  void onResponse(const SentRequest& request, const checking::ReceivedAnswer& answer);
   /// Tokens of a stream, which must agree with the final answer.
   void onRefusal(const SentRequest& request, base::Verdict verdict, bool invalid,
                  const std::string& message);
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -46,12 +46,12 @@
 struct LoadOptions {
   double requestsPerSecond = 25.0;
   double notRepeatableShare = 0.3;
-  double resendShare = 0.3;  ///< of not-repeatable requests: sent again under the same key
+  double resendFraction = 0.3;  ///< of not-repeatable requests: sent again under the same key
   double streamShare = 0.5;
   double maxResponseTokens = 120.0;  ///< tokens
   base::Duration deadline = base::seconds(6);
   std::uint32_t trainers = 1;
-  std::uint32_t batchesAhead = 0;  ///< submitted before they are needed
+  std::uint32_t batchLookahead = 0;  ///< submitted before they are needed
   std::uint32_t samplesPerBatch = 16;
   double maxSampleTokens = 400.0;  ///< tokens
   std::uint64_t prompts = 500;     ///< of a trainer, drawn again and again
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -18,7 +18,7 @@
 void swapMidStream(SimulationOptions& options) {
   options.load.trainingTime = milliseconds(20);
   options.load.maxResponseTokens = 300;
-  options.engine.swapFailure = 0.1;
+  options.engine.swapFailureRate = 0.1;
   options.faults.failSwap = kOften;
   options.faults.crashEngine = kSometimes;
 }
@@ -28,7 +28,7 @@
   options.load.trainers = 3;
   options.load.trainingTime = milliseconds(20);
   options.load.tightenBatches = true;
-  options.engine.stepBase = milliseconds(12);
+  options.engine.stepBaseDuration = milliseconds(12);
   options.faults.crashEngine = kSometimes;
   options.faults.failSwap = kSometimes;
 }
@@ -72,7 +72,7 @@
 
 void atMostOnce(SimulationOptions& options) {
   options.load.notRepeatableShare = 0.9;
-  options.load.resendShare = 0.8;
+  options.load.resendFraction = 0.8;
   options.streamResets = 0.05;
   options.faults.killGateway = kOften;
   options.faults.killLedger = kOften;
@@ -209,7 +209,7 @@
   options.streamResets = 0.02;
   options.network = {0.01, 0.02, milliseconds(5), 0.002};
   options.maxListLag = seconds(3);
-  options.engine.swapFailure = 0.02;
+  options.engine.swapFailureRate = 0.02;
   FaultIntervals& faults = options.faults;
   faults.killGateway = kSometimes;
   faults.killLedger = kSometimes;
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -50,7 +50,7 @@
 
 void TrainerActor::submitAhead() {
   const LoadOptions& load = environment_.options.load;
-  while (!stopped_ && batches_.size() <= load.batchesAhead) {
+  while (!stopped_ && batches_.size() <= load.batchLookahead) {
     if (load.trace && batch_number_ >= load.trace->batches.size()) {
       return;
     }
@@ -76,7 +76,7 @@
     const std::uint64_t prompt = environment_.random.below(load.prompts);
     base::SeededRandom lengths(base::mix(prompt, number_));
     const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.maxSampleTokens);
-    ledger::SampleSpecification sample;
+    ledger::SampleSpec sample;
     sample.index = index;
     sample.prompt = engine::aroundDirective(static_cast<std::uint32_t>(tokens)) + "sample " +
                     std::to_string(prompt);
@@ -218,7 +218,7 @@
   control::ControlCommand command;
   command.operation =
       control::PublishWeights{environment_.options.engine.model, {published_version_}};
-  callControl(base::encode(command), [](const base::Bytes&) {});
+  callControllers(base::encode(command), [](const base::Bytes&) {});
   submitAhead();
   waitForBatch();
 }
@@ -232,10 +232,10 @@
       onResult);
 }
 
-void TrainerActor::callControl(const base::Bytes& payload, const OnResult& onResult) {
+void TrainerActor::callControllers(const base::Bytes& payload, const OnResult& onResult) {
   repeatUntilAnswered(
       [payload](NodeHost& gateway, NodeHost::ResultHandler handler) {
-        gateway.callControl(payload, std::move(handler));
+        gateway.callControllers(payload, std::move(handler));
       },
       onResult);
 }
--- a/src/simulation/trainer_actor.h
+++ b/src/simulation/trainer_actor.h
@@ -52,7 +52,7 @@
   /// Calls the ledger through some gateway until there is an answer.
   void call(const base::BatchId& batch, transport::CommandKind kind, const base::Bytes& payload,
             const OnResult& onResult);
-  void callControl(const base::Bytes& payload, const OnResult& onResult);
+  void callControllers(const base::Bytes& payload, const OnResult& onResult);
   void repeatUntilAnswered(const std::function<void(NodeHost&, NodeHost::ResultHandler)>& send,
                            const OnResult& onResult);
   void later(base::Duration delay, EventLoop::Action action);
--- a/src/tenancy/api_key.cpp
+++ b/src/tenancy/api_key.cpp
@@ -6,7 +6,7 @@
 
 static_assert(KeyDigest::kBytes == SHA256_DIGEST_LENGTH);
 
-KeyDigest digestOf(std::string_view key) {
+KeyDigest digestKey(std::string_view key) {
   KeyDigest digest;
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): bytes of a text
   SHA256(reinterpret_cast<const unsigned char*>(key.data()), key.size(), digest.bytes.data());
--- a/src/tenancy/api_key.h
+++ b/src/tenancy/api_key.h
@@ -25,6 +25,6 @@
   }
 };
 
-[[nodiscard]] KeyDigest digestOf(std::string_view key);
+[[nodiscard]] KeyDigest digestKey(std::string_view key);
 
 }  // namespace tackpick::tenancy
--- a/src/tenancy/tenant.cpp
+++ b/src/tenancy/tenant.cpp
@@ -6,7 +6,7 @@
 namespace tackpick::tenancy {
 
 base::Result<void> validate(const std::vector<Tenant>& tenants) {
-  const KeyDigest emptyKey = digestOf({});
+  const KeyDigest emptyKey = digestKey({});
   std::set<std::string> names;
   std::map<KeyDigest, std::string> owners;
   for (const Tenant& tenant : tenants) {
--- a/src/tenancy/tenant_table.cpp
+++ b/src/tenancy/tenant_table.cpp
@@ -14,11 +14,11 @@
   if (key.empty()) {
     return std::nullopt;
   }
-  const auto owner = m_owners.find(digestOf(key));
+  const auto owner = m_owners.find(digestKey(key));
   return owner == m_owners.end() ? std::nullopt : std::optional(owner->second);
 }
 
-TenantTable::Verdict TenantTable::judge(std::string_view key, bool needsKey) const {
+TenantTable::Verdict TenantTable::judge(std::string_view key, bool keyRequired) const {
   if (!m_hasTenants) {
     return {true};
   }
@@ -26,7 +26,7 @@
   if (owner) {
     return {true, *owner};
   }
-  return {!needsKey};
+  return {!keyRequired};
 }
 
 }  // namespace tackpick::tenancy
--- a/src/tenancy/tenant_table.h
+++ b/src/tenancy/tenant_table.h
@@ -28,9 +28,9 @@
     bool allowed = false;
     std::string tenant = {};  ///< empty: nobody in particular
   };
-  /// Judges a request that brings `key`, empty when it brings none; `needsKey` is false on routes
-  /// that are open to everybody.
-  [[nodiscard]] Verdict judge(std::string_view key, bool needsKey) const;
+  /// Judges a request that brings `key`, empty when it brings none; `keyRequired` is false on
+  /// routes that are open to everybody.
+  [[nodiscard]] Verdict judge(std::string_view key, bool keyRequired) const;
 
  private:
   bool m_hasTenants = false;
--- a/src/transport/peer_network.cpp
+++ b/src/transport/peer_network.cpp
@@ -62,10 +62,10 @@
   if (listed != settings_.peers.end()) {
     return listed->second;
   }
-  if (settings_.addressedPort == 0) {
+  if (settings_.derivedPeerPort == 0) {
     return std::nullopt;
   }
-  return Endpoint{asio::ip::address_v4(number).to_string(), settings_.addressedPort};
+  return Endpoint{asio::ip::address_v4(number).to_string(), settings_.derivedPeerPort};
 }
 
 void PeerNetwork::dial(std::uint32_t number) {
@@ -109,8 +109,8 @@
   }
   const base::NodeId peer =
       connection->isDialled() ? connection->expectedPeer() : connection->peer();
-  if (settings_.onLost && !stopped_ && peer.valid()) {
-    settings_.onLost(base::nodeNumber(peer));
+  if (settings_.onConnectionLost && !stopped_ && peer.valid()) {
+    settings_.onConnectionLost(base::nodeNumber(peer));
   }
   if (!connection->isDialled() || stopped_) {
     return;
--- a/src/transport/peer_network.h
+++ b/src/transport/peer_network.h
@@ -29,7 +29,7 @@
   Endpoint listen;                          ///< port 0: chosen by the operating system
   std::map<std::uint32_t, Endpoint> peers;  ///< by node number
   /// Where nodes listen whose number is their IPv4 address; 0: only `peers` have addresses.
-  std::uint16_t addressedPort = 0;
+  std::uint16_t derivedPeerPort = 0;
   std::size_t maximumFrameBytes = 64U << 20U;
   /// Messages to a peer that does not take them are dropped beyond this; all protocols above
   /// resend.
@@ -39,7 +39,7 @@
   base::Duration minBackoff = base::milliseconds(50);
   base::Duration maxBackoff = base::milliseconds(200);
   /// Called with the number of a node when a connection to or from it breaks or is not made.
-  std::function<void(std::uint32_t number)> onLost;
+  std::function<void(std::uint32_t number)> onConnectionLost;
 };
 
 class Connection;
--- a/test/cluster/group_repair_test.cpp
+++ b/test/cluster/group_repair_test.cpp
@@ -139,5 +139,5 @@
   cr_assert(health == (cluster::GroupHealth{3, 2, 5}));
   cr_assert_not(health.isAtTargetSize());
   cr_assert(cluster::judgeGroup(group, nodes, {2, base::milliseconds(2500)}).isAtTargetSize());
-  cr_assert_not(cluster::canGrow(group, nodes, five), "nobody else is heard");
+  cr_assert_not(cluster::canAddMember(group, nodes, five), "nobody else is heard");
 }
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -198,7 +198,7 @@
   Engine* engineFor(const std::string& model, std::uint64_t version) {
     Engine* best = nullptr;
     for (auto& [id, engine] : m_engines) {
-      const bool fits = directory::versionOf(m_reports, id, model) >= version &&
+      const bool fits = directory::reportedVersion(m_reports, id, model) >= version &&
                         !m_orders.isLoading(id, m_reports, m_now) && engine.ends.size() < kSlots;
       if (fits && (best == nullptr || engine.ends.size() < best->ends.size())) {
         best = &engine;
--- a/test/duties/capacity_world.h
+++ b/test/duties/capacity_world.h
@@ -24,7 +24,7 @@
 /// The platform: takes calls, starts instances after a while and empties those that are too many.
 class FakePlatform {
  public:
-  explicit FakePlatform(base::Duration startTime) : m_startTime(startTime) {}
+  explicit FakePlatform(base::Duration startupDuration) : m_startTime(startupDuration) {}
 
   void set(const duties::ScaleCall& call, base::TimePoint now);
   void advance(base::TimePoint now);
--- a/test/duties/engine_load.cpp
+++ b/test/duties/engine_load.cpp
@@ -145,7 +145,7 @@
     present += counted && !engine.draining ? 1 : 0;
   }
   for (; present < call.count; ++present) {
-    addEngine(call.subject.zone, call.subject.kind, m_now + m_scaling.startTime);
+    addEngine(call.subject.zone, call.subject.kind, m_now + m_scaling.startupDuration);
   }
   for (Engine& engine : m_engines) {
     const bool counted = engine.zone == call.subject.zone && engine.kind == call.subject.kind;
--- a/test/duties/usage_test.cpp
+++ b/test/duties/usage_test.cpp
@@ -219,8 +219,8 @@
   duties::UsageState state;
   state.apply(duties::FinalizeUsage{{7, {{"a", 1}}}});
   cr_assert(state.unreported().empty(), "usage has not begun");
-  state.apply(duties::BeginUsage{7});
-  state.apply(duties::BeginUsage{3});
+  state.apply(duties::StartUsageReporting{7});
+  state.apply(duties::StartUsageReporting{3});
   state.apply(duties::FinalizeUsage{{8, {{"a", 1}}}});
   cr_assert(state.unreported().empty());
   state.apply(duties::FinalizeUsage{{7, {{"a", 1}}}});
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -149,7 +149,7 @@
       held.push_back({run.item.key, run.item.engine});
     }
     (void)m_leases.renew(gateway(number), held, m_state, m_now);
-    m_leases.onAsked(gateway(number), "a", true, m_now);
+    m_leases.onLeaseRequest(gateway(number), "a", true, m_now);
     jobs::FreeSlots room;
     for (const char* model : {"m", "n"}) {
       room.add(model, 1, kEngines * kSlots / 3);
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -232,15 +232,15 @@
 Test(item_leases, items_run_at_gateways_in_the_zone_of_their_engine) {
   LeaseFixture fixture;
   fixture.leases.setEngines({{"near", 2, {{"", 1}}, "a"}, {"far", 2, {{"", 1}}, "b"}});
-  fixture.leases.onAsked(kGateway, "a", true, fixture.now);
-  fixture.leases.onAsked(kOther, "b", true, fixture.now);
+  fixture.leases.onLeaseRequest(kGateway, "a", true, fixture.now);
+  fixture.leases.onLeaseRequest(kOther, "b", true, fixture.now);
   const auto own = fixture.leases.lease(kGateway, room({{"", 9}}), fixture.state, fixture.now);
   cr_assert_eq(own.size(), 2U);
   for (const jobs::GrantedItem& granted : own) {
     cr_assert_eq(granted.engine, "near");
   }
   const base::TimePoint later = fixture.now + base::milliseconds(300);
-  fixture.leases.onAsked(kGateway, "a", true, later);
+  fixture.leases.onLeaseRequest(kGateway, "a", true, later);
   const auto foreign = fixture.leases.lease(kGateway, room({{"", 9}}), fixture.state, later);
   cr_assert_eq(foreign.size(), 2U, "no gateway of the other zone asks any more");
 }
@@ -257,9 +257,9 @@
   small.cpuCores = 0.06;
   jobs::GatewayCapacity large;
   large.cpuCores = 0.5;
-  leases.onAsked(kGateway, "a", true, now, small);
+  leases.onLeaseRequest(kGateway, "a", true, now, small);
   for (std::uint32_t number = 2; number < 20; ++number) {
-    leases.onAsked(base::makeNodeId(number, 1), "a", true, now, large);
+    leases.onLeaseRequest(base::makeNodeId(number, 1), "a", true, now, large);
   }
   cr_assert_eq(leases.lease(kGateway, room({{"", 200}}), state, now).size(), 20U);
   cr_assert(leases.lease(kGateway, room({{"", 200}}), state, now).empty());
@@ -532,7 +532,7 @@
     cr_assert_eq(*events[1].version, 7U);
     cr_assert_eq(events[1].data, "b: c");
     cr_assert_eq(*events[2].id, 2U);
-    cr_assert_not(parser.hasRest());
+    cr_assert_not(parser.hasPartialEvent());
   }
 }
 
@@ -578,6 +578,6 @@
   cr_assert_not(run.onFailure());
   cr_assert_not(run.onFailure());
   cr_assert(run.onFailure());
-  cr_assert_not(run.outOfTime(base::seconds(40)));
-  cr_assert(run.outOfTime(base::seconds(41)));
+  cr_assert_not(run.isExpired(base::seconds(40)));
+  cr_assert(run.isExpired(base::seconds(41)));
 }
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_load.h
@@ -253,7 +253,7 @@
     }
     m_leases.refresh(m_state, m_now);
     (void)m_leases.renew(kGateway, held, m_state, m_now);
-    m_leases.onAsked(kGateway, "z", true, m_now);
+    m_leases.onLeaseRequest(kGateway, "z", true, m_now);
     jobs::FreeSlots room;
     for (const TrainerLoad& load : m_options.trainers) {
       room.add(load.model, 1, 100000);
--- a/test/jobs/lease_order_test.cpp
+++ b/test/jobs/lease_order_test.cpp
@@ -90,7 +90,7 @@
 
   void setEngines(std::uint32_t slots) {
     leases.setEngines({{"e", slots, {{"m", 1}, {"n", 1}}, "z"}});
-    leases.onAsked(kGateway, "z", true, now);
+    leases.onLeaseRequest(kGateway, "z", true, now);
   }
 
   jobs::JobState state;
--- a/test/jobs/scoring_test.cpp
+++ b/test/jobs/scoring_test.cpp
@@ -63,7 +63,7 @@
   apply(state, jobs::CommitResults{{{"j", {result}}}});
 }
 
-jobs::ScorerAnswer answer(int status, const std::string& signature = "", bool notRun = false) {
+jobs::ScorerResponse answer(int status, const std::string& signature = "", bool notRun = false) {
   return {true, notRun, status, signature};
 }
 
@@ -177,23 +177,23 @@
 Test(scoring_attempts, only_a_signed_success_is_a_score) {
   using Step = jobs::ScoringStep;
   jobs::ScoringAttempts attempts(3);
-  cr_assert(attempts.onAnswer(answer(200)) == Step::kRepeat);
-  cr_assert(attempts.onAnswer({false, false, 200, "cut"}) == Step::kRepeat);
-  cr_assert(attempts.onAnswer(answer(503, "s", true)) == Step::kRepeat);
-  cr_assert(attempts.onAnswer(answer(421, "s", true)) == Step::kRepeat);
-  cr_assert(attempts.onAnswer(answer(504, "s")) == Step::kRepeat);
-  cr_assert(attempts.onAnswer(answer(200, "s")) == Step::kScored);
+  cr_assert(attempts.onResponse(answer(200)) == Step::kRepeat);
+  cr_assert(attempts.onResponse({false, false, 200, "cut"}) == Step::kRepeat);
+  cr_assert(attempts.onResponse(answer(503, "s", true)) == Step::kRepeat);
+  cr_assert(attempts.onResponse(answer(421, "s", true)) == Step::kRepeat);
+  cr_assert(attempts.onResponse(answer(504, "s")) == Step::kRepeat);
+  cr_assert(attempts.onResponse(answer(200, "s")) == Step::kScored);
 }
 
 Test(scoring_attempts, only_whole_failures_of_the_scorer_count) {
   using Step = jobs::ScoringStep;
   jobs::ScoringAttempts attempts(2);
   for (int i = 0; i < 9; ++i) {
-    cr_assert(attempts.onAnswer({false, false, 500, ""}) == Step::kRepeat);
-    cr_assert(attempts.onAnswer(answer(500, "", true)) == Step::kRepeat);
+    cr_assert(attempts.onResponse({false, false, 500, ""}) == Step::kRepeat);
+    cr_assert(attempts.onResponse(answer(500, "", true)) == Step::kRepeat);
   }
   cr_assert_gt(attempts.delay().count(), 0);
-  cr_assert(attempts.onAnswer(answer(500)) == Step::kRepeat);
+  cr_assert(attempts.onResponse(answer(500)) == Step::kRepeat);
   cr_assert_eq(attempts.delay().count(), 0, "another server may not share the failure");
-  cr_assert(attempts.onAnswer(answer(500)) == Step::kGivenUp);
+  cr_assert(attempts.onResponse(answer(500)) == Step::kGivenUp);
 }
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -119,7 +119,7 @@
   const tackpick::duties::Scaling& scaling = *whole->services[0].scaling;
   cr_assert_eq(scaling.minimum, 1U);
   cr_assert_eq(scaling.maximum, 30U);
-  cr_assert_eq(scaling.startTime.count(), base::Duration(base::milliseconds(4500)).count());
+  cr_assert_eq(scaling.startupDuration.count(), base::Duration(base::milliseconds(4500)).count());
   cr_assert_float_eq(scaling.preemptiblePrice, 0.18, 1e-9);
   cr_assert_float_eq(scaling.zonePrices.at("b"), 0.8, 1e-9);
   cr_assert_not(read("")->services[0].scaling.has_value());
@@ -285,7 +285,7 @@
   cr_assert(configuration.has_value());
   cr_assert(configuration->routes[0].open);
   cr_assert_eq(configuration->tenants.size(), 2U);
-  cr_assert(configuration->tenants[0].keys.at(1) == tackpick::tenancy::digestOf("k2"));
+  cr_assert(configuration->tenants[0].keys.at(1) == tackpick::tenancy::digestKey("k2"));
   cr_assert_eq(configuration->tenants[0].priority.value(), 1U);
   cr_assert_not(configuration->tenants[1].priority.has_value());
   for (const char* bad : {R"({"version":1,"routes":[],"services":[],"tenants":[{"name":"a"}]})",
--- a/test/replay/replay_test.cpp
+++ b/test/replay/replay_test.cpp
@@ -36,7 +36,7 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     sim::SimulationOptions options;
     options.load.trace = load(name);
-    options.load.resendShare = 0.0;
+    options.load.resendFraction = 0.0;
     options.load.maxSampleTokens = 500;
     options.load.stalenessBound = 6;
     sim::World world(options, seed, nullptr);
@@ -45,7 +45,7 @@
     cr_expect(result.violations.empty(), "%s, seed %lu: %s", name.c_str(), seed,
               result.violations.empty() ? "" : result.violations.front().what.c_str());
     cr_expect_eq(result.figures.requestsSent, expected.requests);
-    cr_expect_geq(result.figures.requestsAnswered, expected.answeredAtLeast, "%s, seed %lu",
+    cr_expect_geq(result.figures.requestsCompleted, expected.answeredAtLeast, "%s, seed %lu",
                   name.c_str(), seed);
     cr_expect_eq(result.figures.samplesDelivered, expected.samples, "%s, seed %lu: %lu",
                  name.c_str(), seed, result.figures.samplesDelivered);
--- a/test/simulation/scenario_test.cpp
+++ b/test/simulation/scenario_test.cpp
@@ -43,7 +43,7 @@
     const sim::RunResult result = sim::runScenario(scenario, nullptr, seed, nullptr);
     cr_expect(result.violations.empty(), "%s: %s", std::string(scenario.name).c_str(),
               describe(result).c_str());
-    cr_expect(result.figures.requestsAnswered > 0 && result.figures.samplesDelivered > 0);
+    cr_expect(result.figures.requestsCompleted > 0 && result.figures.samplesDelivered > 0);
   }
 }
 
--- a/test/tenancy/tenancy_test.cpp
+++ b/test/tenancy/tenancy_test.cpp
@@ -12,7 +12,7 @@
   tenancy::Tenant made;
   made.name = name;
   for (const std::string& key : keys) {
-    made.keys.push_back(tenancy::digestOf(key));
+    made.keys.push_back(tenancy::digestKey(key));
   }
   return made;
 }
@@ -67,7 +67,7 @@
 }
 
 Test(key_digest, is_sha256) {
-  const tenancy::KeyDigest digest = tenancy::digestOf("abc");
+  const tenancy::KeyDigest digest = tenancy::digestKey("abc");
   cr_assert_eq(digest.bytes[0], 0xba);
   cr_assert_eq(digest.bytes[31], 0xad);
 }
