--- a/src/directory/directory_quarantine.cpp
+++ b/src/directory/directory_quarantine.cpp
@@ -7,12 +7,12 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const quarantine::ReportCrashes& request,
                               base::TimePoint now) {
-  m_crashes.forgetOld(now);
+  m_crashes.evictExpired(now);
   for (const quarantine::Crash& crash : request.crashes) {
     if (state_.quarantine().isHeld(crash.request)) {
       continue;
     }
-    m_crashes.note(crash, now);
+    m_crashes.record(crash, now);
     const std::set<std::string> instances = m_crashes.instances(crash.request);
     if (instances.size() >= quarantine::kMaxCrashes) {
       proposeQuietly(
@@ -48,7 +48,7 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const quarantine::ReleaseRequest& request,
                               base::TimePoint now) {
-  m_crashes.forget(request.request);
+  m_crashes.remove(request.request);
   m_trialsUnderWay.erase(request.request);
   if (!state_.quarantine().isHeld(request.request)) {
     reply(caller, DirectoryStatus::kNotFound);
@@ -59,8 +59,8 @@
 
 void DirectoryRole::releaseOutlived(base::TimePoint now) {
   for (const quarantine::RequestFingerprint& request :
-       state_.quarantine().outlived(clusterTime(now))) {
-    m_crashes.forget(request);
+       state_.quarantine().expired(clusterTime(now))) {
+    m_crashes.remove(request);
     proposeQuietly(quarantine::ReleaseRequest{request}, now);
   }
 }
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -95,7 +95,7 @@
   for (const std::string& id : m_loadScheduler.dueReports(reports_, now)) {
     const auto record = state_.instances().find(id);
     if (record != state_.instances().end()) {
-      actions_.reportsWanted.push_back(record->second);
+      actions_.versionQueries.push_back(record->second);
     }
   }
   stepUsage(now);
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -20,7 +20,7 @@
 #include "duties/autoscaler.h"
 #include "duties/cluster_time.h"
 #include "duties/usage_reporter.h"
-#include "quarantine/crash_tally.h"
+#include "quarantine/crash_registry.h"
 
 namespace tackpick::directory {
 
@@ -54,7 +54,7 @@
 struct DirectoryActions {
   transport::Outbox messages;
   std::vector<LoadCommand> orders;
-  std::vector<InstanceRecord> reportsWanted;  ///< engines to be asked for their versions
+  std::vector<InstanceRecord> versionQueries;  ///< engines to be asked for their versions
   std::vector<duties::UsageReport> usageReports;
   std::vector<duties::ScaleCall> scaleCalls;
   std::vector<duties::CapacityDecision> capacityDecisions;
@@ -211,7 +211,7 @@
   duties::Autoscaler m_capacity;
   std::vector<duties::ScaleCall> m_notedScaleCalls;  ///< to be sent at the end of this turn
   ReportedOpenJobs m_openJobs;
-  quarantine::CrashTally m_crashes;
+  quarantine::CrashRegistry m_crashes;
   std::map<quarantine::RequestFingerprint, AskedTrial> m_trialsUnderWay;
   WatchQueue watches_;
   ViewHistory views_;
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -67,7 +67,7 @@
     }
   }
   view.gateways = std::max(view.gateways, 1U);
-  view.heldRequests = state_.quarantine().told();
+  view.heldRequests = state_.quarantine().heldRequests();
   view.firstOpenUsageWindow = state_.usage().next().value_or(0);
   view.allNodesSeen = now - leader_since_ > settings_.repair.heartbeatTimeout;
   return view;
--- a/src/edge/api_adapter.h
+++ b/src/edge/api_adapter.h
@@ -1,7 +1,6 @@
 /// \file
-/// What callers, engines, servers, trainers and operators of one kind of site say over HTTP, as
-/// typed calls of the product. An API adapter only translates: it keeps no state and decides
-/// nothing.
+/// Interface for translating a site's HTTP API to typed calls. Implementations hold no state and
+/// make no decisions.
 #pragma once
 
 #include <cstdint>
@@ -24,21 +23,22 @@
 
 /// Names of the headers that the product reads or sets.
 struct HeaderNames {
-  std::string requestId;         ///< names a request; engines repeat it in their answers
-  std::string deadline;          ///< milliseconds that the sender will wait
-  std::string expectedInstance;  ///< the only instance that may run the request
-  std::string notExecuted;       ///< in an answer: the instance did not run the request
-  std::string load;              ///< in an answer: the instance's load
-  std::string weightsVersion;    ///< in an answer: the weights that make it
-  std::string weightsField;      ///< the same as a field of a stream's event
-  std::string lastEvent;         ///< continue a stream behind this event
-  std::string urgency;           ///< 0 to 9: a lower one is admitted first and displaces others
-  std::string signature;         ///< in an answer: the instance's signature of it
-  std::string credential;        ///< carries the caller's key; never sent on
-  std::string tenant;            ///< the tenant for whom a request is sent on
+  std::string requestId;            ///< id of a request; engines repeat it in their responses
+  std::string deadline;             ///< remaining time in milliseconds
+  std::string expectedInstance;     ///< the only instance that may run the request
+  std::string notExecuted;          ///< in a response: the instance did not run the request
+  std::string load;                 ///< in a response: load of the instance
+  std::string weightsVersion;       ///< in a response: version of the weights in use
+  std::string weightsVersionField;  ///< the same, as a field of a stream event
+  std::string lastEvent;            ///< number of the event after which a stream continues
+  /// Scheduling priority, 0 to 9: lower values are admitted first and displace higher ones.
+  std::string urgency;
+  std::string signature;   ///< in a response: the instance's signature of it
+  std::string credential;  ///< the caller's key; never forwarded
+  std::string tenant;      ///< tenant of a forwarded request
 };
 
-/// An answer of our own.
+/// An HTTP response made by this process.
 struct Response {
   int status = 200;
   http::HeaderList headers;
@@ -47,11 +47,13 @@
 
 // Calls at a gateway.
 
-/// To be sent on to an instance.
+/// A request to be forwarded to an instance.
 struct ForwardCall {};
+/// A request that could not be parsed.
 struct MalformedCall {
   std::string why;
 };
+/// A call to the ledgers.
 struct JobCall {
   jobs::JobRequest request;
 };
@@ -59,20 +61,22 @@
 
 // Calls at a controller.
 
+/// A request for an unknown endpoint.
 struct UnknownCall {};
-/// What waits and why: asked of the leaders of both groups.
+/// Reads the open jobs and the weights summary from the leaders of both groups.
 struct ReadWorkCall {};
 using ControlCall =
     std::variant<directory::DirectoryRequest, MalformedCall, UnknownCall, ReadWorkCall>;
 
+/// Translates the HTTP API of one kind of site.
 class ApiAdapter {
  public:
   virtual ~ApiAdapter() = default;
   [[nodiscard]] virtual const HeaderNames& headers() const = 0;
 
-  /// The key that a request brings; empty when it brings none.
+  /// Returns the key of a request; empty if there is none.
   [[nodiscard]] virtual std::string apiKey(const http::HeaderList& headers) const = 0;
-  /// `route` is the request's route, or null.
+  /// Returns the call that a request makes. `route`: of the request; null if unknown.
   [[nodiscard]] virtual GatewayCall gatewayCall(const http::RawRequest& request,
                                                 const directory::Route* route) const = 0;
   [[nodiscard]] virtual Response jobResponse(const jobs::JobRequest& request,
@@ -83,30 +87,31 @@
 
   [[nodiscard]] virtual std::optional<forwarding::ReportedLoad> load(
       std::string_view header) const = 0;
-  /// The engine's call for an order; `holder` names the process that gives it.
-  [[nodiscard]] virtual http::UpstreamRequest loadRequest(const directory::LoadCommand& order,
+  /// Returns the request that sends a load command to an engine. `holder`: name of the sending
+  /// process.
+  [[nodiscard]] virtual http::UpstreamRequest loadRequest(const directory::LoadCommand& command,
                                                           const std::string& holder) const = 0;
   [[nodiscard]] virtual directory::LoadCommandOutcome loadCommandOutcome(int status) const = 0;
-  /// The platform's call for a report; `holder` names the process that makes it. Without an
-  /// address.
+  /// Returns the request, without an address, that sends a usage report to the platform. `holder`:
+  /// name of the sending process.
   [[nodiscard]] virtual http::UpstreamRequest usageRequest(const duties::UsageReport& report,
                                                            const std::string& holder) const = 0;
   [[nodiscard]] virtual duties::UsageReportOutcome usageReportOutcome(int status) const = 0;
-  /// The platform's call that sets a number of instances. Without an address.
+  /// Returns the request, without an address, that sets a number of instances at the platform.
   [[nodiscard]] virtual http::UpstreamRequest scaleRequest(const duties::ScaleCall& call,
                                                            const std::string& holder) const = 0;
   [[nodiscard]] virtual duties::ScaleOutcome scaleOutcome(const duties::ScaleCall& call,
                                                           int status) const = 0;
-  /// The call that asks an engine for the versions it holds.
-  [[nodiscard]] virtual http::UpstreamRequest reportRequest(
+  /// Returns the request that asks an engine for its versions of weights.
+  [[nodiscard]] virtual http::UpstreamRequest versionsRequest(
       const directory::InstanceRecord& engine) const = 0;
-  /// Nothing when the body cannot be read.
+  /// Returns versions by model; std::nullopt if the body is malformed.
   [[nodiscard]] virtual std::optional<std::map<std::string, std::uint64_t>> reportedVersions(
       const std::string& body) const = 0;
-  /// The call that runs an item, continuing behind `lastEvent`.
+  /// Returns the request that runs an item, continuing after `lastEvent`.
   [[nodiscard]] virtual http::UpstreamRequest itemRequest(
       const jobs::LeasedItem& item, std::optional<std::uint64_t> lastEvent) const = 0;
-  /// The call that has the text of an item of `tenant` judged; empty: of nobody in particular.
+  /// Returns the request that has a text scored. `tenant`: of the item; empty if none.
   [[nodiscard]] virtual http::UpstreamRequest scoringRequest(const jobs::ScoringCall& call,
                                                              const std::string& tenant) const = 0;
 };
--- a/src/edge/capacity_call.cpp
+++ b/src/edge/capacity_call.cpp
@@ -42,10 +42,10 @@
   for (const duties::PoolSummary& summary : reply.capacity) {
     pools.push_back(toJson(summary));
   }
-  Response answer;
-  answer.body = Json{{"pools", pools}}.dump();
-  answer.headers.add("Content-Type", "application/json");
-  return answer;
+  Response response;
+  response.body = Json{{"pools", pools}}.dump();
+  response.headers.add("Content-Type", "application/json");
+  return response;
 }
 
 }  // namespace tackpick::edge
--- a/src/edge/capacity_call.h
+++ b/src/edge/capacity_call.h
@@ -1,6 +1,5 @@
 /// \file
-/// The operators' call about numbers of instances. It is the product's own and the same on every
-/// site: `GET /v1/capacity`.
+/// The operators' call that lists instance pools, the same on every site: `GET /v1/capacity`.
 #pragma once
 
 #include <optional>
@@ -9,9 +8,9 @@
 
 namespace tackpick::edge {
 
-/// Nothing when the request is no such call.
+/// Returns the call of a request; std::nullopt if it is for another endpoint.
 [[nodiscard]] std::optional<ControlCall> capacityCall(const http::RawRequest& request);
-/// Nothing when `request` is no such call.
+/// Returns the response to a call; std::nullopt if `request` is another call.
 [[nodiscard]] std::optional<Response> capacityResponse(const directory::DirectoryRequest& request,
                                                        const directory::DirectoryReply& reply);
 
--- a/src/edge/quarantine_call.cpp
+++ b/src/edge/quarantine_call.cpp
@@ -15,14 +15,14 @@
 constexpr std::string_view kListPath = "/v1/quarantine";
 
 Json toJson(const quarantine::HoldSummary& hold) {
-  Json told = {{"fingerprint", hold.request.text()},
-               {"service", hold.service},
-               {"instances", hold.instances},
-               {"trials", hold.trials},
-               {"held_s", base::toSeconds(hold.heldFor)}};
-  const bool last = hold.untilTrial == base::Duration::max();
-  told["next_trial_s"] = last ? Json(nullptr) : Json(base::toSeconds(hold.untilTrial));
-  return told;
+  Json row = {{"fingerprint", hold.request.text()},
+              {"service", hold.service},
+              {"instances", hold.instances},
+              {"trials", hold.trials},
+              {"held_s", base::toSeconds(hold.heldFor)}};
+  const bool noTrialLeft = hold.untilTrial == base::Duration::max();
+  row["next_trial_s"] = noTrialLeft ? Json(nullptr) : Json(base::toSeconds(hold.untilTrial));
+  return row;
 }
 
 }  // namespace
@@ -48,23 +48,23 @@
 
 std::optional<Response> quarantineResponse(const directory::DirectoryRequest& request,
                                            const directory::DirectoryReply& reply) {
-  Response answer;
+  Response response;
   if (std::holds_alternative<quarantine::ReadQuarantine>(request)) {
     Json holds = Json::array();
     for (const quarantine::HoldSummary& hold : reply.holds) {
       holds.push_back(toJson(hold));
     }
-    answer.body = Json{{"held", holds}}.dump();
+    response.body = Json{{"held", holds}}.dump();
   } else if (!std::holds_alternative<quarantine::ReleaseRequest>(request)) {
     return std::nullopt;
   } else if (reply.status == directory::DirectoryStatus::kNotFound) {
-    answer.status = kNotFound;
-    answer.body = Json{{"error", {{"message", "no such request is held"}}}}.dump();
+    response.status = kNotFound;
+    response.body = Json{{"error", {{"message", "no such request is held"}}}}.dump();
   } else {
-    answer.body = Json{{"status", "released"}}.dump();
+    response.body = Json{{"status", "released"}}.dump();
   }
-  answer.headers.add("Content-Type", "application/json");
-  return answer;
+  response.headers.add("Content-Type", "application/json");
+  return response;
 }
 
 }  // namespace tackpick::edge
--- a/src/edge/quarantine_call.h
+++ b/src/edge/quarantine_call.h
@@ -1,6 +1,6 @@
 /// \file
-/// The operators' calls about held requests. They are the product's own and the same on every site:
-/// `GET /v1/quarantine` lists them, `DELETE /v1/quarantine/FINGERPRINT` releases one.
+/// The operators' calls for held requests, the same on every site: `GET /v1/quarantine` lists them,
+/// `DELETE /v1/quarantine/FINGERPRINT` releases one.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,9 @@
 
 namespace tackpick::edge {
 
-/// Nothing when the request is no such call.
+/// Returns the call of a request; std::nullopt if it is for another endpoint.
 [[nodiscard]] std::optional<ControlCall> quarantineCall(const http::RawRequest& request);
-/// Nothing when `request` is no such call.
+/// Returns the response to a call; std::nullopt if `request` is another call.
 [[nodiscard]] std::optional<Response> quarantineResponse(const directory::DirectoryRequest& request,
                                                          const directory::DirectoryReply& reply);
 
--- a/src/edge/timeout_responses.h
+++ b/src/edge/timeout_responses.h
@@ -1,14 +1,15 @@
 /// \file
-/// Answers to callers whose call found no leader in time.
+/// Responses to calls that reached no leader in time.
 #pragma once
 
 #include "edge/api_adapter.h"
 
 namespace tackpick::edge {
 
-/// A submission may have been taken all the same: its answer must not promise that it was not.
+/// Returns the response to a job call. A submission may have been accepted, so its response must
+/// not imply that it was not.
 [[nodiscard]] Response jobTimeoutResponse(const jobs::JobRequest& request);
-/// Callers of controllers repeat their calls, which is safe.
+/// Returns the response to a call at a controller, which callers may safely repeat.
 [[nodiscard]] Response controlTimeoutResponse();
 
 }  // namespace tackpick::edge
--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -49,7 +49,7 @@
 }
 
 template <typename Row>
-Json listOf(const std::vector<Row>& rows) {
+Json toJsonArray(const std::vector<Row>& rows) {
   Json list = Json::array();
   for (const Row& row : rows) {
     list.push_back(toJson(row));
@@ -69,12 +69,9 @@
 }
 
 Json toJson(const jobs::WorkReport& report) {
-  return {{"jobs", listOf(report.jobs)},
-          {"total_jobs", report.totalJobs},
-          {"tenants", tenantsJson(report.tenants)},
-          {"engines", listOf(report.engines)},
-          {"total_engines", report.totalEngines},
-          {"gateways", listOf(report.gateways)},
+  return {{"jobs", toJsonArray(report.jobs)},       {"total_jobs", report.totalJobs},
+          {"tenants", tenantsJson(report.tenants)}, {"engines", toJsonArray(report.engines)},
+          {"total_engines", report.totalEngines},   {"gateways", toJsonArray(report.gateways)},
           {"total_gateways", report.totalGateways}};
 }
 
@@ -92,8 +89,8 @@
   return {{"models", models}, {"loading", weights.loading}, {"load_budget", weights.budget}};
 }
 
-/// Names may hold any bytes that a caller's headers may hold.
-std::string dumped(const Json& json) {
+/// Serializes JSON. Names may contain invalid UTF-8, which is replaced.
+std::string dumpJson(const Json& json) {
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -109,17 +106,17 @@
   return ReadWorkCall{};
 }
 
-Response workResponse(const WorkResponses& answers) {
-  if (!answers.ledgers && !answers.controllers) {
+Response workResponse(const WorkResponses& responses) {
+  if (!responses.ledgers && !responses.controllers) {
     return controlTimeoutResponse();
   }
   const Json body = {
-      {"ledgers", answers.ledgers ? toJson(*answers.ledgers) : Json(nullptr)},
-      {"controllers", answers.controllers ? toJson(*answers.controllers) : Json(nullptr)}};
-  Response answer;
-  answer.body = dumped(body);
-  answer.headers.add("Content-Type", "application/json");
-  return answer;
+      {"ledgers", responses.ledgers ? toJson(*responses.ledgers) : Json(nullptr)},
+      {"controllers", responses.controllers ? toJson(*responses.controllers) : Json(nullptr)}};
+  Response response;
+  response.body = dumpJson(body);
+  response.headers.add("Content-Type", "application/json");
+  return response;
 }
 
 }  // namespace tackpick::edge
--- a/src/edge/work_call.h
+++ b/src/edge/work_call.h
@@ -1,6 +1,6 @@
 /// \file
-/// The operators' call about what waits and why. It is the product's own and the same on every
-/// site: `GET /v1/work`.
+/// The operators' call that lists open jobs, engines, gateways and models, the same on every site:
+/// `GET /v1/work`.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,15 @@
 
 namespace tackpick::edge {
 
-/// What the two leaders answered; nothing where one did not in time.
+/// Replies of the two leaders; std::nullopt where one did not respond in time.
 struct WorkResponses {
   std::optional<jobs::WorkReport> ledgers;
   std::optional<directory::WeightsSummary> controllers;
 };
 
-/// Nothing when the request is no such call.
+/// Returns the call of a request; std::nullopt if it is for another endpoint.
 [[nodiscard]] std::optional<ControlCall> workCall(const http::RawRequest& request);
-/// 503 when neither leader answered; else a part without an answer is null.
-[[nodiscard]] Response workResponse(const WorkResponses& answers);
+/// Returns the response: 503 if neither leader responded; a missing part is null.
+[[nodiscard]] Response workResponse(const WorkResponses& responses);
 
 }  // namespace tackpick::edge
--- a/src/forwarding/concurrency_limiter.cpp
+++ b/src/forwarding/concurrency_limiter.cpp
@@ -5,19 +5,19 @@
 namespace tackpick::forwarding {
 namespace {
 
-constexpr double kShrink = 0.6;
+constexpr double kDecreaseFactor = 0.6;
 
 }  // namespace
 
-void ConcurrencyLimiter::onEnded(bool crowded, base::TimePoint now) {
+void ConcurrencyLimiter::onEnded(bool overloaded, base::TimePoint now) {
   m_running -= m_running > 0 ? 1 : 0;
-  if (!crowded) {
-    m_size = std::min(m_settings.most, m_size + 1.0 / m_size);
+  if (!overloaded) {
+    m_limit = std::min(m_settings.maxLimit, m_limit + 1.0 / m_limit);
     return;
   }
-  if (now - m_shrunkAt >= m_settings.shrinkInterval) {
-    m_shrunkAt = now;
-    m_size = std::max(m_settings.least, m_size * kShrink);
+  if (now - m_lastDecreaseAt >= m_settings.decreaseInterval) {
+    m_lastDecreaseAt = now;
+    m_limit = std::max(m_settings.minLimit, m_limit * kDecreaseFactor);
   }
 }
 
--- a/src/forwarding/concurrency_limiter.h
+++ b/src/forwarding/concurrency_limiter.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many calls of lesser urgency a gateway may have at a service at once.
+/// Limits the concurrent low-priority calls of a gateway at a service.
 #pragma once
 
 #include <cstdint>
@@ -8,33 +8,34 @@
 
 namespace tackpick::forwarding {
 
-/// Knobs of ConcurrencyLimiter.
+/// Settings of ConcurrencyLimiter.
 struct ConcurrencyLimiterSettings {
-  double initial = 4;
-  double least = 1;
-  double most = 32;
-  /// The window shrinks at most once in this time: answers under way tell of the same burst.
-  base::Duration shrinkInterval = base::milliseconds(60);
+  double initialLimit = 4;
+  double minLimit = 1;
+  double maxLimit = 32;
+  /// Minimum interval between two decreases: responses within it report the same burst.
+  base::Duration decreaseInterval = base::milliseconds(60);
 };
 
-/// Additive increase, multiplicative decrease, by what answers tell of the servers' load: requests
-/// that wait there delay callers too. Deterministic.
+/// Additive increase, multiplicative decrease (AIMD) of the number of concurrent calls, by the load
+/// that servers report: requests that queue there delay callers. Deterministic.
 class ConcurrencyLimiter {
  public:
   explicit ConcurrencyLimiter(ConcurrencyLimiterSettings settings = {})
-      : m_settings(settings), m_size(settings.initial) {}
+      : m_settings(settings), m_limit(settings.initialLimit) {}
 
-  [[nodiscard]] bool hasFreeSlot() const { return m_running < static_cast<std::uint32_t>(m_size); }
-  [[nodiscard]] double size() const { return m_size; }
+  [[nodiscard]] bool hasFreeSlot() const { return m_running < static_cast<std::uint32_t>(m_limit); }
+  [[nodiscard]] double limit() const { return m_limit; }
   void onSent() { ++m_running; }
-  /// A call ended. `crowded`: requests waited at its server, or the server refused it.
-  void onEnded(bool crowded, base::TimePoint now);
+  /// Records the end of a call. `overloaded`: requests queue at its server, or the server rejected
+  /// it.
+  void onEnded(bool overloaded, base::TimePoint now);
 
  private:
   const ConcurrencyLimiterSettings m_settings;
-  double m_size;
+  double m_limit;
   std::uint32_t m_running = 0;
-  base::TimePoint m_shrunkAt{};
+  base::TimePoint m_lastDecreaseAt{};
 };
 
 }  // namespace tackpick::forwarding
--- a/src/forwarding/instance_selection.cpp
+++ b/src/forwarding/instance_selection.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// InstanceTable: which instance takes a request.
+/// InstanceTable: selection of instances.
 #include <algorithm>
 #include <array>
 
@@ -9,76 +9,78 @@
 namespace tackpick::forwarding {
 namespace {
 
-/// Instances drawn at random, of which the cheapest is taken.
-constexpr int kDraws = 2;
-constexpr int kDrawsWhenLong = 6;
+/// Number of random candidates from which the cheapest is selected.
+constexpr int kChoices = 2;
+constexpr int kLongRunChoices = 6;
 
 }  // namespace
 
-const InstanceEntry* InstanceTable::drawCheaper(const std::vector<const InstanceEntry*>& candidates,
-                                                int draws, const InstanceRequirements& need,
-                                                base::Random& random, base::TimePoint now) const {
+const InstanceEntry* InstanceTable::pickCheapest(
+    const std::vector<const InstanceEntry*>& candidates, int choices,
+    const InstanceRequirements& requirements, base::Random& random, base::TimePoint now) const {
   const InstanceEntry* best = nullptr;
-  for (int draw = 0; draw < draws && !candidates.empty(); ++draw) {
-    const InstanceEntry* drawn = candidates[random.below(candidates.size())];
-    if (best == nullptr || cost(*drawn, need, now) < cost(*best, need, now)) {
-      best = drawn;
+  for (int i = 0; i < choices && !candidates.empty(); ++i) {
+    const InstanceEntry* candidate = candidates[random.below(candidates.size())];
+    if (best == nullptr || cost(*candidate, requirements, now) < cost(*best, requirements, now)) {
+      best = candidate;
     }
   }
   return best;
 }
 
-const InstanceEntry* InstanceTable::findFaster(const InstanceRequirements& need,
-                                               const std::string& current, double gain,
+const InstanceEntry* InstanceTable::findFaster(const InstanceRequirements& requirements,
+                                               const std::string& current, double minSpeedup,
                                                base::Random& random, base::TimePoint now) const {
-  const InstanceEntry* here = find(current);
-  return here == nullptr || here->eventIntervalMs <= 0
+  const InstanceEntry* currentEntry = find(current);
+  return currentEntry == nullptr || currentEntry->eventIntervalMs <= 0
              ? nullptr
-             : findWithinInterval(need, current, here->eventIntervalMs / gain, random, now);
+             : findWithinInterval(requirements, current, currentEntry->eventIntervalMs / minSpeedup,
+                                  random, now);
 }
 
-const InstanceEntry* InstanceTable::findWithinInterval(const InstanceRequirements& need,
+const InstanceEntry* InstanceTable::findWithinInterval(const InstanceRequirements& requirements,
                                                        const std::string& current,
                                                        double maxEventIntervalMs,
                                                        base::Random& random,
                                                        base::TimePoint now) const {
-  const InstanceEntry* here = find(current);
-  if (here == nullptr || here->loading) {
+  const InstanceEntry* currentEntry = find(current);
+  if (currentEntry == nullptr || currentEntry->loading) {
     return nullptr;
   }
   std::vector<const InstanceEntry*> faster;
   for (const std::string& id : m_measured) {
-    const InstanceEntry& entry = entries_.at(id);
-    if (id != current && isSound(entry, need, now) && hasFreeSlot(entry, now) &&
+    const InstanceEntry& entry = m_entries.at(id);
+    if (id != current && isEligible(entry, requirements, now) && hasFreeSlot(entry, now) &&
         entry.eventIntervalMs <= maxEventIntervalMs) {
       faster.push_back(&entry);
     }
   }
-  return drawCheaper(faster, kDraws, need, random, now);
+  return pickCheapest(faster, kChoices, requirements, random, now);
 }
 
-const InstanceEntry* InstanceTable::findIdle(const InstanceRequirements& need,
-                                             const std::set<std::string>& tried,
-                                             base::Random& random, base::TimePoint now) const {
+const InstanceEntry* InstanceTable::findWithFreeSlot(const InstanceRequirements& requirements,
+                                                     const std::set<std::string>& triedInstances,
+                                                     base::Random& random,
+                                                     base::TimePoint now) const {
   std::vector<const InstanceEntry*> idle;
-  for (const auto& [id, entry] : instancesOf(need.service)) {
-    if (!entry->standby && isSound(*entry, need, now) && hasFreeSlot(*entry, now) &&
-        !tried.contains(id)) {
+  for (const auto& [id, entry] : instancesOf(requirements.service)) {
+    if (!entry->standby && isEligible(*entry, requirements, now) && hasFreeSlot(*entry, now) &&
+        !triedInstances.contains(id)) {
       idle.push_back(entry);
     }
   }
-  return drawCheaper(idle, kDraws, need, random, now);
+  return pickCheapest(idle, kChoices, requirements, random, now);
 }
 
-const InstanceEntry* InstanceTable::selectFavourite(std::vector<const InstanceEntry*> candidates,
-                                                    const InstanceRequirements& need,
-                                                    base::TimePoint now) const {
-  if (!need.model.empty() || candidates.size() <= settings_.fewInstances) {
+const InstanceEntry* InstanceTable::selectFromSubset(std::vector<const InstanceEntry*> candidates,
+                                                     const InstanceRequirements& requirements,
+                                                     base::TimePoint now) const {
+  if (!requirements.model.empty() || candidates.size() <= m_settings.subsetThreshold) {
     return nullptr;
   }
-  const auto last = candidates.begin() + static_cast<std::ptrdiff_t>(settings_.favourites);
+  const auto last = candidates.begin() + static_cast<std::ptrdiff_t>(m_settings.subsetSize);
   const auto rank = [&](const InstanceEntry* entry) {
-    return std::pair(entry->record.zone != settings_.zone, entry->favour);
+    return std::pair(entry->record.zone != m_settings.zone, entry->subsetHash);
   };
   std::partial_sort(candidates.begin(), last, candidates.end(),
                     [&](const InstanceEntry* left, const InstanceEntry* right) {
@@ -86,37 +88,38 @@
                     });
   const InstanceEntry* best = *std::min_element(
       candidates.begin(), last, [&](const InstanceEntry* left, const InstanceEntry* right) {
-        return cost(*left, need, now) < cost(*right, need, now);
+        return cost(*left, requirements, now) < cost(*right, requirements, now);
       });
   constexpr double kHalf = 0.5;
-  const bool busy = busyness(*best, now) + 1 > kHalf * best->record.slots;
+  const bool busy = activeRequests(*best, now) + 1 > kHalf * best->record.slots;
   return busy ? nullptr : best;
 }
 
-const InstanceEntry* InstanceTable::leastBusy(const std::vector<const InstanceEntry*>& candidates,
-                                              base::TimePoint now) {
-  const auto least = std::min_element(candidates.begin(), candidates.end(),
-                                      [&](const InstanceEntry* left, const InstanceEntry* right) {
-                                        return busyness(*left, now) < busyness(*right, now);
-                                      });
-  return least == candidates.end() ? nullptr : *least;
+const InstanceEntry* InstanceTable::leastLoaded(const std::vector<const InstanceEntry*>& candidates,
+                                                base::TimePoint now) {
+  const auto minEntry =
+      std::min_element(candidates.begin(), candidates.end(),
+                       [&](const InstanceEntry* left, const InstanceEntry* right) {
+                         return activeRequests(*left, now) < activeRequests(*right, now);
+                       });
+  return minEntry == candidates.end() ? nullptr : *minEntry;
 }
 
-const InstanceEntry* InstanceTable::select(const InstanceRequirements& need,
-                                           const std::set<std::string>& tried, base::Random& random,
-                                           base::TimePoint now) const {
-  // Lower is better: sound, then unresponsive or just full or failed, then tried before.
-  enum Rank : std::uint8_t { kSound, kStandby, kUnresponsive, kAvoided, kTried, kRanks };
-  std::array<std::vector<const InstanceEntry*>, kRanks> ranked;
-  for (const auto& [id, entry] : instancesOf(need.service)) {
-    if (!serves(*entry, need)) {
+const InstanceEntry* InstanceTable::select(const InstanceRequirements& requirements,
+                                           const std::set<std::string>& triedInstances,
+                                           base::Random& random, base::TimePoint now) const {
+  // Lower ranks are preferred.
+  enum Rank : std::uint8_t { kHealthy, kStandby, kUnresponsive, kEjected, kTried, kRankCount };
+  std::array<std::vector<const InstanceEntry*>, kRankCount> ranked;
+  for (const auto& [id, entry] : instancesOf(requirements.service)) {
+    if (!serves(*entry, requirements)) {
       continue;
     }
-    Rank rank = kSound;
-    if (tried.contains(id)) {
+    Rank rank = kHealthy;
+    if (triedInstances.contains(id)) {
       rank = kTried;
-    } else if (now < entry->avoidUntil || (entry->loading && !need.model.empty())) {
-      rank = kAvoided;
+    } else if (now < entry->ejectedUntil || (entry->loading && !requirements.model.empty())) {
+      rank = kEjected;
     } else if (entry->unresponsive) {
       rank = kUnresponsive;
     } else if (entry->standby) {
@@ -124,15 +127,16 @@
     }
     ranked.at(rank).push_back(entry);
   }
-  if (need.alone) {
-    return leastBusy(ranked[kSound], now);
+  if (requirements.preferIdle) {
+    return leastLoaded(ranked[kHealthy], now);
   }
-  if (const InstanceEntry* favourite = selectFavourite(ranked[kSound], need, now)) {
-    return favourite;
+  if (const InstanceEntry* selected = selectFromSubset(ranked[kHealthy], requirements, now)) {
+    return selected;
   }
   for (const auto& candidates : ranked) {
     if (!candidates.empty()) {
-      return drawCheaper(candidates, need.longRunning ? kDrawsWhenLong : kDraws, need, random, now);
+      return pickCheapest(candidates, requirements.longRunning ? kLongRunChoices : kChoices,
+                          requirements, random, now);
     }
   }
   return nullptr;
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -9,39 +9,39 @@
 namespace tackpick::forwarding {
 namespace {
 
-/// Reports of load older than this say nothing.
-constexpr base::Duration kLoadFreshness = base::milliseconds(800);
-/// The time that work takes changes many times a second.
+/// Maximum age of load reports.
+constexpr base::Duration kLoadMaxAge = base::milliseconds(800);
+/// Maximum age of a reported slowdown, which changes quickly.
 constexpr base::Duration kSlowdownMaxAge = base::milliseconds(200);
-constexpr double kLatencyWeight = 0.2;
+constexpr double kLatencySmoothing = 0.2;
 constexpr double kIntervalSmoothing = 0.15;
-/// Of what the ledgers are told, which average it over gateways.
+/// Smoothing of the interval reported to the ledgers, which average it over gateways.
 constexpr double kRecentIntervalSmoothing = 0.3;
-/// What was measured before says nothing of an engine's present pace.
+/// Age after which an event interval is replaced by the next sample rather than averaged with it.
 constexpr base::Duration kIntervalMaxAge = base::seconds(2);
-/// An instance in another zone counts as this much busier, in requests.
-constexpr double kOtherZoneCost = 0.4;
+/// Cost of an instance in another zone, as a number of additional requests.
+constexpr double kCrossZonePenalty = 0.4;
 
-/// Its slots count when work is asked for.
-bool takesWork(const InstanceEntry& entry) {
-  return !entry.record.draining && !entry.gone && !entry.standby && entry.record.slots > 0;
+/// Whether the instance's slots count as available for leased items.
+bool acceptsWork(const InstanceEntry& entry) {
+  return !entry.record.draining && !entry.isRemoved && !entry.standby && entry.record.slots > 0;
 }
 
 }  // namespace
 
 std::string_view toString(AttemptOutcome outcome) {
   switch (outcome) {
-    case AttemptOutcome::kServed:
+    case AttemptOutcome::kSucceeded:
       return "served";
     case AttemptOutcome::kFailed:
       return "failed";
-    case AttemptOutcome::kUnreached:
+    case AttemptOutcome::kConnectFailed:
       return "unreached";
-    case AttemptOutcome::kFull:
+    case AttemptOutcome::kRejected:
       return "full";
-    case AttemptOutcome::kGone:
+    case AttemptOutcome::kWrongInstance:
       return "gone";
-    case AttemptOutcome::kAbandoned:
+    case AttemptOutcome::kCancelled:
       return "abandoned";
   }
   return "unknown";
@@ -52,43 +52,43 @@
   return found == versions.end() ? 0 : found->second;
 }
 
-void InstanceTable::update(const std::vector<directory::InstanceView>& view) {
-  std::set<std::string> present;
+void InstanceTable::replaceAll(const std::vector<directory::InstanceView>& view) {
+  std::set<std::string> presentIds;
   for (const directory::InstanceView& instance : view) {
-    present.insert(instance.record.id);
+    presentIds.insert(instance.record.id);
     upsert(instance);
   }
   std::vector<std::string> missing;
-  for (const auto& [id, entry] : entries_) {
-    if (!present.contains(id)) {
+  for (const auto& [id, entry] : m_entries) {
+    if (!presentIds.contains(id)) {
       missing.push_back(id);
     }
   }
   std::for_each(missing.begin(), missing.end(), [&](const std::string& id) { remove(id); });
-  forgetDeparted();
+  purgeRemoved();
 }
 
-void InstanceTable::change(const std::vector<directory::InstanceView>& changed,
-                           const std::vector<std::string>& removed) {
+void InstanceTable::applyChanges(const std::vector<directory::InstanceView>& changed,
+                                 const std::vector<std::string>& removed) {
   std::for_each(removed.begin(), removed.end(), [&](const std::string& id) { remove(id); });
   for (const directory::InstanceView& instance : changed) {
     upsert(instance);
   }
-  forgetDeparted();
+  purgeRemoved();
 }
 
 void InstanceTable::upsert(const directory::InstanceView& instance) {
-  const auto [known, added] = entries_.try_emplace(instance.record.id);
+  const auto [known, added] = m_entries.try_emplace(instance.record.id);
   InstanceEntry& entry = known->second;
   if (added) {
-    endEarlier(instance.record.id, entry);
-    entry.favour = base::hashBytes(settings_.gateway + "/" + instance.record.id);
+    retirePreviousIncarnations(instance.record.id, entry);
+    entry.subsetHash = base::hashBytes(m_settings.gateway + "/" + instance.record.id);
   } else {
     removeSlots(entry);
     m_byService[entry.record.service].erase(instance.record.id);
   }
-  if (m_departed.erase(instance.record.id) > 0) {
-    entry.gone = false;
+  if (m_removed.erase(instance.record.id) > 0) {
+    entry.isRemoved = false;
   }
   const bool draining = entry.record.draining || instance.record.draining;
   entry.record = instance.record;
@@ -104,54 +104,54 @@
   addSlots(entry);
 }
 
-void InstanceTable::endEarlier(const std::string& id, InstanceEntry& successor) {
+void InstanceTable::retirePreviousIncarnations(const std::string& id, InstanceEntry& successor) {
   const std::string name = directory::instanceName(id);
-  const auto unnamed = entries_.find(name);
-  if (id != name && unnamed != entries_.end()) {
-    endEntry(unnamed->second, successor);
+  const auto plainEntry = m_entries.find(name);
+  if (id != name && plainEntry != m_entries.end()) {
+    retire(plainEntry->second, successor);
   }
-  for (auto known = entries_.lower_bound(directory::firstKey(name));
-       known != entries_.end() && known->first < id; ++known) {
-    endEntry(known->second, successor);
+  for (auto known = m_entries.lower_bound(directory::firstKey(name));
+       known != m_entries.end() && known->first < id; ++known) {
+    retire(known->second, successor);
   }
   if (successor.eventIntervalMs > 0) {
     m_measured.insert(id);
   }
 }
 
-void InstanceTable::endEntry(InstanceEntry& earlier, InstanceEntry& successor) {
-  earlier.ended = true;
-  if (earlier.eventIntervalMs > 0) {
-    successor.eventIntervalMs = earlier.eventIntervalMs;
-    successor.recentEventIntervalMs = earlier.recentEventIntervalMs;
-    successor.eventIntervalAt = earlier.eventIntervalAt;
+void InstanceTable::retire(InstanceEntry& previous, InstanceEntry& successor) {
+  previous.restarted = true;
+  if (previous.eventIntervalMs > 0) {
+    successor.eventIntervalMs = previous.eventIntervalMs;
+    successor.recentEventIntervalMs = previous.recentEventIntervalMs;
+    successor.eventIntervalAt = previous.eventIntervalAt;
   }
 }
 
 bool InstanceTable::hasRestarted(const std::string& id) const {
   const InstanceEntry* entry = find(id);
-  return entry != nullptr && entry->ended;
+  return entry != nullptr && entry->restarted;
 }
 
 void InstanceTable::remove(const std::string& id) {
-  const auto known = entries_.find(id);
-  if (known == entries_.end()) {
+  const auto known = m_entries.find(id);
+  if (known == m_entries.end()) {
     return;
   }
   removeSlots(known->second);
-  known->second.gone = true;
-  m_departed.insert(id);
+  known->second.isRemoved = true;
+  m_removed.insert(id);
 }
 
-void InstanceTable::forgetDeparted() {
-  std::erase_if(m_departed, [&](const std::string& id) {
-    const auto known = entries_.find(id);
+void InstanceTable::purgeRemoved() {
+  std::erase_if(m_removed, [&](const std::string& id) {
+    const auto known = m_entries.find(id);
     if (known->second.inFlight > 0) {
       return false;
     }
     m_measured.erase(id);
     m_byService[known->second.record.service].erase(id);
-    entries_.erase(known);
+    m_entries.erase(known);
     return true;
   });
 }
@@ -164,7 +164,7 @@
 }
 
 void InstanceTable::addSlots(const InstanceEntry& entry) {
-  if (!takesWork(entry)) {
+  if (!acceptsWork(entry)) {
     return;
   }
   for (const auto& [model, version] : entry.versions) {
@@ -173,7 +173,7 @@
 }
 
 void InstanceTable::removeSlots(const InstanceEntry& entry) {
-  if (!takesWork(entry)) {
+  if (!acceptsWork(entry)) {
     return;
   }
   for (const auto& [model, version] : entry.versions) {
@@ -186,16 +186,18 @@
   }
 }
 
-bool InstanceTable::serves(const InstanceEntry& entry, const InstanceRequirements& need) {
-  return entry.record.service == need.service && !entry.record.draining && !entry.gone &&
-         (need.model.empty() || entry.version(need.model) >= need.minimumVersion);
+bool InstanceTable::serves(const InstanceEntry& entry, const InstanceRequirements& requirements) {
+  return entry.record.service == requirements.service && !entry.record.draining &&
+         !entry.isRemoved &&
+         (requirements.model.empty() ||
+          entry.version(requirements.model) >= requirements.minimumVersion);
 }
 
-double InstanceTable::busyness(const InstanceEntry& entry, base::TimePoint now) {
+double InstanceTable::activeRequests(const InstanceEntry& entry, base::TimePoint now) {
   const double reported =
-      now - entry.loadAt < kLoadFreshness ? entry.load.running + entry.load.waiting : 0.0;
-  const double shared = now - entry.sharedLoadAt < kLoadFreshness ? entry.sharedLoad : 0.0;
-  return std::max({static_cast<double>(entry.inFlight), reported, shared});
+      now - entry.loadAt < kLoadMaxAge ? entry.load.running + entry.load.waiting : 0.0;
+  const double inCluster = now - entry.clusterLoadAt < kLoadMaxAge ? entry.clusterLoad : 0.0;
+  return std::max({static_cast<double>(entry.inFlight), reported, inCluster});
 }
 
 double InstanceTable::slowdown(const InstanceEntry& entry, base::TimePoint now) {
@@ -204,89 +206,91 @@
   return fresh ? entry.load.slowdownPercent / kNormalPercent : 1.0;
 }
 
-double InstanceTable::cost(const InstanceEntry& entry, const InstanceRequirements& need,
+double InstanceTable::cost(const InstanceEntry& entry, const InstanceRequirements& requirements,
                            base::TimePoint now) const {
   const double slots = std::max<double>(1.0, entry.record.slots);
-  const double occupied = (busyness(entry, now) + 1.0) / slots;
-  if (need.model.empty()) {
-    const double away = entry.record.zone != settings_.zone ? kOtherZoneCost / slots : 0.0;
+  const double occupancyRatio = (activeRequests(entry, now) + 1.0) / slots;
+  if (requirements.model.empty()) {
+    const double zonePenalty =
+        entry.record.zone != m_settings.zone ? kCrossZonePenalty / slots : 0.0;
     constexpr double kUnknownLatencyMs = 10.0;
-    return (occupied + away) * slowdown(entry, now) *
+    return (occupancyRatio + zonePenalty) * slowdown(entry, now) *
            (entry.latencyMs > 0 ? entry.latencyMs : kUnknownLatencyMs);
   }
-  return jobs::engineCost(entry.eventIntervalMs, occupied);
+  return jobs::engineCost(entry.eventIntervalMs, occupancyRatio);
 }
 
-bool InstanceTable::isSound(const InstanceEntry& entry, const InstanceRequirements& need,
-                            base::TimePoint now) {
-  const bool loads = entry.loading && !need.model.empty();
-  return serves(entry, need) && !loads && now >= entry.avoidUntil;
+bool InstanceTable::isEligible(const InstanceEntry& entry, const InstanceRequirements& requirements,
+                               base::TimePoint now) {
+  const bool loads = entry.loading && !requirements.model.empty();
+  return serves(entry, requirements) && !loads && now >= entry.ejectedUntil;
 }
 
 bool InstanceTable::hasFreeSlot(const InstanceEntry& entry, base::TimePoint now) {
-  return busyness(entry, now) + 1 <= entry.record.slots;
+  return activeRequests(entry, now) + 1 <= entry.record.slots;
 }
 
-bool InstanceTable::isUsable(const std::string& id, const InstanceRequirements& need,
+bool InstanceTable::isUsable(const std::string& id, const InstanceRequirements& requirements,
                              base::TimePoint now) const {
   const InstanceEntry* entry = find(id);
-  return entry != nullptr && isSound(*entry, need, now);
+  return entry != nullptr && isEligible(*entry, requirements, now);
 }
 
 void InstanceTable::onSent(const std::string& id) {
-  const auto found = entries_.find(id);
-  if (found != entries_.end()) {
+  const auto found = m_entries.find(id);
+  if (found != m_entries.end()) {
     ++found->second.inFlight;
   }
 }
 
 void InstanceTable::onEnded(const std::string& id, AttemptOutcome outcome, base::Duration took,
                             base::TimePoint now) {
-  const auto found = entries_.find(id);
-  if (found == entries_.end()) {
+  const auto found = m_entries.find(id);
+  if (found == m_entries.end()) {
     return;
   }
   InstanceEntry& entry = found->second;
   entry.inFlight -= entry.inFlight > 0 ? 1 : 0;
   switch (outcome) {
-    case AttemptOutcome::kServed: {
+    case AttemptOutcome::kSucceeded: {
       const double sample = base::toMilliseconds(took);
       entry.latencyMs = entry.latencyMs > 0
-                            ? entry.latencyMs + kLatencyWeight * (sample - entry.latencyMs)
+                            ? entry.latencyMs + kLatencySmoothing * (sample - entry.latencyMs)
                             : sample;
       entry.failures = 0;
       break;
     }
     case AttemptOutcome::kFailed:
-    case AttemptOutcome::kUnreached: {
+    case AttemptOutcome::kConnectFailed: {
       const unsigned doublings = std::min(entry.failures, 4U);
       ++entry.failures;
-      entry.avoidUntil =
-          now + std::min(settings_.ejectionTime * (1U << doublings), settings_.maxEjection);
+      entry.ejectedUntil =
+          now + std::min(m_settings.ejectionTime * (1U << doublings), m_settings.maxEjection);
       break;
     }
-    case AttemptOutcome::kFull:
-      entry.avoidUntil = std::max(
-          entry.avoidUntil, now + (busyness(entry, now) < entry.record.slots ? settings_.loadingTime
-                                                                             : settings_.fullTime));
+    case AttemptOutcome::kRejected:
+      entry.ejectedUntil =
+          std::max(entry.ejectedUntil, now + (activeRequests(entry, now) < entry.record.slots
+                                                  ? m_settings.loadingBackoff
+                                                  : m_settings.rejectionBackoff));
       break;
-    case AttemptOutcome::kGone:
+    case AttemptOutcome::kWrongInstance:
       removeSlots(entry);
-      entry.gone = true;
+      entry.isRemoved = true;
       break;
-    case AttemptOutcome::kAbandoned:
+    case AttemptOutcome::kCancelled:
       break;
   }
 }
 
-void InstanceTable::onEventInterval(const std::string& id, base::Duration perEvent,
+void InstanceTable::onEventInterval(const std::string& id, base::Duration interval,
                                     base::TimePoint now) {
-  const auto found = entries_.find(id);
-  if (found == entries_.end() || found->second.loading) {
+  const auto found = m_entries.find(id);
+  if (found == m_entries.end() || found->second.loading) {
     return;
   }
   InstanceEntry& entry = found->second;
-  const double sample = base::toMilliseconds(perEvent);
+  const double sample = base::toMilliseconds(interval);
   entry.eventIntervalMs =
       entry.eventIntervalMs > 0
           ? entry.eventIntervalMs + kIntervalSmoothing * (sample - entry.eventIntervalMs)
@@ -302,25 +306,25 @@
 }
 
 void InstanceTable::onLoad(const std::string& id, const ReportedLoad& load, base::TimePoint now) {
-  const auto found = entries_.find(id);
-  if (found != entries_.end()) {
+  const auto found = m_entries.find(id);
+  if (found != m_entries.end()) {
     found->second.load = load;
     found->second.loadAt = now;
   }
 }
 
-void InstanceTable::onSharedLoad(const std::string& id, std::uint32_t items, base::TimePoint now) {
-  const auto found = entries_.find(id);
-  if (found != entries_.end()) {
-    found->second.sharedLoad = items;
-    found->second.sharedLoadAt = now;
+void InstanceTable::onClusterLoad(const std::string& id, std::uint32_t items, base::TimePoint now) {
+  const auto found = m_entries.find(id);
+  if (found != m_entries.end()) {
+    found->second.clusterLoad = items;
+    found->second.clusterLoadAt = now;
   }
 }
 
 void InstanceTable::onVersion(const std::string& id, const std::string& model,
                               std::uint64_t version) {
-  const auto found = entries_.find(id);
-  if (found != entries_.end() && found->second.version(model) < version) {
+  const auto found = m_entries.find(id);
+  if (found != m_entries.end() && found->second.version(model) < version) {
     removeSlots(found->second);
     found->second.versions[model] = version;
     addSlots(found->second);
@@ -328,16 +332,16 @@
 }
 
 const InstanceEntry* InstanceTable::find(const std::string& id) const {
-  const auto found = entries_.find(id);
-  return found == entries_.end() ? nullptr : &found->second;
+  const auto found = m_entries.find(id);
+  return found == m_entries.end() ? nullptr : &found->second;
 }
 
 std::map<std::string, jobs::EventIntervalReport> InstanceTable::eventIntervals(
     base::TimePoint now) const {
   std::map<std::string, jobs::EventIntervalReport> eventIntervals;
-  // In the order of the ids: of one engine's incarnations the latest comes last.
+  // Ids are sorted by incarnation, so the latest incarnation of an engine overwrites earlier ones.
   for (const std::string& id : m_measured) {
-    const InstanceEntry& entry = entries_.at(id);
+    const InstanceEntry& entry = m_entries.at(id);
     eventIntervals[directory::instanceName(id)] = {entry.recentEventIntervalMs,
                                                    now - entry.eventIntervalAt,
                                                    entry.load.slowdownPercent, now - entry.loadAt};
@@ -349,12 +353,12 @@
   const auto& instances = instancesOf(service);
   return static_cast<std::size_t>(
       std::count_if(instances.begin(), instances.end(), [](const auto& instance) {
-        return !instance.second->record.draining && !instance.second->gone;
+        return !instance.second->record.draining && !instance.second->isRemoved;
       }));
 }
 
 jobs::FreeSlots InstanceTable::freeSlots(const ServiceModels& models) const {
-  jobs::FreeSlots room;
+  jobs::FreeSlots freeSlots;
   for (const auto& [service, run] : models) {
     const auto known = m_slots.find(service);
     if (known == m_slots.end()) {
@@ -366,19 +370,19 @@
       }
       for (const auto& [version, slots] : byVersion) {
         if (version > 0) {
-          room.add(model, version, slots);
+          freeSlots.add(model, version, slots);
         }
       }
     }
   }
-  return room;
+  return freeSlots;
 }
 
 double InstanceTable::occupancy(const std::string& service) const {
   double taken = 0;
   double totalSlots = 0;
   for (const auto& [id, entry] : instancesOf(service)) {
-    if (!entry->record.draining && !entry->gone) {
+    if (!entry->record.draining && !entry->isRemoved) {
       taken += std::max<double>(entry->inFlight, entry->load.running + entry->load.waiting);
       totalSlots += entry->record.slots;
     }
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a gateway knows of the instances it may send to: the directory's view joined with what it
-/// sees on its own connections.
+/// The instances that a gateway may send to: the directory's view joined with the gateway's own
+/// observations.
 #pragma once
 
 #include <cstdint>
@@ -19,198 +19,204 @@
 
 namespace tackpick::forwarding {
 
-/// Knobs of InstanceTable.
+/// Settings of InstanceTable.
 struct InstanceTableSettings {
-  std::string zone;          ///< this gateway's
-  std::string gateway = {};  ///< its name: instances are favoured by it
-  /// An instance that failed is avoided for this long, doubled with each further failure.
+  std::string zone;          ///< zone of this gateway
+  std::string gateway = {};  ///< name of this gateway; determines its subset of instances
+  /// Time for which an instance is ejected after a failure; doubled with each further failure.
   base::Duration ejectionTime = base::milliseconds(400);
   base::Duration maxEjection = base::seconds(4);
-  /// After a refusal for want of room it is avoided for this long.
-  base::Duration fullTime = base::milliseconds(60);
-  /// After a refusal although it has room: it changes its weights.
-  base::Duration loadingTime = base::milliseconds(200);
-  /// Of a service with more instances than `fewInstances` a gateway uses its `favourites` while
-  /// they are at most half full: 800 gateways that draw among 375 servers open a connection for
-  /// nearly every request, and to keep one open costs each server 800.
-  std::size_t fewInstances = 24;
-  std::size_t favourites = 3;
+  /// Time for which an instance is ejected after it rejected a request because it was full.
+  base::Duration rejectionBackoff = base::milliseconds(60);
+  /// Time for which an instance is ejected after it rejected a request although it had free slots,
+  /// because it was loading weights.
+  base::Duration loadingBackoff = base::milliseconds(200);
+  /// For a service with more than `subsetThreshold` instances, a gateway prefers a subset of
+  /// `subsetSize` instances while they are at most half full. This bounds the number of
+  /// connections.
+  std::size_t subsetThreshold = 24;
+  std::size_t subsetSize = 3;
 };
 
-/// How one send to an instance ended.
+/// Outcome of one attempt at an instance.
 enum class AttemptOutcome : std::uint8_t {
-  kServed,     ///< it answered
-  kFailed,     ///< it answered with a failure of its own, or broke off
-  kUnreached,  ///< no connection
-  kFull,       ///< it had no room and did not run the request
-  kGone,       ///< another instance answers at its address
-  kAbandoned,  ///< we broke off
+  kSucceeded,      ///< the instance responded
+  kFailed,         ///< server error or incomplete response
+  kConnectFailed,  ///< the connection could not be established
+  kRejected,       ///< the instance had no free slot and did not run the request
+  kWrongInstance,  ///< another instance responds at this address
+  kCancelled,      ///< cancelled by the gateway
 };
 
 [[nodiscard]] std::string_view toString(AttemptOutcome outcome);
 
-/// What an instance says of its load in an answer.
+/// Load that an instance reports in a response.
 struct ReportedLoad {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
-  /// How long work takes there now, in percent of what is usual: others use the machine too.
+  /// Present duration of work in percent of normal; more than 100 if other processes use the
+  /// machine.
   std::uint32_t slowdownPercent = 100;
 };
 
-/// What a request needs of an instance.
+/// Requirements of a request on an instance.
 struct InstanceRequirements {
   std::string service;
   std::string model;                 ///< empty: any
   std::uint64_t minimumVersion = 0;  ///< of that model's weights
-  bool longRunning = false;          ///< expected to run long: speed counts more than balance
-  bool alone = false;                ///< it may end the instance: the fewer run there the better
+  bool longRunning = false;          ///< expected to run long: speed matters more than balance
+  bool preferIdle = false;  ///< prefer the least loaded instance, since the request may crash it
 };
 
-/// One instance as the gateway sees it.
+/// An instance as seen by the gateway.
 struct InstanceEntry {
   directory::InstanceRecord record;
   std::map<std::string, std::uint64_t> versions;
-  /// The controllers miss its heartbeats. It is used only when no other is left: it may be dead, or
-  /// merely cut off from the controllers.
+  /// Heartbeats are overdue at the controllers. The instance is used only if no other is available:
+  /// it may have failed or be disconnected from the controllers only.
   bool unresponsive = false;
   std::uint32_t inFlight = 0;
   ReportedLoad load;
   base::TimePoint loadAt{};
-  std::uint32_t sharedLoad = 0;  ///< requests of all gateways, as the ledgers count them
-  base::TimePoint sharedLoadAt{};
-  double eventIntervalMs =
-      0;  ///< moving average of the time between two events of a stream; zero: none yet
-  double recentEventIntervalMs = 0;   ///< the same over the last few runs, for the ledgers
-  base::TimePoint eventIntervalAt{};  ///< when they were last measured
-  double latencyMs = 0;               ///< moving average of served requests; zero: none yet
+  std::uint32_t clusterLoad = 0;  ///< items of all gateways, as reported by the ledgers
+  base::TimePoint clusterLoadAt{};
+  double eventIntervalMs = 0;         ///< moving average of the event interval; zero: no value yet
+  double recentEventIntervalMs = 0;   ///< moving average over the last few runs, for the ledgers
+  base::TimePoint eventIntervalAt{};  ///< time of the last sample of both averages
+  double latencyMs = 0;  ///< moving average over successful requests; zero: no value yet
   std::uint32_t failures = 0;
-  base::TimePoint avoidUntil{};
-  std::uint64_t favour = 0;  ///< of those in its zone, this gateway favours the lowest
-  bool gone = false;
-  bool ended = false;    ///< it has started again: what ran there is over
-  bool loading = false;  ///< it changes weights and refuses new requests
-  bool standby = false;  ///< items go elsewhere while there is room
+  base::TimePoint ejectedUntil{};
+  std::uint64_t subsetHash = 0;  ///< rendezvous hash; the lowest in the zone form the subset
+  bool isRemoved = false;        ///< removed by the controllers or replaced at its address
+  bool restarted = false;        ///< a newer incarnation has registered; its runs are lost
+  bool loading = false;          ///< loading weights; rejects new requests
+  bool standby = false;          ///< used only when the other engines are full
 
   [[nodiscard]] std::uint64_t version(const std::string& model) const;
 };
 
-/// The models that the engines of each service run.
+/// Models that the engines of each service run, by service.
 using ServiceModels = std::map<std::string, std::set<std::string>>;
 
-/// Deterministic; owned by one thread.
+/// Selects instances for requests and records the outcomes. Deterministic; owned by one thread.
 class InstanceTable {
  public:
-  explicit InstanceTable(InstanceTableSettings settings) : settings_(std::move(settings)) {}
-
-  /// Takes in all instances there are.
-  void update(const std::vector<directory::InstanceView>& view);
-  /// Takes in what changed.
-  void change(const std::vector<directory::InstanceView>& changed,
-              const std::vector<std::string>& removed);
-  /// The instance to send to, or nothing when none may be used. Instances in `tried` come last and
-  /// only when `repeat` holds. Of two drawn at random the less loaded one is taken.
-  [[nodiscard]] const InstanceEntry* select(const InstanceRequirements& need,
-                                            const std::set<std::string>& tried,
+  explicit InstanceTable(InstanceTableSettings settings) : m_settings(std::move(settings)) {}
+
+  /// Applies a full view: instances not in `view` are removed.
+  void replaceAll(const std::vector<directory::InstanceView>& view);
+  /// Applies an incremental view.
+  void applyChanges(const std::vector<directory::InstanceView>& changed,
+                    const std::vector<std::string>& removed);
+  /// Selects an instance for a request; null if there is none. Prefers healthy instances to
+  /// standby, unresponsive, ejected and tried ones, and the cheapest of a few random candidates.
+  [[nodiscard]] const InstanceEntry* select(const InstanceRequirements& requirements,
+                                            const std::set<std::string>& triedInstances,
                                             base::Random& random, base::TimePoint now) const;
   void onSent(const std::string& id);
   void onEnded(const std::string& id, AttemptOutcome outcome, base::Duration took,
                base::TimePoint now);
-  /// Events of a stream came so far apart on average. Passed over while the engine changes its
-  /// weights, which slows it for a moment.
-  void onEventInterval(const std::string& id, base::Duration perEvent, base::TimePoint now);
-  /// An instance where a stream would go on faster: at least `gain` times as fast as at `current`,
-  /// with room. Of two drawn at random the cheaper one, so that gateways do not all choose the
-  /// same. Nothing when there is none.
-  /// Nothing while `current` only changes its weights.
-  [[nodiscard]] const InstanceEntry* findFaster(const InstanceRequirements& need,
-                                                const std::string& current, double gain,
+  /// Records the average event interval of a stream. Ignored while the engine loads weights, which
+  /// slows it temporarily.
+  void onEventInterval(const std::string& id, base::Duration interval, base::TimePoint now);
+  /// Returns an instance with a free slot at which a stream would run at least `minSpeedup` times
+  /// as fast as at `current`; null if there is none or `current` is loading weights. Chooses among
+  /// random candidates so that gateways do not all select the same one.
+  [[nodiscard]] const InstanceEntry* findFaster(const InstanceRequirements& requirements,
+                                                const std::string& current, double minSpeedup,
                                                 base::Random& random, base::TimePoint now) const;
-  /// The same where a stream is at most `maxEventIntervalMs` milliseconds from event to event.
-  [[nodiscard]] const InstanceEntry* findWithinInterval(const InstanceRequirements& need,
+  /// Returns an instance with a free slot and an event interval of at most `maxEventIntervalMs`;
+  /// null if there is none or `current` is loading weights.
+  [[nodiscard]] const InstanceEntry* findWithinInterval(const InstanceRequirements& requirements,
                                                         const std::string& current,
                                                         double maxEventIntervalMs,
                                                         base::Random& random,
                                                         base::TimePoint now) const;
-  /// An instance with room that has not been tried and refuses nothing now; nothing when there is
-  /// none.
-  [[nodiscard]] const InstanceEntry* findIdle(const InstanceRequirements& need,
-                                              const std::set<std::string>& tried,
-                                              base::Random& random, base::TimePoint now) const;
-  /// True when what runs at that instance is over, since it has started again.
+  /// Returns an eligible instance with a free slot that has not been tried; null if there is none.
+  [[nodiscard]] const InstanceEntry* findWithFreeSlot(const InstanceRequirements& requirements,
+                                                      const std::set<std::string>& triedInstances,
+                                                      base::Random& random,
+                                                      base::TimePoint now) const;
+  /// Whether a newer incarnation of the instance has registered, so that its runs are lost.
   [[nodiscard]] bool hasRestarted(const std::string& id) const;
-  /// True when the instance may be sent to now.
-  [[nodiscard]] bool isUsable(const std::string& id, const InstanceRequirements& need,
+  /// Whether requests may be sent to the instance now.
+  [[nodiscard]] bool isUsable(const std::string& id, const InstanceRequirements& requirements,
                               base::TimePoint now) const;
   void onLoad(const std::string& id, const ReportedLoad& load, base::TimePoint now);
-  /// The ledgers told how many items of all gateways run at an engine.
-  void onSharedLoad(const std::string& id, std::uint32_t items, base::TimePoint now);
-  /// An answer named the version that makes it.
+  /// Records the number of items of all gateways at an engine, as reported by the ledgers.
+  void onClusterLoad(const std::string& id, std::uint32_t items, base::TimePoint now);
+  /// Records the weights version that a response reported.
   void onVersion(const std::string& id, const std::string& model, std::uint64_t version);
 
   [[nodiscard]] const InstanceEntry* find(const std::string& id) const;
-  /// Paces of engines, by their names, where they are known.
+  /// Measured event intervals by engine name.
   [[nodiscard]] std::map<std::string, jobs::EventIntervalReport> eventIntervals(
       base::TimePoint now) const;
-  /// Instances of a service that do not leave.
+  /// Number of instances of a service that are neither draining nor removed.
   [[nodiscard]] std::size_t count(const std::string& service) const;
-  /// Slots at engines, by model and the version of it that they hold.
+  /// Slots of engines by model and weights version.
   [[nodiscard]] jobs::FreeSlots freeSlots(const ServiceModels& models) const;
-  /// Share of the slots of a service that are taken, as last reported; requests of this gateway
-  /// count at least.
+  /// Share of the slots of a service that are occupied, as last reported or, if that is more, by
+  /// requests of this gateway.
   [[nodiscard]] double occupancy(const std::string& service) const;
-  [[nodiscard]] const std::map<std::string, InstanceEntry>& entries() const { return entries_; }
+  [[nodiscard]] const std::map<std::string, InstanceEntry>& entries() const { return m_entries; }
 
  private:
-  [[nodiscard]] static bool serves(const InstanceEntry& entry, const InstanceRequirements& need);
-  /// Requests at an instance, as far as this gateway knows.
-  [[nodiscard]] static double busyness(const InstanceEntry& entry, base::TimePoint now);
-  /// How long work takes there now; 1: as usual, or not known.
+  [[nodiscard]] static bool serves(const InstanceEntry& entry,
+                                   const InstanceRequirements& requirements);
+  /// Number of active requests at an instance, as far as known.
+  [[nodiscard]] static double activeRequests(const InstanceEntry& entry, base::TimePoint now);
+  /// Present slowdown as a factor; 1: normal or unknown.
   [[nodiscard]] static double slowdown(const InstanceEntry& entry, base::TimePoint now);
-  [[nodiscard]] static bool isSound(const InstanceEntry& entry, const InstanceRequirements& need,
-                                    base::TimePoint now);
+  /// Whether the instance meets the requirements, is not ejected and is not loading weights.
+  [[nodiscard]] static bool isEligible(const InstanceEntry& entry,
+                                       const InstanceRequirements& requirements,
+                                       base::TimePoint now);
   [[nodiscard]] static bool hasFreeSlot(const InstanceEntry& entry, base::TimePoint now);
-  /// Of two drawn at random the cheaper one.
-  [[nodiscard]] const InstanceEntry* drawCheaper(
-      const std::vector<const InstanceEntry*>& candidates, int draws,
-      const InstanceRequirements& need, base::Random& random, base::TimePoint now) const;
-  [[nodiscard]] double cost(const InstanceEntry& entry, const InstanceRequirements& need,
+  /// Returns the cheapest of `choices` random candidates; null if there are no candidates.
+  [[nodiscard]] const InstanceEntry* pickCheapest(
+      const std::vector<const InstanceEntry*>& candidates, int choices,
+      const InstanceRequirements& requirements, base::Random& random, base::TimePoint now) const;
+  /// Relative cost of running the request at an instance; lower is better.
+  [[nodiscard]] double cost(const InstanceEntry& entry, const InstanceRequirements& requirements,
                             base::TimePoint now) const;
 
-  /// Slots by version of one model.
+  /// Slots of one model by weights version.
   using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
-  /// The cheapest of this gateway's favourites; nothing when they are busy, or there are so few
-  /// candidates that any may be drawn.
-  [[nodiscard]] const InstanceEntry* selectFavourite(std::vector<const InstanceEntry*> candidates,
-                                                     const InstanceRequirements& need,
-                                                     base::TimePoint now) const;
-  [[nodiscard]] static const InstanceEntry* leastBusy(
+  /// Returns the cheapest instance of this gateway's subset; null if the subset is busy or there
+  /// are so few candidates that no subset is used.
+  [[nodiscard]] const InstanceEntry* selectFromSubset(std::vector<const InstanceEntry*> candidates,
+                                                      const InstanceRequirements& requirements,
+                                                      base::TimePoint now) const;
+  [[nodiscard]] static const InstanceEntry* leastLoaded(
       const std::vector<const InstanceEntry*>& candidates, base::TimePoint now);
   void upsert(const directory::InstanceView& instance);
-  /// The instance's earlier incarnations have ended. It runs on their machine, so that it takes
-  /// over their pace.
-  void endEarlier(const std::string& id, InstanceEntry& successor);
-  void endEntry(InstanceEntry& earlier, InstanceEntry& successor);
-  /// Answers under way may still arrive for what is gone; it only gets nothing new.
+  /// Marks the earlier incarnations of an instance as restarted. The successor inherits their event
+  /// intervals because it runs on the same machine.
+  void retirePreviousIncarnations(const std::string& id, InstanceEntry& successor);
+  void retire(InstanceEntry& previous, InstanceEntry& successor);
+  /// Marks an instance as removed. It gets no new requests and is kept while requests are in
+  /// flight.
   void remove(const std::string& id);
-  /// Forgets those that are gone and that no answer is expected of any more.
-  void forgetDeparted();
-  /// Those of one service.
+  /// Drops removed instances without requests in flight.
+  void purgeRemoved();
+  /// Instances of one service, by id.
   [[nodiscard]] const std::map<std::string, InstanceEntry*>& instancesOf(
       const std::string& service) const;
-  /// Counts the instance's slots in m_slots, or takes them out again before it changes.
+  /// Adds an instance's slots to m_slots, or removes them before the instance changes.
   void addSlots(const InstanceEntry& entry);
   void removeSlots(const InstanceEntry& entry);
 
-  const InstanceTableSettings settings_;
-  std::map<std::string, InstanceEntry> entries_;
+  const InstanceTableSettings m_settings;
+  std::map<std::string, InstanceEntry> m_entries;
   std::map<std::string, std::map<std::string, InstanceEntry*>> m_byService;
-  /// By service and model, of those that get new work. Kept since leases are asked for several
-  /// times a second with what these say.
+  /// Slots of instances that accept work, by service and model. Maintained incrementally because
+  /// every lease call needs them.
   std::map<std::string, std::map<std::string, SlotsByVersion>> m_slots;
-  std::set<std::string> m_measured;  ///< ids of those whose pace is known
-  std::set<std::string> m_departed;  ///< ids of those that the controllers took out
+  std::set<std::string> m_measured;  ///< ids of instances with a known event interval
+  std::set<std::string> m_removed;   ///< ids of instances that the controllers removed
 };
 
 }  // namespace tackpick::forwarding
--- a/src/forwarding/retry_policy.cpp
+++ b/src/forwarding/retry_policy.cpp
@@ -5,49 +5,49 @@
 namespace tackpick::forwarding {
 namespace {
 
-/// A second copy is sent when this share of the objective has passed in silence.
+/// Share of the target latency after which a hedged copy is sent.
 constexpr int kHedgePercent = 50;
-constexpr int kWholePercent = 100;
-/// With less time than this left a further send can gain nothing.
+constexpr int kPercent = 100;
+/// Minimum remaining time for another attempt.
 constexpr base::Duration kMinAttempt = base::milliseconds(5);
 
 }  // namespace
 
 RetryPolicy::RetryPolicy(const directory::Route& route, base::TimePoint receivedAt,
                          base::TimePoint deadline)
-    : repeatable_(route.kind == directory::RouteKind::kRepeatable && !route.streaming),
-      attempts_(route.attempts),
-      target_(route.targetLatency),
-      deadline_(std::min(deadline, receivedAt + route.timeout)) {}
+    : m_repeatable(route.kind == directory::RouteKind::kRepeatable && !route.streaming),
+      m_maxAttempts(route.attempts),
+      m_targetLatency(route.targetLatency),
+      m_deadline(std::min(deadline, receivedAt + route.timeout)) {}
 
 base::Verdict RetryPolicy::onResult(AttemptResult result) {
-  running_ -= running_ > 0 ? 1 : 0;
-  const base::Verdict one = [&] {
+  m_inFlight -= m_inFlight > 0 ? 1 : 0;
+  const base::Verdict attemptVerdict = [&] {
     switch (result) {
       case AttemptResult::kNotRun:
         return base::Verdict::kNotRun;
-      case AttemptResult::kBroken:
+      case AttemptResult::kIncomplete:
         return base::Verdict::kMayHaveRun;
       default:
         return base::Verdict::kRan;
     }
   }();
-  verdict_ = base::combine(verdict_, one);
-  return verdict_;
+  m_verdict = base::combine(m_verdict, attemptVerdict);
+  return m_verdict;
 }
 
 bool RetryPolicy::maySend(base::TimePoint now) const {
-  if (sends_ >= attempts_ || now + kMinAttempt >= deadline_) {
+  if (m_attempts >= m_maxAttempts || now + kMinAttempt >= m_deadline) {
     return false;
   }
-  return repeatable_ || (running_ == 0 && verdict_ == base::Verdict::kNotRun);
+  return m_repeatable || (m_inFlight == 0 && m_verdict == base::Verdict::kNotRun);
 }
 
-std::optional<base::TimePoint> RetryPolicy::hedgeAt(base::TimePoint sentAt) const {
-  if (!repeatable_ || sends_ >= attempts_ || target_ <= base::Duration{0}) {
+std::optional<base::TimePoint> RetryPolicy::hedgeTime(base::TimePoint sentAt) const {
+  if (!m_repeatable || m_attempts >= m_maxAttempts || m_targetLatency <= base::Duration{0}) {
     return std::nullopt;
   }
-  return sentAt + target_ * kHedgePercent / kWholePercent;
+  return sentAt + m_targetLatency * kHedgePercent / kPercent;
 }
 
 }  // namespace tackpick::forwarding
--- a/src/forwarding/retry_policy.h
+++ b/src/forwarding/retry_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides what follows when a send of a caller's request ends: another send, or which answer.
+/// Decides whether a caller's request is retried after an attempt.
 #pragma once
 
 #include <cstdint>
@@ -11,45 +11,45 @@
 
 namespace tackpick::forwarding {
 
-/// How one send to an instance ended, as far as the caller is concerned.
+/// Result of one attempt for the retry policy.
 enum class AttemptResult : std::uint8_t {
-  kAnswered,      ///< a whole answer, success or a failure that a repeat would not mend
-  kServerFailed,  ///< a whole answer that reports a failure of the server (5xx)
-  kNotRun,        ///< the instance says that it did not run the request, or was not reached
-  kBroken,        ///< no whole answer: it may have run
+  kAnswered,      ///< a complete response: success, or an error that a retry would not change
+  kServerFailed,  ///< a complete response with a server error (5xx)
+  kNotRun,        ///< the instance reports that it did not run the request, or was not reached
+  kIncomplete,    ///< no complete response: the request may have run
 };
 
-/// What one request has been through. Deterministic.
+/// State of one request's attempts. Deterministic.
 class RetryPolicy {
  public:
-  /// `deadline` is the earlier of the caller's and the route's.
+  /// `deadline`: the caller's; the route's timeout may make it earlier.
   RetryPolicy(const directory::Route& route, base::TimePoint receivedAt, base::TimePoint deadline);
 
-  void onSend() {
-    ++sends_;
-    ++running_;
+  void onAttemptStarted() {
+    ++m_attempts;
+    ++m_inFlight;
   }
-  /// `result` of one send; returns the verdict over all of them so far.
+  /// Records the result of an attempt. Returns the verdict over all attempts so far.
   base::Verdict onResult(AttemptResult result);
 
-  /// True when the request may be sent (again) now.
+  /// Whether another attempt may start now.
   [[nodiscard]] bool maySend(base::TimePoint now) const;
-  /// When a second copy may be sent beside an unresponsive one; nothing when it may not.
-  [[nodiscard]] std::optional<base::TimePoint> hedgeAt(base::TimePoint sentAt) const;
-  [[nodiscard]] std::uint32_t running() const { return running_; }
-  [[nodiscard]] std::uint32_t sends() const { return sends_; }
-  [[nodiscard]] base::Verdict verdict() const { return verdict_; }
-  [[nodiscard]] base::TimePoint deadline() const { return deadline_; }
-  [[nodiscard]] bool repeatable() const { return repeatable_; }
+  /// Time at which a hedged copy may be sent; std::nullopt if none may.
+  [[nodiscard]] std::optional<base::TimePoint> hedgeTime(base::TimePoint sentAt) const;
+  [[nodiscard]] std::uint32_t inFlight() const { return m_inFlight; }
+  [[nodiscard]] std::uint32_t attempts() const { return m_attempts; }
+  [[nodiscard]] base::Verdict verdict() const { return m_verdict; }
+  [[nodiscard]] base::TimePoint deadline() const { return m_deadline; }
+  [[nodiscard]] bool repeatable() const { return m_repeatable; }
 
  private:
-  const bool repeatable_;
-  const std::uint32_t attempts_;
-  const base::Duration target_;
-  const base::TimePoint deadline_;
-  std::uint32_t sends_ = 0;
-  std::uint32_t running_ = 0;
-  base::Verdict verdict_ = base::Verdict::kNotRun;
+  const bool m_repeatable;
+  const std::uint32_t m_maxAttempts;
+  const base::Duration m_targetLatency;
+  const base::TimePoint m_deadline;
+  std::uint32_t m_attempts = 0;
+  std::uint32_t m_inFlight = 0;
+  base::Verdict m_verdict = base::Verdict::kNotRun;
 };
 
 }  // namespace tackpick::forwarding
--- a/src/node/control_server.h
+++ b/src/node/control_server.h
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP interface of a controller: operators, instances and trainers.
+/// The HTTP interface of a controller for operators, instances and trainers.
 #pragma once
 
 #include <memory>
@@ -15,8 +15,8 @@
 
 class Node;
 
-/// Passes calls to the leading controller, which may be this process. Heartbeats that change
-/// nothing are answered here.
+/// Forwards calls to the leading controller, which may be this process. Heartbeats that change no
+/// state are answered locally.
 class ControlServer {
  public:
   explicit ControlServer(Node& node);
@@ -26,24 +26,28 @@
  private:
   void onRequest(const http::RawRequest& request, const std::shared_ptr<http::Exchange>& exchange);
 
-  void onUnreadable(const http::RawRequest& request, const edge::MalformedCall& call);
-  void onReply(const directory::DirectoryRequest& request, const directory::DirectoryReply* reply,
-               int status, base::Duration took);
-
-  /// Answers what waits and why, from the leaders of both groups.
-  void answerWork(const std::shared_ptr<http::Exchange>& exchange);
-  void onWorkRead(const edge::WorkResponses& answers, int status, base::Duration took);
-  /// False when the leader must decide.
-  bool answerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
-                       const std::shared_ptr<http::Exchange>& exchange);
-  /// An answer of the directory as the caller gets it.
-  [[nodiscard]] edge::Response answerFor(const directory::DirectoryRequest& request,
-                                         directory::DirectoryReply reply) const;
+  /// Counts and logs a call that could not be parsed.
+  void onMalformedCall(const http::RawRequest& request, const edge::MalformedCall& call);
+  /// Records the metrics and the log event of a finished call.
+  void recordReply(const directory::DirectoryRequest& request,
+                   const directory::DirectoryReply* reply, int status, base::Duration took);
+
+  /// Responds with the open jobs and the weights summary, read from the leaders of both groups.
+  void respondWithWork(const std::shared_ptr<http::Exchange>& exchange);
+  /// Records the metrics and the timeouts of a finished work call.
+  void recordWorkCall(const edge::WorkResponses& responses, int status, base::Duration took);
+  /// Answers the heartbeat if this process may do so. Returns false if it must be forwarded to the
+  /// leader.
+  bool tryAnswerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
+                          const std::shared_ptr<http::Exchange>& exchange);
+  /// Returns the HTTP response for a reply of the directory.
+  [[nodiscard]] edge::Response responseFor(const directory::DirectoryRequest& request,
+                                           directory::DirectoryReply reply) const;
 
   Node& node_;
-  directory::HeartbeatRelay relay_;
+  directory::HeartbeatRelay m_heartbeatRelay;
   http::ExchangeServer server_;
-  telemetry::LogRateLimiter m_unreadable{base::seconds(1)};
+  telemetry::LogRateLimiter m_malformedLogLimiter{base::seconds(1)};
 };
 
 }  // namespace tackpick::node
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -25,26 +25,26 @@
 
 constexpr int kFirstError = 400;
 constexpr int kFirstServerError = 500;
-/// What a caller is told to wait when nothing could take its request.
+/// Value of Retry-After when no instance accepted the request.
 constexpr const char* kRetryAfterSeconds = "0.1";
 
 std::optional<std::int64_t> parseInteger(const std::string& text) {
-  std::int64_t number = 0;
-  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
-  return parsed.ec == std::errc() ? std::optional(number) : std::nullopt;
+  std::int64_t value = 0;
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
+  return parsed.ec == std::errc() ? std::optional(value) : std::nullopt;
 }
 
-/// One caller's request until it is answered. Lives as long as its sends and timers.
+/// A caller's request until it has been answered. Kept alive by its attempts and timers.
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest> {
  public:
   ForwardedRequest(Node& node, forwarding::InstanceTable& instances, UsageSender& usage,
-                   RequestGuard& guard, http::RawRequest request,
+                   QuarantineClient& quarantineClient, http::RawRequest request,
                    std::shared_ptr<http::Exchange> exchange, const directory::Route& route,
                    std::string tenant)
       : node_(node),
         instances_(instances),
         usage_(usage),
-        m_guard(guard),
+        m_quarantineClient(quarantineClient),
         request_(std::move(request)),
         exchange_(std::move(exchange)),
         route_(route),
@@ -55,154 +55,165 @@
         policy_(route, request_.receivedAt, callerDeadline()) {}
 
   void start() {
-    need_.service = directory::pickService(route_, node_.random());
-    exchange_->onClosed([self = shared_from_this()] { self->onCallerGone(); });
+    m_requirements.service = directory::pickService(route_, node_.random());
+    exchange_->onClosed([self = shared_from_this()] { self->onClientDisconnected(); });
     deadline_timer_.expires_after(policy_.deadline() - node_.now());
     deadline_timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
       if (!error) {
         self->onDeadline();
       }
     });
-    if (m_guard.idle()) {
-      sendOrGiveUp();
+    if (m_quarantineClient.idle()) {
+      sendOrFail();
     } else {
       sendIfAdmitted();
     }
   }
 
  private:
-  /// One send to an instance.
-  struct Send {
+  /// One attempt to run the request at an instance.
+  struct Attempt {
     std::string instance;
     http::ExchangeId exchange;
     base::TimePoint sentAt{};
     int status = 0;
     http::HeaderList headers;
     std::string body;
-    std::shared_ptr<http::StreamRelay> relay;  ///< when pieces go to the caller as they come
+    std::shared_ptr<http::StreamRelay> relay;  ///< set while the response is streamed to the caller
   };
 
   [[nodiscard]] base::TimePoint callerDeadline() const {
-    const auto told = parseInteger(request_.headers.value(node_.apiAdapter().headers().deadline));
-    return request_.receivedAt + (told ? base::milliseconds(*told) : route_.timeout);
+    const auto timeoutMs =
+        parseInteger(request_.headers.value(node_.apiAdapter().headers().deadline));
+    return request_.receivedAt + (timeoutMs ? base::milliseconds(*timeoutMs) : route_.timeout);
   }
 
-  /// Sends the request unless it is held.
+  /// Starts an attempt unless the request is held.
   void sendIfAdmitted();
-  void onTrialAnswer(bool granted);
-  /// True when it may go to no further instance, since it has ended some.
-  [[nodiscard]] bool isStopped() const;
-  void answerHeld();
-  void sendOrGiveUp();
+  /// Handles the controllers' decision on a requested trial.
+  void onTrialDecision(bool granted);
+  /// Whether the request must not be retried because instances have crashed while they ran it.
+  [[nodiscard]] bool mustNotRetry() const;
+  /// Rejects the request because it is held.
+  void rejectHeld();
+  /// Starts another attempt if allowed; fails the request if no attempt is in flight.
+  void sendOrFail();
   [[nodiscard]] http::UpstreamRequest upstreamRequest(const forwarding::InstanceEntry& to) const;
-  void send(const forwarding::InstanceEntry& to);
+  void startAttempt(const forwarding::InstanceEntry& to);
   void armHedge();
-  void onHead(std::uint64_t number, int status, const http::HeaderList& headers);
-  void onData(std::uint64_t number, std::string_view data);
-  void onEnd(std::uint64_t number, const http::UpstreamResult& end);
+  void onHead(std::uint64_t attemptId, int status, const http::HeaderList& headers);
+  void onData(std::uint64_t attemptId, std::string_view data);
+  void onEnd(std::uint64_t attemptId, const http::UpstreamResult& end);
   [[nodiscard]] std::pair<AttemptResult, AttemptOutcome> classify(
-      const Send& send, const http::UpstreamResult& end) const;
+      const Attempt& attempt, const http::UpstreamResult& end) const;
   [[nodiscard]] const quarantine::RequestFingerprint& fingerprint();
-  /// The instance broke off under the request.
-  void onBroken(const Send& send);
-  void deliver(const Send& send);
-  void answerOwn(int status);
-  void countAnswer(int status);
-  /// Whether this or an earlier try of the request may have run.
+  /// Reports that the connection was lost before the response was complete.
+  void onConnectionLost(const Attempt& attempt);
+  void respondWith(const Attempt& attempt);
+  /// Responds with an error status of the gateway itself.
+  void respondWithError(int status);
+  void recordResponse(int status);
+  /// Whether this request, or an earlier submission of the same request, may have run.
   [[nodiscard]] bool mayHaveRun() const;
-  void giveUp();
+  /// Responds with the last server error or, if there is none, with an error of the gateway.
+  void fail();
   void onDeadline();
-  void onCallerGone();
-  void finish(AttemptOutcome outcomeOfRunning);
+  void onClientDisconnected();
+  /// Cancels the attempts in flight, recording them with the given outcome, and releases the
+  /// exchange.
+  void finish(AttemptOutcome outcomeOfInFlight);
 
   Node& node_;
   forwarding::InstanceTable& instances_;
   UsageSender& usage_;
-  RequestGuard& m_guard;
+  QuarantineClient& m_quarantineClient;
   const http::RawRequest request_;
   std::shared_ptr<http::Exchange> exchange_;
   const directory::Route route_;
   const std::string host_;
-  const std::string tenant_;  ///< empty: nobody in particular
+  const std::string tenant_;  ///< empty: no tenant
   base::Timer deadline_timer_;
   base::Timer hedge_timer_;
   forwarding::RetryPolicy policy_;
-  forwarding::InstanceRequirements need_;
-  std::set<std::string> tried_;
-  std::string tries_;                    ///< instances and how the sends there ended, for the log
-  std::map<std::uint64_t, Send> sends_;  ///< running ones
-  std::uint64_t next_send_ = 0;
-  std::optional<Send> failure_;  ///< a server's whole answer that reports its failure
-  std::optional<quarantine::RequestFingerprint> m_fingerprint;  ///< once it is needed
-  bool m_broken = false;  ///< an instance has broken off under it
-  bool m_trial = false;   ///< it is held, and may be sent to one instance
-  bool done_ = false;
+  forwarding::InstanceRequirements m_requirements;
+  std::set<std::string> m_triedInstances;
+  std::string m_attemptLog;  ///< instances and outcomes of all attempts, for the log
+  std::map<std::uint64_t, Attempt> m_activeAttempts;  ///< attempts in flight, by id
+  std::uint64_t m_nextAttemptId = 0;
+  std::optional<Attempt> m_serverError;                         ///< last complete 5xx response
+  std::optional<quarantine::RequestFingerprint> m_fingerprint;  ///< computed on first use
+  bool m_connectionLost = false;  ///< a connection was lost before the response was complete
+  bool m_isTrial = false;         ///< this is a trial of a held request: one instance only
+  bool m_finished = false;
 };
 
 const quarantine::RequestFingerprint& ForwardedRequest::fingerprint() {
   if (!m_fingerprint) {
-    m_fingerprint =
-        m_guard.fingerprint({request_.method, host_, request_.target, tenant_, request_.body});
+    m_fingerprint = m_quarantineClient.fingerprint(
+        {request_.method, host_, request_.target, tenant_, request_.body});
   }
   return *m_fingerprint;
 }
 
 void ForwardedRequest::sendIfAdmitted() {
-  switch (m_guard.admit(fingerprint())) {
+  switch (m_quarantineClient.admit(fingerprint())) {
     case quarantine::Admission::kFree:
-      sendOrGiveUp();
+      sendOrFail();
       break;
     case quarantine::Admission::kHeld:
-      answerHeld();
+      rejectHeld();
       break;
     case quarantine::Admission::kTrialDue:
-      m_guard.askTrial(fingerprint(),
-                       [self = shared_from_this()](bool granted) { self->onTrialAnswer(granted); });
+      m_quarantineClient.requestTrial(fingerprint(), [self = shared_from_this()](bool granted) {
+        self->onTrialDecision(granted);
+      });
       break;
   }
 }
 
-void ForwardedRequest::onTrialAnswer(bool granted) {
-  if (done_) {
+void ForwardedRequest::onTrialDecision(bool granted) {
+  if (m_finished) {
     return;
   }
   if (!granted) {
-    answerHeld();
+    rejectHeld();
     return;
   }
-  m_trial = true;
-  need_.alone = true;
-  sendOrGiveUp();
+  m_isTrial = true;
+  m_requirements.preferIdle = true;
+  sendOrFail();
 }
 
-bool ForwardedRequest::isStopped() const {
-  return m_broken && (m_trial || m_guard.admit(*m_fingerprint) != quarantine::Admission::kFree);
+bool ForwardedRequest::mustNotRetry() const {
+  return m_connectionLost &&
+         (m_isTrial || m_quarantineClient.admit(*m_fingerprint) != quarantine::Admission::kFree);
 }
 
-void ForwardedRequest::answerHeld() {
-  // It has run in earlier tries, so no status may be used that says it never did.
+void ForwardedRequest::rejectHeld() {
+  // The request ran in earlier attempts, so the status must not imply that it never ran.
   node_.metrics().count(telemetry::CounterId::kRequestsHeld);
   http::HeaderList headers;
-  headers.add(
-      "Retry-After",
-      std::to_string(
-          std::chrono::ceil<std::chrono::seconds>(m_guard.untilTrial(fingerprint())).count()));
+  headers.add("Retry-After", std::to_string(std::chrono::ceil<std::chrono::seconds>(
+                                                m_quarantineClient.untilTrial(fingerprint()))
+                                                .count()));
   headers.add("Content-Type", "text/plain");
-  countAnswer(kBadGateway);
-  exchange_->respond(kBadGateway, headers, "held back: instances ended while they ran it\n");
+  recordResponse(kBadGateway);
+  exchange_->respond(kBadGateway, headers, "request is held: instances crashed while running it\n");
   finish(AttemptOutcome::kFailed);
 }
 
-void ForwardedRequest::sendOrGiveUp() {
-  if (policy_.maySend(node_.now()) && !isStopped()) {
-    const auto* entry = instances_.select(need_, tried_, node_.random(), node_.now());
-    if (entry != nullptr && (!tried_.contains(entry->record.id) || policy_.running() == 0)) {
-      send(*entry);
+void ForwardedRequest::sendOrFail() {
+  if (policy_.maySend(node_.now()) && !mustNotRetry()) {
+    const auto* entry =
+        instances_.select(m_requirements, m_triedInstances, node_.random(), node_.now());
+    if (entry != nullptr &&
+        (!m_triedInstances.contains(entry->record.id) || policy_.inFlight() == 0)) {
+      startAttempt(*entry);
       return;
     }
   }
-  if (policy_.running() == 0) {
-    giveUp();
+  if (policy_.inFlight() == 0) {
+    fail();
   }
 }
 
@@ -228,71 +239,75 @@
   return upstream;
 }
 
-void ForwardedRequest::send(const forwarding::InstanceEntry& to) {
-  const std::uint64_t number = next_send_++;
+void ForwardedRequest::startAttempt(const forwarding::InstanceEntry& to) {
+  const std::uint64_t attemptId = m_nextAttemptId++;
   const std::string id = to.record.id;
-  tried_.insert(id);
-  policy_.onSend();
+  m_triedInstances.insert(id);
+  policy_.onAttemptStarted();
   instances_.onSent(id);
   http::UpstreamEvents events;
-  events.onHead = [self = shared_from_this(), number](int status, const http::HeaderList& headers) {
-    self->onHead(number, status, headers);
+  events.onHead = [self = shared_from_this(), attemptId](int status,
+                                                         const http::HeaderList& headers) {
+    self->onHead(attemptId, status, headers);
   };
-  events.onData = [self = shared_from_this(), number](std::string_view data) {
-    self->onData(number, data);
+  events.onData = [self = shared_from_this(), attemptId](std::string_view data) {
+    self->onData(attemptId, data);
   };
-  events.onEnd = [self = shared_from_this(), number](const http::UpstreamResult& end) {
-    self->onEnd(number, end);
+  events.onEnd = [self = shared_from_this(), attemptId](const http::UpstreamResult& end) {
+    self->onEnd(attemptId, end);
   };
-  Send& record = sends_[number];
-  record.instance = id;
-  record.sentAt = node_.now();
-  record.exchange = node_.upstream().start(upstreamRequest(to), std::move(events));
+  Attempt& attempt = m_activeAttempts[attemptId];
+  attempt.instance = id;
+  attempt.sentAt = node_.now();
+  attempt.exchange = node_.upstream().start(upstreamRequest(to), std::move(events));
   armHedge();
 }
 
 void ForwardedRequest::armHedge() {
-  const auto at = policy_.hedgeAt(node_.now());
-  // A second copy of a request under which an instance ended could end two at once.
-  if (!at || *at >= policy_.deadline() || m_broken || m_trial) {
+  const auto at = policy_.hedgeTime(node_.now());
+  // A hedged copy of a request that crashes instances could crash two at once.
+  if (!at || *at >= policy_.deadline() || m_connectionLost || m_isTrial) {
     return;
   }
   hedge_timer_.expires_after(*at - node_.now());
   hedge_timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
-    if (!error && !self->done_ && !self->m_broken && self->policy_.running() > 0) {
-      self->sendOrGiveUp();
+    if (!error && !self->m_finished && !self->m_connectionLost && self->policy_.inFlight() > 0) {
+      self->sendOrFail();
     }
   });
 }
 
-void ForwardedRequest::onHead(std::uint64_t number, int status, const http::HeaderList& headers) {
-  const auto found = sends_.find(number);
-  if (done_ || found == sends_.end()) {
+void ForwardedRequest::onHead(std::uint64_t attemptId, int status,
+                              const http::HeaderList& headers) {
+  const auto found = m_activeAttempts.find(attemptId);
+  if (m_finished || found == m_activeAttempts.end()) {
     return;
   }
-  Send& send = found->second;
-  send.status = status;
-  send.headers = headers;
-  send.headers.removeHopByHopHeaders();
-  m_guard.onAnswered(send.instance, send.sentAt);
+  Attempt& attempt = found->second;
+  attempt.status = status;
+  attempt.headers = headers;
+  attempt.headers.removeHopByHopHeaders();
+  m_quarantineClient.onAnswered(attempt.instance, attempt.sentAt);
   if (const auto load = node_.apiAdapter().load(headers.value(node_.apiAdapter().headers().load))) {
-    instances_.onLoad(send.instance, *load, node_.now());
+    instances_.onLoad(attempt.instance, *load, node_.now());
   }
-  const bool turnedAway =
+  const bool rejected =
       status == kMisdirected || headers.has(node_.apiAdapter().headers().notExecuted);
-  if (!turnedAway) {
-    // The head of a stream comes with its first piece; other answers come when they are done.
-    usage_.onRequestStarted(tenant_, route_.streaming ? node_.now() : send.sentAt);
+  if (!rejected) {
+    // A stream's headers arrive with its first data; other responses arrive when the request is
+    // done.
+    usage_.onRequestStarted(tenant_, route_.streaming ? node_.now() : attempt.sentAt);
   }
   if (route_.streaming && status < kFirstError) {
-    send.relay = std::make_shared<http::StreamRelay>(node_.upstream(), send.exchange, exchange_);
-    send.relay->begin(status, send.headers);
+    attempt.relay =
+        std::make_shared<http::StreamRelay>(node_.upstream(), attempt.exchange, exchange_);
+    attempt.relay->begin(status, attempt.headers);
   }
 }
 
-void ForwardedRequest::onData(std::uint64_t number, std::string_view data) {
-  const auto found = sends_.find(number);
-  if (done_ || found == sends_.end()) {
+void ForwardedRequest::onData(std::uint64_t attemptId, std::string_view data) {
+  const auto found = m_activeAttempts.find(attemptId);
+  if (m_finished || found == m_activeAttempts.end()) {
     return;
   }
   const auto relay = found->second.relay;
@@ -304,105 +319,108 @@
 }
 
 std::pair<AttemptResult, AttemptOutcome> ForwardedRequest::classify(
-    const Send& send, const http::UpstreamResult& end) const {
+    const Attempt& attempt, const http::UpstreamResult& end) const {
   if (!end.complete) {
     return end.verdict == base::Verdict::kNotRun
-               ? std::pair(AttemptResult::kNotRun, AttemptOutcome::kUnreached)
-               : std::pair(AttemptResult::kBroken, AttemptOutcome::kFailed);
+               ? std::pair(AttemptResult::kNotRun, AttemptOutcome::kConnectFailed)
+               : std::pair(AttemptResult::kIncomplete, AttemptOutcome::kFailed);
   }
-  if (send.status == kMisdirected) {
-    return {AttemptResult::kNotRun, AttemptOutcome::kGone};
+  if (attempt.status == kMisdirected) {
+    return {AttemptResult::kNotRun, AttemptOutcome::kWrongInstance};
   }
-  if (send.headers.has(node_.apiAdapter().headers().notExecuted)) {
-    return {AttemptResult::kNotRun, AttemptOutcome::kFull};
+  if (attempt.headers.has(node_.apiAdapter().headers().notExecuted)) {
+    return {AttemptResult::kNotRun, AttemptOutcome::kRejected};
   }
-  if (send.status >= kFirstServerError) {
+  if (attempt.status >= kFirstServerError) {
     return {AttemptResult::kServerFailed, AttemptOutcome::kFailed};
   }
-  return {AttemptResult::kAnswered, AttemptOutcome::kServed};
+  return {AttemptResult::kAnswered, AttemptOutcome::kSucceeded};
 }
 
-void ForwardedRequest::onEnd(std::uint64_t number, const http::UpstreamResult& end) {
-  const auto found = sends_.find(number);
-  if (done_ || found == sends_.end()) {
+void ForwardedRequest::onEnd(std::uint64_t attemptId, const http::UpstreamResult& end) {
+  const auto found = m_activeAttempts.find(attemptId);
+  if (m_finished || found == m_activeAttempts.end()) {
     return;
   }
-  Send send = std::move(found->second);
-  sends_.erase(found);
-  const auto [result, outcome] = classify(send, end);
-  instances_.onEnded(send.instance, outcome, node_.now() - send.sentAt, node_.now());
+  Attempt attempt = std::move(found->second);
+  m_activeAttempts.erase(found);
+  const auto [result, outcome] = classify(attempt, end);
+  instances_.onEnded(attempt.instance, outcome, node_.now() - attempt.sentAt, node_.now());
   node_.metrics().count(telemetry::CounterId::kSendsEnded, toString(outcome));
-  tries_ += (tries_.empty() ? "" : ",") + send.instance + ":" + std::string(toString(outcome));
+  m_attemptLog +=
+      (m_attemptLog.empty() ? "" : ",") + attempt.instance + ":" + std::string(toString(outcome));
   policy_.onResult(result);
-  if (result == AttemptResult::kBroken) {
-    onBroken(send);
+  if (result == AttemptResult::kIncomplete) {
+    onConnectionLost(attempt);
   } else if (m_fingerprint && result != AttemptResult::kNotRun) {
-    m_guard.onBorne(*m_fingerprint);
+    m_quarantineClient.onCompleted(*m_fingerprint);
   }
-  if (send.relay) {
+  if (attempt.relay) {
     if (end.complete) {
       exchange_->finish();
     } else {
       exchange_->abort();
     }
-    finish(AttemptOutcome::kAbandoned);
+    finish(AttemptOutcome::kCancelled);
     return;
   }
   if (result == AttemptResult::kAnswered) {
-    deliver(send);
+    respondWith(attempt);
     return;
   }
   if (result == AttemptResult::kServerFailed) {
-    failure_ = std::move(send);
+    m_serverError = std::move(attempt);
   }
-  sendOrGiveUp();
+  sendOrFail();
 }
 
-void ForwardedRequest::onBroken(const Send& send) {
-  m_broken = true;
-  m_guard.onBroken({fingerprint(), need_.service, send.instance},
-                   request_.headers.value(node_.apiAdapter().headers().requestId), send.sentAt);
+void ForwardedRequest::onConnectionLost(const Attempt& attempt) {
+  m_connectionLost = true;
+  m_quarantineClient.onConnectionLost(
+      {fingerprint(), m_requirements.service, attempt.instance},
+      request_.headers.value(node_.apiAdapter().headers().requestId), attempt.sentAt);
 }
 
-void ForwardedRequest::countAnswer(int status) {
+void ForwardedRequest::recordResponse(int status) {
   node_.metrics().count(telemetry::CounterId::kRequestsAnswered, std::to_string(status));
   node_.metrics().observe(telemetry::HistogramId::kRequestTime, node_.now() - request_.receivedAt);
 }
 
-void ForwardedRequest::deliver(const Send& send) {
-  countAnswer(send.status);
-  exchange_->respond(send.status, send.headers, send.body);
-  finish(AttemptOutcome::kAbandoned);
+void ForwardedRequest::respondWith(const Attempt& attempt) {
+  recordResponse(attempt.status);
+  exchange_->respond(attempt.status, attempt.headers, attempt.body);
+  finish(AttemptOutcome::kCancelled);
 }
 
-void ForwardedRequest::giveUp() {
-  if (failure_) {
-    deliver(*failure_);
+void ForwardedRequest::fail() {
+  if (m_serverError) {
+    respondWith(*m_serverError);
   } else if (mayHaveRun()) {
-    answerOwn(kBadGateway);
+    respondWithError(kBadGateway);
   } else {
-    answerOwn(kUnavailable);
+    respondWithError(kUnavailable);
   }
 }
 
 bool ForwardedRequest::mayHaveRun() const {
-  // Under another id: an answer that says it never ran would be false for the caller's request.
-  const bool ranBefore = m_fingerprint && m_guard.isSuspect(*m_fingerprint);
-  return policy_.verdict() != base::Verdict::kNotRun || ranBefore;
+  // The caller may have sent the same request before under another id; the response must not claim
+  // that it never ran.
+  const bool ranEarlier = m_fingerprint && m_quarantineClient.isSuspect(*m_fingerprint);
+  return policy_.verdict() != base::Verdict::kNotRun || ranEarlier;
 }
 
 void ForwardedRequest::onDeadline() {
-  if (done_) {
+  if (m_finished) {
     return;
   }
-  if (policy_.running() == 0 && !mayHaveRun()) {
-    answerOwn(kUnavailable);
+  if (policy_.inFlight() == 0 && !mayHaveRun()) {
+    respondWithError(kUnavailable);
   } else {
-    answerOwn(kGatewayTimeout);
+    respondWithError(kGatewayTimeout);
   }
 }
 
-void ForwardedRequest::answerOwn(int status) {
+void ForwardedRequest::respondWithError(int status) {
   http::HeaderList headers;
   if (status == kUnavailable) {
     headers.add("Retry-After", kRetryAfterSeconds);
@@ -414,33 +432,34 @@
           .add("request", request_.headers.value(node_.apiAdapter().headers().requestId))
           .add("route", route_.name)
           .add("status", static_cast<std::uint64_t>(status))
-          .add("sends", std::uint64_t{policy_.sends()})
-          .add("running", std::uint64_t{policy_.running()})
-          .add("tries", tries_)
-          .add("usable", instances_.count(need_.service))
+          .add("sends", std::uint64_t{policy_.attempts()})
+          .add("running", std::uint64_t{policy_.inFlight()})
+          .add("tries", m_attemptLog)
+          .add("usable", instances_.count(m_requirements.service))
           .add("verdict", base::toString(policy_.verdict()))
           .add("age_ms", node_.now() - request_.receivedAt)
           .text());
-  countAnswer(status);
+  recordResponse(status);
   exchange_->respond(status, headers, {});
   finish(AttemptOutcome::kFailed);
 }
 
-void ForwardedRequest::onCallerGone() {
-  if (!done_) {
-    finish(AttemptOutcome::kAbandoned);
+void ForwardedRequest::onClientDisconnected() {
+  if (!m_finished) {
+    finish(AttemptOutcome::kCancelled);
   }
 }
 
-void ForwardedRequest::finish(AttemptOutcome outcomeOfRunning) {
-  done_ = true;
+void ForwardedRequest::finish(AttemptOutcome outcomeOfInFlight) {
+  m_finished = true;
   deadline_timer_.cancel();
   hedge_timer_.cancel();
-  for (const auto& [number, send] : sends_) {
-    node_.upstream().cancel(send.exchange);
-    instances_.onEnded(send.instance, outcomeOfRunning, node_.now() - send.sentAt, node_.now());
+  for (const auto& [attemptId, attempt] : m_activeAttempts) {
+    node_.upstream().cancel(attempt.exchange);
+    instances_.onEnded(attempt.instance, outcomeOfInFlight, node_.now() - attempt.sentAt,
+                       node_.now());
   }
-  sends_.clear();
+  m_activeAttempts.clear();
   exchange_.reset();
 }
 
@@ -448,8 +467,8 @@
 
 void Forwarder::forward(http::RawRequest request, const std::shared_ptr<http::Exchange>& exchange,
                         const directory::Route& route, const std::string& tenant) {
-  std::make_shared<ForwardedRequest>(node_, instances_, usage_, m_guard, std::move(request),
-                                     exchange, route, tenant)
+  std::make_shared<ForwardedRequest>(node_, instances_, usage_, m_quarantineClient,
+                                     std::move(request), exchange, route, tenant)
       ->start();
 }
 
--- a/src/node/forwarder.h
+++ b/src/node/forwarder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Sends callers' requests to instances and their answers back.
+/// Forwards callers' requests to instances and returns the responses.
 #pragma once
 
 #include <memory>
@@ -7,20 +7,21 @@
 #include "directory/configuration.h"
 #include "forwarding/instance_table.h"
 #include "http/exchange_server.h"
-#include "node/request_guard.h"
+#include "node/quarantine_client.h"
 #include "node/usage_sender.h"
 
 namespace tackpick::node {
 
 class Node;
 
-/// Thin: RetryPolicy and InstanceTable decide; each request is a ForwardedRequest of its own.
+/// Starts one ForwardedRequest per request; RetryPolicy and InstanceTable make the decisions.
 class Forwarder {
  public:
   Forwarder(Node& node, forwarding::InstanceTable& instances, UsageSender& usage,
-            RequestGuard& guard)
-      : node_(node), instances_(instances), usage_(usage), m_guard(guard) {}
+            QuarantineClient& quarantineClient)
+      : node_(node), instances_(instances), usage_(usage), m_quarantineClient(quarantineClient) {}
 
+  /// Forwards one request of `tenant` and responds on `exchange`.
   void forward(http::RawRequest request, const std::shared_ptr<http::Exchange>& exchange,
                const directory::Route& route, const std::string& tenant);
 
@@ -28,7 +29,7 @@
   Node& node_;
   forwarding::InstanceTable& instances_;
   UsageSender& usage_;
-  RequestGuard& m_guard;
+  QuarantineClient& m_quarantineClient;
 };
 
 }  // namespace tackpick::node
--- a/src/node/gateway_server.h
+++ b/src/node/gateway_server.h
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP interface of a gateway: callers, submitters of batches, readiness.
+/// The HTTP interface of a gateway for callers, submitters of batches and readiness probes.
 #pragma once
 
 #include <memory>
@@ -12,8 +12,8 @@
 #include "node/forwarder.h"
 #include "node/item_runner.h"
 #include "node/member_ledger_client.h"
+#include "node/quarantine_client.h"
 #include "node/rejection_log.h"
-#include "node/request_guard.h"
 #include "node/usage_sender.h"
 #include "telemetry/log_rate_limiter.h"
 #include "tenancy/tenant_table.h"
@@ -22,38 +22,44 @@
 
 class Node;
 
+/// Authenticates requests, forwards them to instances, passes job calls to the ledgers and runs
+/// leased items. Owned by the event loop of its Node.
 class GatewayServer {
  public:
   explicit GatewayServer(Node& node);
 
+  /// Applies a full or incremental view of the cluster.
   void onView(const directory::DirectoryView& view);
   void onConfiguration(const directory::Configuration& newest);
   void tick();
+  /// Begins a planned stop: reports not ready and leases no further items.
   void beginStop();
   [[nodiscard]] bool stopComplete() const;
-  void reportFigures(telemetry::Metrics& metrics) const;
+  void updateGauges(telemetry::Metrics& metrics) const;
 
  private:
   void onRequest(http::RawRequest request, const std::shared_ptr<http::Exchange>& exchange);
-  /// Turns away what no route or key of the configuration in force allows: for good with `status`
-  /// where that configuration is known to be new enough, else for a moment.
-  void refuseUnknown(int status, const std::shared_ptr<http::Exchange>& exchange);
-  /// For whom a request is made; nothing when it was answered, since its key is not known.
-  [[nodiscard]] std::optional<std::string> identifyTenant(
+  /// Rejects a request with an unknown route or key: finally with `status` if the configuration in
+  /// force is known to be recent enough, otherwise with a request to retry.
+  void rejectUnknown(int status, const std::shared_ptr<http::Exchange>& exchange);
+  /// Returns the tenant of a request, or std::nullopt if the request was rejected because its key
+  /// is unknown.
+  [[nodiscard]] std::optional<std::string> authenticate(
       const http::RawRequest& request, const directory::Route* route,
       const std::shared_ptr<http::Exchange>& exchange);
-  /// A caller's key, or what only this process may say of tenants: is not sent on.
-  [[nodiscard]] bool isTenantField(std::string_view name) const;
-  void takeJobCall(jobs::JobRequest request, const std::string& tenant,
-                   const std::shared_ptr<http::Exchange>& exchange);
+  /// Whether a header carries a caller's key or a tenant's name. Such headers are not forwarded.
+  [[nodiscard]] bool isTenantHeader(std::string_view name) const;
+  void handleJobCall(jobs::JobRequest request, const std::string& tenant,
+                     const std::shared_ptr<http::Exchange>& exchange);
   void onReadiness(const std::shared_ptr<http::Exchange>& exchange) const;
   void callLedgers(const jobs::JobRequest& request,
                    const std::shared_ptr<http::Exchange>& exchange);
-  void onJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
-                  const edge::Response& answer, base::Duration took);
-  /// How long a planned stop may take; a little of the grace period is left for the end.
+  /// Records the metrics and the log event of a finished job call.
+  void recordJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
+                      const edge::Response& response, base::Duration took);
+  /// Maximum duration of a planned stop, which leaves part of the grace period unused.
   [[nodiscard]] base::Duration maxStop() const;
-  /// Tells of callers whose connections were cut since they did not read.
+  /// Logs connections that were closed because the caller did not read the response.
   void logSlowReaders();
   [[nodiscard]] bool ready() const { return configuration_->version > 0 && !stopping_; }
 
@@ -62,22 +68,22 @@
   directory::RouteTable routes_;
   tenancy::TenantTable tenants_;
   forwarding::InstanceTable instances_;
-  const directory::RejectionPolicy m_refusalPolicy;
-  RejectionLog m_refusals;
-  telemetry::LogRateLimiter m_cutReaders{base::seconds(1)};
-  std::uint64_t m_toldCuts = 0;
+  const directory::RejectionPolicy m_rejectionPolicy;
+  RejectionLog m_rejectionLog;
+  telemetry::LogRateLimiter m_slowReaderLogLimiter{base::seconds(1)};
+  std::uint64_t m_loggedDisconnects = 0;
   UsageSender usage_;
-  RequestGuard m_guard;
+  QuarantineClient m_quarantineClient;
   Forwarder forwarder_;
   MemberLedgerClient ledgers_;
   jobs::ResultReader result_reader_;
-  ItemRunner items_;
-  http::ExchangeServer traffic_;
-  http::ExchangeServer readiness_;
+  ItemRunner m_itemRunner;
+  http::ExchangeServer m_requestServer;
+  http::ExchangeServer m_readinessServer;
   bool stopping_ = false;
   bool draining_ = false;
-  bool released_ = false;
-  base::TimePoint stop_begun_{};
+  bool m_leasesReleased = false;
+  base::TimePoint m_stopStartedAt{};
 };
 
 }  // namespace tackpick::node
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -21,22 +21,23 @@
 
 constexpr base::Duration kLeaseInterval = base::milliseconds(80);
 constexpr base::Duration kIdleLeaseInterval = base::milliseconds(160);
-/// The ledgers' leader answers the calls of all gateways: with many of them each calls less often,
-/// but often enough for a new leader to hear in time what runs where.
+/// The leader of the ledgers answers the calls of all gateways, so the interval grows with their
+/// number. The maximum lets a new leader learn in time which items run where.
 constexpr base::Duration kLeaseIntervalPerGateway = base::microseconds(2800);
 constexpr base::Duration kMaxLeaseInterval = base::milliseconds(220);
-/// Of a gateway that stands by: others run the items of its zone.
+/// Lease interval of a gateway on standby, whose zone's items run at other gateways.
 constexpr base::Duration kStandbyInterval = base::milliseconds(1000);
-constexpr base::Duration kCallDeadline = base::seconds(2);
-/// Without a renewal for so long nothing new is sent: its job may have ended.
-constexpr base::Duration kLeaseTrust = base::milliseconds(2000);
+constexpr base::Duration kCallTimeout = base::seconds(2);
+/// Maximum time since the last lease renewal at which attempts may start; after that the job may
+/// have ended.
+constexpr base::Duration kMaxRenewalAge = base::milliseconds(2000);
 constexpr base::Duration kRetryDelay = base::milliseconds(40);
-/// How often a held item asks whether it may run again.
-constexpr base::Duration kHeldDelay = base::milliseconds(100);
-/// How often the ledgers are told how fast engines are.
+/// Interval at which a held item checks whether it may run again.
+constexpr base::Duration kHeldRetryDelay = base::milliseconds(100);
+/// Interval at which event intervals of engines are reported to the ledgers.
 constexpr base::Duration kEventIntervalRefresh = base::milliseconds(500);
-/// A gateway takes up to this share of its part of all slots, in percent: some items may wait at
-/// engines, and a zone's engines may have fewer gateways than their share, as when one is down.
+/// Maximum items of a gateway, in percent of its even share of all slots. More than 100: some items
+/// may wait at engines, and a zone may have fewer gateways than its share.
 constexpr std::uint32_t kOvercommitPercent = 220;
 
 std::uint64_t parseVersion(const std::string& text) {
@@ -53,7 +54,7 @@
     m_activeGateways = std::max(view.gateways, 1U);
   }
   engine_models_.clear();
-  for (const directory::Service& service : node_.member().configuration().services) {
+  for (const directory::Service& service : node_.clusterMember().configuration().services) {
     for (const std::string& model : service.models) {
       engine_models_[service.name].insert(model);
     }
@@ -62,30 +63,30 @@
 
 void ItemRunner::tick() {
   const base::TimePoint now = node_.now();
-  m_lateness.onTick(now);
-  cutSilent(now);
-  moveFromSlow(now);
-  moveFromQueues(now);
-  moveFromStalls(now);
-  moveFromDraining(now);
+  m_eventLoopLag.onTick(now);
+  cancelTimedOut(now);
+  moveFromSlowEngines(now);
+  moveQueuedItems(now);
+  moveStalledItems(now);
+  moveFromDrainingEngines(now);
   startAttempts(now);
   startScoring(now);
   commit(now);
-  if (!released_) {
+  if (!m_leasesReleased) {
     progress_.tick(now);
   }
-  if (!released_ && !leasing_ && now - lease_at_ >= leaseInterval()) {
+  if (!m_leasesReleased && !leasing_ && now - m_lastLeaseCallAt >= leaseInterval()) {
     lease(now);
   }
 }
 
 base::Duration ItemRunner::leaseInterval() const {
-  if (standby_ && items_.empty()) {
+  if (standby_ && m_items.empty()) {
     return kStandbyInterval;
   }
-  const base::Duration shared =
+  const base::Duration sharedInterval =
       std::min(kMaxLeaseInterval, kLeaseIntervalPerGateway * static_cast<int>(m_activeGateways));
-  return std::max(shared, items_.empty() ? kIdleLeaseInterval : kLeaseInterval);
+  return std::max(sharedInterval, m_items.empty() ? kIdleLeaseInterval : kLeaseInterval);
 }
 
 jobs::FreeSlots ItemRunner::wantedItems() const {
@@ -94,7 +95,7 @@
   }
   jobs::FreeSlots wanted = instances_.freeSlots(engine_models_);
   wanted.share(m_activeGateways, kOvercommitPercent);
-  for (const auto& [key, item] : items_) {
+  for (const auto& [key, item] : m_items) {
     if (needsEngine(*item)) {
       wanted.occupy(item->run.leased().model, item->run.leased().minimumVersion);
     }
@@ -109,36 +110,36 @@
   capacity.memoryMb = limits.memoryMb.value_or(0);
   capacity.fileDescriptors = limits.fileDescriptors.value_or(0);
   capacity.linkMbps = limits.linkMbps.value_or(0);
-  capacity.eventLoopLag = m_lateness.average();
-  for (const auto& [key, item] : items_) {
+  capacity.eventLoopLag = m_eventLoopLag.average();
+  for (const auto& [key, item] : m_items) {
     capacity.bufferedTextBytes += item->run.textBytes();
   }
   return capacity;
 }
 
 void ItemRunner::lease(base::TimePoint now) {
-  if (node_.member().view().ledgers.empty()) {
+  if (node_.clusterMember().view().ledgers.empty()) {
     return;
   }
   jobs::LeaseItems request;
   request.wanted = wantedItems();
-  request.draining = released_;
+  request.draining = m_leasesReleased;
   request.zone = node_.settings().zone;
   request.capacity = capacity();
-  for (const auto& [key, item] : items_) {
-    request.held.push_back({key, item->exchange.valid() ? item->instance : item->next});
+  for (const auto& [key, item] : m_items) {
+    request.held.push_back({key, item->exchange.valid() ? item->instance : item->nextInstance});
   }
   if (now - m_lastIntervalReportAt >= kEventIntervalRefresh) {
     m_lastIntervalReportAt = now;
     request.eventIntervals = instances_.eventIntervals(now);
   }
   leasing_ = true;
-  lease_at_ = now;
-  ledgers_.call(jobs::JobRequest{request}, kCallDeadline, now,
+  m_lastLeaseCallAt = now;
+  ledgers_.call(jobs::JobRequest{request}, kCallTimeout, now,
                 [this, now](const jobs::JobReply* reply) {
                   leasing_ = false;
                   if (reply != nullptr) {
-                    renewed_at_ = now;
+                    m_leasesRenewedAt = now;
                     onLeased(*reply);
                   }
                 });
@@ -146,7 +147,7 @@
 
 jobs::ProgressSaver::Runs ItemRunner::runs() const {
   jobs::ProgressSaver::Runs runs;
-  for (const auto& [key, item] : items_) {
+  for (const auto& [key, item] : m_items) {
     runs.emplace(key, &item->run);
   }
   return runs;
@@ -154,28 +155,28 @@
 
 void ItemRunner::release() {
   stopping_ = true;
-  released_ = true;
-  for (const auto& [key, item] : items_) {
+  m_leasesReleased = true;
+  for (const auto& [key, item] : m_items) {
     cancelAttempt(*item);
-    scores_.cancel(key);
+    m_scoringClient.cancel(key);
   }
-  progress_.saveAll(node_.now(), [this] { giveBack(); });
+  progress_.saveAll(node_.now(), [this] { returnLeases(); });
 }
 
-void ItemRunner::giveBack() {
+void ItemRunner::returnLeases() {
   const std::size_t released =
-      std::erase_if(items_, [](const auto& entry) { return !entry.second->outcome; });
+      std::erase_if(m_items, [](const auto& entry) { return !entry.second->outcome; });
   telemetry::logEvent(EventId::kItemsReleased, EventFields().add("items", released).text());
   lease(node_.now());
 }
 
 void ItemRunner::onLeased(const jobs::JobReply& reply) {
   for (const jobs::ItemKey& key : reply.revoked) {
-    const auto found = items_.find(key);
-    if (found != items_.end() && !found->second->outcome) {
+    const auto found = m_items.find(key);
+    if (found != m_items.end() && !found->second->outcome) {
       cancelAttempt(*found->second);
-      scores_.cancel(key);
-      items_.erase(found);
+      m_scoringClient.cancel(key);
+      m_items.erase(found);
     }
   }
   standby_ = reply.standby;
@@ -186,28 +187,30 @@
   const base::TimePoint now = node_.now();
   if (reply.wantsEventIntervals && !instances_.eventIntervals(now).empty()) {
     m_lastIntervalReportAt = {};
-    lease_at_ = {};  // at once: a new leader places by them from its first plan on
+    // Reports at once: a new leader needs the intervals for its first placement.
+    m_lastLeaseCallAt = {};
   }
-  noteLeased(reply.leased);
+  logLeased(reply.leased);
   for (const auto& [engine, items] : reply.itemsByEngine) {
-    instances_.onSharedLoad(engine, items, now);
+    instances_.onClusterLoad(engine, items, now);
   }
   for (const jobs::LeasedItem& leased : reply.leased) {
-    if (items_.contains(leased.key)) {
+    if (m_items.contains(leased.key)) {
       continue;
     }
-    auto item = std::make_unique<Running>(leased, node_.apiAdapter().headers().weightsField);
+    auto item =
+        std::make_unique<ActiveItem>(leased, node_.apiAdapter().headers().weightsVersionField);
     item->leasedAt = now;
-    item->next = leased.engine;
-    item->whole = item->run.isTextComplete();
-    constexpr double kWeight = 0.02;
-    typical_tokens_ += kWeight * (leased.item.expectedTokens - typical_tokens_);
-    items_.emplace(leased.key, std::move(item));
+    item->nextInstance = leased.engine;
+    item->textComplete = item->run.isTextComplete();
+    constexpr double kSmoothing = 0.02;
+    m_averageTokens += kSmoothing * (leased.item.expectedTokens - m_averageTokens);
+    m_items.emplace(leased.key, std::move(item));
   }
   startAttempts(now);
 }
 
-void ItemRunner::noteLeased(const std::vector<jobs::LeasedItem>& leased) {
+void ItemRunner::logLeased(const std::vector<jobs::LeasedItem>& leased) {
   std::map<std::string, std::uint64_t> items;
   std::map<std::string, std::uint64_t> continued;
   for (const jobs::LeasedItem& item : leased) {
@@ -221,22 +224,22 @@
   }
 }
 
-bool ItemRunner::mayStart(base::TimePoint now) const {
-  return !released_ && now - renewed_at_ <= kLeaseTrust;
+bool ItemRunner::canStart(base::TimePoint now) const {
+  return !m_leasesReleased && now - m_leasesRenewedAt <= kMaxRenewalAge;
 }
 
 void ItemRunner::startAttempts(base::TimePoint now) {
-  if (!mayStart(now)) {
+  if (!canStart(now)) {
     return;
   }
-  for (const auto& [key, item] : items_) {
+  for (const auto& [key, item] : m_items) {
     if (needsEngine(*item) && !item->exchange.valid() && now >= item->notBefore) {
       startAttempt(key, *item, now);
     }
   }
 }
 
-void ItemRunner::startAttempt(const jobs::ItemKey& key, Running& item, base::TimePoint now) {
+void ItemRunner::startAttempt(const jobs::ItemKey& key, ActiveItem& item, base::TimePoint now) {
   const jobs::LeasedItem& leased = item.run.leased();
   const directory::Route* route = routes_.find(leased.host, leased.item.path);
   if (route == nullptr || item.run.isExpired(now - item.leasedAt)) {
@@ -244,7 +247,7 @@
     return;
   }
   if (!admit(item)) {
-    retryLater(item, kHeldDelay);
+    retryLater(item, kHeldRetryDelay);
     return;
   }
   item.service = directory::pickService(*route, node_.random());
@@ -253,8 +256,8 @@
     retryLater(item, kRetryDelay);
     return;
   }
-  if (item.tried.contains(entry->record.id)) {
-    item.tried.clear();
+  if (item.triedInstances.contains(entry->record.id)) {
+    item.triedInstances.clear();
   }
   http::UpstreamRequest request = node_.apiAdapter().itemRequest(leased, item.run.lastEvent());
   const edge::HeaderNames& names = node_.apiAdapter().headers();
@@ -263,7 +266,7 @@
   request.headers.set(names.urgency, std::to_string(jobs::urgencyOf(runStateOf(item, now))));
   request.echoHeader = names.requestId;
   request.echoValue = leased.item.id;
-  item.tried.insert(entry->record.id);
+  item.triedInstances.insert(entry->record.id);
   item.instance = entry->record.id;
   item.sentAt = now;
   item.firstSentAt = item.attempts == 0 ? now : item.firstSentAt;
@@ -271,11 +274,11 @@
   item.lastByteAt = now;
   item.status = 0;
   item.notExecuted = false;
-  item.unusable = false;
-  item.parser = jobs::StreamEventParser(names.weightsField);
+  item.discardResponse = false;
+  item.parser = jobs::StreamEventParser(names.weightsVersionField);
   item.intervalStart = {};
   item.intervalEvents = 0;
-  item.pace = {};
+  item.eventInterval = {};
   instances_.onSent(item.instance);
   http::UpstreamEvents events;
   events.onHead = [this, key](int status, const http::HeaderList& headers) {
@@ -286,42 +289,42 @@
   item.exchange = node_.upstream().start(std::move(request), std::move(events));
 }
 
-jobs::RunState ItemRunner::runStateOf(const Running& item, base::TimePoint now) const {
+jobs::RunState ItemRunner::runStateOf(const ActiveItem& item, base::TimePoint now) const {
   jobs::RunState state;
   state.expectedLong = isLong(item);
   state.moved = item.moves > 0;
   state.events = item.run.lastEvent().value_or(0);
   state.begun = item.exchange.valid() && item.intervalStart != base::TimePoint{};
   state.silence = now - item.lastByteAt;
-  state.moves = item.queueMoves;
+  state.moves = item.rebalanceMoves;
   return state;
 }
 
-forwarding::InstanceRequirements ItemRunner::requirementsOf(const Running& item) const {
+forwarding::InstanceRequirements ItemRunner::requirementsOf(const ActiveItem& item) const {
   const jobs::LeasedItem& leased = item.run.leased();
-  return {item.service, leased.model, leased.minimumVersion, isLong(item), item.trial};
+  return {item.service, leased.model, leased.minimumVersion, isLong(item), item.isTrial};
 }
 
-const forwarding::InstanceEntry* ItemRunner::chooseInstance(Running& item, base::TimePoint now) {
-  const forwarding::InstanceRequirements need = requirementsOf(item);
-  const std::string next = std::exchange(item.next, {});
-  if (!next.empty() && !item.trial && instances_.isUsable(next, need, now)) {
-    return instances_.find(next);
+const forwarding::InstanceEntry* ItemRunner::chooseInstance(ActiveItem& item, base::TimePoint now) {
+  const forwarding::InstanceRequirements requirements = requirementsOf(item);
+  const std::string preferred = std::exchange(item.nextInstance, {});
+  if (!preferred.empty() && !item.isTrial && instances_.isUsable(preferred, requirements, now)) {
+    return instances_.find(preferred);
   }
-  return instances_.select(need, item.tried, node_.random(), now);
+  return instances_.select(requirements, item.triedInstances, node_.random(), now);
 }
 
 void ItemRunner::onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers) {
-  const auto found = items_.find(key);
-  if (found == items_.end()) {
+  const auto found = m_items.find(key);
+  if (found == m_items.end()) {
     return;
   }
-  Running& item = *found->second;
+  ActiveItem& item = *found->second;
   const edge::HeaderNames& names = node_.apiAdapter().headers();
   item.status = status;
   item.lastByteAt = node_.now();
   item.notExecuted = headers.has(names.notExecuted);
-  m_guard.onAnswered(item.instance, item.sentAt);
+  m_quarantineClient.onAnswered(item.instance, item.sentAt);
   if (const auto load = node_.apiAdapter().load(headers.value(names.load))) {
     instances_.onLoad(item.instance, *load, node_.now());
   }
@@ -330,58 +333,58 @@
     instances_.onVersion(item.instance, item.run.leased().model, parseVersion(version));
   }
   if (status == kOk && !item.run.onHead(parseVersion(version))) {
-    item.unusable = true;
+    item.discardResponse = true;
   }
 }
 
 void ItemRunner::onData(const jobs::ItemKey& key, std::string_view data) {
-  const auto found = items_.find(key);
-  if (found == items_.end()) {
+  const auto found = m_items.find(key);
+  if (found == m_items.end()) {
     return;
   }
-  Running& item = *found->second;
+  ActiveItem& item = *found->second;
   item.lastByteAt = node_.now();
-  if (item.status != kOk || item.unusable) {
+  if (item.status != kOk || item.discardResponse) {
     return;
   }
   item.parser.feed(data);
   while (const auto event = item.parser.next()) {
     if (!item.run.onEvent(*event)) {
-      item.unusable = true;
+      item.discardResponse = true;
       return;
     }
     demand_.add(item.run.leased().model, 1.0, item.lastByteAt);
-    if (item.begunAfter == base::Duration{0}) {
-      item.begunAfter = item.lastByteAt - item.firstSentAt;
+    if (item.timeToFirstEvent == base::Duration{0}) {
+      item.timeToFirstEvent = item.lastByteAt - item.firstSentAt;
     }
     recordEventInterval(item, item.lastByteAt);
   }
 }
 
 void ItemRunner::onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end) {
-  const auto found = items_.find(key);
-  if (found == items_.end()) {
+  const auto found = m_items.find(key);
+  if (found == m_items.end()) {
     return;
   }
-  Running& item = *found->second;
+  ActiveItem& item = *found->second;
   item.exchange = {};
   const base::TimePoint now = node_.now();
   if (!end.complete) {
-    const bool unreached = end.verdict == base::Verdict::kNotRun;
-    if (!unreached) {
-      onBroken(item);
+    const bool connectFailed = end.verdict == base::Verdict::kNotRun;
+    if (!connectFailed) {
+      onConnectionLost(item);
     }
-    onAttemptFailed(key, item, unreached ? AttemptOutcome::kUnreached : AttemptOutcome::kFailed,
-                    {});
+    onAttemptFailed(key, item,
+                    connectFailed ? AttemptOutcome::kConnectFailed : AttemptOutcome::kFailed, {});
   } else if (item.status == kMisdirected) {
-    onAttemptFailed(key, item, AttemptOutcome::kGone, {});
+    onAttemptFailed(key, item, AttemptOutcome::kWrongInstance, {});
   } else if (item.notExecuted) {
-    onAttemptFailed(key, item, AttemptOutcome::kFull, kRetryDelay);
+    onAttemptFailed(key, item, AttemptOutcome::kRejected, kRetryDelay);
   } else if (item.status == kOk && isTextComplete(item)) {
-    instances_.onEnded(item.instance, AttemptOutcome::kServed, now - item.sentAt, now);
-    node_.metrics().count(CounterId::kItemAttemptsEnded, toString(AttemptOutcome::kServed));
+    instances_.onEnded(item.instance, AttemptOutcome::kSucceeded, now - item.sentAt, now);
+    node_.metrics().count(CounterId::kItemAttemptsEnded, toString(AttemptOutcome::kSucceeded));
     if (item.fingerprint) {
-      m_guard.onBorne(*item.fingerprint);
+      m_quarantineClient.onCompleted(*item.fingerprint);
     }
     onTextComplete(key, item);
   } else {
@@ -392,41 +395,41 @@
   }
 }
 
-const quarantine::RequestFingerprint& ItemRunner::fingerprintOf(Running& item) const {
+const quarantine::RequestFingerprint& ItemRunner::fingerprintOf(ActiveItem& item) const {
   if (!item.fingerprint) {
     const jobs::LeasedItem& leased = item.run.leased();
-    item.fingerprint = m_guard.fingerprint(
+    item.fingerprint = m_quarantineClient.fingerprint(
         {"POST", leased.host, leased.item.path, leased.tenant, leased.item.body});
   }
   return *item.fingerprint;
 }
 
-bool ItemRunner::admit(Running& item) {
-  item.trial = false;
-  if (m_guard.idle()) {
+bool ItemRunner::admit(ActiveItem& item) {
+  item.isTrial = false;
+  if (m_quarantineClient.idle()) {
     return true;
   }
-  const RequestGuard::RunAdmission admission = m_guard.admitRun(fingerprintOf(item));
-  item.trial = admission == RequestGuard::RunAdmission::kTrial;
-  return admission != RequestGuard::RunAdmission::kWait;
+  const QuarantineClient::RunAdmission admission = m_quarantineClient.admitRun(fingerprintOf(item));
+  item.isTrial = admission == QuarantineClient::RunAdmission::kTrial;
+  return admission != QuarantineClient::RunAdmission::kDeferred;
 }
 
-void ItemRunner::onBroken(Running& item) {
-  m_guard.onBroken({fingerprintOf(item), item.service, item.instance}, item.run.leased().item.id,
-                   item.sentAt);
+void ItemRunner::onConnectionLost(ActiveItem& item) {
+  m_quarantineClient.onConnectionLost({fingerprintOf(item), item.service, item.instance},
+                                      item.run.leased().item.id, item.sentAt);
 }
 
-bool ItemRunner::isTextComplete(const Running& item) {
-  return !item.unusable && !item.parser.hasPartialEvent() && item.run.lastEvent();
+bool ItemRunner::isTextComplete(const ActiveItem& item) {
+  return !item.discardResponse && !item.parser.hasPartialEvent() && item.run.lastEvent();
 }
 
-void ItemRunner::onAttemptFailed(const jobs::ItemKey& key, Running& item, AttemptOutcome outcome,
+void ItemRunner::onAttemptFailed(const jobs::ItemKey& key, ActiveItem& item, AttemptOutcome outcome,
                                  base::Duration delay) {
   const base::TimePoint now = node_.now();
   instances_.onEnded(item.instance, outcome, now - item.sentAt, now);
   node_.metrics().count(CounterId::kItemAttemptsEnded, toString(outcome));
-  // Refusals for want of room are many and repeated soon: they are counted only.
-  if (outcome != AttemptOutcome::kFull) {
+  // Rejections by full engines are frequent, so they are only counted.
+  if (outcome != AttemptOutcome::kRejected) {
     telemetry::logEvent(EventId::kAttemptFailed,
                         EventFields()
                             .add("job", key.job)
@@ -441,15 +444,15 @@
   retryLater(item, delay);
 }
 
-void ItemRunner::retryLater(Running& item, base::Duration delay) {
+void ItemRunner::retryLater(ActiveItem& item, base::Duration delay) {
   item.notBefore = node_.now() + delay;
 }
 
-void ItemRunner::cancelAttempt(Running& item) {
+void ItemRunner::cancelAttempt(ActiveItem& item) {
   if (item.exchange.valid()) {
     node_.upstream().cancel(item.exchange);
     item.exchange = {};
-    instances_.onEnded(item.instance, AttemptOutcome::kAbandoned, base::Duration{0}, node_.now());
+    instances_.onEnded(item.instance, AttemptOutcome::kCancelled, base::Duration{0}, node_.now());
   }
 }
 
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -17,7 +17,7 @@
 #include "jobs/progress_saver.h"
 #include "jobs/run_decisions.h"
 #include "jobs/run_event_interval.h"
-#include "node/request_guard.h"
+#include "node/quarantine_client.h"
 #include "node/scoring_client.h"
 #include "node/tick_interval.h"
 #include "telemetry/metric.h"
@@ -26,155 +26,168 @@
 
 class Node;
 
+/// Leases items, runs them at engines, moves them to other engines when needed, has them scored and
+/// commits their results. Owned by the event loop of its Node.
 class ItemRunner {
  public:
   ItemRunner(Node& node, forwarding::InstanceTable& instances, const directory::RouteTable& routes,
-             jobs::LedgerClient& ledgers, RequestGuard& guard)
+             jobs::LedgerClient& ledgers, QuarantineClient& quarantineClient)
       : node_(node),
         instances_(instances),
         routes_(routes),
         ledgers_(ledgers),
         progress_(ledgers, [this] { return runs(); }, {}),
-        m_guard(guard),
-        scores_(node, instances, routes, guard) {}
+        m_quarantineClient(quarantineClient),
+        m_scoringClient(node, instances, routes, quarantineClient) {}
 
   void onView(const directory::DirectoryView& view);
   void tick();
-  /// Recent work by model.
+  /// Recent demand by model.
   [[nodiscard]] const directory::ModelDemand& demand() const { return demand_; }
-  /// Takes no further items; what runs may finish.
+  /// Leases no further items; items that already run may finish.
   void beginStop() { stopping_ = true; }
-  /// Breaks off what runs, hands its texts to the ledgers and gives all leases back.
+  /// Cancels all attempts, saves their partial texts at the ledgers and returns all leases.
   void release();
-  void reportFigures(telemetry::Metrics& metrics) const;
-  /// Nothing runs and every result is handed in.
-  [[nodiscard]] bool idle() const { return items_.empty() && !committing_; }
+  void updateGauges(telemetry::Metrics& metrics) const;
+  /// Whether no item is leased and no commit is in flight.
+  [[nodiscard]] bool idle() const { return m_items.empty() && !committing_; }
 
  private:
-  /// An item between its lease and the commit of its result.
-  struct Running {
-    explicit Running(jobs::LeasedItem leased, std::string versionField)
+  /// An item from its lease until its result is committed.
+  struct ActiveItem {
+    explicit ActiveItem(jobs::LeasedItem leased, std::string versionField)
         : run(std::move(leased)), parser(std::move(versionField)) {}
 
     jobs::ItemRun run;
-    std::uint64_t eventsAtLease = run.lastEvent().value_or(0);
+    std::uint64_t eventsAtLeaseStart = run.lastEvent().value_or(0);
     jobs::StreamEventParser parser;
     base::TimePoint leasedAt{};
     base::TimePoint notBefore{};
-    std::set<std::string> tried;
-    http::ExchangeId exchange;  ///< valid while an attempt runs
+    std::set<std::string> triedInstances;
+    http::ExchangeId exchange;  ///< valid while an attempt is in flight
     std::string instance;
     std::string service;
     base::TimePoint sentAt{};
     base::TimePoint lastByteAt{};
     int status = 0;
     std::uint32_t attempts = 0;
-    std::uint32_t moves = 0;           ///< to faster engines
-    std::uint32_t queueMoves = 0;      ///< away from engines where it waited
-    std::string next;                  ///< where it is to go on, when that is decided
-    base::Duration begunAfter{0};      ///< from its first send to its first event
-    std::uint32_t intervalEvents = 0;  ///< events since the pace was last noted
+    std::uint32_t moves = 0;             ///< moves to faster engines
+    std::uint32_t rebalanceMoves = 0;    ///< moves away from full or stalled engines
+    std::string nextInstance;            ///< instance that the next attempt prefers; empty: any
+    base::Duration timeToFirstEvent{0};  ///< from the first attempt to the first event
+    std::uint32_t intervalEvents = 0;    ///< events since intervalStart
     base::TimePoint intervalStart{};
-    jobs::RunEventInterval pace;  ///< of the running attempt
+    jobs::RunEventInterval eventInterval;  ///< of the current attempt
     base::TimePoint firstSentAt{};
     bool notExecuted = false;
-    bool unusable = false;  ///< the running attempt's answer must not be used
-    bool whole = false;     ///< only its score may still be missing
-    base::TimePoint wholeAt{};
-    bool scoring = false;                    ///< its scorer is being asked
-    std::optional<jobs::ItemState> outcome;  ///< its result waits to be committed
-    std::optional<quarantine::RequestFingerprint> fingerprint;  ///< once it is needed
-    bool trial = false;      ///< instances ended under it; this run is a trial
-    bool committed = false;  ///< its result was handed in, and may have been taken
+    bool discardResponse = false;  ///< the response of the current attempt must not be used
+    bool textComplete = false;     ///< only the score may be missing
+    base::TimePoint textCompletedAt{};
+    bool scoring = false;                    ///< a scoring call is pending
+    std::optional<jobs::ItemState> outcome;  ///< set when finished; the result must be committed
+    std::optional<quarantine::RequestFingerprint> fingerprint;  ///< computed on first use
+    bool isTrial = false;    ///< the current attempt is a trial of a held item
+    bool committed = false;  ///< its result was sent to the ledgers, which may have stored it
   };
 
-  /// Neither runs nor is to run.
-  [[nodiscard]] static bool needsEngine(const Running& item) {
-    return !item.whole && !item.outcome;
+  /// Whether the item is running or must still run.
+  [[nodiscard]] static bool needsEngine(const ActiveItem& item) {
+    return !item.textComplete && !item.outcome;
   }
 
+  /// Returns the runs of all leased items, for saving their progress.
   [[nodiscard]] jobs::ProgressSaver::Runs runs() const;
-  void giveBack();
+  /// Drops all unfinished items and reports their release to the ledgers.
+  void returnLeases();
   void lease(base::TimePoint now);
   void onLeased(const jobs::JobReply& reply);
-  /// Between two calls for leases.
+  /// Interval between two lease calls.
   [[nodiscard]] base::Duration leaseInterval() const;
+  /// Number of items to lease, by model and minimum version.
   [[nodiscard]] jobs::FreeSlots wantedItems() const;
   [[nodiscard]] jobs::GatewayCapacity capacity() const;
-  /// Without a renewal of the leases nothing new is sent: a job may have ended.
-  [[nodiscard]] bool mayStart(base::TimePoint now) const;
+  /// Whether new attempts may start. False if the leases have not been renewed recently, since the
+  /// job may have ended.
+  [[nodiscard]] bool canStart(base::TimePoint now) const;
   void startAttempts(base::TimePoint now);
-  /// False when the item is held, since it has ended engines.
-  [[nodiscard]] bool admit(Running& item);
-  [[nodiscard]] const quarantine::RequestFingerprint& fingerprintOf(Running& item) const;
-  /// The run at the item's engine broke off and may have begun.
-  void onBroken(Running& item);
-  void startAttempt(const jobs::ItemKey& key, Running& item, base::TimePoint now);
+  /// Whether the item may be run now. False if it is held because it has crashed engines.
+  [[nodiscard]] bool admit(ActiveItem& item);
+  [[nodiscard]] const quarantine::RequestFingerprint& fingerprintOf(ActiveItem& item) const;
+  /// Reports that the connection to the item's engine was lost and the item may have run.
+  void onConnectionLost(ActiveItem& item);
+  void startAttempt(const jobs::ItemKey& key, ActiveItem& item, base::TimePoint now);
   void onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers);
   void onData(const jobs::ItemKey& key, std::string_view data);
   void onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end);
-  [[nodiscard]] static bool isTextComplete(const Running& item);
-  static void noteLeased(const std::vector<jobs::LeasedItem>& leased);
-  void retryLater(Running& item, base::Duration delay);
-  void cutSilent(base::TimePoint now);
-  /// Continues items elsewhere that would end late on a slow engine or, where that cannot be told,
-  /// have run long on one much slower than another.
-  void moveFromSlow(base::TimePoint now);
-  [[nodiscard]] const forwarding::InstanceEntry* findFaster(const Running& item,
+  [[nodiscard]] static bool isTextComplete(const ActiveItem& item);
+  static void logLeased(const std::vector<jobs::LeasedItem>& leased);
+  void retryLater(ActiveItem& item, base::Duration delay);
+  /// Cancels attempts that have received no data within the read timeout or whose engine has
+  /// restarted.
+  void cancelTimedOut(base::TimePoint now);
+  /// Moves items that would miss their due time on a slow engine or, without an estimate, have run
+  /// long on an engine much slower than another.
+  void moveFromSlowEngines(base::TimePoint now);
+  [[nodiscard]] const forwarding::InstanceEntry* findFaster(const ActiveItem& item,
                                                             base::TimePoint now) const;
-  [[nodiscard]] static jobs::RunForecast forecastOf(const Running& item, base::TimePoint now);
-  /// Sends items elsewhere that wait at a full engine while another has room.
-  void moveFromQueues(base::TimePoint now);
-  [[nodiscard]] jobs::RunState runStateOf(const Running& item, base::TimePoint now) const;
-  [[nodiscard]] forwarding::InstanceRequirements requirementsOf(const Running& item) const;
-  /// Continues texts elsewhere whose engine makes no events of them any more.
-  void moveFromStalls(base::TimePoint now);
-  /// Continues texts elsewhere that do not end before their engine does.
-  void moveFromDraining(base::TimePoint now);
+  [[nodiscard]] static jobs::RunForecast forecastOf(const ActiveItem& item, base::TimePoint now);
+  /// Moves items that wait at a full engine while another has a free slot.
+  void moveQueuedItems(base::TimePoint now);
+  [[nodiscard]] jobs::RunState runStateOf(const ActiveItem& item, base::TimePoint now) const;
+  [[nodiscard]] forwarding::InstanceRequirements requirementsOf(const ActiveItem& item) const;
+  /// Moves items whose engine no longer produces events for them.
+  void moveStalledItems(base::TimePoint now);
+  /// Moves items that would not finish before their engine terminates.
+  void moveFromDrainingEngines(base::TimePoint now);
+  /// Records the termination times that engines report in a view.
   void recordDraining(const directory::DirectoryView& view, base::TimePoint now);
-  /// Breaks the running attempt off; the item goes on at `instance`.
-  void moveTo(const jobs::ItemKey& key, Running& item, const std::string& instance,
+  /// Cancels the current attempt; the item continues at `instance`, or at any instance if that is
+  /// empty.
+  void moveTo(const jobs::ItemKey& key, ActiveItem& item, const std::string& instance,
               std::string_view reason);
-  [[nodiscard]] const forwarding::InstanceEntry* chooseInstance(Running& item, base::TimePoint now);
-  void recordEventInterval(Running& item, base::TimePoint now);
-  [[nodiscard]] bool isLong(const Running& item) const;
-  /// A run ended without the whole text: notes why, and when the next may begin.
-  void onAttemptFailed(const jobs::ItemKey& key, Running& item, forwarding::AttemptOutcome outcome,
-                       base::Duration delay);
-  void cancelAttempt(Running& item);
-  /// The text is whole: asks its scorer, or finishes the item when it needs no score.
-  void onTextComplete(const jobs::ItemKey& key, Running& item);
+  [[nodiscard]] const forwarding::InstanceEntry* chooseInstance(ActiveItem& item,
+                                                                base::TimePoint now);
+  void recordEventInterval(ActiveItem& item, base::TimePoint now);
+  [[nodiscard]] bool isLong(const ActiveItem& item) const;
+  /// Handles an attempt that ended without a complete text: records the outcome and the time before
+  /// which the item is not retried.
+  void onAttemptFailed(const jobs::ItemKey& key, ActiveItem& item,
+                       forwarding::AttemptOutcome outcome, base::Duration delay);
+  void cancelAttempt(ActiveItem& item);
+  /// Starts the scoring of a complete text, or finishes the item if it needs no score.
+  void onTextComplete(const jobs::ItemKey& key, ActiveItem& item);
   void startScoring(base::TimePoint now);
   void onScore(const jobs::ItemKey& key, const std::string* score);
-  void finishItem(const jobs::ItemKey& key, Running& item, jobs::ItemState outcome);
-  void logFinished(const jobs::ItemKey& key, const Running& item) const;
+  void finishItem(const jobs::ItemKey& key, ActiveItem& item, jobs::ItemState outcome);
+  void logFinished(const jobs::ItemKey& key, const ActiveItem& item) const;
   void commit(base::TimePoint now);
-  [[nodiscard]] jobs::CommitResults takeResults();
-  void onCommitted(const jobs::CommitResults& request, bool known);
+  [[nodiscard]] jobs::CommitResults collectResults();
+  void onCommitted(const jobs::CommitResults& request, bool acknowledged);
 
   Node& node_;
   forwarding::InstanceTable& instances_;
   const directory::RouteTable& routes_;
   jobs::LedgerClient& ledgers_;
   jobs::ProgressSaver progress_;
-  RequestGuard& m_guard;
-  ScoringClient scores_;
-  std::map<jobs::ItemKey, std::unique_ptr<Running>> items_;
-  std::uint32_t m_activeGateways = 1;  ///< gateways that run items
-  bool m_activeGatewaysKnown = false;  ///< ... as the ledgers say; until then all gateways count
-  bool standby_ = false;               ///< others run the items of this gateway's zone
+  QuarantineClient& m_quarantineClient;
+  ScoringClient m_scoringClient;
+  std::map<jobs::ItemKey, std::unique_ptr<ActiveItem>> m_items;
+  std::uint32_t m_activeGateways = 1;  ///< number of gateways that run items
+  bool m_activeGatewaysKnown =
+      false;              ///< whether the ledgers have reported it; until then all count
+  bool standby_ = false;  ///< other gateways run the items of this gateway's zone
   forwarding::ServiceModels engine_models_;
-  std::map<std::string, base::TimePoint> m_terminationTimes;  ///< of engines that say when they end
+  std::map<std::string, base::TimePoint> m_terminationTimes;  ///< of engines that report one
   bool leasing_ = false;
   bool committing_ = false;
   bool stopping_ = false;
-  bool released_ = false;
-  base::TimePoint lease_at_{};
-  base::TimePoint renewed_at_{};
+  bool m_leasesReleased = false;
+  base::TimePoint m_lastLeaseCallAt{};
+  base::TimePoint m_leasesRenewedAt{};
   base::TimePoint m_lastIntervalReportAt{};
   directory::ModelDemand demand_;
-  base::EventLoopLag m_lateness{kTickInterval};
-  double typical_tokens_ = 0;  ///< moving average of the expected length of an item
+  base::EventLoopLag m_eventLoopLag{kTickInterval};
+  double m_averageTokens = 0;  ///< moving average of the expected length of an item
 };
 
 }  // namespace tackpick::node
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// ItemRunner: runs that are broken off or go on elsewhere.
+/// ItemRunner: cancelling attempts and moving items to other engines.
 #include <algorithm>
 #include <utility>
 
@@ -15,40 +15,41 @@
 using telemetry::EventFields;
 using telemetry::EventId;
 
-/// An attempt without a byte for so long is broken off and continued elsewhere.
-constexpr base::Duration kSilenceLimit = base::milliseconds(2500);
-/// Events over which the pace of an engine is noted.
+/// Timeout after which an attempt without received data is cancelled and continued elsewhere.
+constexpr base::Duration kReadTimeout = base::milliseconds(2500);
+/// Number of events over which an event interval is averaged.
 constexpr std::uint32_t kEventsPerSample = 6;
-/// An item that has run for so long may be one of the few that run very long: moving it pays.
-constexpr base::Duration kLongRun = base::milliseconds(900);
-/// Without a byte for so long after it was sent, an item waits for a place.
-constexpr base::Duration kQueueLimit = base::milliseconds(500);
-constexpr std::uint32_t kMaxQueueMoves = 3;
+/// Running time after which an item is considered long, so that moving it is worthwhile.
+constexpr base::Duration kLongRunTime = base::milliseconds(900);
+/// Time without received data after which a new attempt counts as queued at its engine.
+constexpr base::Duration kMaxQueueTime = base::milliseconds(500);
+constexpr std::uint32_t kMaxRebalanceMoves = 3;
 
 }  // namespace
 
-void ItemRunner::cutSilent(base::TimePoint now) {
-  for (const auto& [key, item] : items_) {
-    // An engine that has started again knows nothing of its runs: to wait for their silence would
-    // cost the whole limit where its end was not seen, as behind a cut.
-    const bool ended = instances_.hasRestarted(item->instance);
-    const bool over = now - item->lastByteAt > kSilenceLimit || ended;
-    if (item->exchange.valid() && (item->unusable || over)) {
+void ItemRunner::cancelTimedOut(base::TimePoint now) {
+  for (const auto& [key, item] : m_items) {
+    // A restarted engine has lost its runs. If its connection did not close, as behind a network
+    // partition, waiting for the read timeout would only delay the retry.
+    const bool restarted = instances_.hasRestarted(item->instance);
+    const bool timedOut = now - item->lastByteAt > kReadTimeout || restarted;
+    if (item->exchange.valid() && (item->discardResponse || timedOut)) {
       node_.upstream().cancel(item->exchange);
       item->exchange = {};
-      if (ended) {
-        onBroken(*item);
+      if (restarted) {
+        onConnectionLost(*item);
       }
       onAttemptFailed(key, *item,
-                      item->unusable ? AttemptOutcome::kAbandoned : AttemptOutcome::kFailed, {});
+                      item->discardResponse ? AttemptOutcome::kCancelled : AttemptOutcome::kFailed,
+                      {});
     }
   }
 }
 
-void ItemRunner::recordEventInterval(Running& item, base::TimePoint now) {
-  item.pace.onEvent(now);
+void ItemRunner::recordEventInterval(ActiveItem& item, base::TimePoint now) {
+  item.eventInterval.onEvent(now);
   if (item.intervalStart == base::TimePoint{}) {
-    item.intervalStart = now;  // the first event also waited for its prompt
+    item.intervalStart = now;  // the first event includes the time for its prompt
     return;
   }
   if (++item.intervalEvents < kEventsPerSample) {
@@ -59,17 +60,17 @@
   item.intervalEvents = 0;
 }
 
-bool ItemRunner::isLong(const Running& item) const {
+bool ItemRunner::isLong(const ActiveItem& item) const {
   constexpr double kLongFactor = 1.5;
-  return item.moves > 0 || item.run.leased().item.expectedTokens > kLongFactor * typical_tokens_;
+  return item.moves > 0 || item.run.leased().item.expectedTokens > kLongFactor * m_averageTokens;
 }
 
-jobs::RunForecast ItemRunner::forecastOf(const Running& item, base::TimePoint now) {
+jobs::RunForecast ItemRunner::forecastOf(const ActiveItem& item, base::TimePoint now) {
   const jobs::LeasedItem& leased = item.run.leased();
   const std::uint64_t events = item.run.lastEvent().value_or(0);
   const std::uint64_t atLease = leased.progress ? leased.progress->point.event : 0;
   jobs::RunForecast forecast;
-  forecast.eventIntervalMs = item.pace.sustainedMs(now).value_or(0);
+  forecast.eventIntervalMs = item.eventInterval.sustainedMs(now).value_or(0);
   forecast.remainingEvents =
       jobs::remainingEventsOf(leased.remainingEvents, events - std::min(atLease, events), events);
   forecast.moves = item.moves;
@@ -79,25 +80,26 @@
   return forecast;
 }
 
-const forwarding::InstanceEntry* ItemRunner::findFaster(const Running& item,
+const forwarding::InstanceEntry* ItemRunner::findFaster(const ActiveItem& item,
                                                         base::TimePoint now) const {
   const jobs::RunForecast forecast = forecastOf(item, now);
-  const forwarding::InstanceRequirements need = requirementsOf(item);
+  const forwarding::InstanceRequirements requirements = requirementsOf(item);
   if (!forecast.isKnown()) {
-    const bool ranLong = now - item.firstSentAt > kLongRun;
-    return ranLong ? instances_.findFaster(need, item.instance, jobs::kMinMoveSpeedup,
+    const bool ranLong = now - item.firstSentAt > kLongRunTime;
+    return ranLong ? instances_.findFaster(requirements, item.instance, jobs::kMinMoveSpeedup,
                                            node_.random(), now)
                    : nullptr;
   }
   const std::optional<double> maxEventIntervalMs = jobs::maxEventIntervalToMoveTo(forecast);
-  return maxEventIntervalMs ? instances_.findWithinInterval(
-                                  need, item.instance, *maxEventIntervalMs, node_.random(), now)
-                            : nullptr;
+  return maxEventIntervalMs
+             ? instances_.findWithinInterval(requirements, item.instance, *maxEventIntervalMs,
+                                             node_.random(), now)
+             : nullptr;
 }
 
-void ItemRunner::moveFromSlow(base::TimePoint now) {
-  for (const auto& [key, item] : items_) {
-    const bool mayMove = item->exchange.valid() && !item->trial &&
+void ItemRunner::moveFromSlowEngines(base::TimePoint now) {
+  for (const auto& [key, item] : m_items) {
+    const bool mayMove = item->exchange.valid() && !item->isTrial &&
                          item->intervalStart != base::TimePoint{} &&
                          item->moves < jobs::kMaxMovesToFaster;
     const auto* faster = mayMove ? findFaster(*item, now) : nullptr;
@@ -108,30 +110,32 @@
   }
 }
 
-void ItemRunner::moveFromQueues(base::TimePoint now) {
-  for (const auto& [key, item] : items_) {
-    const bool waits = item->exchange.valid() && !item->trial && item->lastByteAt == item->sentAt &&
-                       now - item->sentAt > kQueueLimit && item->queueMoves < kMaxQueueMoves;
-    if (!waits) {
+void ItemRunner::moveQueuedItems(base::TimePoint now) {
+  for (const auto& [key, item] : m_items) {
+    const bool isQueued = item->exchange.valid() && !item->isTrial &&
+                          item->lastByteAt == item->sentAt && now - item->sentAt > kMaxQueueTime &&
+                          item->rebalanceMoves < kMaxRebalanceMoves;
+    if (!isQueued) {
       continue;
     }
-    const auto* idle = instances_.findIdle(requirementsOf(*item), item->tried, node_.random(), now);
+    const auto* idle = instances_.findWithFreeSlot(requirementsOf(*item), item->triedInstances,
+                                                   node_.random(), now);
     if (idle != nullptr) {
-      ++item->queueMoves;
+      ++item->rebalanceMoves;
       moveTo(key, *item, idle->record.id, "full");
     }
   }
 }
 
-void ItemRunner::moveFromStalls(base::TimePoint now) {
-  for (const auto& [key, item] : items_) {
-    if (item->trial || !jobs::isStalled(runStateOf(*item, now))) {
+void ItemRunner::moveStalledItems(base::TimePoint now) {
+  for (const auto& [key, item] : m_items) {
+    if (item->isTrial || !jobs::isStalled(runStateOf(*item, now))) {
       continue;
     }
     const auto* idle =
-        instances_.findIdle(requirementsOf(*item), {item->instance}, node_.random(), now);
+        instances_.findWithFreeSlot(requirementsOf(*item), {item->instance}, node_.random(), now);
     if (idle != nullptr) {
-      ++item->queueMoves;
+      ++item->rebalanceMoves;
       moveTo(key, *item, idle->record.id, "stalled");
     }
   }
@@ -141,36 +145,36 @@
   for (const std::string& id : view.removed) {
     m_terminationTimes.erase(id);
   }
-  std::map<std::string, base::TimePoint> told;
+  std::map<std::string, base::TimePoint> reported;
   for (const directory::InstanceView& instance : view.instances) {
     const base::Duration timeToTermination = instance.record.timeToTermination;
     if (timeToTermination > base::Duration{0}) {
-      told.emplace(instance.record.id, now + timeToTermination);
+      reported.emplace(instance.record.id, now + timeToTermination);
     }
   }
-  // What was noted first is nearest to when it was said.
+  // merge() keeps existing entries: the earliest record of a termination time is the most accurate.
   if (view.isFull) {
     std::erase_if(m_terminationTimes,
-                  [&](const auto& entry) { return !told.contains(entry.first); });
+                  [&](const auto& entry) { return !reported.contains(entry.first); });
   }
-  m_terminationTimes.merge(told);
+  m_terminationTimes.merge(reported);
 }
 
-void ItemRunner::moveFromDraining(base::TimePoint now) {
+void ItemRunner::moveFromDrainingEngines(base::TimePoint now) {
   if (m_terminationTimes.empty()) {
     return;
   }
-  for (const auto& [key, item] : items_) {
-    const auto ending = m_terminationTimes.find(item->instance);
-    if (ending == m_terminationTimes.end() || !item->exchange.valid() || item->trial) {
+  for (const auto& [key, item] : m_items) {
+    const auto termination = m_terminationTimes.find(item->instance);
+    if (termination == m_terminationTimes.end() || !item->exchange.valid() || item->isTrial) {
       continue;
     }
-    const double made = static_cast<double>(item->run.lastEvent().value_or(0)) -
-                        static_cast<double>(item->eventsAtLease);
+    const double eventsProduced = static_cast<double>(item->run.lastEvent().value_or(0)) -
+                                  static_cast<double>(item->eventsAtLeaseStart);
     const auto* entry = instances_.find(item->instance);
     jobs::TerminatingRun run;
-    run.untilEnd = ending->second - now;
-    run.remainingEvents = std::max(0.0, item->run.leased().remainingEvents - made);
+    run.untilEnd = termination->second - now;
+    run.remainingEvents = std::max(0.0, item->run.leased().remainingEvents - eventsProduced);
     run.pace = entry == nullptr ? base::Duration{0}
                                 : base::Duration(static_cast<base::Duration::rep>(
                                       entry->eventIntervalMs * base::milliseconds(1).count()));
@@ -178,12 +182,12 @@
       continue;
     }
     const auto* idle =
-        instances_.findIdle(requirementsOf(*item), {item->instance}, node_.random(), now);
+        instances_.findWithFreeSlot(requirementsOf(*item), {item->instance}, node_.random(), now);
     moveTo(key, *item, idle == nullptr ? std::string() : idle->record.id, "leaving");
   }
 }
 
-void ItemRunner::moveTo(const jobs::ItemKey& key, Running& item, const std::string& instance,
+void ItemRunner::moveTo(const jobs::ItemKey& key, ActiveItem& item, const std::string& instance,
                         std::string_view reason) {
   node_.metrics().count(CounterId::kItemsMoved, reason);
   telemetry::logEvent(EventId::kItemMoved, EventFields()
@@ -195,21 +199,21 @@
                                                .add("events", item.run.lastEvent().value_or(0))
                                                .text());
   cancelAttempt(item);
-  item.tried.insert(item.instance);
-  item.next = instance;
+  item.triedInstances.insert(item.instance);
+  item.nextInstance = instance;
   retryLater(item, base::Duration{0});
 }
 
-void ItemRunner::reportFigures(telemetry::Metrics& metrics) const {
-  const auto waiting = std::count_if(items_.begin(), items_.end(), [](const auto& entry) {
+void ItemRunner::updateGauges(telemetry::Metrics& metrics) const {
+  const auto waiting = std::count_if(m_items.begin(), m_items.end(), [](const auto& entry) {
     return entry.second->outcome.has_value();
   });
-  metrics.set(telemetry::GaugeId::kItemsRunning, static_cast<double>(items_.size()));
+  metrics.set(telemetry::GaugeId::kItemsRunning, static_cast<double>(m_items.size()));
   metrics.set(telemetry::GaugeId::kResultsWaiting, static_cast<double>(waiting));
   constexpr double kMicrosPerSecond = 1e6;
   metrics.set(telemetry::GaugeId::kTickLateness,
-              static_cast<double>(m_lateness.average().count()) / kMicrosPerSecond);
-  metrics.set(telemetry::GaugeId::kScoringCalls, static_cast<double>(scores_.size()));
+              static_cast<double>(m_eventLoopLag.average().count()) / kMicrosPerSecond);
+  metrics.set(telemetry::GaugeId::kScoringCalls, static_cast<double>(m_scoringClient.size()));
 }
 
 }  // namespace tackpick::node
--- a/src/node/metrics_server.cpp
+++ b/src/node/metrics_server.cpp
@@ -30,33 +30,39 @@
     exchange->respond(http::status::kNotFound, {}, {});
     return;
   }
-  refresh();
-  m_node.reportFigures();
+  updateMetrics();
+  m_node.updateGauges();
   http::HeaderList headers;
   headers.add("Content-Type", "text/plain; version=0.0.4");
   exchange->respond(http::status::kOk, headers, m_node.metrics().text());
 }
 
-void MetricsServer::refresh() {
+void MetricsServer::updateMetrics() {
   telemetry::PrometheusMetrics& metrics = m_node.metrics();
-  const auto tell = [&](CounterId id, std::uint64_t& told, std::uint64_t value) {
-    metrics.count(id, {}, value - std::exchange(told, value));
+  const auto addDelta = [&](CounterId id, std::uint64_t& reported, std::uint64_t value) {
+    metrics.count(id, {}, value - std::exchange(reported, value));
   };
   const http::UpstreamCounters& upstream = m_node.upstream().counters();
-  tell(CounterId::kConnectionsOpened, m_told.connections, upstream.connectionsOpened);
-  tell(CounterId::kForeignAnswers, m_told.mismatchedResponses, upstream.mismatchedResponses);
-  tell(CounterId::kInternalBytesSent, m_told.bytesSent, m_node.network().bytesSent());
-  tell(CounterId::kInternalBytesReceived, m_told.bytesReceived, m_node.network().bytesReceived());
-  tell(CounterId::kLogLinesDropped, m_told.droppedLines, telemetry::logCounters().droppedLines);
-  const cluster::ClusterMember& member = m_node.member();
-  metrics.set(GaugeId::kConfigurationVersion, static_cast<double>(member.configuration().version));
-  if (const auto lastContactAt = member.lastContactAt()) {
+  addDelta(CounterId::kConnectionsOpened, m_reportedCounters.connections,
+           upstream.connectionsOpened);
+  addDelta(CounterId::kForeignAnswers, m_reportedCounters.mismatchedResponses,
+           upstream.mismatchedResponses);
+  addDelta(CounterId::kInternalBytesSent, m_reportedCounters.bytesSent,
+           m_node.network().bytesSent());
+  addDelta(CounterId::kInternalBytesReceived, m_reportedCounters.bytesReceived,
+           m_node.network().bytesReceived());
+  addDelta(CounterId::kLogLinesDropped, m_reportedCounters.droppedLines,
+           telemetry::logCounters().droppedLines);
+  const cluster::ClusterMember& clusterMember = m_node.clusterMember();
+  metrics.set(GaugeId::kConfigurationVersion,
+              static_cast<double>(clusterMember.configuration().version));
+  if (const auto lastContactAt = clusterMember.lastContactAt()) {
     metrics.set(GaugeId::kControllersHeardAge, base::toSeconds(m_node.now() - *lastContactAt));
   }
-  if (const auto confirmedAt = member.confirmedAt()) {
+  if (const auto confirmedAt = clusterMember.confirmedAt()) {
     metrics.set(GaugeId::kConfigurationAge, base::toSeconds(m_node.now() - *confirmedAt));
   }
-  for (const auto& [model, version] : member.view().publishedVersions) {
+  for (const auto& [model, version] : clusterMember.view().publishedVersions) {
     metrics.set(GaugeId::kPublishedVersion, model, static_cast<double>(version));
   }
 }
--- a/src/node/metrics_server.h
+++ b/src/node/metrics_server.h
@@ -1,5 +1,5 @@
 /// \file
-/// Serves a process's figures to scrapers.
+/// Serves a process's metrics over HTTP.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 class Node;
 
-/// Figures that other modules count themselves are read when a scraper asks.
+/// Responds to `GET /metrics`. Values that other modules count themselves are read on each request.
 class MetricsServer {
  public:
   explicit MetricsServer(Node& node);
 
  private:
-  /// What was told last of figures that are counted elsewhere.
-  struct Told {
+  /// Values of counters kept elsewhere that have been added to the metrics so far.
+  struct ReportedCounters {
     std::uint64_t connections = 0;
     std::uint64_t mismatchedResponses = 0;
     std::uint64_t bytesSent = 0;
@@ -27,10 +27,11 @@
   };
 
   void onRequest(const http::RawRequest& request, const std::shared_ptr<http::Exchange>& exchange);
-  void refresh();
+  /// Adds the increments of counters kept elsewhere and sets the gauges of the cluster membership.
+  void updateMetrics();
 
   Node& m_node;
-  Told m_told;
+  ReportedCounters m_reportedCounters;
   http::ExchangeServer m_server;
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -27,15 +27,15 @@
 constexpr const char* kDirectoryFolder = "directory";
 constexpr const char* kLedgerFolder = "ledger";
 
-/// A turn that takes longer is told: a slow disk, or work that should be spread.
-constexpr base::Duration kSlowTurn = base::milliseconds(200);
+/// Duration above which an iteration of the event loop is logged: the disk is slow, or work should
+/// be split.
+constexpr base::Duration kSlowIteration = base::milliseconds(200);
 
-/// How long a replica stays after it has been asked to stop, so that another leads by then.
-constexpr base::Duration kReplicaStop = base::milliseconds(300);
+/// Time for which a replica keeps running after a stop request, so that another can become leader.
+constexpr base::Duration kReplicaStopDelay = base::milliseconds(300);
 
-/// Beyond the time between two heartbeats of an instance until it is told as unresponsive: a
-/// heartbeat may come late, or be sent to a second controller after the first has not answered for
-/// a second.
+/// Added to the heartbeat interval to give the heartbeat timeout: a heartbeat may be late, or be
+/// retried at a second controller.
 constexpr base::Duration kHeartbeatSlack = base::milliseconds(2800);
 
 std::vector<jobs::PlacementEngine> placementEngines(
@@ -52,9 +52,9 @@
   return engines;
 }
 
-std::uint32_t drawInstance() {
-  constexpr std::uint32_t kInstanceMask = 0xffffffffU;
-  return static_cast<std::uint32_t>(runtime::randomNumber() & kInstanceMask) | 1U;
+std::uint32_t randomIncarnation() {
+  constexpr std::uint32_t kIncarnationMask = 0xffffffffU;
+  return static_cast<std::uint32_t>(runtime::randomNumber() & kIncarnationMask) | 1U;
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
     : settings_(std::move(settings)),
       m_apiAdapter(apiAdapter),
       random_(std::make_unique<base::SeededRandom>(runtime::randomNumber())),
-      ticker_(context_),
+      m_tickTimer(context_),
       signals_(context_, SIGINT, SIGTERM, SIGHUP) {}
 
 Node::~Node() = default;
@@ -78,7 +78,7 @@
 base::Result<void> Node::open() {
   BOOST_LEAF_ASSIGN(self_, openIdentity());
   upstream_ = std::make_unique<http::UpstreamClient>(context_, http::UpstreamSettings{});
-  openMember();
+  createClusterMember();
   if (settings_.role == directory::NodeRole::kController) {
     BOOST_LEAF_CHECK(openDirectory());
   } else if (settings_.role == directory::NodeRole::kLedger) {
@@ -96,7 +96,7 @@
 base::Result<base::NodeId> Node::openIdentity() {
   BOOST_LEAF_AUTO(number, config::nodeNumberOf(settings_.address));
   if (settings_.dataFolder.empty()) {
-    return base::makeNodeId(number, drawInstance());
+    return base::makeNodeId(number, randomIncarnation());
   }
   BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder));
   BOOST_LEAF_AUTO(names, folder->list());
@@ -110,11 +110,12 @@
     }
     return base::NodeId{stored->node};
   }
-  // The founding controllers have instance 0, so that each knows the others from its settings. An
-  // empty folder at any other time is a new node, which never votes in an old one's name.
+  // The initial controllers have incarnation 0, so that they know each other's ids from the
+  // settings. An empty folder at any other time means a new node, which must not vote as an earlier
+  // one.
   const bool isInitialVoter =
       settings_.role == directory::NodeRole::kController && settings_.bootstrap && isSeed();
-  const base::NodeId self = base::makeNodeId(number, isInitialVoter ? 0 : drawInstance());
+  const base::NodeId self = base::makeNodeId(number, isInitialVoter ? 0 : randomIncarnation());
   const runtime::NodeIdentity identity{settings_.cluster, self.value, 0};
   BOOST_LEAF_CHECK(storage::writeFileAtomically(*folder, kIdentityFile, base::encode(identity)));
   return self;
@@ -146,16 +147,16 @@
   return record;
 }
 
-void Node::openMember() {
-  cluster::ClusterMemberSettings member;
-  member.directoryGroup = directory::kDirectoryGroup;
-  member.ledgerGroup = directory::kLedgerGroup;
-  member.seeds = seedNodes();
-  member_ = std::make_unique<cluster::ClusterMember>(ownRecord(), member,
-                                                     base::CallId{runtime::randomNumber()});
-  member_->setClock(wall_clock_);
-  member_->onView([this](const directory::DirectoryView& view) { onView(view); });
-  member_->onConfiguration([this](const directory::Configuration& newest) {
+void Node::createClusterMember() {
+  cluster::ClusterMemberSettings memberSettings;
+  memberSettings.directoryGroup = directory::kDirectoryGroup;
+  memberSettings.ledgerGroup = directory::kLedgerGroup;
+  memberSettings.seeds = seedNodes();
+  m_clusterMember = std::make_unique<cluster::ClusterMember>(ownRecord(), memberSettings,
+                                                             base::CallId{runtime::randomNumber()});
+  m_clusterMember->setClock(wall_clock_);
+  m_clusterMember->onView([this](const directory::DirectoryView& view) { onView(view); });
+  m_clusterMember->onConfiguration([this](const directory::Configuration& newest) {
     if (m_gatewayServer) {
       m_gatewayServer->onConfiguration(newest);
     }
@@ -163,10 +164,10 @@
       ledger_->setTenantPriorities(jobs::TenantPriorities(newest.tenants));
     }
   });
-  member_->setOpenJobsSource([this]() -> std::optional<jobs::OpenJobsByModel> {
+  m_clusterMember->setOpenJobsSource([this]() -> std::optional<jobs::OpenJobsByModel> {
     return ledger_ ? ledger_->openJobs(now()) : std::nullopt;
   });
-  member_->setLedgerMembershipSource([this]() -> std::optional<consensus::Membership> {
+  m_clusterMember->setLedgerMembershipSource([this]() -> std::optional<consensus::Membership> {
     return ledger_ ? ledger_->stableMembership(now()) : std::nullopt;
   });
 }
@@ -180,8 +181,8 @@
     initial.voters = initialVoters;
   }
   const storage::FolderIdentity identity{settings_.cluster, self_, group};
-  disk_thread_ =
-      std::make_unique<storage::DiskThread>([this] { asio::post(context_, [this] { wake(); }); });
+  disk_thread_ = std::make_unique<storage::DiskThread>(
+      [this] { asio::post(context_, [this] { scheduleIteration(); }); });
   BOOST_LEAF_ASSIGN(
       log_, storage::SegmentedLog::open(*folders_.back(), identity, initial, disk_thread_.get()));
   return {};
@@ -197,11 +198,11 @@
   settings.orders.concurrentLoads = settings_.concurrentLoads;
   settings.instanceSilence = settings_.instanceHeartbeat + kHeartbeatSlack;
   settings.orders.heartbeatTimeout = settings.instanceSilence;
-  constexpr base::Duration kOrderMargin = base::milliseconds(100);
-  settings.commandLease.duration = settings_.commandLease + kOrderMargin;
+  constexpr base::Duration kCommandLeaseMargin = base::milliseconds(100);
+  settings.commandLease.duration = settings_.commandLease + kCommandLeaseMargin;
   settings.commandLease.enginesEnforceFences = settings_.enginesEnforceFences;
   constexpr double kMicrosPerSecond = 1e6;
-  // Both duties share the rate, with others.
+  // Usage reports and scaling calls share the rate limit with other callers.
   constexpr double kShareOfRate = 0.5;
   constexpr double kCapacityShareOfRate = 0.25;
   settings.usage.window = settings_.usageWindow;
@@ -223,7 +224,7 @@
   BOOST_LEAF_AUTO(names, folder->list());
   const bool initialised =
       std::find(names.begin(), names.end(), storage::kIdentityFileName) != names.end();
-  // A new folder waits for the controllers to say who founds the group.
+  // With a new folder, waits for the controllers to name the initial voters.
   return initialised ? openLedger({}) : base::Result<void>{};
 }
 
@@ -234,7 +235,7 @@
   settings.retention = settings_.retention;
   ledger_ = std::make_unique<jobs::JobRole>(self_, directory::kLedgerGroup, settings, *log_,
                                             *random_, now());
-  ledger_->setTenantPriorities(jobs::TenantPriorities(member_->configuration().tenants));
+  ledger_->setTenantPriorities(jobs::TenantPriorities(m_clusterMember->configuration().tenants));
   m_openJobsSender = std::make_unique<OpenJobsSender>(*this);
   return {};
 }
@@ -242,7 +243,8 @@
 base::Result<void> Node::openNetwork() {
   transport::PeerNetworkSettings network;
   network.self = self_;
-  // The machines of such a cluster share no secret; the key keeps strangers' bytes out, no more.
+  // Machines of a self-formed cluster share no secret. The key only rejects connections of other
+  // clusters.
   network.key = "self-formed cluster " + settings_.cluster;
   network.listen = {settings_.address, settings_.internalPort};
   network.derivedPeerPort = settings_.internalPort;
@@ -285,7 +287,7 @@
       return;
     }
     if (signal == SIGHUP) {
-      // Nothing that may change while a process runs stands in its settings file.
+      // The settings file holds nothing that may change at run time.
       logEvent(EventId::kSettingsChanged, EventFields().add("name", settings_.name).text());
     } else {
       beginStop();
@@ -299,7 +301,7 @@
     return;
   }
   stopping_ = true;
-  stop_begun_ = now();
+  m_stopStartedAt = now();
   logEvent(EventId::kProcessStopping, "");
   if (m_gatewayServer) {
     m_gatewayServer->beginStop();
@@ -310,14 +312,14 @@
   if (ledger_) {
     ledger_->prepareStop(now());
   }
-  wake();
+  scheduleIteration();
 }
 
 bool Node::stopComplete() const {
   if (m_gatewayServer) {
     return m_gatewayServer->stopComplete();
   }
-  return now() - stop_begun_ > kReplicaStop;
+  return now() - m_stopStartedAt > kReplicaStopDelay;
 }
 
 void Node::tick() {
@@ -329,47 +331,47 @@
     ledger_->tick(at);
     m_openJobsSender->tick(*ledger_);
   }
-  member_->tick(at);
+  m_clusterMember->tick(at);
   if (m_controlServer) {
     m_controlServer->tick();
   }
   if (m_gatewayServer) {
     m_gatewayServer->tick();
   }
-  turn();
-  observe();
+  runIteration();
+  logStateChanges();
   telemetry::flushLog();
   if (failed_ || (stopping_ && stopComplete())) {
     context_.stop();
     return;
   }
-  ticker_.expires_after(kTickInterval);
-  ticker_.async_wait([this](const asio::error_code& error) {
+  m_tickTimer.expires_after(kTickInterval);
+  m_tickTimer.async_wait([this](const asio::error_code& error) {
     if (!error) {
       tick();
     }
   });
 }
 
-void Node::wake() {
-  if (turn_scheduled_) {
+void Node::scheduleIteration() {
+  if (m_iterationScheduled) {
     return;
   }
-  turn_scheduled_ = true;
-  asio::post(context_, [this] { turn(); });
+  m_iterationScheduled = true;
+  asio::post(context_, [this] { runIteration(); });
 }
 
-void Node::turn() {
-  turn_scheduled_ = false;
-  const base::TimePoint begun = now();
+void Node::runIteration() {
+  m_iterationScheduled = false;
+  const base::TimePoint startedAt = now();
   if (directory_) {
     const directory::DirectoryActions actions = directory_->finish(now());
     sendAll(actions.messages);
-    for (const directory::LoadCommand& order : actions.orders) {
-      sendLoadCommand(order);
+    for (const directory::LoadCommand& command : actions.orders) {
+      sendLoadCommand(command);
     }
-    for (const directory::InstanceRecord& engine : actions.reportsWanted) {
-      askForReport(engine);
+    for (const directory::InstanceRecord& engine : actions.versionQueries) {
+      queryVersions(engine);
     }
     for (const duties::UsageReport& report : actions.usageReports) {
       sendUsageReport(report);
@@ -382,10 +384,10 @@
   if (ledger_) {
     sendAll(ledger_->finish(now()));
   }
-  sendAll(member_->takeMessages());
-  const base::Duration took = now() - begun;
+  sendAll(m_clusterMember->takeMessages());
+  const base::Duration took = now() - startedAt;
   metrics_.observe(telemetry::HistogramId::kTurnTime, took);
-  if (took > kSlowTurn) {
+  if (took > kSlowIteration) {
     logEvent(EventId::kSlowTurn, EventFields().add("took_ms", took).text());
   }
 }
@@ -411,13 +413,13 @@
       ledger_->handle(from, *request, at);
     }
   } else if (const auto* response = std::get_if<transport::CommandResponse>(&message)) {
-    member_->onResponse(*response, at);
+    m_clusterMember->onResponse(*response, at);
   }
-  wake();
+  scheduleIteration();
 }
 
 void Node::onPeerLost(std::uint32_t number) {
-  member_->onPeerLost(number);
+  m_clusterMember->onPeerLost(number);
   if (ledger_) {
     ledger_->onPeerLost(number, now());
   }
@@ -434,7 +436,7 @@
     failed_ = base::recover(
         [&]() -> base::Result<bool> {
           BOOST_LEAF_CHECK(openLedger(view.initialLedgerVoters));
-          member_->requestFullView();  // the instances told so far were not kept
+          m_clusterMember->requestFullView();  // instances in earlier views were not stored
           return false;
         },
         [](const base::Error& error) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
 /// \file
-/// A process of a cluster that forms itself: one role on one event loop.
+/// A process of a self-formed cluster: one role on one event loop.
 #pragma once
 
 #include <asio.hpp>
@@ -30,8 +30,8 @@
 class MetricsServer;
 class OpenJobsSender;
 
-/// Thin: decisions are made by DirectoryRole, JobRole and the modules of the gateway; this class
-/// opens folders and ports and moves messages. Single-threaded.
+/// Opens folders and ports and passes messages between the network and DirectoryRole, JobRole or
+/// GatewayServer, which make the decisions. Single-threaded.
 class Node {
  public:
   [[nodiscard]] static base::Result<std::unique_ptr<Node>> create(
@@ -42,7 +42,7 @@
 
   /// Runs until a planned stop is complete, or the disk fails. Returns the exit code.
   int run();
-  /// run() ended because a write failed.
+  /// Whether run() returned because a write failed.
   [[nodiscard]] bool diskFailed() const { return disk_failed_; }
 
   [[nodiscard]] asio::io_context& context() { return context_; }
@@ -52,16 +52,17 @@
   [[nodiscard]] base::Random& random() { return *random_; }
   [[nodiscard]] const config::ClusterSettings& settings() const { return settings_; }
   [[nodiscard]] const edge::ApiAdapter& apiAdapter() const { return m_apiAdapter; }
-  [[nodiscard]] cluster::ClusterMember& member() { return *member_; }
-  /// On controllers only.
+  [[nodiscard]] cluster::ClusterMember& clusterMember() { return *m_clusterMember; }
+  /// The state of the directory. On controllers only.
   [[nodiscard]] const directory::DirectoryRole& directory() const { return *directory_; }
   [[nodiscard]] http::UpstreamClient& upstream() { return *upstream_; }
   [[nodiscard]] const transport::PeerNetwork& network() const { return *network_; }
   [[nodiscard]] telemetry::PrometheusMetrics& metrics() { return metrics_; }
-  /// Sets the gauges of the role that this process plays.
-  void reportFigures();
-  /// Ends the current turn soon: the role syncs and messages go out. Call after every event.
-  void wake();
+  /// Sets the gauges of this process's role.
+  void updateGauges();
+  /// Schedules an iteration of the event loop in which the role syncs its log and messages are
+  /// sent. Must be called after every event.
+  void scheduleIteration();
 
  private:
   Node(config::ClusterSettings settings, const edge::ApiAdapter& apiAdapter);
@@ -69,6 +70,7 @@
   [[nodiscard]] base::Result<void> open();
   [[nodiscard]] base::Result<base::NodeId> openIdentity();
   [[nodiscard]] base::Result<void> openDirectory();
+  /// Opens the ledger if its folder was initialised before.
   [[nodiscard]] base::Result<void> reopenLedger();
   [[nodiscard]] base::Result<void> openLedger(const std::set<base::NodeId>& initialVoters);
   [[nodiscard]] base::Result<void> openLog(const std::string& name, base::GroupId group,
@@ -77,25 +79,30 @@
   [[nodiscard]] std::vector<base::NodeId> seedNodes() const;
   [[nodiscard]] bool isSeed() const;
   [[nodiscard]] directory::NodeRecord ownRecord() const;
-  void openMember();
+  /// Creates the ClusterMember and connects it to the role.
+  void createClusterMember();
   void onMessage(base::NodeId from, const transport::InternalMessage& message);
   void onPeerLost(std::uint32_t number);
   void onView(const directory::DirectoryView& view);
-  void sendLoadCommand(const directory::LoadCommand& order);
-  void reportWeights();
+  void sendLoadCommand(const directory::LoadCommand& command);
+  void updateWeightsGauges();
   void sendUsageReport(const duties::UsageReport& report);
   void sendScaleCall(const duties::ScaleCall& call);
   static void logCapacityDecisions(const std::vector<duties::CapacityDecision>& decisions);
-  void reportCapacity();
-  void askForReport(const directory::InstanceRecord& engine);
+  void updateCapacityGauges();
+  /// Asks an engine for the versions of weights that it holds.
+  void queryVersions(const directory::InstanceRecord& engine);
   void sendAll(const transport::Outbox& outbox);
   void tick();
-  void turn();
-  void observe();
-  void observeReplica(const consensus::Replica& replica);
-  void observeGroupHealth(const consensus::Replica& replica);
+  /// One iteration of the event loop: syncs the role, sends its messages and makes its calls.
+  void runIteration();
+  /// Logs changes of the replica's state since the last call.
+  void logStateChanges();
+  void logReplicaChanges(const consensus::Replica& replica);
+  void logGroupHealthChanges(const consensus::Replica& replica);
+  /// The replica of this process's role; null if it has none.
   [[nodiscard]] const consensus::Replica* replica() const;
-  /// Of the group that this process leads; nothing elsewhere.
+  /// Health of the group that this process leads; std::nullopt if it leads none.
   [[nodiscard]] std::optional<cluster::GroupHealth> groupHealth() const;
   void waitForSignal();
   void beginStop();
@@ -115,24 +122,24 @@
   std::unique_ptr<storage::SegmentedLog> log_;
   std::unique_ptr<directory::DirectoryRole> directory_;
   std::unique_ptr<jobs::JobRole> ledger_;
-  std::unique_ptr<cluster::ClusterMember> member_;
+  std::unique_ptr<cluster::ClusterMember> m_clusterMember;
   std::unique_ptr<transport::PeerNetwork> network_;
   std::unique_ptr<http::UpstreamClient> upstream_;
   std::unique_ptr<PlatformClient> m_platformClient;
-  std::unique_ptr<OpenJobsSender> m_openJobsSender;  ///< at ledgers
+  std::unique_ptr<OpenJobsSender> m_openJobsSender;  ///< on ledgers only
   std::unique_ptr<ControlServer> m_controlServer;
   std::unique_ptr<GatewayServer> m_gatewayServer;
   std::unique_ptr<MetricsServer> m_metricsServer;
 
-  base::Timer ticker_;
+  base::Timer m_tickTimer;
   asio::signal_set signals_;
-  bool turn_scheduled_ = false;
+  bool m_iterationScheduled = false;
   bool stopping_ = false;
-  base::TimePoint stop_begun_{};
+  base::TimePoint m_stopStartedAt{};
   bool failed_ = false;
   bool disk_failed_ = false;
 
-  // What was last reported as events.
+  // State that was last logged, to log changes only.
   bool reported_leader_ = false;
   consensus::Membership m_reportedMembership;
   std::optional<cluster::GroupHealth> m_reportedHealth;
--- a/src/node/node_calls.cpp
+++ b/src/node/node_calls.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Node: what the leading controller asks of engines and of the platform.
+/// Node: calls of the leading controller to engines and to the platform.
 #include <memory>
 #include <string>
 #include <utility>
@@ -15,17 +15,17 @@
 using telemetry::EventId;
 using telemetry::logEvent;
 
-void Node::sendLoadCommand(const directory::LoadCommand& order) {
+void Node::sendLoadCommand(const directory::LoadCommand& command) {
   logEvent(EventId::kEngineOrdered, EventFields()
-                                        .add("instance", order.instance)
-                                        .add("model", order.model)
-                                        .add("version", order.version)
-                                        .add("fence", order.fence)
+                                        .add("instance", command.instance)
+                                        .add("model", command.model)
+                                        .add("version", command.version)
+                                        .add("fence", command.fence)
                                         .text());
   const auto status = std::make_shared<int>(0);
   http::UpstreamEvents events;
   events.onHead = [status](int code, const http::HeaderList&) { *status = code; };
-  events.onEnd = [this, order, status](const http::UpstreamResult& end) {
+  events.onEnd = [this, command, status](const http::UpstreamResult& end) {
     const directory::LoadCommandOutcome outcome = end.complete
                                                       ? m_apiAdapter.loadCommandOutcome(*status)
                                                       : directory::LoadCommandOutcome::kUnknown;
@@ -33,33 +33,33 @@
     if (outcome == directory::LoadCommandOutcome::kRefused ||
         outcome == directory::LoadCommandOutcome::kUnknown) {
       logEvent(EventId::kEngineOrderFailed, EventFields()
-                                                .add("instance", order.instance)
+                                                .add("instance", command.instance)
                                                 .add("outcome", directory::toString(outcome))
                                                 .add("status", static_cast<std::uint64_t>(*status))
                                                 .add("error", end.error)
                                                 .text());
     }
-    directory_->onLoadCommandOutcome(order, outcome, now());
-    wake();
+    directory_->onLoadCommandOutcome(command, outcome, now());
+    scheduleIteration();
   };
-  upstream_->start(m_apiAdapter.loadRequest(order, settings_.name), std::move(events));
+  upstream_->start(m_apiAdapter.loadRequest(command, settings_.name), std::move(events));
 }
 
 void Node::sendUsageReport(const duties::UsageReport& report) {
   m_platformClient->send(report, [this, report](duties::UsageReportOutcome outcome) {
     directory_->onUsageOutcome(report, outcome, now());
-    wake();
+    scheduleIteration();
   });
 }
 
 void Node::sendScaleCall(const duties::ScaleCall& call) {
   m_platformClient->send(call, [this, call](duties::ScaleOutcome outcome) {
     directory_->onScaleOutcome(call, outcome, now());
-    wake();
+    scheduleIteration();
   });
 }
 
-void Node::askForReport(const directory::InstanceRecord& engine) {
+void Node::queryVersions(const directory::InstanceRecord& engine) {
   const auto body = std::make_shared<std::string>();
   http::UpstreamEvents events;
   events.onData = [body](std::string_view data) { body->append(data); };
@@ -67,10 +67,10 @@
     const auto versions = end.complete ? m_apiAdapter.reportedVersions(*body) : std::nullopt;
     if (versions) {
       directory_->onReport(id, *versions, now());
-      wake();
+      scheduleIteration();
     }
   };
-  upstream_->start(m_apiAdapter.reportRequest(engine), std::move(events));
+  upstream_->start(m_apiAdapter.versionsRequest(engine), std::move(events));
 }
 
 }  // namespace tackpick::node
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a Node tells of itself: events when something changed, figures when a scraper asks.
+/// Node: log events on changes of state, and gauges.
 #include <algorithm>
 
 #include "node/gateway_server.h"
@@ -21,13 +21,13 @@
   return ledger_ ? &ledger_->replica() : nullptr;
 }
 
-void Node::observe() {
+void Node::logStateChanges() {
   if (const consensus::Replica* own = replica()) {
-    observeReplica(*own);
+    logReplicaChanges(*own);
   }
 }
 
-void Node::observeReplica(const consensus::Replica& replica) {
+void Node::logReplicaChanges(const consensus::Replica& replica) {
   const consensus::RaftConsensus& raft = replica.raft();
   if (raft.isLeader() != reported_leader_) {
     reported_leader_ = raft.isLeader();
@@ -41,7 +41,7 @@
                  .add("applied", replica.appliedIndex())
                  .text());
   }
-  // Compared whole: a successor that votes while the lost one goes leaves the number as it was.
+  // Compares the members, not their number, which does not change when a lost voter is replaced.
   const consensus::Membership& membership = raft.membership();
   if (membership != m_reportedMembership) {
     m_reportedMembership = membership;
@@ -51,7 +51,7 @@
                                               .add("learners", membership.learners.size())
                                               .text());
   }
-  observeGroupHealth(replica);
+  logGroupHealthChanges(replica);
   if (raft.failed() && !failed_) {
     failed_ = true;
     disk_failed_ = true;
@@ -67,14 +67,14 @@
   return directory_ ? directory_->groupHealth() : ledger_->groupHealth();
 }
 
-void Node::observeGroupHealth(const consensus::Replica& replica) {
+void Node::logGroupHealthChanges(const consensus::Replica& replica) {
   const std::optional<cluster::GroupHealth> health = groupHealth();
   if (!health || health == m_reportedHealth) {
     return;
   }
-  const bool wasOfSize = m_reportedHealth && m_reportedHealth->isAtTargetSize();
+  const bool wasAtTargetSize = m_reportedHealth && m_reportedHealth->isAtTargetSize();
   m_reportedHealth = health;
-  if (health->isAtTargetSize() && wasOfSize) {
+  if (health->isAtTargetSize() && wasAtTargetSize) {
     return;
   }
   logEvent(health->isAtTargetSize() ? EventId::kGroupOfSize : EventId::kGroupBelowSize,
@@ -86,10 +86,10 @@
                .text());
 }
 
-void Node::reportWeights() {
-  const directory::WeightsSummary* leading = directory_->weights();
+void Node::updateWeightsGauges() {
+  const directory::WeightsSummary* currentWeights = directory_->weights();
   const directory::WeightsSummary summary =
-      leading == nullptr ? directory::WeightsSummary{} : *leading;
+      currentWeights == nullptr ? directory::WeightsSummary{} : *currentWeights;
   for (const auto& [name, version] : directory_->state().versions()) {
     const auto found = summary.models.find(name);
     const auto model =
@@ -121,21 +121,21 @@
   }
 }
 
-void Node::reportCapacity() {
-  const bool leads = replica()->raft().isLeader();
-  const auto told = [leads](std::uint32_t figure) { return leads ? figure : 0; };
+void Node::updateCapacityGauges() {
+  const bool isLeading = replica()->raft().isLeader();
+  const auto valueIfLeading = [isLeading](std::uint32_t figure) { return isLeading ? figure : 0; };
   for (const duties::PoolSummary& summary : directory_->capacity()) {
     const std::string pool = summary.subject.service + "/" + summary.subject.zone + "/" +
                              std::string(duties::toString(summary.subject.kind));
-    metrics_.set(GaugeId::kInstancesDesired, pool, told(summary.desired));
-    metrics_.set(GaugeId::kInstancesThere, pool, told(summary.there));
-    metrics_.set(GaugeId::kInstancesStarting, pool, told(summary.starting));
-    metrics_.set(GaugeId::kInstancesLeaving, pool, told(summary.draining));
-    metrics_.set(GaugeId::kInstancesRefused, pool, told(summary.refusals));
+    metrics_.set(GaugeId::kInstancesDesired, pool, valueIfLeading(summary.desired));
+    metrics_.set(GaugeId::kInstancesThere, pool, valueIfLeading(summary.there));
+    metrics_.set(GaugeId::kInstancesStarting, pool, valueIfLeading(summary.starting));
+    metrics_.set(GaugeId::kInstancesLeaving, pool, valueIfLeading(summary.draining));
+    metrics_.set(GaugeId::kInstancesRefused, pool, valueIfLeading(summary.refusals));
   }
 }
 
-void Node::reportFigures() {
+void Node::updateGauges() {
   if (const consensus::Replica* own = replica()) {
     const consensus::RaftConsensus& raft = own->raft();
     metrics_.set(GaugeId::kLeader, raft.isLeader() ? 1 : 0);
@@ -150,8 +150,8 @@
     metrics_.set(GaugeId::kSnapshotBytes, static_cast<double>(log_->snapshotBytes()));
   }
   if (directory_) {
-    reportWeights();
-    reportCapacity();
+    updateWeightsGauges();
+    updateCapacityGauges();
   }
   if (ledger_) {
     const auto& kept = ledger_->state().jobs();
@@ -164,7 +164,7 @@
     }
   }
   if (m_gatewayServer) {
-    m_gatewayServer->reportFigures(metrics_);
+    m_gatewayServer->updateGauges(metrics_);
   }
 }
 
--- a/src/node/open_jobs_sender.cpp
+++ b/src/node/open_jobs_sender.cpp
@@ -6,30 +6,31 @@
 namespace tackpick::node {
 namespace {
 
-/// Several jobs that come together are told in one call.
-constexpr base::Duration kTellInterval = base::milliseconds(40);
-constexpr base::Duration kTellDeadline = base::milliseconds(1000);
+/// Minimum interval between two reports, so that several new jobs are reported in one call.
+constexpr base::Duration kReportInterval = base::milliseconds(40);
+constexpr base::Duration kReportTimeout = base::milliseconds(1000);
 
 }  // namespace
 
 void OpenJobsSender::tick(const jobs::JobRole& ledger) {
   const base::TimePoint now = m_node.now();
-  const std::uint64_t changes = ledger.workChanges();
-  if (m_telling || changes == m_told || now - m_toldAt < kTellInterval) {
+  const std::uint64_t revision = ledger.workChanges();
+  if (m_reporting || revision == m_reportedRevision || now - m_lastReportAt < kReportInterval) {
     return;
   }
   const auto work = ledger.openJobs(now);
   if (!work) {
     return;
   }
-  m_telling = true;
-  m_toldAt = now;
-  m_node.member().call(directory::DirectoryRequest{directory::ReportOpenJobs{*work}}, kTellDeadline,
-                       now, [this, changes](const directory::DirectoryReply* reply) {
-                         m_telling = false;
-                         m_told = reply == nullptr ? m_told : changes;
-                       });
-  m_node.wake();
+  m_reporting = true;
+  m_lastReportAt = now;
+  m_node.clusterMember().call(
+      directory::DirectoryRequest{directory::ReportOpenJobs{*work}}, kReportTimeout, now,
+      [this, revision](const directory::DirectoryReply* reply) {
+        m_reporting = false;
+        m_reportedRevision = reply == nullptr ? m_reportedRevision : revision;
+      });
+  m_node.scheduleIteration();
 }
 
 }  // namespace tackpick::node
