--- a/src/node/platform_client.h
+++ b/src/node/platform_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to the platform that one machine at a time may make.
+/// Calls to the hosting platform, made by the leading controller.
 #pragma once
 
 #include <asio.hpp>
@@ -14,7 +14,7 @@
 
 class Node;
 
-/// Thin: UsageReporter and Autoscaler decide when to call and what an outcome means.
+/// Makes the calls that UsageReporter and Autoscaler request and returns their outcomes.
 class PlatformClient {
  public:
   explicit PlatformClient(Node& node) : m_node(node) {}
@@ -26,18 +26,20 @@
 
  private:
   struct Call;
-  /// How a call ended.
-  struct CallEnd {
-    bool complete = false;  ///< the answer is whole
+  /// Result of a call.
+  struct CallResult {
+    bool complete = false;  ///< the response was received completely
     int status = 0;
     std::string error;
   };
 
-  void start(http::UpstreamRequest request, std::function<void(const CallEnd&)> callback);
+  /// Sends a request; the callback is called once, with its result or on timeout.
+  void start(http::UpstreamRequest request, std::function<void(const CallResult&)> callback);
   static void onEnd(const std::shared_ptr<Call>& call, bool complete, const std::string& error);
-  void tell(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
-            const CallEnd& end);
-  void tell(const duties::ScaleCall& call, duties::ScaleOutcome outcome, const CallEnd& end);
+  void logOutcome(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
+                  const CallResult& result);
+  void logOutcome(const duties::ScaleCall& call, duties::ScaleOutcome outcome,
+                  const CallResult& result);
 
   Node& m_node;
 };
--- /dev/null
+++ b/src/node/quarantine_client.h
@@ -0,0 +1,76 @@
+/// \file
+/// A gateway's part of the quarantine of requests that crash instances.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <string>
+
+#include "directory/directory_messages.h"
+#include "quarantine/quarantine_gate.h"
+
+namespace tackpick::node {
+
+class Node;
+
+/// Reports crashes to the controllers and requests trials from them; QuarantineGate decides. The
+/// quarantine is shared by all gateways because callers retry under other ids and at other
+/// gateways.
+class QuarantineClient {
+ public:
+  /// Whether a background run, such as an item, may start now.
+  enum class RunAdmission : std::uint8_t {
+    kRun,
+    kTrial,     ///< may run once, at an instance with few other requests
+    kDeferred,  ///< held: check again later
+  };
+
+  explicit QuarantineClient(Node& node) : m_node(node) {}
+
+  void onView(const directory::DirectoryView& view);
+  void tick();
+
+  /// Whether no request is suspected or held, so that no fingerprint needs to be computed.
+  [[nodiscard]] bool idle() const { return m_gate.idle(); }
+  [[nodiscard]] quarantine::RequestFingerprint fingerprint(
+      const quarantine::RequestIdentity& request) const;
+  [[nodiscard]] quarantine::Admission admit(const quarantine::RequestFingerprint& request) const;
+  /// Whether instances have crashed while they ran the request, so that it has run in an earlier
+  /// attempt.
+  [[nodiscard]] bool isSuspect(const quarantine::RequestFingerprint& request) const;
+  /// Time after which a caller of a held request should retry.
+  [[nodiscard]] base::Duration untilTrial(const quarantine::RequestFingerprint& request) const;
+  /// Requests the trial that is due. The callback is called later, with true if this gateway may
+  /// send the request once.
+  void requestTrial(const quarantine::RequestFingerprint& request,
+                    std::function<void(bool granted)> callback);
+
+  /// Returns whether a background run may start. Requests a trial that is due; a later call returns
+  /// its result.
+  [[nodiscard]] RunAdmission admitRun(const quarantine::RequestFingerprint& request);
+
+  /// The connection of a run that was sent at `sentAt` was lost, and the request may have run.
+  /// `id`: of this attempt, for the log.
+  void onConnectionLost(const quarantine::Crash& crash, const std::string& id,
+                        base::TimePoint sentAt);
+  /// The instance responded to a run that was sent at `sentAt`.
+  void onAnswered(const std::string& instance, base::TimePoint sentAt);
+  /// An instance completed the request without crashing. Releases the request at the controllers if
+  /// it was suspected.
+  void onCompleted(const quarantine::RequestFingerprint& request);
+
+ private:
+  /// Reports newly confirmed crashes to the controllers.
+  void reportCrashes();
+  void logHolds(const quarantine::HoldChanges& changes) const;
+
+  Node& m_node;
+  quarantine::QuarantineGate m_gate;
+  /// Trials that admitRun() has requested; true: granted and not used yet.
+  std::map<quarantine::RequestFingerprint, bool> m_trials;
+  bool m_reporting = false;
+  std::uint64_t m_reportedTerm = 0;  ///< term of the leader that has received the crashes
+};
+
+}  // namespace tackpick::node
--- a/src/node/rejection_log.cpp
+++ b/src/node/rejection_log.cpp
@@ -4,8 +4,8 @@
 
 namespace tackpick::node {
 
-void RejectionLog::note(int status, std::uint64_t version, std::optional<base::Duration> age,
-                        base::TimePoint now) {
+void RejectionLog::log(int status, std::uint64_t version, std::optional<base::Duration> age,
+                       base::TimePoint now) {
   const std::optional<std::uint64_t> requests = m_limiter.note(now);
   if (!requests) {
     return;
--- a/src/node/rejection_log.h
+++ b/src/node/rejection_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells of requests that a gateway turns away because it does not know their route or key.
+/// Logs requests that a gateway rejects because their route or key is unknown.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace tackpick::node {
 
-/// Callers decide how often this happens, so there is at most one line a second.
+/// Limited to one line per second, since callers determine the rate.
 class RejectionLog {
  public:
-  /// `version`: of the configuration that decided; `age`: since a controller confirmed that it is
-  /// the newest, nothing when none did.
-  void note(int status, std::uint64_t version, std::optional<base::Duration> age,
-            base::TimePoint now);
+  /// Logs a rejection. `version`: of the configuration in force. `age`: time since a controller
+  /// confirmed that it is the newest; std::nullopt if none has.
+  void log(int status, std::uint64_t version, std::optional<base::Duration> age,
+           base::TimePoint now);
 
  private:
   telemetry::LogRateLimiter m_limiter{base::seconds(1)};
--- a/src/node/run_until_stopped.cpp
+++ b/src/node/run_until_stopped.cpp
@@ -11,9 +11,9 @@
 namespace tackpick::node {
 namespace {
 
-constexpr auto kReopenInterval = std::chrono::milliseconds(500);
+constexpr auto kReopenDelay = std::chrono::milliseconds(500);
 
-/// One life of the node: its exit code, or nothing when its disk failed.
+/// Runs a node once. Returns its exit code, or std::nullopt if its disk failed.
 base::Result<std::optional<int>> runOnce(const config::ClusterSettings& settings,
                                          const edge::ApiAdapter& apiAdapter) {
   BOOST_LEAF_AUTO(node, Node::create(settings, apiAdapter));
@@ -26,27 +26,28 @@
 base::Result<int> runUntilStopped(const config::ClusterSettings& settings,
                                   const edge::ApiAdapter& apiAdapter) {
   while (true) {
-    std::optional<base::Error> refusal;
+    std::optional<base::Error> openError;
     const std::optional<int> code =
         base::recover([&] { return runOnce(settings, apiAdapter); },
                       [&](const base::Error& error) -> std::optional<int> {
-                        refusal = error;
+                        openError = error;
                         return std::nullopt;
                       });
-    // Nobody listens for signals until the next life: word of changed settings must not end it.
+    // No signal handler is installed until the next run; SIGHUP must not terminate the process
+    // meanwhile.
     std::signal(SIGHUP, SIG_IGN);
     if (code) {
       return *code;
     }
-    if (refusal && refusal->code != base::ErrorCode::kStorage) {
-      return base::fail(refusal->code, refusal->message);
+    if (openError && openError->code != base::ErrorCode::kStorage) {
+      return base::fail(openError->code, openError->message);
     }
     telemetry::logEvent(telemetry::EventId::kDiskUnavailable,
                         telemetry::EventFields()
-                            .add("error", refusal ? refusal->message : "a write failed")
+                            .add("error", openError ? openError->message : "a write failed")
                             .text());
     telemetry::flushLog();
-    std::this_thread::sleep_for(kReopenInterval);
+    std::this_thread::sleep_for(kReopenDelay);
   }
 }
 
--- a/src/node/run_until_stopped.h
+++ b/src/node/run_until_stopped.h
@@ -1,5 +1,5 @@
 /// \file
-/// Runs a process of a self-formed cluster through failures of its disk.
+/// Runs a process of a self-formed cluster and recovers it from disk failures.
 #pragma once
 
 #include "config/cluster_settings.h"
@@ -7,10 +7,9 @@
 
 namespace tackpick::node {
 
-/// Runs a node until its planned stop and returns the exit code. While its disk refuses writes the
-/// process stays, without its replica, and opens its folder again every half second: others lead
-/// meanwhile, and whoever restarts processes need not. Fails when the folder is damaged or belongs
-/// to another node, which waiting does not mend.
+/// Runs a node until its planned stop and returns the exit code. While its disk rejects writes, the
+/// process keeps running without its replica and reopens its folder periodically. Fails if the
+/// folder is damaged or belongs to another node.
 [[nodiscard]] base::Result<int> runUntilStopped(const config::ClusterSettings& settings,
                                                 const edge::ApiAdapter& apiAdapter);
 
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -14,11 +14,11 @@
 using forwarding::AttemptOutcome;
 using telemetry::CounterId;
 
-/// A silent call is broken off after so many times the latency that its route aims at.
-constexpr int kPatienceFactor = 4;
-constexpr base::Duration kMinPatience = base::milliseconds(200);
-/// How often a held call asks whether it may be made again.
-constexpr base::Duration kHeldDelay = base::milliseconds(100);
+/// Timeout of an attempt as a multiple of its route's target latency.
+constexpr int kTimeoutFactor = 4;
+constexpr base::Duration kMinTimeout = base::milliseconds(200);
+/// Interval at which a held call checks whether it may run again.
+constexpr base::Duration kHeldRetryDelay = base::milliseconds(100);
 
 }  // namespace
 
@@ -37,27 +37,27 @@
   if (found == m_calls.end()) {
     return;
   }
-  breakOff(found->second, AttemptOutcome::kAbandoned, m_node.now());
+  abortCall(found->second, AttemptOutcome::kCancelled, m_node.now());
   m_calls.erase(found);
 }
 
-void ScoringClient::breakOff(Call& call, AttemptOutcome outcome, base::TimePoint now) {
+void ScoringClient::abortCall(Call& call, AttemptOutcome outcome, base::TimePoint now) {
   if (!call.exchange.valid()) {
     return;
   }
   m_node.upstream().cancel(call.exchange);
   call.exchange = {};
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
-  m_window.onEnded(outcome == AttemptOutcome::kFailed, now);
+  m_limiter.onEnded(outcome == AttemptOutcome::kFailed, now);
 }
 
-void ScoringClient::start(base::TimePoint now) {
+void ScoringClient::sendPending(base::TimePoint now) {
   for (auto& [key, call] : m_calls) {
-    if (call.exchange.valid() && now - call.sentAt > call.patience) {
-      breakOff(call, AttemptOutcome::kFailed, now);
+    if (call.exchange.valid() && now - call.sentAt > call.timeout) {
+      abortCall(call, AttemptOutcome::kFailed, now);
     }
     const bool due = !call.exchange.valid() && now >= call.notBefore && now < call.deadline;
-    if (due && m_window.hasFreeSlot()) {
+    if (due && m_limiter.hasFreeSlot()) {
       send(key, call, now);
     }
   }
@@ -65,34 +65,34 @@
 
 const quarantine::RequestFingerprint& ScoringClient::fingerprintOf(Call& call) const {
   if (!call.fingerprint) {
-    call.fingerprint = m_guard.fingerprint(
+    call.fingerprint = m_quarantineClient.fingerprint(
         {"POST", call.request.host, call.request.path, call.tenant, call.request.body});
   }
   return *call.fingerprint;
 }
 
 bool ScoringClient::admit(Call& call) {
-  call.trial = false;
-  if (m_guard.idle()) {
+  call.isTrial = false;
+  if (m_quarantineClient.idle()) {
     return true;
   }
-  const RequestGuard::RunAdmission admission = m_guard.admitRun(fingerprintOf(call));
-  call.trial = admission == RequestGuard::RunAdmission::kTrial;
-  return admission != RequestGuard::RunAdmission::kWait;
+  const QuarantineClient::RunAdmission admission = m_quarantineClient.admitRun(fingerprintOf(call));
+  call.isTrial = admission == QuarantineClient::RunAdmission::kTrial;
+  return admission != QuarantineClient::RunAdmission::kDeferred;
 }
 
 void ScoringClient::send(const jobs::ItemKey& key, Call& call, base::TimePoint now) {
   const directory::Route* route = m_routes.find(call.request.host, call.request.path);
   if (route == nullptr) {
-    return;  // it may come back with the next configuration
+    return;  // a later configuration may contain the route again
   }
   if (!admit(call)) {
-    call.notBefore = now + kHeldDelay;
+    call.notBefore = now + kHeldRetryDelay;
     return;
   }
   call.service = directory::pickService(*route, m_node.random());
-  const forwarding::InstanceRequirements need{call.service, {}, 0, false, call.trial};
-  const auto* entry = m_instances.select(need, call.tried, m_node.random(), now);
+  const forwarding::InstanceRequirements requirements{call.service, {}, 0, false, call.isTrial};
+  const auto* entry = m_instances.select(requirements, call.triedInstances, m_node.random(), now);
   if (entry == nullptr) {
     return;
   }
@@ -100,15 +100,15 @@
     call.attempts =
         std::make_unique<jobs::ScoringAttempts>(std::max(route->attempts, call.itemAttempts));
   }
-  if (call.tried.contains(entry->record.id)) {
-    call.tried.clear();
+  if (call.triedInstances.contains(entry->record.id)) {
+    call.triedInstances.clear();
   }
-  call.tried.insert(entry->record.id);
+  call.triedInstances.insert(entry->record.id);
   call.instance = entry->record.id;
   call.sentAt = now;
-  call.patience = std::max(kMinPatience, route->targetLatency * kPatienceFactor);
-  call.answer = {};
-  call.crowded = false;
+  call.timeout = std::max(kMinTimeout, route->targetLatency * kTimeoutFactor);
+  call.response = {};
+  call.overloaded = false;
   const edge::HeaderNames& names = m_node.apiAdapter().headers();
   http::UpstreamRequest request = m_node.apiAdapter().scoringRequest(call.request, call.tenant);
   request.address = {entry->record.host, entry->record.port};
@@ -123,7 +123,7 @@
   };
   events.onEnd = [this, key = key](const http::UpstreamResult& end) { onEnd(key, end); };
   m_instances.onSent(call.instance);
-  m_window.onSent();
+  m_limiter.onSent();
   call.exchange = m_node.upstream().start(std::move(request), std::move(events));
 }
 
@@ -134,40 +134,40 @@
   }
   Call& call = found->second;
   const edge::HeaderNames& names = m_node.apiAdapter().headers();
-  call.answer.status = status;
-  call.answer.notRun = headers.has(names.notExecuted) || status == http::status::kMisdirected;
-  call.answer.signature = headers.value(names.signature);
-  m_guard.onAnswered(call.instance, call.sentAt);
+  call.response.status = status;
+  call.response.notRun = headers.has(names.notExecuted) || status == http::status::kMisdirected;
+  call.response.signature = headers.value(names.signature);
+  m_quarantineClient.onAnswered(call.instance, call.sentAt);
   if (const auto load = m_node.apiAdapter().load(headers.value(names.load))) {
     m_instances.onLoad(call.instance, *load, m_node.now());
-    call.crowded = load->waiting > 0;
+    call.overloaded = load->waiting > 0;
   }
 }
 
 AttemptOutcome ScoringClient::outcomeOf(const Call& call) {
-  if (!call.answer.complete) {
-    return call.answer.notRun ? AttemptOutcome::kUnreached : AttemptOutcome::kFailed;
+  if (!call.response.complete) {
+    return call.response.notRun ? AttemptOutcome::kConnectFailed : AttemptOutcome::kFailed;
   }
-  if (call.answer.status == http::status::kMisdirected) {
-    return AttemptOutcome::kGone;
+  if (call.response.status == http::status::kMisdirected) {
+    return AttemptOutcome::kWrongInstance;
   }
-  if (call.answer.notRun) {
-    return AttemptOutcome::kFull;
+  if (call.response.notRun) {
+    return AttemptOutcome::kRejected;
   }
-  // Some texts are never judged: their failures say nothing of the server.
-  return call.answer.status >= http::status::kServerError ? AttemptOutcome::kAbandoned
-                                                          : AttemptOutcome::kServed;
+  // Some texts can never be scored, so a server error is not counted against the server.
+  return call.response.status >= http::status::kServerError ? AttemptOutcome::kCancelled
+                                                            : AttemptOutcome::kSucceeded;
 }
 
-void ScoringClient::noteFailure(const jobs::ItemKey& key, const Call& call, AttemptOutcome outcome,
-                                base::TimePoint now) {
+void ScoringClient::logFailure(const jobs::ItemKey& key, const Call& call, AttemptOutcome outcome,
+                               base::TimePoint now) {
   telemetry::logEvent(telemetry::EventId::kScoringCallFailed,
                       telemetry::EventFields()
                           .add("job", key.job)
                           .add("call", call.request.id)
                           .add("instance", call.instance)
                           .add("outcome", toString(outcome))
-                          .add("status", static_cast<std::uint64_t>(call.answer.status))
+                          .add("status", static_cast<std::uint64_t>(call.response.status))
                           .add("after_ms", now - call.sentAt)
                           .text());
 }
@@ -180,33 +180,33 @@
   Call& call = found->second;
   const base::TimePoint now = m_node.now();
   call.exchange = {};
-  call.answer.complete = end.complete;
+  call.response.complete = end.complete;
   if (!end.complete) {
-    call.answer.notRun = end.verdict == base::Verdict::kNotRun;
-    if (!call.answer.notRun) {
-      m_guard.onBroken({fingerprintOf(call), call.service, call.instance}, call.request.id,
-                       call.sentAt);
+    call.response.notRun = end.verdict == base::Verdict::kNotRun;
+    if (!call.response.notRun) {
+      m_quarantineClient.onConnectionLost({fingerprintOf(call), call.service, call.instance},
+                                          call.request.id, call.sentAt);
     }
-  } else if (call.fingerprint && !call.answer.notRun) {
-    m_guard.onBorne(*call.fingerprint);
+  } else if (call.fingerprint && !call.response.notRun) {
+    m_quarantineClient.onCompleted(*call.fingerprint);
   }
   const AttemptOutcome outcome = outcomeOf(call);
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
-  m_window.onEnded(call.crowded || outcome == AttemptOutcome::kFull, now);
+  m_limiter.onEnded(call.overloaded || outcome == AttemptOutcome::kRejected, now);
   m_node.metrics().count(CounterId::kScoringCallsEnded, toString(outcome));
-  const jobs::ScoringStep step = call.attempts->onResponse(call.answer);
+  const jobs::ScoringStep step = call.attempts->onResponse(call.response);
   if (step != jobs::ScoringStep::kScored) {
-    noteFailure(key, call, outcome, now);
+    logFailure(key, call, outcome, now);
   }
   if (step == jobs::ScoringStep::kRepeat) {
     call.notBefore = now + call.attempts->delay();
   } else {
-    const std::string score = std::move(call.answer.signature);
+    const std::string score = std::move(call.response.signature);
     const Callback callback = std::move(call.callback);
     m_calls.erase(found);
     callback(step == jobs::ScoringStep::kScored ? &score : nullptr);
   }
-  start(now);
+  sendPending(now);
 }
 
 }  // namespace tackpick::node
--- a/src/node/scoring_client.h
+++ b/src/node/scoring_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks items' scorers to judge their whole texts.
+/// Has scorers evaluate the complete texts of items.
 #pragma once
 
 #include <functional>
@@ -15,28 +15,35 @@
 #include "http/upstream_client.h"
 #include "jobs/job_messages.h"
 #include "jobs/scoring_attempts.h"
-#include "node/request_guard.h"
+#include "node/quarantine_client.h"
 
 namespace tackpick::node {
 
 class Node;
 
-/// Thin: ScoringAttempts, ConcurrencyLimiter and InstanceTable decide. Scorers may share their
-/// servers with callers, who go first: calls wait here while a server has requests waiting.
+/// Makes scoring calls; ScoringAttempts, ConcurrencyLimiter and InstanceTable make the decisions.
+/// Scorers may share servers with callers, who have priority: calls are delayed while requests
+/// queue at a server.
 class ScoringClient {
  public:
-  /// Gets the score; nothing when the scorer has failed too often.
+  /// Receives the score, or null if the scorer has failed too often.
   using Callback = std::function<void(const std::string* score)>;
 
   ScoringClient(Node& node, forwarding::InstanceTable& instances,
-                const directory::RouteTable& routes, RequestGuard& guard)
-      : m_node(node), m_instances(instances), m_routes(routes), m_guard(guard) {}
+                const directory::RouteTable& routes, QuarantineClient& quarantineClient)
+      : m_node(node),
+        m_instances(instances),
+        m_routes(routes),
+        m_quarantineClient(quarantineClient) {}
 
-  /// Calls the item's scorer, from start() on, until it answers or `deadline` has passed.
+  /// Queues a call to the item's scorer, which is repeated until it succeeds or `deadline` has
+  /// passed.
   void add(const jobs::LeasedItem& leased, base::TimePoint deadline, Callback callback);
   void cancel(const jobs::ItemKey& key);
-  /// Sends what may be sent. Call it again soon while calls wait.
-  void start(base::TimePoint now);
+  /// Starts the calls that may start and cancels those that timed out. Must be called periodically
+  /// while calls are pending.
+  void sendPending(base::TimePoint now);
+  /// Number of pending calls.
   [[nodiscard]] std::size_t size() const { return m_calls.size(); }
 
  private:
@@ -47,35 +54,35 @@
     std::string tenant;
     std::uint32_t itemAttempts = 1;
     std::unique_ptr<jobs::ScoringAttempts> attempts;
-    std::set<std::string> tried;
+    std::set<std::string> triedInstances;
     std::string instance;
-    http::ExchangeId exchange;  ///< valid while a call runs
+    http::ExchangeId exchange;  ///< valid while an attempt is in flight
     base::TimePoint sentAt{};
     base::TimePoint notBefore{};
-    base::Duration patience{0};  ///< a running call without an answer is broken off after this
-    jobs::ScorerResponse answer;
-    bool crowded = false;  ///< requests wait at its server
+    base::Duration timeout{0};  ///< time after which an attempt without a response is cancelled
+    jobs::ScorerResponse response;
+    bool overloaded = false;  ///< requests queue at the server
     std::string service;
-    std::optional<quarantine::RequestFingerprint> fingerprint;  ///< once it is needed
-    bool trial = false;  ///< servers ended under it; this call is a trial
+    std::optional<quarantine::RequestFingerprint> fingerprint;  ///< computed on first use
+    bool isTrial = false;  ///< the current attempt is a trial of a held call
   };
 
-  /// False when the call is held, since it has ended servers.
+  /// Whether the call may be made now. False if it is held because it has crashed servers.
   [[nodiscard]] bool admit(Call& call);
   [[nodiscard]] const quarantine::RequestFingerprint& fingerprintOf(Call& call) const;
   void send(const jobs::ItemKey& key, Call& call, base::TimePoint now);
   void onHead(const jobs::ItemKey& key, int status, const http::HeaderList& headers);
   void onEnd(const jobs::ItemKey& key, const http::UpstreamResult& end);
-  static void noteFailure(const jobs::ItemKey& key, const Call& call,
-                          forwarding::AttemptOutcome outcome, base::TimePoint now);
-  void breakOff(Call& call, forwarding::AttemptOutcome outcome, base::TimePoint now);
+  static void logFailure(const jobs::ItemKey& key, const Call& call,
+                         forwarding::AttemptOutcome outcome, base::TimePoint now);
+  void abortCall(Call& call, forwarding::AttemptOutcome outcome, base::TimePoint now);
   [[nodiscard]] static forwarding::AttemptOutcome outcomeOf(const Call& call);
 
   Node& m_node;
   forwarding::InstanceTable& m_instances;
   const directory::RouteTable& m_routes;
-  RequestGuard& m_guard;
-  forwarding::ConcurrencyLimiter m_window;
+  QuarantineClient& m_quarantineClient;
+  forwarding::ConcurrencyLimiter m_limiter;
   std::map<jobs::ItemKey, Call> m_calls;
 };
 
--- a/src/node/tick_interval.h
+++ b/src/node/tick_interval.h
@@ -1,12 +1,12 @@
 /// \file
-/// How often a node ticks.
+/// The tick interval of a node.
 #pragma once
 
 #include "base/time.h"
 
 namespace tackpick::node {
 
-/// Between two ticks of a node's event loop.
+/// Interval between two ticks of a node's event loop.
 inline constexpr base::Duration kTickInterval = base::milliseconds(20);
 
 }  // namespace tackpick::node
--- a/src/node/usage_sender.cpp
+++ b/src/node/usage_sender.cpp
@@ -7,16 +7,16 @@
 namespace tackpick::node {
 namespace {
 
-/// News are told this often, and where there are many gateways each tells less often: the leader
-/// takes about 670 such calls a second at most, at 20 to 40 microseconds each.
-constexpr base::Duration kTellInterval = base::milliseconds(100);
-constexpr base::Duration kTellIntervalPerGateway = base::microseconds(1500);
-constexpr base::Duration kTellDeadline = base::milliseconds(1500);
+/// Report interval, which grows with the number of gateways to limit the load of the leader.
+constexpr base::Duration kReportInterval = base::milliseconds(100);
+constexpr base::Duration kReportIntervalPerGateway = base::microseconds(1500);
+constexpr base::Duration kReportTimeout = base::milliseconds(1500);
 
 }  // namespace
 
 UsageSender::UsageSender(Node& node) : m_node(node), m_counter(node.settings().usageWindow) {
-  m_node.member().setUsageSource([this] { return m_counter.present(clusterTime(m_node.now())); });
+  m_node.clusterMember().setUsageSource(
+      [this] { return m_counter.present(clusterTime(m_node.now())); });
 }
 
 base::WallTime UsageSender::clusterTime(base::TimePoint at) const {
@@ -37,26 +37,27 @@
   }
 }
 
-base::Duration UsageSender::tellInterval() const {
-  const auto gateways = static_cast<base::Duration::rep>(m_node.member().view().gateways);
-  return std::max(kTellInterval, kTellIntervalPerGateway * gateways);
+base::Duration UsageSender::reportInterval() const {
+  const auto gateways = static_cast<base::Duration::rep>(m_node.clusterMember().view().gateways);
+  return std::max(kReportInterval, kReportIntervalPerGateway * gateways);
 }
 
 void UsageSender::tick() {
   const base::TimePoint now = m_node.now();
-  if (m_telling || isTold() || now - m_toldAt < tellInterval()) {
+  if (m_reporting || isReported() || now - m_lastReportAt < reportInterval()) {
     return;
   }
-  m_telling = true;
-  m_toldAt = now;
+  m_reporting = true;
+  m_lastReportAt = now;
   const std::uint64_t revision = m_counter.revision();
-  const directory::ReportUsage told{m_counter.present(clusterTime(now))};
-  m_node.member().call(directory::DirectoryRequest{told}, kTellDeadline, now,
-                       [this, revision](const directory::DirectoryReply* reply) {
-                         m_telling = false;
-                         m_told = reply == nullptr ? m_told : revision;
-                       });
-  m_node.wake();
+  const directory::ReportUsage report{m_counter.present(clusterTime(now))};
+  m_node.clusterMember().call(directory::DirectoryRequest{report}, kReportTimeout, now,
+                              [this, revision](const directory::DirectoryReply* reply) {
+                                m_reporting = false;
+                                m_reportedRevision =
+                                    reply == nullptr ? m_reportedRevision : revision;
+                              });
+  m_node.scheduleIteration();
 }
 
 }  // namespace tackpick::node
--- a/src/node/usage_sender.h
+++ b/src/node/usage_sender.h
@@ -1,5 +1,5 @@
 /// \file
-/// Counts the requests that began to run at this gateway and tells the controllers.
+/// Counts the requests that began to run at this gateway and reports them to the controllers.
 #pragma once
 
 #include <string>
@@ -12,8 +12,8 @@
 
 class Node;
 
-/// Every watch of this gateway carries all that it has counted. In between, news are told by calls
-/// of their own, so that little is lost with a gateway that dies.
+/// Every watch of this gateway contains its usage counts. Changes are also reported by separate
+/// calls, which limits the loss if the gateway fails.
 class UsageSender {
  public:
   explicit UsageSender(Node& node);
@@ -22,19 +22,19 @@
   void onRequestStarted(const std::string& tenant, base::TimePoint at);
   void onView(const directory::DirectoryView& view);
   void tick();
-  /// The controllers have heard of all that was counted.
-  [[nodiscard]] bool isTold() const { return m_told == m_counter.revision(); }
+  /// Whether the controllers have received all counts.
+  [[nodiscard]] bool isReported() const { return m_reportedRevision == m_counter.revision(); }
 
  private:
   [[nodiscard]] base::WallTime clusterTime(base::TimePoint at) const;
-  [[nodiscard]] base::Duration tellInterval() const;
+  [[nodiscard]] base::Duration reportInterval() const;
 
   Node& m_node;
   duties::UsageCounter m_counter;
   duties::ClusterTimeEstimate m_clusterTime;
-  std::uint64_t m_told = 0;  ///< revision of the counter that the controllers have
-  bool m_telling = false;
-  base::TimePoint m_toldAt{};
+  std::uint64_t m_reportedRevision = 0;  ///< revision of the counts that the controllers have
+  bool m_reporting = false;
+  base::TimePoint m_lastReportAt{};
 };
 
 }  // namespace tackpick::node
--- a/src/node/work_reader.cpp
+++ b/src/node/work_reader.cpp
@@ -7,16 +7,16 @@
 namespace tackpick::node {
 namespace {
 
-/// Two calls under way.
-struct WorkRead {
-  edge::WorkResponses answers;
-  int underWay = 2;
-  std::function<void(const edge::WorkResponses& answers)> done;
+/// The state of two concurrent calls.
+struct PendingWorkRead {
+  edge::WorkResponses responses;
+  int pendingCalls = 2;
+  std::function<void(const edge::WorkResponses& responses)> done;
 
   void onEnded() {
-    --underWay;
-    if (underWay == 0) {
-      done(answers);
+    --pendingCalls;
+    if (pendingCalls == 0) {
+      done(responses);
     }
   }
 };
@@ -24,24 +24,24 @@
 }  // namespace
 
 void readWork(Node& node, base::Duration deadline,
-              std::function<void(const edge::WorkResponses& answers)> done) {
-  const auto read = std::make_shared<WorkRead>();
+              std::function<void(const edge::WorkResponses& responses)> done) {
+  const auto read = std::make_shared<PendingWorkRead>();
   read->done = std::move(done);
-  node.member().call(jobs::JobRequest{jobs::ReadWork{}}, deadline, node.now(),
-                     [read](const jobs::JobReply* reply) {
-                       if (reply != nullptr) {
-                         read->answers.ledgers = reply->work;
-                       }
-                       read->onEnded();
-                     });
-  node.member().call(directory::DirectoryRequest{directory::ReadWeights{}}, deadline, node.now(),
-                     [read](const directory::DirectoryReply* reply) {
-                       if (reply != nullptr) {
-                         read->answers.controllers = reply->weights;
-                       }
-                       read->onEnded();
-                     });
-  node.wake();
+  node.clusterMember().call(jobs::JobRequest{jobs::ReadWork{}}, deadline, node.now(),
+                            [read](const jobs::JobReply* reply) {
+                              if (reply != nullptr) {
+                                read->responses.ledgers = reply->work;
+                              }
+                              read->onEnded();
+                            });
+  node.clusterMember().call(directory::DirectoryRequest{directory::ReadWeights{}}, deadline,
+                            node.now(), [read](const directory::DirectoryReply* reply) {
+                              if (reply != nullptr) {
+                                read->responses.controllers = reply->weights;
+                              }
+                              read->onEnded();
+                            });
+  node.scheduleIteration();
 }
 
 }  // namespace tackpick::node
--- a/src/node/work_reader.h
+++ b/src/node/work_reader.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks both leaders what waits and why, for an operator.
+/// Reads the open jobs and the weights summary for an operator.
 #pragma once
 
 #include <functional>
@@ -11,9 +11,9 @@
 
 class Node;
 
-/// Asks the ledgers' and the controllers' leader at the same time; `done` is called once, when both
-/// have answered or their deadlines are over.
+/// Calls the leaders of the ledgers and the controllers concurrently. `done` is called once, when
+/// both have responded or timed out.
 void readWork(Node& node, base::Duration deadline,
-              std::function<void(const edge::WorkResponses& answers)> done);
+              std::function<void(const edge::WorkResponses& responses)> done);
 
 }  // namespace tackpick::node
--- a/src/quarantine/crash_tally.cpp
+++ b/src/quarantine/crash_registry.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/crash_tally.h"
+#include "quarantine/crash_registry.h"
 
 #include <algorithm>
 
@@ -6,32 +6,33 @@
 
 namespace tackpick::quarantine {
 
-void CrashTally::note(const Crash& crash, base::TimePoint now) {
+void CrashRegistry::record(const Crash& crash, base::TimePoint now) {
   if (!m_requests.contains(crash.request)) {
-    makeRoom();
+    evictOldest();
   }
   Suspect& suspect = m_requests[crash.request];
   suspect.instances.insert(crash.instance);
-  suspect.lastAt = now;
+  suspect.lastCrashAt = now;
 }
 
-std::set<std::string> CrashTally::instances(const RequestFingerprint& request) const {
+std::set<std::string> CrashRegistry::instances(const RequestFingerprint& request) const {
   const auto known = m_requests.find(request);
   return known == m_requests.end() ? std::set<std::string>{} : known->second.instances;
 }
 
-void CrashTally::forgetOld(base::TimePoint now) {
-  std::erase_if(m_requests,
-                [&](const auto& entry) { return now - entry.second.lastAt > kCrashMemory; });
+void CrashRegistry::evictExpired(base::TimePoint now) {
+  std::erase_if(m_requests, [&](const auto& entry) {
+    return now - entry.second.lastCrashAt > kCrashRetention;
+  });
 }
 
-void CrashTally::makeRoom() {
+void CrashRegistry::evictOldest() {
   if (m_requests.size() < kMaxRequests) {
     return;
   }
   m_requests.erase(std::min_element(m_requests.begin(), m_requests.end(),
                                     [](const auto& left, const auto& right) {
-                                      return left.second.lastAt < right.second.lastAt;
+                                      return left.second.lastCrashAt < right.second.lastCrashAt;
                                     }));
 }
 
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -1,6 +1,5 @@
 /// \file
-/// What gateways tell the controllers of requests that end the instances that run them, and what
-/// of that goes through the controllers' log.
+/// Messages and log commands of the quarantine of requests that crash instances.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +14,11 @@
 
 namespace tackpick::quarantine {
 
-/// An instance that ended while it ran a request.
+/// A crash of an instance while it ran a request.
 struct Crash {
   RequestFingerprint request;
   std::string service;
-  std::string instance;  ///< key of its incarnation
+  std::string instance;  ///< key of the incarnation
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -27,14 +26,14 @@
   }
 };
 
-/// A held request as operators see it.
+/// A held request, for operators.
 struct HoldSummary {
   RequestFingerprint request;
   std::string service;
-  std::set<std::string> instances;  ///< that had ended under it when it was held
+  std::set<std::string> instances;  ///< crashed before it was held
   std::uint32_t trials = 0;
   base::Duration heldFor{0};
-  base::Duration untilTrial{0};  ///< zero or less: one is due; the longest there is: none follows
+  base::Duration untilTrial{0};  ///< zero or less: a trial is due; maximum: no further trial
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -44,7 +43,7 @@
 
 // Requests to the controllers.
 
-/// From gateways. The same crash may be told more than once.
+/// Crashes seen by a gateway. The same crash may be reported more than once.
 struct ReportCrashes {
   std::vector<Crash> crashes;
   template <class Archive>
@@ -53,7 +52,7 @@
   }
 };
 
-/// May the asking gateway send the held request once?
+/// Asks whether the gateway may send the held request once.
 struct RequestTrial {
   RequestFingerprint request;
   template <class Archive>
@@ -62,7 +61,7 @@
   }
 };
 
-/// For operators: what is held.
+/// Lists the held requests, for operators.
 struct ReadQuarantine {
   std::uint8_t reserved = 0;
   template <class Archive>
@@ -71,8 +70,8 @@
   }
 };
 
-/// An instance has run it to the end, or an operator says so: nothing is held against it any more.
-/// Also a command of the log.
+/// Releases a request because an instance completed it or an operator asks for it. Also a log
+/// command.
 struct ReleaseRequest {
   RequestFingerprint request;
   template <class Archive>
@@ -81,14 +80,14 @@
   }
 };
 
-// Through the log. There is one entry for each request that ended as many instances as are allowed,
-// and for each trial: none for sound requests, whose number is not bounded.
+// Log commands: one for each request that reaches the maximum number of crashes, and one for each
+// trial. Requests that crash no instance cause no log entries.
 
-/// The request is sent nowhere any more, but for trials.
+/// Holds the request: it is sent only for trials.
 struct HoldRequest {
   RequestFingerprint request;
   std::string service;
-  std::set<std::string> instances;  ///< that ended under it
+  std::set<std::string> instances;  ///< crashed while they ran it
   base::WallTime at;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -96,7 +95,7 @@
   }
 };
 
-/// The request is sent once more.
+/// Records a trial of the request.
 struct RecordTrial {
   RequestFingerprint request;
   base::WallTime at;
@@ -106,13 +105,13 @@
   }
 };
 
-/// A held request as gateways are told.
+/// A held request, as sent to gateways.
 struct HeldRequest {
   RequestFingerprint request;
-  base::WallTime trialAt;  ///< the next trial may be asked for; in the cluster's time
+  base::WallTime nextTrialAt;  ///< time of the next trial; in cluster time
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(request, trialAt);
+    archive(request, nextTrialAt);
   }
 };
 
--- a/src/quarantine/quarantine_policy.h
+++ b/src/quarantine/quarantine_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many instances one request may end, and when it is tried again.
+/// Limits on crashes and trials of one request.
 #pragma once
 
 #include <cstdint>
@@ -8,38 +8,38 @@
 
 namespace tackpick::quarantine {
 
-/// A request under which so many instances have ended is held. Two may be chance: a sound request
-/// that shared two servers with another that ended them.
+/// Number of crashes after which a request is held. Fewer may be chance: the request may have
+/// shared instances with another that crashed them.
 inline constexpr std::size_t kMaxCrashes = 3;
 
-/// Trials of a held request, each at one instance: a new release may bear it, and a sound one that
-/// was held by chance must get through. The users' limit is three sends after the third crash.
+/// Maximum trials of a held request, each at one instance. A trial succeeds if a new release
+/// handles the request or if the request was held by chance.
 inline constexpr std::uint32_t kMaxTrials = 3;
 
-/// From the hold, or the trial before, to the next trial. The first comes soon enough for an item
-/// of a step that was held by chance; the pause then grows tenfold, since whoever has ended an
-/// instance again has shown that it was no chance.
-[[nodiscard]] constexpr base::Duration trialPause(std::uint32_t trials) {
-  constexpr base::Duration kFirst = base::seconds(4);
-  constexpr int kGrowth = 10;
-  base::Duration pause = kFirst;
+/// Returns the delay from the hold or the last trial to the next trial. The first is short, for
+/// requests that were held by chance; each failed trial makes chance less likely and increases the
+/// delay.
+[[nodiscard]] constexpr base::Duration trialDelay(std::uint32_t trials) {
+  constexpr base::Duration kInitialDelay = base::seconds(4);
+  constexpr int kBackoffFactor = 10;
+  base::Duration delay = kInitialDelay;
   for (std::uint32_t trial = 0; trial < trials; ++trial) {
-    pause *= kGrowth;
+    delay *= kBackoffFactor;
   }
-  return pause;
+  return delay;
 }
 
-/// When the next trial is due after `trials` of them; never after the last.
-[[nodiscard]] constexpr base::WallTime nextTrial(base::WallTime after, std::uint32_t trials) {
-  return trials < kMaxTrials ? after + trialPause(trials) : base::WallTime::max();
+/// Returns the time of the next trial after `trials` trials; the maximum time if none follows.
+[[nodiscard]] constexpr base::WallTime nextTrialTime(base::WallTime after, std::uint32_t trials) {
+  return trials < kMaxTrials ? after + trialDelay(trials) : base::WallTime::max();
 }
 
-/// A held request is forgotten this long after its hold or its last trial.
-inline constexpr base::Duration kHoldMemory = std::chrono::hours(24);
-/// Crashes of requests that are not held are forgotten after this time.
-inline constexpr base::Duration kCrashMemory = std::chrono::minutes(10);
-/// Most requests that are held, and most of which crashes are kept in one process; the oldest give
-/// way. At 100 bytes each by estimate: 100 KB.
+/// Time after its hold or last trial at which a held request is released.
+inline constexpr base::Duration kHoldRetention = std::chrono::hours(24);
+/// Time for which crashes of requests that are not held are kept.
+inline constexpr base::Duration kCrashRetention = std::chrono::minutes(10);
+/// Maximum number of held requests, and of requests with recorded crashes per process; the oldest
+/// are evicted.
 inline constexpr std::size_t kMaxRequests = 1024;
 
 }  // namespace tackpick::quarantine
--- a/src/quarantine/quarantine_state.h
+++ b/src/quarantine/quarantine_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The requests that are held, as the controllers' log says.
+/// The held requests in the replicated state of the controllers.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace tackpick::quarantine {
 
-/// One held request.
+/// A held request.
 struct Hold {
   std::string service;
-  std::set<std::string> instances;  ///< that had ended under it when it was held
+  std::set<std::string> instances;  ///< crashed before it was held
   std::uint32_t trials = 0;
-  base::WallTime since;    ///< of the hold
-  base::WallTime lastAt;   ///< of the hold, or of the last trial
-  base::WallTime trialAt;  ///< the next trial is due
+  base::WallTime since;        ///< time of the hold
+  base::WallTime lastEventAt;  ///< time of the hold or the last trial
+  base::WallTime nextTrialAt;  ///< time of the next trial
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(service, instances, trials, since, lastAt, trialAt);
+    archive(service, instances, trials, since, lastEventAt, nextTrialAt);
   }
 };
 
-/// Part of the controllers' replicated state: a hold outlives its gateways, its leader, and a
-/// restart of all processes. Times are the cluster's. Deterministic.
+/// Part of the controllers' replicated state, so that a hold survives gateways, leaders and a
+/// restart of all processes. Times are cluster times. Deterministic.
 class QuarantineState {
  public:
   void apply(const HoldRequest& command);
@@ -41,11 +41,11 @@
     return m_holds.contains(request);
   }
   [[nodiscard]] bool isTrialDue(const RequestFingerprint& request, base::WallTime now) const;
-  /// Holds that have outlived their memory.
-  [[nodiscard]] std::vector<RequestFingerprint> outlived(base::WallTime now) const;
-  /// As gateways are told.
-  [[nodiscard]] std::vector<HeldRequest> told() const;
-  /// As operators are told.
+  /// Returns the held requests past their retention time.
+  [[nodiscard]] std::vector<RequestFingerprint> expired(base::WallTime now) const;
+  /// Returns the held requests for gateways.
+  [[nodiscard]] std::vector<HeldRequest> heldRequests() const;
+  /// Returns the held requests for operators.
   [[nodiscard]] std::vector<HoldSummary> summaries(base::WallTime now) const;
 
   template <class Archive>
@@ -54,7 +54,8 @@
   }
 
  private:
-  void makeRoom();
+  /// Evicts the hold with the oldest last event if the map is full.
+  void evictOldest();
 
   std::map<RequestFingerprint, Hold> m_holds;
 };
--- a/src/quarantine/request_fingerprint.cpp
+++ b/src/quarantine/request_fingerprint.cpp
@@ -29,18 +29,18 @@
 }
 
 std::optional<RequestFingerprint> RequestFingerprint::parse(std::string_view text) {
-  constexpr std::size_t kHalf = 16;
+  constexpr std::size_t kHalfDigits = 16;
   constexpr int kHexadecimal = 16;
-  if (text.size() != 2 * kHalf) {
+  if (text.size() != 2 * kHalfDigits) {
     return std::nullopt;
   }
   RequestFingerprint parsed;
-  const char* middle = text.data() + kHalf;
+  const char* middle = text.data() + kHalfDigits;
   const auto high = std::from_chars(text.data(), middle, parsed.high, kHexadecimal);
-  const auto low = std::from_chars(middle, middle + kHalf, parsed.low, kHexadecimal);
-  const bool whole = high.ec == std::errc() && high.ptr == middle && low.ec == std::errc() &&
-                     low.ptr == middle + kHalf;
-  return whole ? std::optional(parsed) : std::nullopt;
+  const auto low = std::from_chars(middle, middle + kHalfDigits, parsed.low, kHexadecimal);
+  const bool isValid = high.ec == std::errc() && high.ptr == middle && low.ec == std::errc() &&
+                       low.ptr == middle + kHalfDigits;
+  return isValid ? std::optional(parsed) : std::nullopt;
 }
 
 RequestFingerprint fingerprintOf(const RequestIdentity& request, std::string_view key) {
--- a/src/quarantine/request_fingerprint.h
+++ b/src/quarantine/request_fingerprint.h
@@ -1,5 +1,5 @@
 /// \file
-/// What tells that a request is the same one as before, whoever sends it on and under which id.
+/// Identification of repeated requests, independent of gateway and request id.
 #pragma once
 
 #include <compare>
@@ -11,26 +11,27 @@
 
 namespace tackpick::quarantine {
 
-/// What makes two requests the same one. The id is left out: each try of a caller has another.
+/// Parts that identify a request. The id is excluded because each retry of a caller has another
+/// one.
 struct RequestIdentity {
   std::string_view method;
   std::string_view host;
   std::string_view target;  ///< path and query
-  std::string_view tenant;  ///< whom it is made for; empty: nobody in particular
+  std::string_view tenant;  ///< empty: no tenant
   std::string_view body;
 };
 
-/// The first half of an HMAC-SHA-256 of a RequestIdentity: nobody can make a request whose
-/// fingerprint is that of somebody else's.
+/// The first half of an HMAC-SHA-256 of a RequestIdentity, so that callers cannot forge another
+/// request's fingerprint.
 struct RequestFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
 
   auto operator<=>(const RequestFingerprint&) const = default;
 
-  /// 32 hexadecimal digits.
+  /// Returns 32 hexadecimal digits.
   [[nodiscard]] std::string text() const;
-  /// Nothing when `text` is none of those.
+  /// Parses text(); std::nullopt if malformed.
   [[nodiscard]] static std::optional<RequestFingerprint> parse(std::string_view text);
 
   template <class Archive>
@@ -39,8 +40,8 @@
   }
 };
 
-/// `key`: the same in all processes of a cluster. Takes 2 microseconds for 1 KB (estimate), so it
-/// is made only of requests that something is known of.
+/// Returns the fingerprint of a request. `key`: the same in all processes of a cluster. Hashes the
+/// whole body, so callers avoid it where no request is suspected or held.
 [[nodiscard]] RequestFingerprint fingerprintOf(const RequestIdentity& request,
                                                std::string_view key);
 
--- a/test/forwarding/concurrency_limiter_test.cpp
+++ b/test/forwarding/concurrency_limiter_test.cpp
@@ -1,4 +1,4 @@
-/// Calls that give way to callers.
+/// Tests of ConcurrencyLimiter.
 #include "forwarding/concurrency_limiter.h"
 
 #include <criterion/criterion.h>
@@ -6,35 +6,35 @@
 namespace base = tackpick::base;
 namespace forwarding = tackpick::forwarding;
 
-Test(concurrency_limiter, shrinks_once_for_a_burst_and_never_closes) {
-  forwarding::ConcurrencyLimiter window;
+Test(concurrency_limiter, decreases_once_per_burst_and_never_to_zero) {
+  forwarding::ConcurrencyLimiter limiter;
   base::TimePoint now{base::seconds(1)};
-  const double before = window.size();
-  window.onEnded(true, now);
-  const double after = window.size();
+  const double before = limiter.limit();
+  limiter.onEnded(true, now);
+  const double after = limiter.limit();
   cr_assert_lt(after, before);
-  window.onEnded(true, now + base::milliseconds(1));
-  cr_assert_eq(window.size(), after);
+  limiter.onEnded(true, now + base::milliseconds(1));
+  cr_assert_eq(limiter.limit(), after);
   for (int i = 0; i < 100; ++i) {
     now += base::seconds(1);
-    window.onEnded(true, now);
+    limiter.onEnded(true, now);
   }
-  cr_assert(window.hasFreeSlot());
-  window.onSent();
-  cr_assert_not(window.hasFreeSlot());
+  cr_assert(limiter.hasFreeSlot());
+  limiter.onSent();
+  cr_assert_not(limiter.hasFreeSlot());
 }
 
-Test(concurrency_limiter, grows_while_servers_have_room) {
-  forwarding::ConcurrencyLimiter window;
+Test(concurrency_limiter, increases_while_servers_are_not_overloaded) {
+  forwarding::ConcurrencyLimiter limiter;
   const base::TimePoint now{base::seconds(1)};
   int sent = 0;
   for (int i = 0; i < 1000; ++i) {
-    while (window.hasFreeSlot()) {
-      window.onSent();
+    while (limiter.hasFreeSlot()) {
+      limiter.onSent();
       ++sent;
     }
-    window.onEnded(false, now);
+    limiter.onEnded(false, now);
   }
-  cr_assert_gt(window.size(), 20);
-  cr_assert_leq(window.size(), 32);
+  cr_assert_gt(limiter.limit(), 20);
+  cr_assert_leq(limiter.limit(), 32);
 }
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -1,5 +1,5 @@
-/// Plain requests do not wait at a gateway: each is sent at once, and what its instances refuse is
-/// refused. Whose requests are refused when the instances are full.
+/// Distribution of rejections over tenants when all instances are full. Gateways do not queue
+/// requests.
 #include <criterion/criterion.h>
 
 #include <map>
@@ -16,29 +16,29 @@
 
 namespace {
 
-/// A server that runs some requests, lets a few more wait, and refuses the rest.
+/// A server with a limited number of running and queued requests, which rejects others.
 struct Server {
-  std::vector<base::TimePoint> endsAt;
+  std::vector<base::TimePoint> endTimes;
   std::size_t slots = 0;
 
-  bool take(base::TimePoint now, base::Duration work) {
-    std::erase_if(endsAt, [&](base::TimePoint end) { return end <= now; });
-    if (endsAt.size() >= slots) {
+  bool tryStart(base::TimePoint now, base::Duration work) {
+    std::erase_if(endTimes, [&](base::TimePoint end) { return end <= now; });
+    if (endTimes.size() >= slots) {
       return false;
     }
-    endsAt.push_back(now + work);
+    endTimes.push_back(now + work);
     return true;
   }
 };
 
-struct Tally {
-  double asked = 0;
+struct RequestCounts {
+  double sent = 0;
   double served = 0;
 };
 
-/// Servers, the gateway's table of them, and what became of each tenant's requests.
-struct FullService {
-  FullService() {
+/// Servers, the gateway's table of them, and request counts by tenant.
+struct OverloadedService {
+  OverloadedService() {
     std::vector<directory::InstanceView> views;
     for (const char* id : {"a", "b", "c"}) {
       directory::InstanceView view;
@@ -46,28 +46,28 @@
       views.push_back(view);
       servers[id].slots = kSlots + 2;
     }
-    table.update(views);
+    table.replaceAll(views);
     route.kind = directory::RouteKind::kAtMostOnce;
     route.timeout = base::seconds(1);
     route.attempts = 2;
   }
 
   void request(const std::string& tenant) {
-    Tally& tally = tallies[tenant];
-    ++tally.asked;
+    RequestCounts& counts = countsByTenant[tenant];
+    ++counts.sent;
     forwarding::RetryPolicy policy(route, now, now + base::seconds(1));
     std::set<std::string> tried;
     while (policy.maySend(now)) {
       const forwarding::InstanceEntry* to = table.select({"s", "", 0}, tried, random, now);
-      cr_assert_not_null(to, "it is never held back");
+      cr_assert_not_null(to, "an instance is always selected");
       const std::string id = to->record.id;
       tried.insert(id);
-      policy.onSend();
-      if (servers.at(id).take(now, kWork)) {
-        ++tally.served;
+      policy.onAttemptStarted();
+      if (servers.at(id).tryStart(now, kWork)) {
+        ++counts.served;
         return;
       }
-      table.onEnded(id, forwarding::AttemptOutcome::kFull, base::Duration{0}, now);
+      table.onEnded(id, forwarding::AttemptOutcome::kRejected, base::Duration{0}, now);
       policy.onResult(forwarding::AttemptResult::kNotRun);
     }
   }
@@ -80,19 +80,19 @@
   directory::Route route;
   std::map<std::string, Server> servers;
   forwarding::InstanceTable table{{"z", "gateway"}};
-  std::map<std::string, Tally> tallies;
+  std::map<std::string, RequestCounts> countsByTenant;
 };
 
 }  // namespace
 
-// 79 tenants, four of them large, ask for twice what the servers can do.
-Test(refusals, fall_on_large_and_small_tenants_alike) {
+// Guards against unfair rejection of small tenants at twice the capacity of the servers.
+Test(refusals, affect_large_and_small_tenants_alike) {
   constexpr std::uint32_t kMillis = 80'000;
   constexpr std::uint32_t kLarge = 4;
   constexpr std::uint32_t kSmall = 75;
-  constexpr std::uint32_t kShareOfSmall = 20;  // in a hundred of all requests
-  FullService service;
-  Tally all;
+  constexpr std::uint32_t kShareOfSmall = 20;  // percent of all requests
+  OverloadedService service;
+  RequestCounts all;
   for (std::uint32_t at = 0; at < kMillis; ++at) {
     service.now += base::milliseconds(1);
     for (int request = 0; request < 2; ++request) {
@@ -101,14 +101,14 @@
       service.request((small ? "small" : "large") + std::to_string(drawn));
     }
   }
-  for (const auto& [tenant, tally] : service.tallies) {
-    all.asked += tally.asked;
-    all.served += tally.served;
+  for (const auto& [tenant, counts] : service.countsByTenant) {
+    all.sent += counts.sent;
+    all.served += counts.served;
   }
-  const double mean = all.served / all.asked;
-  cr_assert_lt(mean, 0.7, "most places are taken: %.3f", mean);
-  cr_assert_eq(service.tallies.size(), kLarge + kSmall);
-  for (const auto& [tenant, tally] : service.tallies) {
-    cr_assert_geq(tally.served / tally.asked, mean * 0.75, "%s", tenant.c_str());
+  const double mean = all.served / all.sent;
+  cr_assert_lt(mean, 0.7, "the servers are overloaded: %.3f", mean);
+  cr_assert_eq(service.countsByTenant.size(), kLarge + kSmall);
+  for (const auto& [tenant, counts] : service.countsByTenant) {
+    cr_assert_geq(counts.served / counts.sent, mean * 0.75, "%s", tenant.c_str());
   }
 }
--- a/test/quarantine/request_fingerprint_test.cpp
+++ b/test/quarantine/request_fingerprint_test.cpp
@@ -1,4 +1,4 @@
-/// Which requests count as the same one.
+/// Tests of RequestFingerprint.
 #include "quarantine/request_fingerprint.h"
 
 #include <criterion/criterion.h>
@@ -20,7 +20,7 @@
   cr_assert_eq(fingerprintOf(kRequest, kKey).text().size(), 32);
 }
 
-Test(request_fingerprint, is_read_from_its_text_and_from_nothing_else) {
+Test(request_fingerprint, is_parsed_from_its_text_only) {
   const RequestFingerprint known = fingerprintOf(kRequest, kKey);
   cr_assert(RequestFingerprint::parse(known.text()) == known);
   cr_assert_not(RequestFingerprint::parse(""));
@@ -29,7 +29,7 @@
   cr_assert_not(RequestFingerprint::parse("-" + std::string(31, '1')));
 }
 
-Test(request_fingerprint, tells_every_part_apart) {
+Test(request_fingerprint, differs_when_any_part_differs) {
   const auto known = fingerprintOf(kRequest, kKey);
   RequestIdentity other = kRequest;
   other.method = "PUT";
@@ -49,7 +49,7 @@
   cr_assert(fingerprintOf(kRequest, "another cluster") != known);
 }
 
-Test(request_fingerprint, does_not_mistake_where_one_part_ends) {
+Test(request_fingerprint, depends_on_the_boundaries_between_parts) {
   const RequestIdentity left = {"POST", "a", "/b", "", "c"};
   const RequestIdentity right = {"POST", "a", "/", "b", "c"};
   cr_assert(fingerprintOf(left, kKey) != fingerprintOf(right, kKey));
