--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -57,7 +57,7 @@
   directory::LoadSchedulerSettings settings;
   settings.loadOrder = order;
   // Each engine follows a model: none is on standby.
-  settings.assignments.wanted.minEngines = static_cast<std::size_t>(engineCount);
+  settings.assignments.requirements.minEngines = static_cast<std::size_t>(engineCount);
   directory::LoadScheduler orders(settings);
   orders.reset({}, fleet.assignments);
   base::TimePoint now{base::seconds(100)};
@@ -93,7 +93,7 @@
   std::printf("microseconds a turn\n%8s %14s %8s\n", "engines", "oldest first", "by need");
   for (const int engines : {100, 1000, 10000}) {
     std::printf("%8d %14.0f %8.0f\n", engines, measure(engines, directory::LoadOrder::kOldestFirst),
-                measure(engines, directory::LoadOrder::kByNeed));
+                measure(engines, directory::LoadOrder::kByDemand));
   }
   return 0;
 }
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -106,7 +106,7 @@
       m_onConfiguration(configuration_);
     }
   }
-  if (!news.isFull && news.since != view_.revision) {
+  if (!news.isFull && news.baseRevision != view_.revision) {
     requestFullView();  // these are changes to another view
     return;
   }
--- a/src/directory/command_lease.cpp
+++ b/src/directory/command_lease.cpp
@@ -4,39 +4,41 @@
 
 namespace tackpick::directory {
 
-void CommandLease::onNote(base::NodeId holder, consensus::LogIndex index, base::TimePoint now) {
-  if (base::nodeNumber(holder) == base::nodeNumber(m_self) && (!m_own || m_own->index < index)) {
-    m_own = Note{holder, index, now};
+void CommandLease::onClaim(base::NodeId holder, consensus::LogIndex index, base::TimePoint now) {
+  if (base::nodeNumber(holder) == base::nodeNumber(m_self) &&
+      (!m_ownClaim || m_ownClaim->index < index)) {
+    m_ownClaim = LeaseClaim{holder, index, now};
   }
-  if (!m_newest || m_newest->index < index) {
-    m_newest = Note{holder, index, now};
+  if (!m_latestClaim || m_latestClaim->index < index) {
+    m_latestClaim = LeaseClaim{holder, index, now};
   }
 }
 
-bool CommandLease::wouldAlternate(const Note& other) const {
-  return m_own && latestCommandTime(other) - latestCommandTime(*m_own) <= m_settings.duration;
+bool CommandLease::wouldAlternate(const LeaseClaim& other) const {
+  return m_ownClaim &&
+         latestCommandTime(other) - latestCommandTime(*m_ownClaim) <= m_settings.duration;
 }
 
-base::TimePoint CommandLease::freeFrom(base::TimePoint leadingSince) const {
-  if (!m_newest || m_newest->holder == m_self) {
+base::TimePoint CommandLease::earliestCommandTime(base::TimePoint leaderSince) const {
+  if (!m_latestClaim || m_latestClaim->holder == m_self) {
     return {};
   }
-  const base::TimePoint arrived = leadingSince + m_settings.transit;
-  if (base::nodeNumber(m_newest->holder) == base::nodeNumber(m_self)) {
+  const base::TimePoint arrived = leaderSince + m_settings.maxTransitTime;
+  if (base::nodeNumber(m_latestClaim->holder) == base::nodeNumber(m_self)) {
     return arrived;
   }
-  return wouldAlternate(*m_newest) ? std::max(arrived, restOfLease()) : arrived;
+  return wouldAlternate(*m_latestClaim) ? std::max(arrived, leaseExpiry()) : arrived;
 }
 
-base::TimePoint CommandLease::restOfLease() const {
-  if (!m_newest || m_newest->holder == m_self) {
+base::TimePoint CommandLease::leaseExpiry() const {
+  if (!m_latestClaim || m_latestClaim->holder == m_self) {
     return {};
   }
-  // How much older than this process the orders are is not known.
-  if (isOlderThanProcess(*m_newest) && m_settings.enginesEnforceFences) {
+  // The time between the commands and the start of this process is unknown.
+  if (predatesProcess(*m_latestClaim) && m_settings.enginesEnforceFences) {
     return {};
   }
-  return latestCommandTime(*m_newest) + m_settings.duration;
+  return latestCommandTime(*m_latestClaim) + m_settings.duration;
 }
 
 }  // namespace tackpick::directory
--- a/src/directory/command_lease.h
+++ b/src/directory/command_lease.h
@@ -1,5 +1,6 @@
 /// \file
-/// When a new leader of the controllers may give its first order to an engine.
+/// Delays the first command of a new controller leader until commands of its predecessor have
+/// arrived.
 #pragma once
 
 #include <optional>
@@ -10,60 +11,65 @@
 
 namespace tackpick::directory {
 
-/// Knobs of CommandLease.
+/// Settings of CommandLease.
 struct CommandLeaseSettings {
-  /// Two holders must not take turns within this time.
+  /// Minimum time between the last command of one holder and the first of another when they would
+  /// alternate.
   base::Duration duration = base::milliseconds(3100);
-  /// A former leader gives no order once another leads, but the last one may still wait for its
-  /// connection: no longer than an upstream connection attempt, with a margin.
-  base::Duration transit = base::milliseconds(700);
-  /// Engines refuse orders with a lower fence than they have seen, so that a leader which was
-  /// replaced while this process did not run cannot undo what this one orders.
+  /// Maximum time that a command of a former leader may be in transit: the timeout of an upstream
+  /// connection attempt plus a margin.
+  base::Duration maxTransitTime = base::milliseconds(700);
+  /// Whether engines reject commands with a fence lower than the highest that they have seen. A
+  /// leader that was replaced while this process was not running can then not override commands of
+  /// this process.
   bool enginesEnforceFences = false;
 };
 
-/// A leader writes a note into the log before it gives orders. From the notes a new leader learns
-/// whether it would take turns with another: it gives orders, another does, and it does so again.
-/// Only then it waits for the rest of the other's lease; else until the former leader's orders have
-/// arrived. Deterministic; owned by one thread.
+/// Prevents controllers from alternating as senders of load commands. A leader writes a claim to
+/// the log before it sends commands. If the claims show that this process, another one, and this
+/// process again would send within the lease duration, the new leader waits for the rest of the
+/// other holder's lease; otherwise it waits until commands of the former leader have arrived.
+/// Deterministic; owned by one thread.
 class CommandLease {
  public:
-  /// `lastIndex`: of the log when this process started; notes up to there are older than it.
+  /// `lastIndex`: last index of the log when this process started; claims up to it predate the
+  /// process.
   CommandLease(base::NodeId self, CommandLeaseSettings settings, consensus::LogIndex lastIndex,
                base::TimePoint startedAt)
-      : m_self(self), m_settings(settings), m_lastIndex(lastIndex), m_startedAt(startedAt) {}
+      : m_self(self), m_settings(settings), m_startIndex(lastIndex), m_startedAt(startedAt) {}
 
-  /// The newest note of a holder in the log, as it is applied.
-  void onNote(base::NodeId holder, consensus::LogIndex index, base::TimePoint now);
-  /// When this process may give its first order, being leader since `leadingSince`.
-  [[nodiscard]] base::TimePoint freeFrom(base::TimePoint leadingSince) const;
-  /// The same for calls that may be carried out long after they were sent: the whole rest of
-  /// another holder's lease; the past when this process need not wait.
-  [[nodiscard]] base::TimePoint restOfLease() const;
+  /// Records the latest claim of a holder when its log entry has been applied.
+  void onClaim(base::NodeId holder, consensus::LogIndex index, base::TimePoint now);
+  /// Returns the time from which this process, leader since `leaderSince`, may send commands.
+  [[nodiscard]] base::TimePoint earliestCommandTime(base::TimePoint leaderSince) const;
+  /// Returns the end of another holder's lease, or a time in the past if this process need not
+  /// wait. For calls that may take effect long after they were sent.
+  [[nodiscard]] base::TimePoint leaseExpiry() const;
 
  private:
-  struct Note {
+  struct LeaseClaim {
     base::NodeId holder;
     consensus::LogIndex index = 0;
-    base::TimePoint notedAt{};
+    base::TimePoint claimedAt{};
   };
 
-  [[nodiscard]] bool isOlderThanProcess(const Note& note) const {
-    return note.index <= m_lastIndex;
+  [[nodiscard]] bool predatesProcess(const LeaseClaim& claim) const {
+    return claim.index <= m_startIndex;
   }
-  /// When the orders of the note were given, at the latest.
-  [[nodiscard]] base::TimePoint latestCommandTime(const Note& note) const {
-    return isOlderThanProcess(note) ? m_startedAt : note.notedAt;
+  /// Returns the latest time at which commands of the claim were sent.
+  [[nodiscard]] base::TimePoint latestCommandTime(const LeaseClaim& claim) const {
+    return predatesProcess(claim) ? m_startedAt : claim.claimedAt;
   }
-  /// This process gave orders so shortly before the other holder that it would take turns with it.
-  [[nodiscard]] bool wouldAlternate(const Note& other) const;
+  /// Whether this process sent commands within the lease duration before the other holder, so that
+  /// the two would alternate.
+  [[nodiscard]] bool wouldAlternate(const LeaseClaim& other) const;
 
   const base::NodeId m_self;
   const CommandLeaseSettings m_settings;
-  const consensus::LogIndex m_lastIndex;
+  const consensus::LogIndex m_startIndex;
   const base::TimePoint m_startedAt;
-  std::optional<Note> m_newest;
-  std::optional<Note> m_own;  ///< also of this machine before it lost its disk
+  std::optional<LeaseClaim> m_latestClaim;
+  std::optional<LeaseClaim> m_ownClaim;  ///< also claims of this machine before it lost its disk
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/configuration.cpp
+++ b/src/directory/configuration.cpp
@@ -15,13 +15,13 @@
   }
   if (route.pathPrefix.empty() || route.pathPrefix.front() != '/' ||
       route.pathPrefix.back() != '/') {
-    return invalid("its prefix does not begin and end with a slash");
+    return invalid("path prefix must begin and end with a slash");
   }
   if (route.timeout <= base::Duration{0}) {
-    return invalid("its time-out is not above zero");
+    return invalid("timeout must be greater than zero");
   }
   if (route.attempts == 0) {
-    return invalid("it allows no attempt");
+    return invalid("attempts must be at least 1");
   }
   std::uint64_t weights = 0;
   for (const TrafficSplit& split : route.splits) {
@@ -31,7 +31,7 @@
     weights += split.weight;
   }
   if (weights == 0) {
-    return invalid("its weights add up to zero");
+    return invalid("weights of its services add up to zero");
   }
   return {};
 }
@@ -43,18 +43,19 @@
   std::set<std::string> services;
   for (const Service& service : configuration.services) {
     if (service.name.empty() || !services.insert(service.name).second) {
-      return base::fail(base::ErrorCode::kInvalidInput, "a service has no name of its own");
+      return base::fail(base::ErrorCode::kInvalidInput, "service name is empty or used twice");
     }
     if (service.scaling) {
       BOOST_LEAF_CHECK(duties::validate(*service.scaling));
     }
   }
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> routeKeys;
   for (const Route& route : configuration.routes) {
     BOOST_LEAF_CHECK(validateRoute(route, services));
-    if (!places.emplace(route.host, route.pathPrefix).second) {
-      return base::fail(base::ErrorCode::kInvalidInput,
-                        "route " + route.name + ": another has the same host and prefix");
+    if (!routeKeys.emplace(route.host, route.pathPrefix).second) {
+      return base::fail(
+          base::ErrorCode::kInvalidInput,
+          "route " + route.name + ": another route has the same host and path prefix");
     }
   }
   return {};
--- a/src/directory/weights_plan.cpp
+++ b/src/directory/demand_load_policy.cpp
@@ -1,4 +1,4 @@
-#include "directory/weights_plan.h"
+#include "directory/demand_load_policy.h"
 
 #include <algorithm>
 #include <map>
@@ -13,7 +13,7 @@
 
 using Candidates = ModelRanking::Candidates;
 
-/// Engines by model, those with the oldest weights first.
+/// Returns the candidates by model, those with the oldest weights first.
 std::map<std::string, Candidates> byModel(const std::vector<LoadCandidate>& candidates) {
   std::map<std::string, Candidates> sorted;
   for (const LoadCandidate& candidate : candidates) {
@@ -30,33 +30,36 @@
 
 }  // namespace
 
-std::vector<PlannedLoad> WeightsPlan::plan(const std::vector<LoadCandidate>& candidates,
-                                           const ModelLoadStates& models, base::Duration loadTime,
-                                           base::TimePoint now) const {
-  const bool knowsSteps = std::any_of(
-      models.begin(), models.end(), [](const auto& model) { return !model.second.needs.empty(); });
-  if (!knowsSteps) {
-    return m_oldestFirst.plan(candidates, models, loadTime, now);
+std::vector<PlannedLoad> DemandLoadPolicy::plan(const std::vector<LoadCandidate>& candidates,
+                                                const ModelLoadStates& models,
+                                                base::Duration loadTime,
+                                                base::TimePoint now) const {
+  const bool hasKnownSteps = std::any_of(models.begin(), models.end(), [](const auto& model) {
+    return !model.second.stepDemands.empty();
+  });
+  if (!hasKnownSteps) {
+    return m_fallback.plan(candidates, models, loadTime, now);
   }
   std::vector<RankedLoad> ranked;
   ranked.reserve(candidates.size());
   for (auto& [name, engines] : byModel(candidates)) {
     const ModelLoadState& model = models.at(name);
-    if (!model.needs.empty()) {
-      ModelRanking(model, m_settlingTime, loadTime, now).rank(engines, ranked);
+    if (!model.stepDemands.empty()) {
+      ModelRanking(model, m_gracePeriod, loadTime, now).rank(engines, ranked);
       continue;
     }
     for (const LoadCandidate* engine : engines) {
-      if (m_oldestFirst.isDue(*engine, model, now)) {
+      if (m_fallback.isDue(*engine, model, now)) {
         ranked.push_back(
-            {LoadUrgency::kExpectedStep, model.publishedAt - now, 0, PlannedLoad{engine, false}});
+            {LoadPriority::kExpectedStep, model.publishedAt - now, 0, PlannedLoad{engine, false}});
       }
     }
   }
   std::stable_sort(
       ranked.begin(), ranked.end(), [](const RankedLoad& left, const RankedLoad& right) {
-        return std::tuple(left.urgency, left.key, left.covered, left.load.candidate->held) <
-               std::tuple(right.urgency, right.key, right.covered, right.load.candidate->held);
+        return std::tuple(left.priority, left.sortKey, left.coverage, left.load.candidate->held) <
+               std::tuple(right.priority, right.sortKey, right.coverage,
+                          right.load.candidate->held);
       });
   std::vector<PlannedLoad> loads;
   loads.reserve(ranked.size());
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// What gateways, ledgers, instances and operators ask of the controllers of a cluster that forms
-/// itself, and what goes through the controllers' log.
+/// Requests to the controllers of a self-formed cluster, their replies, and the commands in the
+/// controllers' log.
 #pragma once
 
 #include <cstdint>
@@ -26,13 +26,13 @@
 
 enum class NodeRole : std::uint8_t { kController, kLedger, kGateway };
 
-/// One process of ours.
+/// A controller, ledger or gateway process.
 struct NodeRecord {
   base::NodeId node;
   NodeRole role = NodeRole::kGateway;
   std::string name;
   std::string zone;
-  std::string controlAddress;  ///< host:port of its control interface; controllers only
+  std::string controlAddress;  ///< host:port of the control interface; controllers only
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -40,18 +40,20 @@
   }
 };
 
-/// One run of an engine or server process. A restart is another instance, also under the same name.
+/// One run of an engine or server process. A restarted process is another instance, even under the
+/// same name.
 struct InstanceRecord {
   std::string id;  ///< key of its Incarnation
   std::string service;
-  std::string host;  ///< an IP number
+  std::string host;  ///< an IP address
   std::uint16_t port = 0;
   std::string zone;
   std::uint32_t slots = 0;
-  bool draining = false;  ///< gets no new work, ever
-  /// The platform may take it away at short notice.
+  bool draining = false;  ///< gets no new work for the rest of its life
+  /// Whether the platform may terminate it at short notice.
   bool preemptible = false;
-  /// Until a draining instance ends, from when that was first heard; zero: it ends when it is done.
+  /// Time from the first report of draining until termination; zero if the instance terminates when
+  /// its work is done.
   base::Duration timeToTermination{0};
 
   bool operator==(const InstanceRecord&) const = default;
@@ -62,23 +64,24 @@
   }
 };
 
-/// True when a heartbeat with `heard` changes nothing of the registration `known`.
-[[nodiscard]] inline bool confirmsRegistration(const InstanceRecord& known,
-                                               const InstanceRecord& heard) {
-  return known.service == heard.service && known.host == heard.host && known.port == heard.port &&
-         known.slots == heard.slots && known.zone == heard.zone &&
-         (known.preemptible || !heard.preemptible) && (known.draining || !heard.draining) &&
+/// Whether a heartbeat with the record `reported` changes nothing in the registration `known`.
+[[nodiscard]] inline bool matchesRegistration(const InstanceRecord& known,
+                                              const InstanceRecord& reported) {
+  return known.service == reported.service && known.host == reported.host &&
+         known.port == reported.port && known.slots == reported.slots &&
+         known.zone == reported.zone && (known.preemptible || !reported.preemptible) &&
+         (known.draining || !reported.draining) &&
          (known.timeToTermination > base::Duration{0} ||
-          heard.timeToTermination == base::Duration{0});
+          reported.timeToTermination == base::Duration{0});
 }
 
-/// An instance as gateways see it.
+/// State of an instance as sent to gateways.
 struct InstanceView {
   InstanceRecord record;
-  bool unresponsive = false;                      ///< heartbeats are overdue: it may be dead
-  std::map<std::string, std::uint64_t> versions;  ///< weights by model
-  bool loading = false;  ///< it was ordered to change weights and has not reported them
-  bool standby = false;  ///< no model needs it now: it gets work only when the others are full
+  bool unresponsive = false;                      ///< heartbeats are overdue
+  std::map<std::string, std::uint64_t> versions;  ///< weights version by model
+  bool loading = false;  ///< it was sent a load command and has not reported the version
+  bool standby = false;  ///< gets work only when the other engines are full
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -86,7 +89,7 @@
   }
 };
 
-// Requests.
+// Requests
 
 struct ReplaceConfiguration {
   Configuration configuration;
@@ -107,7 +110,7 @@
 /// An instance's heartbeat.
 struct InstanceHeartbeat {
   InstanceRecord record;
-  std::uint64_t sequence = 0;  ///< rises with each; a lower one came late
+  std::uint64_t sequence = 0;  ///< increases with each heartbeat; a lower one is late
   std::map<std::string, std::uint64_t> versions;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -116,7 +119,7 @@
 };
 
 struct DeregisterInstance {
-  std::string id;  ///< without a start: the newest incarnation of that name
+  std::string id;  ///< without a start time: the newest incarnation of that name
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id);
@@ -132,21 +135,21 @@
   }
 };
 
-/// A node reports itself and asks for what changed; the answer is held back for a while when
-/// nothing did.
+/// Reports a node and requests changes of the view. The reply is delayed up to `hold` while there
+/// are none.
 struct Watch {
   NodeRecord node;
-  std::uint64_t configurationVersion = 0;  ///< in force there
-  std::uint64_t revision = 0;              ///< of the view it has
+  std::uint64_t configurationVersion = 0;  ///< version that the node applies
+  std::uint64_t revision = 0;              ///< revision of the view that the node holds
   base::Duration hold{0};
-  /// From the ledgers' leader: who belongs to its group, once no change of that is under way.
+  /// From the ledgers' leader only: membership of its group while no change of it is in progress.
   std::optional<consensus::Membership> ledgerMembership;
-  /// From gateways: recent work by model (see ModelDemand).
+  /// From gateways only: recent demand by model (see ModelDemand).
   std::map<std::string, double> recentDemand;
-  /// From the ledgers' leader only.
+  /// From the ledgers' leader only: open jobs.
   std::optional<jobs::OpenJobsByModel> openJobs;
-  duties::GatewayUsage usage;  ///< from gateways
-  base::WallTime clock;        ///< what the node's clock shows
+  duties::GatewayUsage usage;  ///< from gateways only
+  base::WallTime clock;        ///< wall clock of the node
   template <class Archive>
   void serialize(Archive& archive) {
     archive(node, configurationVersion, revision, hold, ledgerMembership, recentDemand, openJobs,
@@ -154,7 +157,7 @@
   }
 };
 
-/// Asks that a ledger machine be emptied, so that it can be taken away.
+/// Requests that a ledger machine be emptied so that it can be removed.
 struct RetireNode {
   std::string name;
   template <class Archive>
@@ -171,7 +174,7 @@
   }
 };
 
-/// What a gateway has counted, between two watches.
+/// Usage that a gateway has counted since its last watch.
 struct ReportUsage {
   duties::GatewayUsage usage;
   template <class Archive>
@@ -180,7 +183,7 @@
   }
 };
 
-/// What is open at the ledgers, told by their leader as soon as a job comes or ends.
+/// Open jobs, sent by the ledgers' leader as soon as a job is submitted or ends.
 struct ReportOpenJobs {
   jobs::OpenJobsByModel openJobs;
   template <class Archive>
@@ -189,11 +192,11 @@
   }
 };
 
-/// A heartbeat that only confirms a registration.
+/// A heartbeat that changes nothing in the registration.
 struct RelayedHeartbeat {
   std::string id;
   std::uint64_t sequence = 0;
-  /// Nothing: they are those that were told last.
+  /// std::nullopt if unchanged since the last relayed heartbeat.
   std::optional<std::map<std::string, std::uint64_t>> versions;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -201,7 +204,7 @@
   }
 };
 
-/// Heartbeats that another controller has answered.
+/// Heartbeats that another controller has acknowledged.
 struct RelayHeartbeats {
   std::vector<RelayedHeartbeat> heartbeats;
   template <class Archive>
@@ -210,7 +213,7 @@
   }
 };
 
-/// An operator asks where the weights of all models stand.
+/// Requests the weights summary of all models.
 struct ReadWeights {
   std::uint8_t reserved = 0;
   template <class Archive>
@@ -225,17 +228,17 @@
                  quarantine::ReportCrashes, quarantine::RequestTrial, quarantine::ReadQuarantine,
                  quarantine::ReleaseRequest, ReportOpenJobs, duties::ReadCapacity, ReadWeights>;
 
-// Answers.
+// Replies
 
 enum class DirectoryStatus : std::uint8_t {
   kDone,
-  kInvalid,   ///< breaks a rule: `text` says which
-  kNotFound,  ///< nothing of that name
-  kConflict,  ///< too few would remain
-  kRunning,   ///< begun and not finished
+  kInvalid,   ///< the request is invalid; `text` gives the reason
+  kNotFound,  ///< unknown name
+  kConflict,  ///< the request conflicts with the current state; `text` gives the reason
+  kRunning,   ///< started, not complete
 };
 
-/// A ledger as the leading controller hears it.
+/// State of a ledger as seen by the leading controller.
 struct LedgerSummary {
   base::NodeId node;
   base::Duration silence{0};
@@ -248,35 +251,35 @@
   }
 };
 
-/// Revisions of different leaders must not be confused: the bits from here up are the leader's
-/// term.
+/// Revisions contain the leader's term from this bit up, so that revisions of different leaders
+/// differ.
 inline constexpr unsigned kRevisionTermShift = 40;
 
-/// What a node learns from a watch.
+/// View of the cluster in the reply to a watch.
 struct DirectoryView {
   std::uint64_t revision = 0;
-  bool isFull = true;                          ///< else `instances` and `removed` are changes
-  std::uint64_t since = 0;                     ///< ... to the view of this revision
-  std::vector<std::string> removed;            ///< ids of instances that are gone
-  std::optional<Configuration> configuration;  ///< when newer than the node's
+  bool isFull = true;                          ///< if false, `instances` and `removed` are changes
+  std::uint64_t baseRevision = 0;              ///< revision that an incremental view applies to
+  std::vector<std::string> removed;            ///< ids of removed instances
+  std::optional<Configuration> configuration;  ///< set if newer than the node's
   std::uint64_t configurationVersion = 0;
   std::vector<InstanceView> instances;
   std::map<std::string, std::uint64_t> publishedVersions;
   std::vector<base::NodeId> controllers;
   std::vector<LedgerSummary> ledgers;
-  std::set<base::NodeId> initialLedgerVoters;  ///< first voters; empty until decided
-  /// Of the ledgers' group, as its leader last reported them; empty until it has.
+  std::set<base::NodeId> initialLedgerVoters;  ///< empty until decided
+  /// Voters of the ledgers' group as last reported by its leader; empty before the first report.
   std::set<base::NodeId> ledgerVoters;
-  std::uint32_t gateways = 1;  ///< heard of lately
-  bool allNodesSeen = false;   ///< the leader has led long enough to have heard of every node
-  /// Usage of earlier windows is decided; zero: none is.
+  std::uint32_t gateways = 1;  ///< gateways seen recently, at least 1
+  bool allNodesSeen = false;   ///< the leader has led for longer than the heartbeat timeout
+  /// Usage of windows before this one is final; zero if none is.
   duties::WindowNumber firstOpenUsageWindow = 0;
-  std::vector<quarantine::HeldRequest> heldRequests;  ///< by fingerprint
-  base::WallTime clusterTime;  ///< when this was told: true time, as the leader sees it
+  std::vector<quarantine::HeldRequest> heldRequests;  ///< sorted by fingerprint
+  base::WallTime clusterTime;  ///< the leader's estimate of true time when the reply was sent
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(revision, isFull, since, removed, configuration, configurationVersion, instances,
+    archive(revision, isFull, baseRevision, removed, configuration, configurationVersion, instances,
             publishedVersions, controllers, ledgers, initialLedgerVoters, ledgerVoters, gateways,
             allNodesSeen, firstOpenUsageWindow, heldRequests, clusterTime);
   }
@@ -284,15 +287,14 @@
 
 struct DirectoryReply {
   DirectoryStatus status = DirectoryStatus::kDone;
-  std::string text;  ///< a document, an address, or what is wrong
+  std::string text;  ///< a document, an address or an error message
   std::optional<DirectoryView> view;
-  /// Instead of `view`: the same, encoded and compressed. Nodes that hold the same get the same
-  /// bytes: whole views of 3,000 instances are 1 MB each, and after a change of leader 300 nodes
-  /// want one at once.
+  /// Replaces `view`: the same content, encoded and compressed. Nodes that hold the same revision
+  /// share one encoded view.
   base::Bytes compressedView = {};
-  std::vector<quarantine::HoldSummary> holds = {};  ///< answers ReadQuarantine
-  std::vector<duties::PoolSummary> capacity = {};   ///< answers ReadCapacity
-  /// Answers ReadWeights; nothing while a new leader has not begun to decide.
+  std::vector<quarantine::HoldSummary> holds = {};  ///< reply to ReadQuarantine
+  std::vector<duties::PoolSummary> capacity = {};   ///< reply to ReadCapacity
+  /// Reply to ReadWeights; std::nullopt until a new leader is initialized.
   std::optional<WeightsSummary> weights = {};
 
   template <class Archive>
@@ -301,12 +303,13 @@
   }
 };
 
-/// Packs the reply's view.
+/// Replaces the reply's view by its compressed encoding.
 void compressView(DirectoryReply& reply);
-/// The reply's view, unpacked where it is packed; nothing when it has none or it is damaged.
+/// Returns the reply's view, decompressed if necessary; std::nullopt if there is none or it is
+/// corrupt.
 [[nodiscard]] std::optional<DirectoryView> decodeView(const DirectoryReply& reply);
 
-// Through the log.
+// Commands in the log
 
 struct RegisterInstance {
   InstanceRecord record;
@@ -316,19 +319,19 @@
   }
 };
 
-/// It left.
+/// Removes an instance that was deregistered.
 struct RemoveInstance {
   std::string id;
-  bool final = false;  ///< a late heartbeat of it must not bring it back
+  bool permanent = false;  ///< the instance must not register again
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, final);
+    archive(id, permanent);
   }
 };
 
-/// Instances that have been unresponsive for so long that they are taken for dead. In one entry,
-/// since those that are lost together are unresponsive together.
-struct ForgetInstances {
+/// Removes instances whose heartbeat timeout has expired. One entry holds many, since instances
+/// that fail together expire together.
+struct ExpireInstances {
   std::vector<std::string> ids;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -336,7 +339,7 @@
   }
 };
 
-/// The weights that one instance holds, by model.
+/// Weights versions that one instance holds, by model.
 struct HeldVersions {
   std::string id;
   std::map<std::string, std::uint64_t> versions;
@@ -346,8 +349,8 @@
   }
 };
 
-/// The weights that instances hold, so that a new leader need not wait for heartbeats. Many in one
-/// entry: a version of weights changes hundreds of instances within a second.
+/// Records the weights that instances hold, so that a new leader need not wait for heartbeats. One
+/// entry holds many instances, since a new version changes most engines within a short time.
 struct RecordVersions {
   std::vector<HeldVersions> instances;
   template <class Archive>
@@ -356,7 +359,7 @@
   }
 };
 
-/// The model that an engine follows; empty: none.
+/// The model that an engine is assigned to; empty if none.
 struct EngineAssignment {
   std::string id;
   std::string model;
@@ -366,8 +369,8 @@
   }
 };
 
-/// Which models engines follow. A leader that had to find that anew, from weights and from work
-/// that it has not heard of yet, could leave a model without engines.
+/// Records changed engine assignments, so that a new leader starts from them. It could otherwise
+/// leave a model without engines until demand is reported.
 struct RecordAssignments {
   std::vector<EngineAssignment> changed;
   template <class Archive>
@@ -376,7 +379,7 @@
   }
 };
 
-/// `holder` is about to give orders to engines.
+/// Claims the command lease: `holder` is about to send commands to engines.
 struct ClaimCommandLease {
   base::NodeId holder;
   template <class Archive>
@@ -410,7 +413,7 @@
 };
 
 using DirectoryCommand = std::variant<
-    ReplaceConfiguration, RegisterInstance, RemoveInstance, ForgetInstances, PublishVersion,
+    ReplaceConfiguration, RegisterInstance, RemoveInstance, ExpireInstances, PublishVersion,
     BootstrapLedgers, BeginRetirement, CompleteRetirement, RecordVersions, ClaimCommandLease,
     duties::StartUsageReporting, duties::RecordUsage, duties::FinalizeUsage, duties::ConfirmUsage,
     RecordAssignments, quarantine::HoldRequest, quarantine::RecordTrial, quarantine::ReleaseRequest,
--- a/src/directory/directory_quarantine.cpp
+++ b/src/directory/directory_quarantine.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// DirectoryRole: requests that end the instances that run them.
+/// DirectoryRole: quarantine of requests that crash the instances that run them.
 #include "directory/directory_role.h"
 #include "quarantine/quarantine_policy.h"
 
@@ -15,7 +15,7 @@
     m_crashes.note(crash, now);
     const std::set<std::string> instances = m_crashes.instances(crash.request);
     if (instances.size() >= quarantine::kMaxCrashes) {
-      proposeQuietly(
+      proposeWithoutReply(
           quarantine::HoldRequest{crash.request, crash.service, instances, clusterTime(now)}, now);
     }
   }
@@ -29,27 +29,27 @@
     return;
   }
   const std::uint32_t trials = state_.quarantine().holds().at(request.request).trials;
-  const auto underWay = m_trialsUnderWay.find(request.request);
-  const bool taken = underWay != m_trialsUnderWay.end() && underWay->second.trials == trials;
-  if (taken && underWay->second.caller != caller) {
-    reply(caller, DirectoryStatus::kConflict, "another gateway tries it");
+  const auto pendingTrial = m_pendingTrials.find(request.request);
+  const bool taken = pendingTrial != m_pendingTrials.end() && pendingTrial->second.trials == trials;
+  if (taken && pendingTrial->second.caller != caller) {
+    reply(caller, DirectoryStatus::kConflict, "another gateway runs the trial");
     return;
   }
-  m_trialsUnderWay[request.request] = {caller, trials};
+  m_pendingTrials[request.request] = {caller, trials};
   proposeFor(caller, quarantine::RecordTrial{request.request, clusterTime(now)}, {}, now);
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const quarantine::ReadQuarantine& /*request*/,
                               base::TimePoint now) {
-  DirectoryReply answer;
-  answer.holds = state_.quarantine().summaries(clusterTime(now));
-  replyWith(caller, answer);
+  DirectoryReply reply;
+  reply.holds = state_.quarantine().summaries(clusterTime(now));
+  replyWith(caller, reply);
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const quarantine::ReleaseRequest& request,
                               base::TimePoint now) {
   m_crashes.forget(request.request);
-  m_trialsUnderWay.erase(request.request);
+  m_pendingTrials.erase(request.request);
   if (!state_.quarantine().isHeld(request.request)) {
     reply(caller, DirectoryStatus::kNotFound);
     return;
@@ -57,11 +57,11 @@
   proposeFor(caller, request, {}, now);
 }
 
-void DirectoryRole::releaseOutlived(base::TimePoint now) {
+void DirectoryRole::releaseExpiredHolds(base::TimePoint now) {
   for (const quarantine::RequestFingerprint& request :
        state_.quarantine().outlived(clusterTime(now))) {
     m_crashes.forget(request);
-    proposeQuietly(quarantine::ReleaseRequest{request}, now);
+    proposeWithoutReply(quarantine::ReleaseRequest{request}, now);
   }
 }
 
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// DirectoryRole: what nodes, instances, trainers and operators ask of the leader.
+/// DirectoryRole: handling of requests from nodes, instances, trainers and operators.
 #include <algorithm>
 #include <utility>
 
@@ -45,7 +45,7 @@
 void DirectoryRole::onRequest(const Caller& caller, const InstanceHeartbeat& request,
                               base::TimePoint now) {
   const std::string& id = request.record.id;
-  if (state_.hasLeft(id)) {
+  if (state_.isDeregistered(id)) {
     reply(caller, DirectoryStatus::kDone);
     return;
   }
@@ -53,9 +53,9 @@
   const bool late = sequence != m_heartbeatSequences.end() && request.sequence <= sequence->second;
   const auto known = state_.instances().find(id);
   const bool registered =
-      known != state_.instances().end() && confirmsRegistration(known->second, request.record);
+      known != state_.instances().end() && matchesRegistration(known->second, request.record);
   if (!late) {
-    observeReport(request, now);
+    recordHeartbeat(request, now);
   }
   if (registered || (late && !request.record.draining)) {
     reply(caller, DirectoryStatus::kDone);
@@ -84,7 +84,7 @@
   reply(caller, DirectoryStatus::kDone);
 }
 
-void DirectoryRole::observeReport(const InstanceHeartbeat& heartbeat, base::TimePoint now) {
+void DirectoryRole::recordHeartbeat(const InstanceHeartbeat& heartbeat, base::TimePoint now) {
   m_heartbeatSequences[heartbeat.record.id] = heartbeat.sequence;
   ReportedEngine& report = reports_[heartbeat.record.id];
   report.lastSeenAt = now;
@@ -93,10 +93,10 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const DeregisterInstance& request,
                               base::TimePoint now) {
-  const bool tellsStart = Incarnation::parse(request.id).born != 0;
+  const bool hasStartTime = Incarnation::parse(request.id).born != 0;
   const std::string id =
-      tellsStart ? request.id : state_.newestIncarnation(request.id).value_or(request.id);
-  if (state_.hasLeft(id)) {
+      hasStartTime ? request.id : state_.newestIncarnation(request.id).value_or(request.id);
+  if (state_.isDeregistered(id)) {
     reply(caller, DirectoryStatus::kDone);
     return;
   }
@@ -128,7 +128,7 @@
   if (request.openJobs) {
     setOpenJobs(*request.openJobs, now);
   }
-  watches_.add(caller, request, now);
+  m_watchQueue.add(caller, request, now);
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const ReportUsage& request,
@@ -145,18 +145,18 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const duties::ReadCapacity& /*request*/,
                               base::TimePoint /*now*/) {
-  DirectoryReply answer;
-  answer.capacity = m_capacity.summaries();
-  replyWith(caller, answer);
+  DirectoryReply reply;
+  reply.capacity = m_capacity.summaries();
+  replyWith(caller, reply);
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const ReadWeights& /*request*/,
                               base::TimePoint /*now*/) {
-  DirectoryReply answer;
+  DirectoryReply reply;
   if (const WeightsSummary* summary = weights()) {
-    answer.weights = *summary;
+    reply.weights = *summary;
   }
-  replyWith(caller, answer);
+  replyWith(caller, reply);
 }
 
 void DirectoryRole::completeRetirements(const consensus::Membership& ledgers, base::TimePoint now) {
@@ -164,44 +164,45 @@
     if (retirement != Retirement::kRunning) {
       continue;
     }
-    const bool member =
-        std::any_of(nodes_.begin(), nodes_.end(), [&, &wanted = name](const auto& entry) {
-          return entry.second.record.name == wanted && ledgers.contains(entry.first);
+    const bool isMember =
+        std::any_of(nodes_.begin(), nodes_.end(), [&, &retiringName = name](const auto& entry) {
+          return entry.second.record.name == retiringName && ledgers.contains(entry.first);
         });
-    // A group that cannot grow, since no other ledger is heard, must not hold a machine for ever.
-    const bool settled =
+    // The retirement completes as well if the group cannot grow because no other ledger is
+    // reachable; the machine would otherwise never be released.
+    const bool canComplete =
         ledgers.voters.size() >= settings_.repair.targetSize ||
         !cluster::canAddMember(ledgers, nodesOf(NodeRole::kLedger, now), settings_.repair);
-    if (!member && settled) {
-      proposeQuietly(CompleteRetirement{name}, now);
+    if (!isMember && canComplete) {
+      proposeWithoutReply(CompleteRetirement{name}, now);
     }
   }
 }
 
 void DirectoryRole::onRequest(const Caller& caller, const RetireNode& request,
                               base::TimePoint now) {
-  const auto begun = state_.retirements().find(request.name);
-  if (begun != state_.retirements().end()) {
+  const auto existing = state_.retirements().find(request.name);
+  if (existing != state_.retirements().end()) {
     reply(caller, DirectoryStatus::kDone);
     return;
   }
   bool known = false;
   std::size_t remaining = 0;
-  for (const auto& [node, heard] : nodes_) {
-    if (heard.record.role != NodeRole::kLedger) {
+  for (const auto& [node, knownNode] : nodes_) {
+    if (knownNode.record.role != NodeRole::kLedger) {
       continue;
     }
-    if (heard.record.name == request.name) {
+    if (knownNode.record.name == request.name) {
       known = true;
-    } else if (!state_.retirements().contains(heard.record.name) &&
-               now - heard.lastSeenAt < settings_.repair.heartbeatTimeout) {
+    } else if (!state_.retirements().contains(knownNode.record.name) &&
+               now - knownNode.lastSeenAt < settings_.repair.heartbeatTimeout) {
       ++remaining;
     }
   }
   if (!known) {
-    // A new leader has not heard of all nodes yet.
-    constexpr base::Duration kAcquaintance = base::seconds(2);
-    if (now - leader_since_ < kAcquaintance) {
+    // A new leader may not have received a watch from every node.
+    constexpr base::Duration kDiscoveryTime = base::seconds(2);
+    if (now - leader_since_ < kDiscoveryTime) {
       service_.refuse(caller, CommandStatus::kUnavailable);
     } else {
       reply(caller, DirectoryStatus::kNotFound);
@@ -242,7 +243,7 @@
                       now);
 }
 
-void DirectoryRole::proposeQuietly(const DirectoryCommand& command, base::TimePoint now) {
+void DirectoryRole::proposeWithoutReply(const DirectoryCommand& command, base::TimePoint now) {
   service_.propose(base::encode(command), now);
 }
 
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Orders, repair and the like are looked at this often.
-constexpr base::Duration kSlowWorkInterval = base::milliseconds(50);
-/// ... and where there are many instances less often: it walks all of them several times, which
-/// takes under half a microsecond for each, of which this leaves a fortieth.
-constexpr base::Duration kSlowWorkPerInstance = base::microseconds(20);
-/// Instances whose weights go into one entry of the log: about 150 KB with six models each.
+/// Interval of maintenance: load commands, group repair, expiry of instances.
+constexpr base::Duration kMaintenanceInterval = base::milliseconds(50);
+/// Minimum interval of maintenance per registered instance, which limits its share of the CPU time
+/// in large clusters.
+constexpr base::Duration kMaintenanceIntervalPerInstance = base::microseconds(20);
+/// Maximum number of instances in one RecordVersions or RecordAssignments command.
 constexpr std::size_t kMaxInstancesPerEntry = 1000;
 
 }  // namespace
@@ -31,11 +31,11 @@
       wall_(wall),
       replica_(self_.node, kDirectoryGroup, settings.replica, log, state_, random, now),
       service_(self_.node, replica_),
-      m_loadScheduler(settings.orders),
+      m_loadScheduler(settings.loads),
       m_commandLease(self_.node, settings.commandLease, log.lastIndex(), now),
       usage_(settings.usage, random),
       m_capacity(settings.capacity, random),
-      watches_(settings.watches) {}
+      m_watchQueue(settings.watches) {}
 
 void DirectoryRole::handle(base::NodeId from, const transport::RaftEnvelope& message,
                            base::TimePoint now) {
@@ -49,28 +49,28 @@
   if (!request) {
     return;
   }
-  if (!leads(now)) {
+  if (!holdsLeaderLease(now)) {
     service_.refuse(caller, CommandStatus::kNotLeader);
     return;
   }
   std::visit([&](const auto& typed) { onRequest(caller, typed, now); }, *request);
 }
 
-void DirectoryRole::onLoadCommandOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
+void DirectoryRole::onLoadCommandOutcome(const LoadCommand& command, LoadCommandOutcome outcome,
                                          base::TimePoint now) {
   if (outcome == LoadCommandOutcome::kAlreadyLoaded) {
-    const auto report = reports_.find(order.instance);
+    const auto report = reports_.find(command.instance);
     if (report != reports_.end()) {
-      std::uint64_t& held = report->second.versions[order.model];
-      held = std::max(held, order.version);
+      std::uint64_t& held = report->second.versions[command.model];
+      held = std::max(held, command.version);
     }
   }
-  m_loadScheduler.onOutcome(order, outcome, now);
+  m_loadScheduler.onOutcome(command, outcome, now);
 }
 
-void DirectoryRole::onReport(const std::string& instance,
-                             const std::map<std::string, std::uint64_t>& versions,
-                             base::TimePoint now) {
+void DirectoryRole::onVersionsPolled(const std::string& instance,
+                                     const std::map<std::string, std::uint64_t>& versions,
+                                     base::TimePoint now) {
   const auto report = reports_.find(instance);
   if (report == reports_.end()) {
     return;
@@ -82,125 +82,126 @@
 void DirectoryRole::tick(base::TimePoint now) {
   replica_.tick(now);
   const auto instances = static_cast<base::Duration::rep>(state_.instances().size());
-  const base::Duration interval = std::max(kSlowWorkInterval, kSlowWorkPerInstance * instances);
-  if (now - slow_work_at_ < interval || !begun_ || !leads(now)) {
+  const base::Duration interval =
+      std::max(kMaintenanceInterval, kMaintenanceIntervalPerInstance * instances);
+  if (now - m_maintenanceAt < interval || !m_leaderReady || !holdsLeaderLease(now)) {
     return;
   }
-  slow_work_at_ = now;
+  m_maintenanceAt = now;
   bootstrapLedgers(now);
   repairOwnGroup(now);
   expireInstances(now);
   recordVersions(now);
-  releaseOutlived(now);
-  for (const std::string& id : m_loadScheduler.dueReports(reports_, now)) {
+  releaseExpiredHolds(now);
+  for (const std::string& id : m_loadScheduler.duePolls(reports_, now)) {
     const auto record = state_.instances().find(id);
     if (record != state_.instances().end()) {
-      actions_.reportsWanted.push_back(record->second);
+      actions_.enginesToPoll.push_back(record->second);
     }
   }
-  stepUsage(now);
-  stepCapacity(now);
+  updateUsage(now);
+  updateCapacity(now);
   proposeCommands(
       m_loadScheduler.step(state_, reports_, modelDemand(now), replica_.raft().currentTerm(), now),
       now);
   recordAssignments(now);
 }
 
-void DirectoryRole::stepUsage(base::TimePoint now) {
+void DirectoryRole::updateUsage(base::TimePoint now) {
   if (state_.configuration().tenants.empty()) {
     return;
   }
-  duties::UsageReporter::Present present;
-  std::map<std::uint32_t, const HeardNode*> newest;  // a gateway that started anew tells no more
-  for (const auto& [node, heard] : nodes_) {
-    const HeardNode*& known = newest[base::nodeNumber(node)];
-    if (heard.record.role == NodeRole::kGateway &&
-        (known == nullptr || heard.lastSeenAt > known->lastSeenAt)) {
-      known = &heard;
+  duties::UsageReporter::Present input;
+  std::map<std::uint32_t, const KnownNode*>
+      latestByNumber;  // only the latest incarnation of a gateway reports usage
+  for (const auto& [node, knownNode] : nodes_) {
+    const KnownNode*& known = latestByNumber[base::nodeNumber(node)];
+    if (knownNode.record.role == NodeRole::kGateway &&
+        (known == nullptr || knownNode.lastSeenAt > known->lastSeenAt)) {
+      known = &knownNode;
     }
   }
-  for (const auto& [number, heard] : newest) {
-    if (heard != nullptr) {
-      present.gateways.insert(heard->record.node);
+  for (const auto& [number, knownNode] : latestByNumber) {
+    if (knownNode != nullptr) {
+      input.gateways.insert(knownNode->record.node);
     }
   }
-  present.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
-  present.fence = replica_.raft().currentTerm();
-  present.wall = clusterTime(now);
-  present.now = now;
-  duties::UsageReporterActions work = usage_.step(state_.usage(), present);
-  for (auto& command : work.commands) {
-    std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
+  input.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
+  input.fence = replica_.raft().currentTerm();
+  input.wall = clusterTime(now);
+  input.now = now;
+  duties::UsageReporterActions stepActions = usage_.step(state_.usage(), input);
+  for (auto& command : stepActions.commands) {
+    std::visit([&](auto& typed) { proposeWithoutReply(DirectoryCommand{std::move(typed)}, now); },
                command);
   }
-  if (work.report) {
+  if (stepActions.report) {
     const bool proposed = replica_.propose(
         base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
-        [this, report = *work.report](const base::Bytes* result, consensus::LogIndex) {
+        [this, report = *stepActions.report](const base::Bytes* result, consensus::LogIndex) {
           if (result != nullptr) {
-            noted_reports_.push_back(report);
+            m_committedReports.push_back(report);
           }
         });
     if (!proposed) {
-      takeBack({*work.report}, {}, now);
+      requeueUnsent({*stepActions.report}, {}, now);
     }
   }
 }
 
-void DirectoryRole::stepCapacity(base::TimePoint now) {
+void DirectoryRole::updateCapacity(base::TimePoint now) {
   if (!m_capacity.enabled()) {
     return;
   }
-  duties::Autoscaler::Present present;
-  present.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
-  present.fence = replica_.raft().currentTerm();
-  present.now = now;
-  present.services =
-      scaledServices(state_, presentInstances(now), m_openJobs, modelDemand(now), now);
-  duties::AutoscalerActions work = m_capacity.step(state_.capacity(), present);
-  for (auto& command : work.commands) {
-    std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
+  duties::Autoscaler::Present input;
+  input.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
+  input.fence = replica_.raft().currentTerm();
+  input.now = now;
+  input.services = scaledServices(state_, currentInstances(now), m_openJobs, modelDemand(now), now);
+  duties::AutoscalerActions stepActions = m_capacity.step(state_.capacity(), input);
+  for (auto& command : stepActions.commands) {
+    std::visit([&](auto& typed) { proposeWithoutReply(DirectoryCommand{std::move(typed)}, now); },
                command);
   }
-  actions_.capacityDecisions.insert(actions_.capacityDecisions.end(), work.decisions.begin(),
-                                    work.decisions.end());
-  if (work.call) {
-    const bool proposed =
-        replica_.propose(base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
-                         [this, call = *work.call](const base::Bytes* result, consensus::LogIndex) {
-                           if (result != nullptr) {
-                             m_notedScaleCalls.push_back(call);
-                           }
-                         });
+  actions_.capacityDecisions.insert(actions_.capacityDecisions.end(), stepActions.decisions.begin(),
+                                    stepActions.decisions.end());
+  if (stepActions.call) {
+    const bool proposed = replica_.propose(
+        base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
+        [this, call = *stepActions.call](const base::Bytes* result, consensus::LogIndex) {
+          if (result != nullptr) {
+            m_committedScaleCalls.push_back(call);
+          }
+        });
     if (!proposed) {
-      takeBack({}, {*work.call}, now);
+      requeueUnsent({}, {*stepActions.call}, now);
     }
   }
 }
 
-void DirectoryRole::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
-  m_loadScheduler.setOpenJobs(works, now);
-  m_openJobs = {works, now};
+void DirectoryRole::setOpenJobs(const jobs::OpenJobsByModel& openJobs, base::TimePoint now) {
+  m_loadScheduler.setOpenJobs(openJobs, now);
+  m_openJobs = {openJobs, now};
 }
 
-void DirectoryRole::proposeCommands(std::vector<LoadCommand> orders, base::TimePoint now) {
-  if (orders.empty()) {
+void DirectoryRole::proposeCommands(std::vector<LoadCommand> commands, base::TimePoint now) {
+  if (commands.empty()) {
     return;
   }
   replica_.propose(
       base::encode(DirectoryCommand{ClaimCommandLease{self_.node}}), now,
-      [this, orders = std::move(orders)](const base::Bytes* result, consensus::LogIndex) {
+      [this, commands = std::move(commands)](const base::Bytes* result, consensus::LogIndex) {
         if (result != nullptr) {
-          m_committedCommands.insert(m_committedCommands.end(), orders.begin(), orders.end());
+          m_committedCommands.insert(m_committedCommands.end(), commands.begin(), commands.end());
         }
       });
 }
 
 std::map<std::string, double> DirectoryRole::modelDemand(base::TimePoint now) const {
   std::map<std::string, double> demand;
-  for (const auto& [node, heard] : nodes_) {
-    if (now - heard.lastSeenAt < settings_.repair.heartbeatTimeout) {
-      for (const auto& [model, work] : heard.recentDemand) {
+  for (const auto& [node, knownNode] : nodes_) {
+    if (now - knownNode.lastSeenAt < settings_.repair.heartbeatTimeout) {
+      for (const auto& [model, work] : knownNode.recentDemand) {
         demand[model] += work;
       }
     }
@@ -221,35 +222,35 @@
   }
   const bool waited = now - leader_since_ > settings_.bootstrapTimeout;
   if (initialVoters.size() == settings_.initialLedgerVoters || (waited && !initialVoters.empty())) {
-    proposeQuietly(BootstrapLedgers{initialVoters}, now);
+    proposeWithoutReply(BootstrapLedgers{initialVoters}, now);
   }
 }
 
 void DirectoryRole::repairOwnGroup(base::TimePoint now) {
-  // Until every node had the time to report, silence means nothing.
+  // Nodes have not had time to report to a new leader yet.
   if (now - leader_since_ >= settings_.repair.heartbeatTimeout) {
     service_.repair(nodesOf(NodeRole::kController, now), settings_.repair, now);
   }
 }
 
 void DirectoryRole::expireInstances(base::TimePoint now) {
-  ForgetInstances forgotten;
+  ExpireInstances expired;
   base::SortedCursor reports(reports_);
   for (const auto& [id, record] : state_.instances()) {
     const ReportedEngine* report = reports.find(id);
     const base::TimePoint lastSeenAt = report == nullptr ? leader_since_ : report->lastSeenAt;
-    if (now - lastSeenAt > settings_.instanceSilenceLimit) {
-      forgotten.ids.push_back(id);
+    if (now - lastSeenAt > settings_.instanceTimeout) {
+      expired.ids.push_back(id);
     }
   }
-  if (!forgotten.ids.empty()) {
-    proposeOnce(forgotten, forgetting_, now);
+  if (!expired.ids.empty()) {
+    proposeIfIdle(expired, m_expiringInstances, now);
   }
   std::erase_if(reports_, [&](const auto& entry) {
-    return now - entry.second.lastSeenAt > settings_.instanceSilenceLimit;
+    return now - entry.second.lastSeenAt > settings_.instanceTimeout;
   });
   std::erase_if(nodes_, [&](const auto& entry) {
-    return now - entry.second.lastSeenAt > settings_.nodeSilenceLimit;
+    return now - entry.second.lastSeenAt > settings_.nodeTimeout;
   });
 }
 
@@ -269,7 +270,7 @@
     }
   }
   if (!changed.instances.empty()) {
-    proposeOnce(changed, recording_versions_, now);
+    proposeIfIdle(changed, recording_versions_, now);
   }
 }
 
@@ -292,62 +293,66 @@
     changes.changed.resize(kMaxInstancesPerEntry);
   }
   if (!changes.changed.empty()) {
-    proposeOnce(changes, m_recordingAssignments, now);
+    proposeIfIdle(changes, m_recordingAssignments, now);
   }
 }
 
-void DirectoryRole::proposeOnce(const DirectoryCommand& command, bool& underWay,
-                                base::TimePoint now) {
-  if (underWay) {
+void DirectoryRole::proposeIfIdle(const DirectoryCommand& command, bool& inFlight,
+                                  base::TimePoint now) {
+  if (inFlight) {
     return;
   }
-  underWay = true;
+  inFlight = true;
   const bool proposed = replica_.propose(
       base::encode(command), now,
-      [&underWay](const base::Bytes* /*result*/, consensus::LogIndex) { underWay = false; });
-  underWay = underWay && proposed;
+      [&inFlight](const base::Bytes* /*result*/, consensus::LogIndex) { inFlight = false; });
+  inFlight = inFlight && proposed;
 }
 
-void DirectoryRole::beginLeading(base::TimePoint now) {
+void DirectoryRole::initializeLeader(base::TimePoint now) {
   for (const auto& [id, versions] : state_.heldVersions()) {
     reports_.try_emplace(id, ReportedEngine{leader_since_, versions});
   }
-  m_loadScheduler.reset(m_commandLease.freeFrom(leader_since_), state_.assignments());
-  // Which engines are on standby must be known before the first view is told, or all would be news.
+  m_loadScheduler.reset(m_commandLease.earliestCommandTime(leader_since_), state_.assignments());
+  // Standby engines must be determined before the first view is sent; the next view would otherwise
+  // change all of them.
   (void)m_loadScheduler.step(state_, reports_, {}, replica_.raft().currentTerm(), now);
-  usage_.reset(state_.usage(), m_commandLease.restOfLease());
-  m_capacity.reset(state_.capacity(), m_commandLease.restOfLease(), now);
-  begun_ = true;
+  usage_.reset(state_.usage(), m_commandLease.leaseExpiry());
+  m_capacity.reset(state_.capacity(), m_commandLease.leaseExpiry(), now);
+  m_leaderReady = true;
 }
 
 DirectoryActions DirectoryRole::finish(base::TimePoint now) {
   replica_.finish(now, actions_.messages);
   observeLeadership(now);
   observeLeaseClaims(now);
-  if (!begun_ && leads(now)) {
-    beginLeading(now);
-  }
-  const std::vector<LoadCommand> noted = std::exchange(m_committedCommands, {});
-  const std::vector<duties::UsageReport> notedReports = std::exchange(noted_reports_, {});
-  const std::vector<duties::ScaleCall> notedScaleCalls = std::exchange(m_notedScaleCalls, {});
-  if (leads(now)) {
-    actions_.orders.insert(actions_.orders.end(), noted.begin(), noted.end());
-    actions_.usageReports = notedReports;
-    actions_.scaleCalls = notedScaleCalls;
+  if (!m_leaderReady && holdsLeaderLease(now)) {
+    initializeLeader(now);
+  }
+  const std::vector<LoadCommand> committedCommands = std::exchange(m_committedCommands, {});
+  const std::vector<duties::UsageReport> committedReports = std::exchange(m_committedReports, {});
+  const std::vector<duties::ScaleCall> committedScaleCalls =
+      std::exchange(m_committedScaleCalls, {});
+  if (holdsLeaderLease(now)) {
+    actions_.loadCommands.insert(actions_.loadCommands.end(), committedCommands.begin(),
+                                 committedCommands.end());
+    actions_.usageReports = committedReports;
+    actions_.scaleCalls = committedScaleCalls;
   } else {
-    // It may go on in this term, for instance when it wanted to hand over and nobody took it.
-    takeBack(notedReports, notedScaleCalls, now);
-  }
-  answerWatches(now);
-  transport::Outbox answers = std::exchange(service_.outbox(), {});
-  actions_.messages.insert(actions_.messages.end(), std::make_move_iterator(answers.begin()),
-                           std::make_move_iterator(answers.end()));
+    // This controller may still lead later in this term, for instance after a failed transfer of
+    // leadership.
+    requeueUnsent(committedReports, committedScaleCalls, now);
+  }
+  replyToWatches(now);
+  transport::Outbox replies = std::exchange(service_.outbox(), {});
+  actions_.messages.insert(actions_.messages.end(), std::make_move_iterator(replies.begin()),
+                           std::make_move_iterator(replies.end()));
   return std::exchange(actions_, {});
 }
 
-void DirectoryRole::takeBack(const std::vector<duties::UsageReport>& reports,
-                             const std::vector<duties::ScaleCall>& scaleCalls,
-                             base::TimePoint now) {
+void DirectoryRole::requeueUnsent(const std::vector<duties::UsageReport>& reports,
+                                  const std::vector<duties::ScaleCall>& scaleCalls,
+                                  base::TimePoint now) {
   for (const duties::UsageReport& report : reports) {
     usage_.onOutcome(report, duties::UsageReportOutcome::kUnknown, now);
   }
@@ -363,7 +368,7 @@
     leader_since_ = now;
     service_.endTerm();
     reports_.clear();
-    begun_ = false;
+    m_leaderReady = false;
     m_heartbeatSequences.clear();
     nodes_.clear();
     ledger_voters_.clear();
@@ -371,11 +376,11 @@
     m_openJobs = {};
     recording_versions_ = false;
     m_recordingAssignments = false;
-    forgetting_ = false;
+    m_expiringInstances = false;
     m_crashes.reset();
-    m_trialsUnderWay.clear();
-    views_.reset(raft.currentTerm() << kRevisionTermShift);
-    views_at_ = {};
+    m_pendingTrials.clear();
+    m_viewHistory.reset(raft.currentTerm() << kRevisionTermShift);
+    m_viewsUpdatedAt = {};
   }
   was_leader_ = raft.isLeader();
   observed_term_ = raft.currentTerm();
@@ -383,7 +388,7 @@
 
 void DirectoryRole::observeLeaseClaims(base::TimePoint now) {
   for (const auto& [holder, index] : state_.commandLeaseClaims()) {
-    m_commandLease.onNote(holder, index, now);
+    m_commandLease.onClaim(holder, index, now);
   }
 }
 
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -1,6 +1,6 @@
 /// \file
-/// The controller role of a cluster that forms itself: replicated directory, registration of
-/// instances, watches, orders to engines, repair of both replication groups' memberships.
+/// Controller role of a self-formed cluster: replicated directory, registration of instances,
+/// watches, load commands to engines, and membership repair of both replication groups.
 #pragma once
 
 #include <map>
@@ -29,38 +29,41 @@
 /// The ledgers' replication group.
 inline constexpr base::GroupId kLedgerGroup{2};
 
-/// Knobs of a DirectoryRole.
+/// Settings of DirectoryRole.
 struct DirectorySettings {
   consensus::ReplicaSettings replica;
-  LoadSchedulerSettings orders;
+  LoadSchedulerSettings loads;
   CommandLeaseSettings commandLease;
-  WatchPacing watches;
+  WatchQueueSettings watches;
   duties::UsageReporterSettings usage;
   duties::AutoscalerSettings capacity;
-  /// An instance unresponsive for longer is told as unresponsive. More than the time between two
-  /// heartbeats.
-  base::Duration instanceSilence = base::seconds(4);
+  /// Time without a heartbeat after which an instance is reported as unresponsive. Longer than the
+  /// heartbeat interval.
+  base::Duration overdueAfter = base::seconds(4);
   cluster::GroupRepairSettings repair;
   std::size_t initialLedgerVoters = 3;
-  /// With fewer ledgers than wanted, those that reported are the initial voters after this time.
+  /// Time after which the reachable ledgers become the initial voters if there are fewer than
+  /// initialLedgerVoters.
   base::Duration bootstrapTimeout = base::seconds(4);
-  /// An instance unresponsive for longer is taken for dead.
-  base::Duration instanceSilenceLimit = base::seconds(40);
-  /// A node unresponsive for longer is forgotten.
-  base::Duration nodeSilenceLimit = base::seconds(60);
+  /// Time without a heartbeat after which an instance is removed.
+  base::Duration instanceTimeout = base::seconds(40);
+  /// Time without a watch after which a node is removed.
+  base::Duration nodeTimeout = base::seconds(60);
 };
 
-/// What the driver must do after a turn.
+/// Actions for the caller to carry out after a call of finish().
 struct DirectoryActions {
   transport::Outbox messages;
-  std::vector<LoadCommand> orders;
-  std::vector<InstanceRecord> reportsWanted;  ///< engines to be asked for their versions
+  std::vector<LoadCommand> loadCommands;
+  /// Engines whose weights versions are to be requested.
+  std::vector<InstanceRecord> enginesToPoll;
   std::vector<duties::UsageReport> usageReports;
   std::vector<duties::ScaleCall> scaleCalls;
   std::vector<duties::CapacityDecision> capacityDecisions;
 };
 
-/// Deterministic; owned by one thread. Only the leader decides, and only under its lease.
+/// Only the leader makes decisions, and only while it holds its leader lease. Deterministic; owned
+/// by one thread.
 class DirectoryRole {
  public:
   DirectoryRole(NodeRecord self, DirectorySettings settings, consensus::LogStore& log,
@@ -68,7 +71,7 @@
 
   void handle(base::NodeId from, const transport::RaftEnvelope& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::CommandRequest& message, base::TimePoint now);
-  void onLoadCommandOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
+  void onLoadCommandOutcome(const LoadCommand& command, LoadCommandOutcome outcome,
                             base::TimePoint now);
   void onUsageOutcome(const duties::UsageReport& report, duties::UsageReportOutcome outcome,
                       base::TimePoint now) {
@@ -78,46 +81,46 @@
                       base::TimePoint now) {
     m_capacity.onOutcome(call, outcome, now);
   }
-  /// An engine told its versions.
-  void onReport(const std::string& instance, const std::map<std::string, std::uint64_t>& versions,
-                base::TimePoint now);
+  /// Records the weights versions that an engine returned when it was polled.
+  void onVersionsPolled(const std::string& instance,
+                        const std::map<std::string, std::uint64_t>& versions, base::TimePoint now);
   void tick(base::TimePoint now);
-  /// Ends a turn: syncs, applies, and says what to do.
+  /// Ends a turn: syncs the log, applies entries and returns the actions to carry out.
   [[nodiscard]] DirectoryActions finish(base::TimePoint now);
-  /// Hands leadership over before a planned stop.
+  /// Transfers leadership before a planned stop.
   void prepareStop(base::TimePoint now) { replica_.raft().transferLeadership(now); }
 
   [[nodiscard]] const DirectoryState& state() const { return state_; }
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
-  /// Where the weights of all models stand; nothing while this controller does not lead.
+  /// Returns the weights summary of all models, or nullptr if this controller does not lead.
   [[nodiscard]] const WeightsSummary* weights() const {
-    return begun_ && replica_.raft().isLeader() ? &m_loadScheduler.summary() : nullptr;
+    return m_leaderReady && replica_.raft().isLeader() ? &m_loadScheduler.summary() : nullptr;
   }
-  /// Numbers of instances, as this process last decided about them as leader.
+  /// Returns the pools as of the last decision of this process as leader.
   [[nodiscard]] const std::vector<duties::PoolSummary>& capacity() const {
     return m_capacity.summaries();
   }
-  /// Of the controllers' group, as its leader sees it.
+  /// Returns the health of the controllers' group as seen by its leader.
   [[nodiscard]] const std::optional<cluster::GroupHealth>& groupHealth() const {
     return service_.health();
   }
 
  private:
   using Caller = cluster::ServiceCaller;
-  struct HeardNode {
+  struct KnownNode {
     NodeRecord record;
     base::TimePoint lastSeenAt{};
     std::map<std::string, double> recentDemand;
   };
 
-  /// A trial that is on its way to the log.
-  struct AskedTrial {
+  /// A trial whose log entry is not committed yet.
+  struct PendingTrial {
     Caller caller;
-    std::uint32_t trials = 0;  ///< that the request had had before
+    std::uint32_t trials = 0;  ///< trials of the request before this one
   };
 
   [[nodiscard]] std::map<std::string, double> modelDemand(base::TimePoint now) const;
-  [[nodiscard]] bool leads(base::TimePoint now) const { return replica_.canRead(now); }
+  [[nodiscard]] bool holdsLeaderLease(base::TimePoint now) const { return replica_.canRead(now); }
   void onRequest(const Caller& caller, const ReplaceConfiguration& request, base::TimePoint now);
   void onRequest(const Caller& caller, const ReadConfiguration& request, base::TimePoint now);
   void onRequest(const Caller& caller, const InstanceHeartbeat& request, base::TimePoint now);
@@ -140,48 +143,50 @@
   void onRequest(const Caller& caller, const quarantine::ReleaseRequest& request,
                  base::TimePoint now);
   void completeRetirements(const consensus::Membership& ledgers, base::TimePoint now);
-  void observeReport(const InstanceHeartbeat& heartbeat, base::TimePoint now);
+  void recordHeartbeat(const InstanceHeartbeat& heartbeat, base::TimePoint now);
 
   void reply(const Caller& caller, DirectoryStatus status, std::string text = {});
   void replyWith(const Caller& caller, const DirectoryReply& reply);
-  /// Answers kDone with `text` once the command is committed.
+  /// Replies kDone with `text` once the command is committed.
   void proposeFor(const Caller& caller, const DirectoryCommand& command, const std::string& text,
                   base::TimePoint now);
-  void proposeQuietly(const DirectoryCommand& command, base::TimePoint now);
-  /// Keeps `underWay` true until the command is committed or lost.
-  void proposeOnce(const DirectoryCommand& command, bool& underWay, base::TimePoint now);
-  /// All that a node may be told, without instances and configuration.
-  [[nodiscard]] DirectoryView presentView(base::TimePoint now) const;
-  [[nodiscard]] std::vector<InstanceViewRef> presentInstances(base::TimePoint now) const;
+  void proposeWithoutReply(const DirectoryCommand& command, base::TimePoint now);
+  /// Proposes the command unless `inFlight` is set, which it stays until the command is committed
+  /// or lost.
+  void proposeIfIdle(const DirectoryCommand& command, bool& inFlight, base::TimePoint now);
+  /// Returns the current view without instances and configuration.
+  [[nodiscard]] DirectoryView currentView(base::TimePoint now) const;
+  [[nodiscard]] std::vector<InstanceViewRef> currentInstances(base::TimePoint now) const;
   [[nodiscard]] std::vector<cluster::GroupNode> nodesOf(NodeRole role, base::TimePoint now) const;
 
   void observeLeadership(base::TimePoint now);
   void observeLeaseClaims(base::TimePoint now);
-  /// Has it noted in the log that this controller gives orders, and gives them then.
-  void proposeCommands(std::vector<LoadCommand> orders, base::TimePoint now);
-  /// Reports the usage of windows that are over.
-  void stepUsage(base::TimePoint now);
-  /// Asks the platform for as many instances as are needed.
-  void stepCapacity(base::TimePoint now);
-  /// Calls that were decided but not sent are due again.
-  void takeBack(const std::vector<duties::UsageReport>& reports,
-                const std::vector<duties::ScaleCall>& scaleCalls, base::TimePoint now);
-  void setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now);
+  /// Claims the command lease in the log; the commands are sent when the claim is committed.
+  void proposeCommands(std::vector<LoadCommand> commands, base::TimePoint now);
+  /// Reports the usage of windows that have ended.
+  void updateUsage(base::TimePoint now);
+  /// Requests the required number of instances from the platform.
+  void updateCapacity(base::TimePoint now);
+  /// Marks calls that were decided but not sent as due again.
+  void requeueUnsent(const std::vector<duties::UsageReport>& reports,
+                     const std::vector<duties::ScaleCall>& scaleCalls, base::TimePoint now);
+  void setOpenJobs(const jobs::OpenJobsByModel& openJobs, base::TimePoint now);
   [[nodiscard]] base::WallTime clusterTime(base::TimePoint now) const {
     return clock_.at(now, wall_.wallNow());
   }
-  void answerWatches(base::TimePoint now);
+  void replyToWatches(base::TimePoint now);
   void bootstrapLedgers(base::TimePoint now);
   void repairOwnGroup(base::TimePoint now);
   void expireInstances(base::TimePoint now);
-  /// Releases held requests whose time is over.
-  void releaseOutlived(base::TimePoint now);
-  /// Writes the weights that instances report into the log where they changed.
+  /// Releases held requests whose hold has expired.
+  void releaseExpiredHolds(base::TimePoint now);
+  /// Records changed weights versions of instances in the log.
   void recordVersions(base::TimePoint now);
-  /// Writes the models that engines follow into the log where they changed.
+  /// Records changed engine assignments in the log.
   void recordAssignments(base::TimePoint now);
-  /// The whole log is applied: a new leader starts from the weights that it tells.
-  void beginLeading(base::TimePoint now);
+  /// Initializes the leader's state from the directory when all log entries of earlier terms are
+  /// applied.
+  void initializeLeader(base::TimePoint now);
 
   const NodeRecord self_;
   const DirectorySettings settings_;
@@ -190,33 +195,33 @@
   consensus::Replica replica_;
   cluster::GroupService service_;
 
-  // The leader's memory; empty after an election.
+  // State of the leader, cleared at the start of each term.
   bool was_leader_ = false;
-  bool begun_ = false;  ///< beginLeading() was called in this term
+  bool m_leaderReady = false;  ///< initializeLeader() was called in this term
   consensus::Term observed_term_ = 0;
   base::TimePoint leader_since_{};
   std::map<std::string, ReportedEngine> reports_;
   std::map<std::string, std::uint64_t> m_heartbeatSequences;
-  bool recording_versions_ = false;     ///< an entry with weights of instances is on its way
-  bool m_recordingAssignments = false;  ///< an entry with models that engines follow is on its way
-  bool forgetting_ = false;             ///< an entry with unresponsive instances is on its way
-  std::map<base::NodeId, HeardNode> nodes_;
-  std::set<base::NodeId> ledger_voters_;  ///< as the ledgers' leader last reported them
+  bool recording_versions_ = false;     ///< a RecordVersions command is in flight
+  bool m_recordingAssignments = false;  ///< a RecordAssignments command is in flight
+  bool m_expiringInstances = false;     ///< an ExpireInstances command is in flight
+  std::map<base::NodeId, KnownNode> nodes_;
+  std::set<base::NodeId> ledger_voters_;  ///< as last reported by the ledgers' leader
   LoadScheduler m_loadScheduler;
   CommandLease m_commandLease;
-  std::vector<LoadCommand> m_committedCommands;  ///< to be given at the end of this turn
+  std::vector<LoadCommand> m_committedCommands;  ///< sent at the end of this turn
   duties::ClusterClock clock_;
   duties::UsageReporter usage_;
-  std::vector<duties::UsageReport> noted_reports_;  ///< to be sent at the end of this turn
+  std::vector<duties::UsageReport> m_committedReports;  ///< sent at the end of this turn
   duties::Autoscaler m_capacity;
-  std::vector<duties::ScaleCall> m_notedScaleCalls;  ///< to be sent at the end of this turn
+  std::vector<duties::ScaleCall> m_committedScaleCalls;  ///< sent at the end of this turn
   ReportedOpenJobs m_openJobs;
   quarantine::CrashTally m_crashes;
-  std::map<quarantine::RequestFingerprint, AskedTrial> m_trialsUnderWay;
-  WatchQueue watches_;
-  ViewHistory views_;
-  base::TimePoint views_at_{};  ///< when views_ was last brought up to date
-  base::TimePoint slow_work_at_{};
+  std::map<quarantine::RequestFingerprint, PendingTrial> m_pendingTrials;
+  WatchQueue m_watchQueue;
+  ViewHistory m_viewHistory;
+  base::TimePoint m_viewsUpdatedAt{};  ///< when m_viewHistory was last updated
+  base::TimePoint m_maintenanceAt{};
   DirectoryActions actions_;
 };
 
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -9,13 +9,13 @@
 namespace tackpick::directory {
 namespace {
 
-/// Instances that left are remembered so long; a heartbeat is late by seconds at most.
-constexpr std::size_t kRememberedLeavers = 10'000;
+/// Maximum number of deregistered instances that are remembered to reject late heartbeats.
+constexpr std::size_t kMaxDeregistered = 10'000;
 
 }  // namespace
 
 base::Bytes DirectoryState::apply(consensus::LogIndex index, const base::Bytes& command) {
-  applying_ = index;
+  m_applyingIndex = index;
   const auto decoded = base::decode<DirectoryCommand>(command);
   if (decoded) {
     std::visit([this](const auto& typed) { applyCommand(typed); }, *decoded);
@@ -32,11 +32,11 @@
 
 void DirectoryState::applyCommand(const RegisterInstance& command) {
   const InstanceRecord& record = command.record;
-  if (hasLeft(record.id)) {
+  if (isDeregistered(record.id)) {
     return;
   }
-  displaceEarlier(record);
-  displaceFrom(record);
+  removeOlderIncarnations(record);
+  evictFromAddress(record);
   const auto [known, added] = data_.instances.try_emplace(record.id);
   InstanceRecord& stored = known->second;
   const bool draining = record.draining || stored.draining;
@@ -55,27 +55,27 @@
   ++data_.revision;
 }
 
-void DirectoryState::displaceFrom(const InstanceRecord& record) {
+void DirectoryState::evictFromAddress(const InstanceRecord& record) {
   const auto holder = m_idsByAddress.find(addressOf(record));
   if (holder == m_idsByAddress.end() || holder->second == record.id) {
     return;
   }
-  // An address belongs to the instance that registered there last.
-  end(std::string(holder->second));
+  // The latest registration at an address wins.
+  deregister(std::string(holder->second));
 }
 
-void DirectoryState::displaceEarlier(const InstanceRecord& record) {
+void DirectoryState::removeOlderIncarnations(const InstanceRecord& record) {
   const std::string name = instanceName(record.id);
-  std::vector<std::string> earlier;
+  std::vector<std::string> older;
   if (record.id != name && data_.instances.contains(name)) {
-    earlier.push_back(name);
+    older.push_back(name);
   }
   for (auto known = data_.instances.lower_bound(firstKey(name));
        known != data_.instances.end() && known->first < record.id; ++known) {
-    earlier.push_back(known->first);
+    older.push_back(known->first);
   }
-  for (const std::string& id : earlier) {
-    end(id);
+  for (const std::string& id : older) {
+    deregister(id);
   }
 }
 
@@ -94,9 +94,9 @@
   return data_.instances.contains(name) ? std::optional(name) : std::nullopt;
 }
 
-void DirectoryState::end(const std::string& id) {
+void DirectoryState::deregister(const std::string& id) {
   erase(id);
-  rememberLeft(id);
+  rememberDeregistered(id);
 }
 
 void DirectoryState::erase(const std::string& id) {
@@ -113,26 +113,26 @@
 void DirectoryState::applyCommand(const RemoveInstance& command) {
   erase(command.id);
   ++data_.revision;
-  if (command.final) {
-    rememberLeft(command.id);
+  if (command.permanent) {
+    rememberDeregistered(command.id);
   }
 }
 
-void DirectoryState::applyCommand(const ForgetInstances& command) {
+void DirectoryState::applyCommand(const ExpireInstances& command) {
   for (const std::string& id : command.ids) {
     erase(id);
   }
   ++data_.revision;
 }
 
-void DirectoryState::rememberLeft(const std::string& id) {
-  if (!left_.insert(id).second) {
+void DirectoryState::rememberDeregistered(const std::string& id) {
+  if (!m_deregistered.insert(id).second) {
     return;
   }
-  data_.leftInOrder.push_back(id);
-  if (data_.leftInOrder.size() > kRememberedLeavers) {
-    left_.erase(data_.leftInOrder.front());
-    data_.leftInOrder.pop_front();
+  data_.deregisteredOrder.push_back(id);
+  if (data_.deregisteredOrder.size() > kMaxDeregistered) {
+    m_deregistered.erase(data_.deregisteredOrder.front());
+    data_.deregisteredOrder.pop_front();
   }
 }
 
@@ -171,19 +171,19 @@
 }
 
 void DirectoryState::applyCommand(const RecordAssignments& command) {
-  for (const EngineAssignment& home : command.changed) {
-    if (home.model.empty()) {
-      data_.assignments.erase(home.id);
-    } else if (data_.instances.contains(home.id)) {
-      data_.assignments[home.id] = home.model;
+  for (const EngineAssignment& assignment : command.changed) {
+    if (assignment.model.empty()) {
+      data_.assignments.erase(assignment.id);
+    } else if (data_.instances.contains(assignment.id)) {
+      data_.assignments[assignment.id] = assignment.model;
     }
   }
 }
 
 void DirectoryState::applyCommand(const ClaimCommandLease& command) {
-  constexpr std::size_t kHoldersKept = 16;
-  data_.commandLeaseClaims[command.holder] = applying_;
-  if (data_.commandLeaseClaims.size() > kHoldersKept) {
+  constexpr std::size_t kMaxLeaseClaims = 16;
+  data_.commandLeaseClaims[command.holder] = m_applyingIndex;
+  if (data_.commandLeaseClaims.size() > kMaxLeaseClaims) {
     data_.commandLeaseClaims.erase(std::min_element(
         data_.commandLeaseClaims.begin(), data_.commandLeaseClaims.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; }));
@@ -194,7 +194,7 @@
 
 void DirectoryState::loadSnapshot(const base::Bytes& snapshot) {
   data_ = base::decode<Data>(snapshot).value_or(Data{});
-  left_ = {data_.leftInOrder.begin(), data_.leftInOrder.end()};
+  m_deregistered = {data_.deregisteredOrder.begin(), data_.deregisteredOrder.end()};
   m_idsByAddress.clear();
   for (const auto& [id, record] : data_.instances) {
     m_idsByAddress[addressOf(record)] = id;
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The replicated state of the controllers of a cluster that forms itself.
+/// Replicated state of the controllers of a self-formed cluster.
 #pragma once
 
 #include <deque>
@@ -17,10 +17,10 @@
 
 namespace tackpick::directory {
 
-/// Whether a retiring machine still holds data.
+/// State of the retirement of a ledger machine.
 enum class Retirement : std::uint8_t { kRunning, kCompleted };
 
-/// Deterministic. Owned by the controllers' replica.
+/// State machine of the controllers. Deterministic; owned by the controllers' replica.
 class DirectoryState final : public consensus::StateMachine {
  public:
   base::Bytes apply(consensus::LogIndex index, const base::Bytes& command) override;
@@ -32,28 +32,27 @@
   [[nodiscard]] const std::map<std::string, InstanceRecord>& instances() const {
     return data_.instances;
   }
-  /// The weights that instances held when that was last written, by instance and model.
+  /// Returns the last recorded weights versions by instance and model.
   [[nodiscard]] const std::map<std::string, std::map<std::string, std::uint64_t>>& heldVersions()
       const {
     return data_.heldVersions;
   }
-  /// The model that each engine follows, as that was last written.
+  /// Returns the last recorded engine assignments by instance.
   [[nodiscard]] const std::map<std::string, std::string>& assignments() const {
     return data_.assignments;
   }
-  /// Who has noted that it gives orders, with the index of its newest note. The few latest holders
-  /// are kept.
+  /// Log index of the latest lease claim by holder; only the most recent holders are kept.
   using CommandLeaseClaims = std::map<base::NodeId, consensus::LogIndex>;
   [[nodiscard]] const CommandLeaseClaims& commandLeaseClaims() const {
     return data_.commandLeaseClaims;
   }
-  /// True when that instance has said that it leaves for good, another has its address, or it has
-  /// started again since.
-  [[nodiscard]] bool hasLeft(const std::string& id) const {
-    return left_.contains(id) || isSuperseded(id);
+  /// Whether the instance was deregistered for good, another instance took over its address, or a
+  /// newer incarnation is registered.
+  [[nodiscard]] bool isDeregistered(const std::string& id) const {
+    return m_deregistered.contains(id) || isSuperseded(id);
   }
-  /// Key of the newest registered incarnation of the instance that `id` names; nothing when none
-  /// is.
+  /// Returns the key of the newest registered incarnation of the instance that `id` names;
+  /// std::nullopt if none is registered.
   [[nodiscard]] std::optional<std::string> newestIncarnation(const std::string& id) const;
   [[nodiscard]] const std::map<std::string, std::uint64_t>& versions() const {
     return data_.versions;
@@ -67,7 +66,7 @@
   [[nodiscard]] const duties::UsageState& usage() const { return data_.usage; }
   [[nodiscard]] const duties::CapacityState& capacity() const { return data_.capacity; }
   [[nodiscard]] const quarantine::QuarantineState& quarantine() const { return data_.quarantine; }
-  /// Rises with every change.
+  /// Returns the revision, which increases with every change.
   [[nodiscard]] std::uint64_t revision() const { return data_.revision; }
 
  private:
@@ -77,7 +76,7 @@
     std::map<std::string, InstanceRecord> instances;
     std::map<std::string, std::map<std::string, std::uint64_t>> heldVersions;
     std::map<std::string, std::string> assignments;
-    std::deque<std::string> leftInOrder;
+    std::deque<std::string> deregisteredOrder;
     std::map<std::string, std::uint64_t> versions;
     std::set<base::NodeId> initialLedgerVoters;
     std::map<std::string, Retirement> retirements;
@@ -88,15 +87,16 @@
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(revision, configuration, instances, heldVersions, assignments, leftInOrder, versions,
-              initialLedgerVoters, retirements, commandLeaseClaims, usage, quarantine, capacity);
+      archive(revision, configuration, instances, heldVersions, assignments, deregisteredOrder,
+              versions, initialLedgerVoters, retirements, commandLeaseClaims, usage, quarantine,
+              capacity);
     }
   };
 
   void applyCommand(const ReplaceConfiguration& command);
   void applyCommand(const RegisterInstance& command);
   void applyCommand(const RemoveInstance& command);
-  void applyCommand(const ForgetInstances& command);
+  void applyCommand(const ExpireInstances& command);
   void applyCommand(const PublishVersion& command);
   void applyCommand(const BootstrapLedgers& command);
   void applyCommand(const BeginRetirement& command);
@@ -120,24 +120,23 @@
   [[nodiscard]] static Address addressOf(const InstanceRecord& record) {
     return {record.host, record.port};
   }
-  /// Whoever else has that address has ended.
-  void displaceFrom(const InstanceRecord& record);
-  /// Earlier incarnations of that instance have ended.
-  void displaceEarlier(const InstanceRecord& record);
-  /// True when a later incarnation of the same instance is registered.
+  /// Deregisters another instance that holds the same address.
+  void evictFromAddress(const InstanceRecord& record);
+  /// Deregisters older incarnations of the same instance.
+  void removeOlderIncarnations(const InstanceRecord& record);
+  /// Whether a newer incarnation of the same instance is registered.
   [[nodiscard]] bool isSuperseded(const std::string& id) const;
-  /// Erases an instance that has ended: a heartbeat of it that was delayed must not bring it back.
-  void end(const std::string& id);
+  /// Erases an instance for good: a delayed heartbeat must not register it again.
+  void deregister(const std::string& id);
   void erase(const std::string& id);
-  void rememberLeft(const std::string& id);
+  void rememberDeregistered(const std::string& id);
 
   Data data_;
-  /// Of data_.instances. With it a registration costs the same however many there are; comparing
-  /// addresses one by one kept five controllers busy for minutes when 10,000 instances registered
-  /// (11.8 s of a whole core each against 0.08 s).
+  /// Index of data_.instances, which makes the cost of a registration independent of the number of
+  /// instances.
   std::map<Address, std::string> m_idsByAddress;
-  consensus::LogIndex applying_ = 0;  ///< index of the command that is applied
-  std::set<std::string> left_;
+  consensus::LogIndex m_applyingIndex = 0;  ///< index of the command being applied
+  std::set<std::string> m_deregistered;
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// DirectoryRole: what nodes are told.
+/// DirectoryRole: views sent to nodes.
 #include <algorithm>
 #include <utility>
 
@@ -12,9 +12,8 @@
 
 namespace {
 
-/// Views and watches are looked at this often, and where there are many instances less often: to
-/// compare one with what was told takes half a microsecond, of which this leaves a
-/// twentieth.
+/// Interval at which the view is updated and watches are answered, and its minimum per registered
+/// instance, which limits the CPU time of comparisons in large clusters.
 constexpr base::Duration kViewInterval = base::milliseconds(5);
 constexpr base::Duration kViewIntervalPerInstance = base::microseconds(10);
 
@@ -22,16 +21,16 @@
 
 std::vector<cluster::GroupNode> DirectoryRole::nodesOf(NodeRole role, base::TimePoint now) const {
   std::vector<cluster::GroupNode> nodes;
-  for (const auto& [node, heard] : nodes_) {
-    if (heard.record.role == role) {
+  for (const auto& [node, knownNode] : nodes_) {
+    if (knownNode.record.role == role) {
       nodes.push_back(
-          {node, now - heard.lastSeenAt, state_.retirements().contains(heard.record.name)});
+          {node, now - knownNode.lastSeenAt, state_.retirements().contains(knownNode.record.name)});
     }
   }
   return nodes;
 }
 
-std::vector<InstanceViewRef> DirectoryRole::presentInstances(base::TimePoint now) const {
+std::vector<InstanceViewRef> DirectoryRole::currentInstances(base::TimePoint now) const {
   static const std::map<std::string, std::uint64_t> kNoVersions;
   std::vector<InstanceViewRef> instances;
   instances.reserve(state_.instances().size());
@@ -42,7 +41,7 @@
     InstanceViewRef instance;
     instance.record = &record;
     instance.versions = report == nullptr ? &kNoVersions : &report->versions;
-    instance.unresponsive = now - lastSeenAt > settings_.instanceSilence;
+    instance.unresponsive = now - lastSeenAt > settings_.overdueAfter;
     instance.loading = m_loadScheduler.isLoading(id, reports_, now);
     instance.standby = m_loadScheduler.isStandby(record);
     instances.push_back(instance);
@@ -50,7 +49,7 @@
   return instances;
 }
 
-DirectoryView DirectoryRole::presentView(base::TimePoint now) const {
+DirectoryView DirectoryRole::currentView(base::TimePoint now) const {
   DirectoryView view;
   view.publishedVersions = state_.versions();
   view.initialLedgerVoters = state_.initialLedgerVoters();
@@ -58,12 +57,13 @@
   const auto& voters = replica_.raft().membership().voters;
   view.controllers.assign(voters.begin(), voters.end());
   view.gateways = 0;
-  for (const auto& [node, heard] : nodes_) {
-    if (heard.record.role == NodeRole::kGateway) {
-      view.gateways += now - heard.lastSeenAt < settings_.repair.heartbeatTimeout ? 1 : 0;
-    } else if (heard.record.role == NodeRole::kLedger) {
-      view.ledgers.push_back({node, now - heard.lastSeenAt,
-                              state_.retirements().contains(heard.record.name), heard.record.zone});
+  for (const auto& [node, knownNode] : nodes_) {
+    if (knownNode.record.role == NodeRole::kGateway) {
+      view.gateways += now - knownNode.lastSeenAt < settings_.repair.heartbeatTimeout ? 1 : 0;
+    } else if (knownNode.record.role == NodeRole::kLedger) {
+      view.ledgers.push_back({node, now - knownNode.lastSeenAt,
+                              state_.retirements().contains(knownNode.record.name),
+                              knownNode.record.zone});
     }
   }
   view.gateways = std::max(view.gateways, 1U);
@@ -73,22 +73,22 @@
   return view;
 }
 
-void DirectoryRole::answerWatches(base::TimePoint now) {
-  if (!leads(now)) {
-    watches_.refuseAll(
+void DirectoryRole::replyToWatches(base::TimePoint now) {
+  if (!holdsLeaderLease(now)) {
+    m_watchQueue.rejectAll(
         [&](const Caller& caller) { service_.refuse(caller, CommandStatus::kNotLeader); });
     return;
   }
   const auto instances = static_cast<base::Duration::rep>(state_.instances().size());
   const base::Duration interval = std::max(kViewInterval, kViewIntervalPerInstance * instances);
-  const bool recent = views_at_ != base::TimePoint{} && now - views_at_ < interval;
+  const bool recent = m_viewsUpdatedAt != base::TimePoint{} && now - m_viewsUpdatedAt < interval;
   if (recent) {
     return;
   }
-  views_at_ = now;
-  views_.update(presentInstances(now), presentView(now));
-  watches_.answer(
-      views_, state_.configuration(), nodes_.size(), clusterTime(now), now,
+  m_viewsUpdatedAt = now;
+  m_viewHistory.update(currentInstances(now), currentView(now));
+  m_watchQueue.sendReplies(
+      m_viewHistory, state_.configuration(), nodes_.size(), clusterTime(now), now,
       [&](const Caller& caller, const base::Bytes& payload) { service_.reply(caller, payload); });
 }
 
--- a/src/directory/engine_assigner.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -10,7 +10,8 @@
 namespace tackpick::directory {
 namespace {
 
-/// Engines for each model: at least one while there are enough, the others in proportion to demand.
+/// Returns the share of engines by model: at least one while there are enough, the rest in
+/// proportion to demand.
 std::map<std::string, std::size_t> engineShares(const std::vector<std::string>& models,
                                                 const std::map<std::string, double>& demand,
                                                 std::size_t engineCount) {
@@ -24,21 +25,21 @@
   const double equal = 1.0 / static_cast<double>(models.size());
   const auto engines = static_cast<double>(engineCount);
   std::map<std::string, std::size_t> shares;
-  for (std::size_t given = 0; given < engineCount; ++given) {
+  for (std::size_t assigned = 0; assigned < engineCount; ++assigned) {
     // The next engine goes to the model that is furthest below its share.
-    std::string neediest;
-    double worst = 0;
+    std::string mostUnderserved;
+    double largestDeficit = 0;
     for (const auto& [model, weight] : weights) {
       const double fraction = total > 0 ? weight / total : equal;
       const double need = shares[model] == 0
                               ? engines + fraction
                               : fraction * engines - static_cast<double>(shares[model]);
-      if (neediest.empty() || need > worst) {
-        neediest = model;
-        worst = need;
+      if (mostUnderserved.empty() || need > largestDeficit) {
+        mostUnderserved = model;
+        largestDeficit = need;
       }
     }
-    ++shares[neediest];
+    ++shares[mostUnderserved];
   }
   return shares;
 }
@@ -57,24 +58,27 @@
 }
 
 void EngineAssigner::reset(EngineAssignments assignments) {
-  m_homes = std::move(assignments);
+  m_assignments = std::move(assignments);
   m_servicesWithStandby.clear();
 }
 
 void EngineAssigner::assign(const DirectoryState& state, const ReportedEngines& engines,
                             const std::map<std::string, double>& demand, base::TimePoint now) {
-  std::erase_if(m_homes, [&](const auto& home) { return !state.instances().contains(home.first); });
+  std::erase_if(m_assignments, [&](const auto& assignment) {
+    return !state.instances().contains(assignment.first);
+  });
   m_engineCount = 0;
   for (const Service& service : state.configuration().services) {
     if (!service.models.empty()) {
-      assignOf(service, state, engines, demand, now);
+      assignService(service, state, engines, demand, now);
     }
   }
 }
 
-void EngineAssigner::assignOf(const Service& service, const DirectoryState& state,
-                              const ReportedEngines& engines,
-                              const std::map<std::string, double>& demand, base::TimePoint now) {
+void EngineAssigner::assignService(const Service& service, const DirectoryState& state,
+                                   const ReportedEngines& engines,
+                                   const std::map<std::string, double>& demand,
+                                   base::TimePoint now) {
   std::map<std::string, std::size_t> counts;
   for (const std::string& model : service.models) {
     counts[model] = 0;
@@ -82,29 +86,29 @@
   std::vector<const InstanceRecord*> unassigned;
   std::size_t engineCount = 0;
   std::size_t totalSlots = 0;
-  base::SortedCursor assignments(m_homes);
+  base::SortedCursor assignments(m_assignments);
   for (const auto& [id, record] : state.instances()) {
     if (record.service != service.name || record.draining) {
       continue;
     }
     ++engineCount;
     totalSlots += record.slots;
-    const std::string* home = assignments.find(id);
-    if (home != nullptr && counts.contains(*home)) {
-      ++counts[*home];
+    const std::string* assignment = assignments.find(id);
+    if (assignment != nullptr && counts.contains(*assignment)) {
+      ++counts[*assignment];
     } else {
       unassigned.push_back(&record);
     }
   }
   m_engineCount += engineCount;
   const std::size_t slots = engineCount == 0 ? 1 : totalSlots / engineCount;
-  const auto wanted = requiredEngines(service, static_cast<std::uint32_t>(slots));
-  const std::size_t wantedOfAll =
-      std::accumulate(wanted.begin(), wanted.end(), std::size_t{0},
+  const auto required = requiredEngines(service, static_cast<std::uint32_t>(slots));
+  const std::size_t totalRequired =
+      std::accumulate(required.begin(), required.end(), std::size_t{0},
                       [](std::size_t sum, const auto& model) { return sum + model.second; });
-  if (wantedOfAll < engineCount) {
+  if (totalRequired < engineCount) {
     m_servicesWithStandby.insert(service.name);
-    balanceStandby(service, wanted, state, engines, now);
+    balanceStandby(service, required, state, engines, now);
     return;
   }
   m_servicesWithStandby.erase(service.name);
@@ -115,15 +119,15 @@
   }
   const bool unknown = known < m_settings.minDemand;
   const std::map<std::string, std::size_t> shares =
-      engineShares(service.models, askedOf(service, demand), engineCount);
+      engineShares(service.models, demandShares(service, demand), engineCount);
   const auto backlog = [&](const InstanceRecord& record, const std::string& model) {
     const auto published = state.versions().find(model);
     const std::uint64_t newest = published == state.versions().end() ? 1 : published->second;
     const std::uint64_t held = reportedVersion(engines, record.id, model);
     return newest > held ? newest - held : 0;
   };
-  // A new leader finds each engine's home in what the engine holds: the model nearest to its
-  // published version, as long as that model has not had its share.
+  // Without a recorded assignment, an engine is assigned to the model whose published version is
+  // nearest to the version it holds, unless that model has its share already.
   for (const InstanceRecord* record : unassigned) {
     const auto key = [&](const auto& entry) {
       return std::tuple(!unknown && entry.second >= shares.at(entry.first),
@@ -132,11 +136,11 @@
     const auto best = std::min_element(
         counts.begin(), counts.end(),
         [&](const auto& left, const auto& right) { return key(left) < key(right); });
-    m_homes[record->id] = best->first;
+    m_assignments[record->id] = best->first;
     ++best->second;
   }
-  feedStarved(engines, shares, counts);
-  // A model without any engine gets one in any case.
+  assignStarvedModels(engines, shares, counts);
+  // A model without engines gets one even if demand is unknown.
   const bool empty = std::any_of(counts.begin(), counts.end(),
                                  [](const auto& entry) { return entry.second == 0; });
   if (!unknown || empty) {
@@ -144,17 +148,17 @@
   }
 }
 
-std::map<std::string, double> EngineAssigner::askedOf(
+std::map<std::string, double> EngineAssigner::demandShares(
     const Service& service, const std::map<std::string, double>& demand) const {
   double work = 0;
   double items = 0;
   for (const std::string& model : service.models) {
     const auto done = demand.find(model);
     work += done == demand.end() ? 0.0 : done->second;
-    items += m_wanted.openItems(model);
+    items += m_requirements.openItems(model);
   }
-  // Work done alone would starve a model that lost its engines: without them it does no work, and
-  // without work it gets no engines.
+  // Open items count as well: a model that lost its engines does no work and would otherwise never
+  // get engines again.
   constexpr double kMinOfItems = 0.5;
   std::map<std::string, double> asked;
   for (const std::string& model : service.models) {
@@ -162,19 +166,19 @@
     const double doneHere = done == demand.end() ? 0.0 : done->second;
     const double equal = 1.0 / static_cast<double>(service.models.size());
     const double byWork = work < m_settings.minDemand ? equal : doneHere / work;
-    const double byItems = items > 0 ? m_wanted.openItems(model) / items : 0.0;
+    const double byItems = items > 0 ? m_requirements.openItems(model) / items : 0.0;
     asked[model] = std::max(byWork, kMinOfItems * byItems);
   }
   return asked;
 }
 
-void EngineAssigner::feedStarved(const ReportedEngines& engines,
-                                 const std::map<std::string, std::size_t>& shares,
-                                 std::map<std::string, std::size_t>& counts) {
+void EngineAssigner::assignStarvedModels(const ReportedEngines& engines,
+                                         const std::map<std::string, std::size_t>& shares,
+                                         std::map<std::string, std::size_t>& counts) {
   for (const auto& [model, share] : shares) {
-    const std::size_t least = share / 2;
-    if (m_wanted.openItems(model) > 0 && counts[model] < least) {
-      reassignEngines(model, least - counts[model], engines, shares, counts);
+    const std::size_t minEngines = share / 2;
+    if (m_requirements.openItems(model) > 0 && counts[model] < minEngines) {
+      reassignEngines(model, minEngines - counts[model], engines, shares, counts);
     }
   }
 }
@@ -184,57 +188,58 @@
                                      const std::map<std::string, std::size_t>& shares,
                                      std::map<std::string, std::size_t>& counts) {
   std::vector<std::pair<std::uint64_t, EngineAssignments::iterator>> candidates;
-  for (auto home = m_homes.begin(); home != m_homes.end(); ++home) {
-    if (shares.contains(home->second) && home->second != model) {
-      candidates.emplace_back(reportedVersion(engines, home->first, model), home);
+  for (auto assignment = m_assignments.begin(); assignment != m_assignments.end(); ++assignment) {
+    if (shares.contains(assignment->second) && assignment->second != model) {
+      candidates.emplace_back(reportedVersion(engines, assignment->first, model), assignment);
     }
   }
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const auto& left, const auto& right) { return left.first > right.first; });
-  for (const auto& [version, home] : candidates) {
-    std::size_t& from = counts[home->second];
-    if (missing > 0 && from > shares.at(home->second)) {
+  for (const auto& [version, assignment] : candidates) {
+    std::size_t& from = counts[assignment->second];
+    if (missing > 0 && from > shares.at(assignment->second)) {
       --from;
-      home->second = model;
+      assignment->second = model;
       ++counts[model];
       --missing;
     }
   }
 }
 
-bool EngineAssigner::isHeard(const std::string& instance, const ReportedEngines& engines,
-                             base::TimePoint now) const {
+bool EngineAssigner::isResponsive(const std::string& instance, const ReportedEngines& engines,
+                                  base::TimePoint now) const {
   const auto engine = engines.find(instance);
-  return engine != engines.end() && now - engine->second.lastSeenAt <= m_silenceLimit;
+  return engine != engines.end() && now - engine->second.lastSeenAt <= m_heartbeatTimeout;
 }
 
 std::map<std::string, std::size_t> EngineAssigner::requiredEngines(const Service& service,
                                                                    std::uint32_t slots) const {
-  std::map<std::string, std::size_t> wanted;
+  std::map<std::string, std::size_t> required;
   for (const std::string& model : service.models) {
-    wanted[model] = m_wanted.of(model, slots);
+    required[model] = m_requirements.enginesFor(model, slots);
   }
-  return wanted;
+  return required;
 }
 
 void EngineAssigner::balanceStandby(const Service& service,
-                                    const std::map<std::string, std::size_t>& wanted,
+                                    const std::map<std::string, std::size_t>& required,
                                     const DirectoryState& state, const ReportedEngines& engines,
                                     base::TimePoint now) {
   std::map<std::string, std::size_t> counts;
-  for (const auto& [id, model] : m_homes) {
+  for (const auto& [id, model] : m_assignments) {
     const auto record = state.instances().find(id);
     if (record->second.service == service.name && !record->second.draining &&
-        isHeard(id, engines, now)) {
+        isResponsive(id, engines, now)) {
       ++counts[model];
     }
   }
-  for (const auto& [model, most] : wanted) {
-    // Some more than are wanted may stay, so that a model does not give and take in turn.
-    constexpr std::size_t kQuarter = 4;
-    if (counts[model] < most) {
-      activateStandby(service, model, most - counts[model], state, engines, now);
-    } else if (counts[model] > most + most / kQuarter) {
+  for (const auto& [model, requiredCount] : required) {
+    // Hysteresis: a model keeps up to a quarter more engines than required, so that they are not
+    // assigned and released in turn.
+    constexpr std::size_t kHysteresisDivisor = 4;
+    if (counts[model] < requiredCount) {
+      activateStandby(service, model, requiredCount - counts[model], state, engines, now);
+    } else if (counts[model] > requiredCount + requiredCount / kHysteresisDivisor) {
       releaseToStandby(model, now);
     }
   }
@@ -245,49 +250,51 @@
                                      const ReportedEngines& engines, base::TimePoint now) {
   struct Candidate {
     std::uint64_t version = 0;
-    std::size_t inZone = 0;  ///< engines of this model there, with those before it
+    std::size_t rankInZone = 0;  ///< rank among the engines of this model in the zone
     const std::string* id = nullptr;
   };
-  std::map<std::pair<std::uint64_t, std::string>, std::size_t> byZone;  // of one version
+  std::map<std::pair<std::uint64_t, std::string>, std::size_t> byZone;  // by version and zone
   std::map<std::string, std::size_t> assignedByZone;
   std::vector<Candidate> candidates;
-  base::SortedCursor assignments(m_homes);
+  base::SortedCursor assignments(m_assignments);
   base::SortedCursor reports(engines);
   for (const auto& [id, record] : state.instances()) {
-    const std::string* home = assignments.find(id);
-    if (home != nullptr) {
-      assignedByZone[record.zone] += *home == model ? 1 : 0;
+    const std::string* assignment = assignments.find(id);
+    if (assignment != nullptr) {
+      assignedByZone[record.zone] += *assignment == model ? 1 : 0;
       continue;
     }
     const ReportedEngine* report = reports.find(id);
     if (record.service != service.name || record.draining || report == nullptr ||
-        now - report->lastSeenAt > m_silenceLimit) {
+        now - report->lastSeenAt > m_heartbeatTimeout) {
       continue;
     }
     const std::uint64_t held = reportedVersion(*report, model);
     candidates.push_back({held, byZone[{held, record.zone}]++, &id});
   }
   for (Candidate& candidate : candidates) {
-    candidate.inZone += assignedByZone[state.instances().at(*candidate.id).zone];
+    candidate.rankInZone += assignedByZone[state.instances().at(*candidate.id).zone];
   }
-  std::stable_sort(
-      candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
-        return std::tuple(right.version, left.inZone) < std::tuple(left.version, right.inZone);
-      });
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const Candidate& left, const Candidate& right) {
+                     return std::tuple(right.version, left.rankInZone) <
+                            std::tuple(left.version, right.rankInZone);
+                   });
   for (std::size_t i = 0; i < std::min(missing, candidates.size()); ++i) {
-    m_homes[*candidates[i].id] = model;
+    m_assignments[*candidates[i].id] = model;
   }
 }
 
 void EngineAssigner::releaseToStandby(const std::string& model, base::TimePoint now) {
-  if (now - m_movedAt < m_settings.moveInterval) {
+  if (now - m_reassignedAt < m_settings.reassignInterval) {
     return;
   }
-  const auto last = std::find_if(m_homes.begin(), m_homes.end(),
-                                 [&](const auto& home) { return home.second == model; });
-  if (last != m_homes.end()) {
-    m_homes.erase(last);
-    m_movedAt = now;
+  const auto last =
+      std::find_if(m_assignments.begin(), m_assignments.end(),
+                   [&](const auto& assignment) { return assignment.second == model; });
+  if (last != m_assignments.end()) {
+    m_assignments.erase(last);
+    m_reassignedAt = now;
   }
 }
 
@@ -299,18 +306,18 @@
   std::string to;
   for (const auto& [model, count] : counts) {
     const auto share = shares.find(model);
-    const std::size_t wanted = share == shares.end() ? 0 : share->second;
-    from = count > wanted ? model : from;
-    to = count < wanted ? model : to;
+    const std::size_t required = share == shares.end() ? 0 : share->second;
+    from = count > required ? model : from;
+    to = count < required ? model : to;
   }
-  if (from.empty() || to.empty() || now - m_movedAt < m_settings.moveInterval) {
+  if (from.empty() || to.empty() || now - m_reassignedAt < m_settings.reassignInterval) {
     return;
   }
-  for (auto& [id, model] : m_homes) {
+  for (auto& [id, model] : m_assignments) {
     const auto record = state.instances().find(id);
     if (model == from && record->second.service == service.name && !record->second.draining) {
       model = to;
-      m_movedAt = now;
+      m_reassignedAt = now;
       return;
     }
   }
--- a/src/directory/engine_requirements.h
+++ b/src/directory/engine_requirements.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many engines each trained model uses.
+/// Number of engines that each trained model requires.
 #pragma once
 
 #include <cstddef>
@@ -11,43 +11,45 @@
 
 namespace tackpick::directory {
 
-/// Open items of batches by model, as the ledgers' leader counts them.
+/// Number of open batch items by model, as reported by the ledgers' leader.
 using OpenItems = std::map<std::string, std::uint32_t>;
 
-/// Knobs of EngineRequirements.
+/// Settings of EngineRequirements.
 struct EngineRequirementsSettings {
-  /// Slots for each open item at the peak, in percent: while half of a model's engines change
-  /// their weights the others still hold three quarters of a step.
+  /// Slots per open item at the peak, in percent. Above 100, so that enough slots remain while
+  /// engines load weights.
   std::uint32_t headroomPercent = 150;
-  /// A model has at least so many, known demand or none: enough for a first step of 384 items at
-  /// six slots an engine. Deployments with fewer engines than this for each model use all.
+  /// Minimum number of engines of a model, whether or not demand is known. Deployments with fewer
+  /// engines per model use all of them.
   std::size_t minEngines = 64;
-  /// Peaks are forgotten after this time, so that a pause of some steps loses no engine.
-  base::Duration memory = base::seconds(20);
+  /// Time for which a peak of open items is retained, so that a pause of a few steps releases no
+  /// engine.
+  base::Duration peakRetention = base::seconds(20);
 };
 
-/// Every engine that follows a model costs an order and a load for each version, and is news to
-/// every node: in a large fleet only those that the items need should.
-/// Demand counts at once when it rises, and is forgotten slowly. Deterministic.
+/// Computes the number of engines that each model requires. Each assigned engine needs a load for
+/// every version and changes the view of all nodes, so large clusters assign only as many as the
+/// open items require. The requirement rises at once with demand and falls after the retention
+/// time. Deterministic.
 class EngineRequirements {
  public:
   explicit EngineRequirements(EngineRequirementsSettings settings) : m_settings(settings) {}
 
-  /// All that is open: a model that is not named has nothing.
-  void note(const OpenItems& items, base::TimePoint now);
-  /// Open items of `model` at the peak; zero when none are known.
+  /// Updates all models; a model that is not listed has no open items.
+  void update(const OpenItems& items, base::TimePoint now);
+  /// Returns the open items of `model` at the peak; zero if unknown.
   [[nodiscard]] std::uint32_t openItems(const std::string& model) const;
-  /// Engines of `slots` each that `model` should use.
-  [[nodiscard]] std::size_t of(const std::string& model, std::uint32_t slots) const;
+  /// Returns the number of engines with `slots` slots each that `model` requires.
+  [[nodiscard]] std::size_t enginesFor(const std::string& model, std::uint32_t slots) const;
 
  private:
   struct Peak {
     std::uint32_t items = 0;
-    std::uint32_t since = 0;  ///< the most after `at`
+    std::uint32_t laterMax = 0;  ///< maximum after `at`
     base::TimePoint at{};
   };
 
-  void noteModel(Peak& peak, std::uint32_t open, base::TimePoint now) const;
+  void updateModel(Peak& peak, std::uint32_t open, base::TimePoint now) const;
 
   const EngineRequirementsSettings m_settings;
   std::map<std::string, Peak> m_peaks;  ///< by model
--- a/src/directory/heartbeat_relay.cpp
+++ b/src/directory/heartbeat_relay.cpp
@@ -4,55 +4,55 @@
 
 namespace tackpick::directory {
 
-HeartbeatRelay::Verdict HeartbeatRelay::take(const DirectoryState& state,
-                                             const InstanceHeartbeat& heartbeat,
-                                             std::optional<base::TimePoint> lastContactAt,
-                                             base::TimePoint now) {
+HeartbeatRelay::Verdict HeartbeatRelay::accept(const DirectoryState& state,
+                                               const InstanceHeartbeat& heartbeat,
+                                               std::optional<base::TimePoint> lastContactAt,
+                                               base::TimePoint now) {
   const std::string& id = heartbeat.record.id;
   const auto known = state.instances().find(id);
-  const bool changesNothing =
-      known != state.instances().end() && confirmsRegistration(known->second, heartbeat.record);
-  if (!changesNothing) {
+  const bool isUnchanged =
+      known != state.instances().end() && matchesRegistration(known->second, heartbeat.record);
+  if (!isUnchanged) {
     return Verdict::kForward;
   }
-  if (!lastContactAt || now - *lastContactAt > m_settings.contact) {
+  if (!lastContactAt || now - *lastContactAt > m_settings.leaderTimeout) {
     return Verdict::kRefused;
   }
-  RelayedHeartbeat& heard = m_heard[id];
-  if (heartbeat.sequence < heard.sequence) {
-    return Verdict::kAccepted;  // an earlier one that comes late
+  RelayedHeartbeat& pending = m_pending[id];
+  if (heartbeat.sequence < pending.sequence) {
+    return Verdict::kAccepted;  // a delayed earlier heartbeat
   }
-  heard = {id, heartbeat.sequence, std::nullopt};
-  const auto told = m_told.find(id);
-  if (told == m_told.end() || told->second != heartbeat.versions) {
-    heard.versions = heartbeat.versions;
+  pending = {id, heartbeat.sequence, std::nullopt};
+  const auto sent = m_sentVersions.find(id);
+  if (sent == m_sentVersions.end() || sent->second != heartbeat.versions) {
+    pending.versions = heartbeat.versions;
   }
   return Verdict::kAccepted;
 }
 
-std::optional<RelayHeartbeats> HeartbeatRelay::due(base::TimePoint now) {
-  if (m_telling || m_heard.empty() || now - m_toldAt < m_settings.interval) {
+std::optional<RelayHeartbeats> HeartbeatRelay::takeBatch(base::TimePoint now) {
+  if (m_inFlight || m_pending.empty() || now - m_sentAt < m_settings.interval) {
     return std::nullopt;
   }
-  m_telling = true;
-  m_toldAt = now;
-  if (m_told.size() > kMaxKnown) {
-    m_told.clear();
+  m_inFlight = true;
+  m_sentAt = now;
+  if (m_sentVersions.size() > kMaxKnownInstances) {
+    m_sentVersions.clear();
   }
   RelayHeartbeats relayed;
-  for (auto& [id, heartbeat] : std::exchange(m_heard, {})) {
+  for (auto& [id, heartbeat] : std::exchange(m_pending, {})) {
     if (heartbeat.versions) {
-      m_told[id] = *heartbeat.versions;
+      m_sentVersions[id] = *heartbeat.versions;
     }
     relayed.heartbeats.push_back(std::move(heartbeat));
   }
   return relayed;
 }
 
-void HeartbeatRelay::onTold(bool known) {
-  m_telling = false;
+void HeartbeatRelay::onBatchAcknowledged(bool known) {
+  m_inFlight = false;
   if (!known) {
-    m_told.clear();
+    m_sentVersions.clear();
   }
 }
 
--- a/src/directory/heartbeat_relay.h
+++ b/src/directory/heartbeat_relay.h
@@ -1,5 +1,5 @@
 /// \file
-/// Heartbeats taken by any controller and told to the leader together.
+/// Relays heartbeats from the controller that received them to the leader in batches.
 #pragma once
 
 #include <map>
@@ -11,48 +11,47 @@
 
 namespace tackpick::directory {
 
-/// Knobs of a HeartbeatRelay.
+/// Settings of HeartbeatRelay.
 struct HeartbeatRelaySettings {
-  /// What was heard is told this often. Gateways look at silences of seconds.
+  /// Interval between two batches to the leader.
   base::Duration interval = base::milliseconds(200);
-  /// A controller that has not heard the leader for longer takes no heartbeats itself.
-  base::Duration contact = base::milliseconds(1500);
+  /// Time without contact to the leader after which this controller accepts no heartbeats itself.
+  base::Duration leaderTimeout = base::milliseconds(1500);
 };
 
-/// Most heartbeats only say that an instance is still there. The controller that gets such a one
-/// answers it from its own copy of the directory. With 3,000 instances the leader then handles some
-/// 15 messages a second instead of 2,500. Whatever changes a registration goes to the leader, and
-/// is answered once a quorum holds it. Deterministic; owned by one thread.
-///
-/// A controller that hears no leader refuses what only confirms: to hold such heartbeats and send
-/// them to one controller after the other until a leader is there would be, with 10,000 instances,
-/// some 10,000 messages a second at each controller while an election is under way.
+/// Lets any controller acknowledge heartbeats that change no registration and relays them to the
+/// leader in batches, which limits the number of messages at the leader. Heartbeats that change a
+/// registration are forwarded to the leader and acknowledged once committed. Without contact to the
+/// leader, heartbeats are refused instead of being held, so that they do not accumulate at the
+/// controllers during an election. Deterministic; owned by one thread.
 class HeartbeatRelay {
  public:
   explicit HeartbeatRelay(HeartbeatRelaySettings settings) : m_settings(settings) {}
 
   enum class Verdict : std::uint8_t {
-    kAccepted,  ///< this controller answers
-    kRefused,   ///< it hears no leader: another controller may
-    kForward,   ///< it changes a registration: the leader decides
+    kAccepted,  ///< acknowledged by this controller
+    kRefused,   ///< no contact to the leader; the caller should try another controller
+    kForward,   ///< the heartbeat changes a registration and must be handled by the leader
   };
-  /// `lastContactAt`: when this controller last heard the leader.
-  [[nodiscard]] Verdict take(const DirectoryState& state, const InstanceHeartbeat& heartbeat,
-                             std::optional<base::TimePoint> lastContactAt, base::TimePoint now);
-  /// What is to be told now; nothing while nothing was heard or a call is under way.
-  [[nodiscard]] std::optional<RelayHeartbeats> due(base::TimePoint now);
-  /// The call ended; `known`: the leader has it.
-  void onTold(bool known);
+  /// Decides how to handle a heartbeat. `lastContactAt`: time of the last contact with the leader.
+  [[nodiscard]] Verdict accept(const DirectoryState& state, const InstanceHeartbeat& heartbeat,
+                               std::optional<base::TimePoint> lastContactAt, base::TimePoint now);
+  /// Returns the next batch; std::nullopt if there is none, a batch is in flight, or the interval
+  /// has not passed.
+  [[nodiscard]] std::optional<RelayHeartbeats> takeBatch(base::TimePoint now);
+  /// Call when the request with the batch has ended; `known`: whether the leader acknowledged it.
+  void onBatchAcknowledged(bool known);
 
  private:
-  /// Instances whose versions are remembered.
-  static constexpr std::size_t kMaxKnown = 20'000;
+  /// Maximum number of instances whose last sent versions are kept.
+  static constexpr std::size_t kMaxKnownInstances = 20'000;
 
   const HeartbeatRelaySettings m_settings;
-  std::map<std::string, RelayedHeartbeat> m_heard;
-  std::map<std::string, std::map<std::string, std::uint64_t>> m_told;  ///< versions, by instance
-  bool m_telling = false;
-  base::TimePoint m_toldAt{};
+  std::map<std::string, RelayedHeartbeat> m_pending;
+  /// Versions last sent, by instance.
+  std::map<std::string, std::map<std::string, std::uint64_t>> m_sentVersions;
+  bool m_inFlight = false;
+  base::TimePoint m_sentAt{};
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/incarnation.cpp
+++ b/src/directory/incarnation.cpp
@@ -5,8 +5,8 @@
 namespace tackpick::directory {
 namespace {
 
-/// Enough for any start, so that the order of keys is that of the starts.
-constexpr std::size_t kDigits = 20;
+/// Digits of a start time in a key, enough for any value, so that keys sort by start time.
+constexpr std::size_t kStartTimeDigits = 20;
 
 }  // namespace
 
@@ -15,7 +15,7 @@
     return name;
   }
   const std::string digits = std::to_string(born);
-  return name + kSeparator + std::string(kDigits - digits.size(), '0') + digits;
+  return name + kSeparator + std::string(kStartTimeDigits - digits.size(), '0') + digits;
 }
 
 Incarnation Incarnation::parse(std::string_view key) {
--- a/src/directory/incarnation.h
+++ b/src/directory/incarnation.h
@@ -1,5 +1,5 @@
 /// \file
-/// One life of an instance.
+/// Identity of one run of an instance.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,28 @@
 
 namespace tackpick::directory {
 
-/// An instance that starts again under its identifier is another one: it holds nothing of what it
-/// held before, and what was said or begun before does not concern it. Everything that is kept by
-/// instance is kept by key(), so that a new life begins with nothing.
+/// Name and start time of an instance. A restarted instance under the same name is a different
+/// incarnation and inherits no state; state kept per instance is stored under key().
 struct Incarnation {
-  std::string name;        ///< the identifier that the instance calls itself by
-  std::uint64_t born = 0;  ///< its start, in milliseconds of Unix time; zero: it does not tell
+  std::string name;        ///< identifier that the instance reports
+  std::uint64_t born = 0;  ///< start time in milliseconds of Unix time; zero if unknown
 
   bool operator==(const Incarnation&) const = default;
 
-  /// Stands between the name and the start in a key; no name may hold it.
+  /// Separates name and start time in a key; names must not contain it.
   static constexpr char kSeparator = '#';
 
-  /// Keys of one name are ordered by their start.
+  /// Returns the key. Keys of one name are ordered by start time.
   [[nodiscard]] std::string key() const;
   [[nodiscard]] static Incarnation parse(std::string_view key);
 };
 
-/// Keys of `name` that tell a start lie from firstKey() up to, without it, endOfKeys().
+/// Range of the keys of `name` that contain a start time: from firstKey() up to but excluding
+/// endOfKeys().
 [[nodiscard]] std::string firstKey(const std::string& name);
 [[nodiscard]] std::string endOfKeys(const std::string& name);
 
-/// The name in an incarnation's key.
+/// Returns the name in an incarnation's key.
 [[nodiscard]] std::string instanceName(std::string_view key);
 
 }  // namespace tackpick::directory
--- a/src/directory/load_policy.h
+++ b/src/directory/load_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// In which order engines load new weights.
+/// Policy for the order in which engines load new weights.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +13,18 @@
 
 namespace tackpick::directory {
 
-/// An engine that may be ordered to load the newest version of the model that it follows.
+/// An engine that may be commanded to load the newest version of its assigned model.
 struct LoadCandidate {
   const std::string* instance = nullptr;
   const std::string* model = nullptr;
-  std::uint64_t held = 0;  ///< its version of that model
+  std::uint64_t held = 0;  ///< version of the model that it holds
   std::uint32_t slots = 0;
 };
 
-/// Slots of engines by version.
+/// Number of engine slots by weights version.
 using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
-/// Those with `version` or newer.
+/// Returns the number of slots with `version` or newer.
 [[nodiscard]] inline std::uint32_t slotsFrom(const SlotsByVersion& slots, std::uint64_t version) {
   std::uint32_t sum = 0;
   for (auto found = slots.lower_bound(version); found != slots.end(); ++found) {
@@ -33,24 +33,25 @@
   return sum;
 }
 
-/// What a policy knows of one model.
+/// State of one model as input of a policy.
 struct ModelLoadState {
   std::uint64_t published = 0;
-  base::TimePoint publishedAt{};  ///< when this leader saw that version first
-  std::vector<StepNeed> needs;    ///< see StepForecast::needs(); empty: steps are unknown
-  SlotsByVersion readySlots;      ///< of engines that hold each version and do not load
-  SlotsByVersion loadingSlots;    ///< of engines that load each version
+  base::TimePoint publishedAt{};  ///< when this leader first saw that version
+  /// See StepForecast::stepDemands(); empty if steps are unknown.
+  std::vector<StepDemand> stepDemands;
+  SlotsByVersion readySlots;    ///< engines that hold the version and are not loading
+  SlotsByVersion loadingSlots;  ///< engines that load the version
 };
 using ModelLoadStates = std::map<std::string, ModelLoadState>;
 
-/// A load that may begin now.
+/// A load that may start now.
 struct PlannedLoad {
   const LoadCandidate* candidate = nullptr;
-  /// The engine serves nothing that is open: it may load however many of its model do.
-  bool isIdle = false;
+  /// Whether the engine serves no open step, so that the per-model limit does not apply.
+  bool ignoresModelLimit = false;
 };
 
-/// Decides which engines load next. Deterministic, without state of its own.
+/// Decides which engines load next. Deterministic and stateless.
 class LoadPolicy {
  public:
   LoadPolicy() = default;
@@ -60,8 +61,8 @@
   LoadPolicy& operator=(LoadPolicy&&) = delete;
   virtual ~LoadPolicy() = default;
 
-  /// Loads in the order in which they should begin, those left out that should wait. `loadTime`:
-  /// how long a load takes.
+  /// Returns the loads to start, in order; engines that should wait are left out. `loadTime`:
+  /// expected duration of a load.
   [[nodiscard]] virtual std::vector<PlannedLoad> plan(const std::vector<LoadCandidate>& candidates,
                                                       const ModelLoadStates& models,
                                                       base::Duration loadTime,
--- a/src/directory/load_scheduler.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "base/sorted_cursor.h"
-#include "directory/oldest_first.h"
-#include "directory/weights_plan.h"
+#include "directory/demand_load_policy.h"
+#include "directory/oldest_first_load_policy.h"
 
 namespace tackpick::directory {
 namespace {
@@ -19,8 +19,8 @@
   return nullptr;
 }
 
-/// True when some route wants all of a text from one version.
-bool wantsSingleVersion(const Configuration& configuration, const std::string& service) {
+/// Whether a route of the service requires all of a text from one version.
+bool requiresSingleVersion(const Configuration& configuration, const std::string& service) {
   return std::any_of(
       configuration.routes.begin(), configuration.routes.end(), [&](const Route& route) {
         return route.singleVersion &&
@@ -31,9 +31,9 @@
 
 std::unique_ptr<const LoadPolicy> makePolicy(const LoadSchedulerSettings& settings) {
   if (settings.loadOrder == LoadOrder::kOldestFirst) {
-    return std::make_unique<OldestFirst>(settings.settlingTime);
+    return std::make_unique<OldestFirstLoadPolicy>(settings.gracePeriod);
   }
-  return std::make_unique<WeightsPlan>(settings.settlingTime);
+  return std::make_unique<DemandLoadPolicy>(settings.gracePeriod);
 }
 
 }  // namespace
@@ -56,165 +56,167 @@
 
 LoadScheduler::LoadScheduler(LoadSchedulerSettings settings)
     : settings_(settings),
-      m_homes(settings.assignments, settings.heartbeatTimeout),
+      m_assigner(settings.assignments, settings.heartbeatTimeout),
       m_forecast(settings.forecast),
-      m_budget(settings.budget),
-      m_policy(makePolicy(settings)) {}
+      m_loadLimiter(settings.limiter),
+      m_loadPolicy(makePolicy(settings)) {}
 
 void LoadScheduler::reset(base::TimePoint earliestCommandTime, EngineAssignments assignments) {
   m_earliestCommandTime = earliestCommandTime;
-  m_homes.reset(std::move(assignments));
+  m_assigner.reset(std::move(assignments));
   m_forecast.reset();
-  m_budget.reset();
-  m_told.reset();
+  m_loadLimiter.reset();
+  m_pendingOpenJobs.reset();
   m_summary = {};
-  published_.clear();
+  m_published.clear();
   m_issued.clear();
 }
 
-void LoadScheduler::setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now) {
+void LoadScheduler::setOpenJobs(const jobs::OpenJobsByModel& openJobs, base::TimePoint now) {
   OpenItems items;
-  for (const auto& [model, open] : works) {
+  for (const auto& [model, open] : openJobs) {
     items[model] = jobs::itemsOf(open);
   }
-  m_homes.note(items, now);
-  m_told = ToldWork{works, now};
+  m_assigner.update(items, now);
+  m_pendingOpenJobs = PendingOpenJobs{openJobs, now};
 }
 
-void LoadScheduler::noteTold(const DirectoryState& state) {
-  if (m_told) {
-    m_forecast.note(m_told->works, state.versions(), m_told->at);
-    m_told.reset();
+void LoadScheduler::applyOpenJobs(const DirectoryState& state) {
+  if (m_pendingOpenJobs) {
+    m_forecast.update(m_pendingOpenJobs->openJobs, state.versions(), m_pendingOpenJobs->at);
+    m_pendingOpenJobs.reset();
   }
 }
 
-void LoadScheduler::noteLoaded(const ReportedEngines& engines, base::TimePoint now) {
+void LoadScheduler::markLoaded(const ReportedEngines& engines, base::TimePoint now) {
   base::SortedCursor reports(engines);
-  for (auto& [instance, given] : m_issued) {
+  for (auto& [instance, issued] : m_issued) {
     const ReportedEngine* engine = reports.find(instance);
-    if (!given.isDone && engine != nullptr &&
-        reportedVersion(*engine, given.model) >= given.version) {
-      given.isDone = true;
-      // An older order that is carried out after this one takes it back: it may be given again.
-      given.loadingUntil = now;
-      given.retryAt = now;
-      m_budget.onLoaded(instance, now);
+    if (!issued.isDone && engine != nullptr &&
+        reportedVersion(*engine, issued.model) >= issued.version) {
+      issued.isDone = true;
+      // A delayed older command may replace the version, so this one may be issued again.
+      issued.loadingUntil = now;
+      issued.retryAt = now;
+      m_loadLimiter.onLoaded(instance, now);
     }
   }
 }
 
-void LoadScheduler::forgetGone(const DirectoryState& state) {
-  std::erase_if(m_issued, [&](const auto& given) {
-    const bool isGone = !state.instances().contains(given.first);
+void LoadScheduler::removeGone(const DirectoryState& state) {
+  std::erase_if(m_issued, [&](const auto& issued) {
+    const bool isGone = !state.instances().contains(issued.first);
     if (isGone) {
-      m_budget.onAbandoned(given.first);
+      m_loadLimiter.onAbandoned(issued.first);
     }
     return isGone;
   });
 }
 
-bool LoadScheduler::isUnderWay(const IssuedCommand& given, const ReportedEngine& engine,
-                               base::TimePoint now) {
-  return now < given.loadingUntil && reportedVersion(engine, given.model) < given.version;
+bool LoadScheduler::isInProgress(const IssuedCommand& issued, const ReportedEngine& engine,
+                                 base::TimePoint now) {
+  return now < issued.loadingUntil && reportedVersion(engine, issued.model) < issued.version;
 }
 
 bool LoadScheduler::isLoading(const std::string& instance, const ReportedEngines& engines,
                               base::TimePoint now) const {
-  const auto given = m_issued.find(instance);
-  if (given == m_issued.end()) {
+  const auto issued = m_issued.find(instance);
+  if (issued == m_issued.end()) {
     return false;
   }
   const auto engine = engines.find(instance);
-  return engine == engines.end() ? now < given->second.loadingUntil
-                                 : isUnderWay(given->second, engine->second, now);
+  return engine == engines.end() ? now < issued->second.loadingUntil
+                                 : isInProgress(issued->second, engine->second, now);
 }
 
-void LoadScheduler::notePublished(const DirectoryState& state, base::TimePoint now) {
+void LoadScheduler::trackPublished(const DirectoryState& state, base::TimePoint now) {
   for (const auto& [model, version] : state.versions()) {
-    Published& published = published_[model];
+    PublishedVersion& published = m_published[model];
     if (published.version != version) {
       published = {version, now};
     }
   }
 }
 
-std::vector<std::string> LoadScheduler::dueReports(const ReportedEngines& engines,
-                                                   base::TimePoint now) {
-  std::vector<std::string> due;
-  for (auto& [instance, given] : m_issued) {
-    if (isLoading(instance, engines, now) && now >= given.reportAt) {
-      given.reportAt = now + settings_.reportInterval;
-      due.push_back(instance);
+std::vector<std::string> LoadScheduler::duePolls(const ReportedEngines& engines,
+                                                 base::TimePoint now) {
+  std::vector<std::string> enginesToPoll;
+  for (auto& [instance, issued] : m_issued) {
+    if (isLoading(instance, engines, now) && now >= issued.nextPollAt) {
+      issued.nextPollAt = now + settings_.pollInterval;
+      enginesToPoll.push_back(instance);
     }
   }
-  return due;
+  return enginesToPoll;
 }
 
 std::size_t LoadScheduler::configuredMaxLoads() const {
-  constexpr std::size_t kWholePercent = 100;
+  constexpr std::size_t kHundredPercent = 100;
   const std::size_t share =
-      (m_homes.engineCount() * static_cast<std::size_t>(settings_.concurrentPercent) +
-       kWholePercent / 2) /
-      kWholePercent;
+      (m_assigner.engineCount() * static_cast<std::size_t>(settings_.concurrentLoadsPercent) +
+       kHundredPercent / 2) /
+      kHundredPercent;
   return std::max(settings_.concurrentLoads, share);
 }
 
 ModelLoadStates LoadScheduler::modelStates(const DirectoryState& state, base::TimePoint now) const {
   ModelLoadStates models;
-  for (const auto& [model, published] : published_) {
+  for (const auto& [model, published] : m_published) {
     models[model] = {published.version, published.seenAt, {}, {}, {}};
   }
   for (const Service& service : state.configuration().services) {
     if (service.models.size() < 2) {
-      continue;  // nobody to share with: each engine loads what is published
+      continue;  // the engines of a single model load every published version
     }
     for (const std::string& model : service.models) {
       const auto found = models.find(model);
       if (found != models.end()) {
-        found->second.needs = m_forecast.needs(model, found->second.published, now);
+        found->second.stepDemands = m_forecast.stepDemands(model, found->second.published, now);
       }
     }
   }
   return models;
 }
 
-LoadScheduler::Fleet LoadScheduler::observe(const DirectoryState& state,
-                                            const ReportedEngines& engines,
-                                            base::TimePoint now) const {
-  Fleet fleet;
+LoadScheduler::FleetState LoadScheduler::observe(const DirectoryState& state,
+                                                 const ReportedEngines& engines,
+                                                 base::TimePoint now) const {
+  FleetState fleet;
   fleet.models = modelStates(state, now);
-  fleet.knowsSteps = std::any_of(fleet.models.begin(), fleet.models.end(),
-                                 [](const auto& model) { return !model.second.needs.empty(); });
+  fleet.hasKnownSteps =
+      std::any_of(fleet.models.begin(), fleet.models.end(),
+                  [](const auto& model) { return !model.second.stepDemands.empty(); });
   base::SortedCursor records(state.instances());
   base::SortedCursor reports(engines);
-  base::SortedCursor orders(m_issued);
-  for (const auto& [id, home] : assignments()) {
+  base::SortedCursor commands(m_issued);
+  for (const auto& [id, assignedModel] : assignments()) {
     const InstanceRecord* record = records.find(id);
     const ReportedEngine* report = reports.find(id);
-    const IssuedCommand* given = orders.find(id);
-    const bool loading = given != nullptr && (report == nullptr ? now < given->loadingUntil
-                                                                : isUnderWay(*given, *report, now));
-    ModelEngines& ofModel = fleet.engines[home];
-    ++ofModel.all;
-    ofModel.loading += loading ? 1 : 0;
+    const IssuedCommand* issued = commands.find(id);
+    const bool loading =
+        issued != nullptr &&
+        (report == nullptr ? now < issued->loadingUntil : isInProgress(*issued, *report, now));
+    EngineCounts& modelCounts = fleet.engines[assignedModel];
+    ++modelCounts.total;
+    modelCounts.loading += loading ? 1 : 0;
     fleet.loading += loading ? 1 : 0;
-    const auto model = fleet.models.find(home);
+    const auto model = fleet.models.find(assignedModel);
     const bool isUsable = record != nullptr && report != nullptr && !record->draining &&
                           now - report->lastSeenAt <= settings_.heartbeatTimeout;
     if (!isUsable || model == fleet.models.end()) {
       continue;
     }
     ModelLoadState& weights = model->second;
-    const std::uint64_t held = reportedVersion(*report, home);
+    const std::uint64_t held = reportedVersion(*report, assignedModel);
     if (loading) {
       weights.loadingSlots[weights.published] += record->slots;
     } else {
       weights.readySlots[held] += record->slots;
     }
-    const bool isFree = given == nullptr || given->isDone || now >= given->retryAt;
-    if (held < weights.published && isFree &&
+    const bool canBeCommanded = issued == nullptr || issued->isDone || now >= issued->retryAt;
+    if (held < weights.published && canBeCommanded &&
         findService(state.configuration(), record->service) != nullptr) {
-      fleet.candidates.push_back({&id, &home, held, record->slots});
+      fleet.candidates.push_back({&id, &assignedModel, held, record->slots});
     }
   }
   return fleet;
@@ -224,88 +226,90 @@
                                              const ReportedEngines& engines,
                                              const std::map<std::string, double>& demand,
                                              std::uint64_t term, base::TimePoint now) {
-  std::vector<LoadCommand> orders;
-  notePublished(state, now);
-  noteTold(state);
-  noteLoaded(engines, now);
-  forgetGone(state);
-  m_homes.assign(state, engines, demand, now);
-  m_budget.setLeast(configuredMaxLoads());
-  Fleet fleet = observe(state, engines, now);
+  std::vector<LoadCommand> commands;
+  trackPublished(state, now);
+  applyOpenJobs(state);
+  markLoaded(engines, now);
+  removeGone(state);
+  m_assigner.assign(state, engines, demand, now);
+  m_loadLimiter.setMinLimit(configuredMaxLoads());
+  FleetState fleet = observe(state, engines, now);
   updateSummary(fleet, now);
   if (now < m_earliestCommandTime) {
-    return orders;
+    return commands;
   }
-  const base::Duration loadTime = m_budget.loadTime().value_or(settings_.usualLoad);
-  for (const PlannedLoad& load : m_policy->plan(fleet.candidates, fleet.models, loadTime, now)) {
-    if (fleet.loading >= m_summary.budget) {
+  const base::Duration loadTime = m_loadLimiter.loadTime().value_or(settings_.defaultLoadTime);
+  for (const PlannedLoad& load :
+       m_loadPolicy->plan(fleet.candidates, fleet.models, loadTime, now)) {
+    if (fleet.loading >= m_summary.maxLoads) {
       break;
     }
-    ModelEngines& ofModel = fleet.engines[*load.candidate->model];
-    constexpr std::size_t kWholePercent = 100;
-    const std::size_t most =
-        (ofModel.all * static_cast<std::size_t>(settings_.loadingPercent) + kWholePercent - 1) /
-        kWholePercent;
-    if (!load.isIdle && ofModel.loading >= most) {
+    EngineCounts& modelCounts = fleet.engines[*load.candidate->model];
+    constexpr std::size_t kHundredPercent = 100;
+    const std::size_t maxLoading =
+        (modelCounts.total * static_cast<std::size_t>(settings_.maxLoadingPercent) +
+         kHundredPercent - 1) /
+        kHundredPercent;
+    if (!load.ignoresModelLimit && modelCounts.loading >= maxLoading) {
       continue;
     }
     ++fleet.loading;
-    ++ofModel.loading;
-    orders.push_back(makeCommand(state, *load.candidate, term, now));
-    if (!orders.back().drainFirst) {
-      m_budget.onBegun(orders.back().instance, fleet.loading, now);
+    ++modelCounts.loading;
+    commands.push_back(makeCommand(state, *load.candidate, term, now));
+    if (!commands.back().drainFirst) {
+      m_loadLimiter.onStarted(commands.back().instance, fleet.loading, now);
     }
   }
-  return orders;
+  return commands;
 }
 
 LoadCommand LoadScheduler::makeCommand(const DirectoryState& state, const LoadCandidate& candidate,
                                        std::uint64_t term, base::TimePoint now) {
   const InstanceRecord& record = state.instances().at(*candidate.instance);
-  LoadCommand order{record.id,
-                    record.host,
-                    record.port,
-                    *candidate.model,
-                    state.versions().at(*candidate.model),
-                    term,
-                    wantsSingleVersion(state.configuration(), record.service)};
-  m_issued[record.id] = {order.model, order.version, now + settings_.orderTimeout,
-                         now + settings_.orderTimeout, now + settings_.firstReport};
-  return order;
+  LoadCommand command{record.id,
+                      record.host,
+                      record.port,
+                      *candidate.model,
+                      state.versions().at(*candidate.model),
+                      term,
+                      requiresSingleVersion(state.configuration(), record.service)};
+  m_issued[record.id] = {command.model, command.version, now + settings_.loadTimeout,
+                         now + settings_.loadTimeout, now + settings_.firstPollDelay};
+  return command;
 }
 
-void LoadScheduler::updateSummary(const Fleet& fleet, base::TimePoint now) {
+void LoadScheduler::updateSummary(const FleetState& fleet, base::TimePoint now) {
   m_summary = {};
   m_summary.loading = fleet.loading;
-  m_summary.budget = fleet.knowsSteps ? m_budget.most() : configuredMaxLoads();
+  m_summary.maxLoads = fleet.hasKnownSteps ? m_loadLimiter.limit() : configuredMaxLoads();
   for (const auto& [name, model] : fleet.models) {
     ModelWeightsSummary& summary = m_summary.models[name];
     summary.published = model.published;
-    if (!model.needs.empty()) {
-      const StepNeed& first = model.needs.front();
+    if (!model.stepDemands.empty()) {
+      const StepDemand& first = model.stepDemands.front();
       summary.neededVersion = first.version;
       summary.requiredSlots = first.slots;
       summary.expectedIn = first.expectedAt - now;
     }
-    // Where no step is known, engines get what is published.
-    const std::uint64_t wanted =
+    // Without known steps, engines load the published version.
+    const std::uint64_t minVersion =
         summary.neededVersion == 0 ? model.published : summary.neededVersion;
-    summary.readySlots = slotsFrom(model.readySlots, wanted);
-    summary.loadingSlots = slotsFrom(model.loadingSlots, wanted);
+    summary.readySlots = slotsFrom(model.readySlots, minVersion);
+    summary.loadingSlots = slotsFrom(model.loadingSlots, minVersion);
   }
 }
 
-void LoadScheduler::onOutcome(const LoadCommand& order, LoadCommandOutcome outcome,
+void LoadScheduler::onOutcome(const LoadCommand& command, LoadCommandOutcome outcome,
                               base::TimePoint now) {
-  const auto found = m_issued.find(order.instance);
-  if (found == m_issued.end() || found->second.version != order.version ||
-      found->second.model != order.model) {
+  const auto found = m_issued.find(command.instance);
+  if (found == m_issued.end() || found->second.version != command.version ||
+      found->second.model != command.model) {
     return;
   }
   constexpr base::Duration kBusyRetry = base::milliseconds(700);
   constexpr base::Duration kRefusedRetry = base::seconds(2);
   if (outcome != LoadCommandOutcome::kAccepted) {
-    m_budget.onAbandoned(order.instance);
+    m_loadLimiter.onAbandoned(command.instance);
   }
   if (outcome == LoadCommandOutcome::kBusy) {
     found->second.retryAt = now + kBusyRetry;
@@ -314,7 +318,7 @@
     found->second.retryAt = now + kRefusedRetry;
     found->second.loadingUntil = now;
   } else if (outcome == LoadCommandOutcome::kUnknown) {
-    found->second.loadingUntil = now + settings_.uncertainLoad;
+    found->second.loadingUntil = now + settings_.unknownOutcomeTimeout;
   }
 }
 
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// Brings the newest published weights onto the engines that report themselves.
+/// Schedules loads of the newest published weights on registered engines.
 #pragma once
 
 #include <cstdint>
@@ -24,94 +24,94 @@
 
 namespace tackpick::directory {
 
-/// In which order engines load.
+/// Order in which engines load.
 enum class LoadOrder : std::uint8_t {
-  kOldestFirst,  ///< as versions were published
-  kByNeed,       ///< for open and expected steps, where a service has several models
+  kOldestFirst,  ///< in order of publication
+  kByDemand,     ///< by open and expected steps if a service has several models
 };
 
-/// Knobs of LoadScheduler.
+/// Settings of LoadScheduler.
 struct LoadSchedulerSettings {
-  /// Engines that may load at once, however few there are; a store of weights slows down when many
-  /// do.
+  /// Minimum number of concurrent loads. A weights store slows down with many concurrent loads.
   std::size_t concurrentLoads = 2;
-  /// ... and this share of all engines with models, so that a large fleet gets a version in as many
-  /// rounds as a small one.
-  int concurrentPercent = 20;
-  LoadOrder loadOrder = LoadOrder::kByNeed;
-  /// Of the engines that follow one model, at most this share loads at once, so that the others
-  /// take new work. Those that no open step can use are not counted.
-  int loadingPercent = 50;
-  /// A new version is ordered this much later on engines that hold the one before: the work that
-  /// comes with a new version may still run there, and an engine that loads takes none.
-  base::Duration settlingTime = base::milliseconds(500);
-  /// An order is taken as without effect when the engine has not reported the version by then.
-  base::Duration orderTimeout = base::seconds(4);
-  /// An engine that was given an order is asked for its versions from this time on, so that the
-  /// next can be ordered as soon as it has loaded.
-  base::Duration firstReport = base::milliseconds(850);
-  base::Duration reportInterval = base::milliseconds(150);
-  /// An order without an answer no longer counts as a load after this time.
-  base::Duration uncertainLoad = base::milliseconds(1500);
-  /// Engines unresponsive for longer get no orders.
+  /// Concurrent loads as a percentage of all engines with models, so that the rounds per version do
+  /// not grow with the cluster.
+  int concurrentLoadsPercent = 20;
+  LoadOrder loadOrder = LoadOrder::kByDemand;
+  /// Maximum percentage of the engines of one model that load at once, so that the others accept
+  /// new work. Engines that no open step can use are not counted.
+  int maxLoadingPercent = 50;
+  /// Delay before engines with the previous version load a new one: work may still start on the
+  /// previous version, and an engine accepts none while it loads.
+  base::Duration gracePeriod = base::milliseconds(500);
+  /// Time after which a load command without a report of the version counts as failed.
+  base::Duration loadTimeout = base::seconds(4);
+  /// Delay after a load command before the engine is polled for its versions, and interval between
+  /// polls. The next load can start as soon as this one is complete.
+  base::Duration firstPollDelay = base::milliseconds(850);
+  base::Duration pollInterval = base::milliseconds(150);
+  /// Time for which a command with unknown outcome counts as a load.
+  base::Duration unknownOutcomeTimeout = base::milliseconds(1500);
+  /// Engines without a heartbeat for longer get no load commands.
   base::Duration heartbeatTimeout = base::seconds(4);
-  /// How long a load takes, before any was seen.
-  base::Duration usualLoad = base::seconds(1);
+  /// Expected load time before any load has been measured.
+  base::Duration defaultLoadTime = base::seconds(1);
   EngineAssignerSettings assignments;
   StepForecastSettings forecast;
-  LoadLimiterSettings budget;
+  LoadLimiterSettings limiter;
 };
 
-/// An order to change the weights of a model on one engine.
+/// A command to load a version of weights on one engine.
 struct LoadCommand {
   std::string instance;
   std::string host;
   std::uint16_t port = 0;
   std::string model;
   std::uint64_t version = 0;
-  std::uint64_t fence = 0;  ///< the term of the leader that gives it
-  bool drainFirst = false;  ///< else running requests go on under the new weights
+  std::uint64_t fence = 0;  ///< term of the leader that sends it
+  bool drainFirst = false;  ///< if false, running requests continue with the new weights
 };
 
-/// What an engine answered to an order.
+/// Response of an engine to a load command.
 enum class LoadCommandOutcome : std::uint8_t {
-  kAccepted,       ///< under way
-  kAlreadyLoaded,  ///< it has that version already
-  kBusy,           ///< another is under way
-  kRefused,        ///< a higher fence was seen, or another instance is there
-  kUnknown,        ///< no answer: it may be taken, now or later
+  kAccepted,       ///< loading has started
+  kAlreadyLoaded,  ///< the engine holds the version
+  kBusy,           ///< another load is in progress
+  kRefused,        ///< the engine has seen a higher fence or is another instance
+  kUnknown,        ///< no response; the command may still take effect
 };
 
 [[nodiscard]] std::string_view toString(LoadCommandOutcome outcome);
 
-/// The leading controller's. Deterministic; owned by one thread. Each engine gets the versions of
-/// the model that it follows (EngineAssigner), so that a version costs as few loads as it can.
+/// Decides on the leading controller which engine loads which version. Each engine gets only
+/// versions of its assigned model (EngineAssigner), which minimizes the loads per version.
+/// Deterministic; owned by one thread.
 class LoadScheduler {
  public:
   explicit LoadScheduler(LoadSchedulerSettings settings);
 
-  /// Call when this controller becomes leader. It gives no order before `earliestCommandTime`;
-  /// engines keep the `assignments` that the former leader gave them.
+  /// Call when this controller becomes leader. No commands are issued before `earliestCommandTime`.
+  /// Engines keep the `assignments` of the former leader.
   void reset(base::TimePoint earliestCommandTime, EngineAssignments assignments = {});
-  [[nodiscard]] const EngineAssignments& assignments() const { return m_homes.assignments(); }
-  /// Orders to give now.
+  [[nodiscard]] const EngineAssignments& assignments() const { return m_assigner.assignments(); }
+  /// Returns the load commands to send now.
   [[nodiscard]] std::vector<LoadCommand> step(const DirectoryState& state,
                                               const ReportedEngines& engines,
                                               const std::map<std::string, double>& demand,
                                               std::uint64_t term, base::TimePoint now);
-  /// What is open at the ledgers.
-  void setOpenJobs(const jobs::OpenJobsByModel& works, base::TimePoint now);
-  /// True when no model needs the engine now.
+  /// Sets the open jobs reported by the ledgers' leader.
+  void setOpenJobs(const jobs::OpenJobsByModel& openJobs, base::TimePoint now);
+  /// Whether the engine is on standby.
   [[nodiscard]] bool isStandby(const InstanceRecord& engine) const {
-    return m_homes.isStandby(engine);
+    return m_assigner.isStandby(engine);
   }
-  /// Engines to be asked for their versions now.
-  [[nodiscard]] std::vector<std::string> dueReports(const ReportedEngines& engines,
-                                                    base::TimePoint now);
-  /// True while an engine is expected to load.
+  /// Returns the engines to poll for their versions now.
+  [[nodiscard]] std::vector<std::string> duePolls(const ReportedEngines& engines,
+                                                  base::TimePoint now);
+  /// Whether the engine is expected to be loading.
   [[nodiscard]] bool isLoading(const std::string& instance, const ReportedEngines& engines,
                                base::TimePoint now) const;
-  void onOutcome(const LoadCommand& order, LoadCommandOutcome outcome, base::TimePoint now);
+  void onOutcome(const LoadCommand& command, LoadCommandOutcome outcome, base::TimePoint now);
   [[nodiscard]] const WeightsSummary& summary() const { return m_summary; }
 
  private:
@@ -119,63 +119,63 @@
     std::string model;
     std::uint64_t version = 0;
     base::TimePoint retryAt{};
-    base::TimePoint loadingUntil{};  ///< at the latest
-    base::TimePoint reportAt{};      ///< when to ask for its versions next
-    bool isDone = false;             ///< the version was reported
+    base::TimePoint loadingUntil{};  ///< latest time at which the load ends
+    base::TimePoint nextPollAt{};    ///< time of the next poll
+    bool isDone = false;             ///< the engine has reported the version
   };
 
-  /// The engines that follow one model.
-  struct ModelEngines {
-    std::size_t all = 0;
+  /// Number of engines assigned to one model.
+  struct EngineCounts {
+    std::size_t total = 0;
     std::size_t loading = 0;
   };
 
-  /// What open work that was told is planned with, once versions named before it are applied.
-  struct ToldWork {
-    jobs::OpenJobsByModel works;
+  /// Reported open jobs, kept until versions published before the report are applied.
+  struct PendingOpenJobs {
+    jobs::OpenJobsByModel openJobs;
     base::TimePoint at{};
   };
 
-  /// Engines at a turn, those first that come first by id.
-  struct Fleet {
+  /// State of all engines in one step; candidates are sorted by id.
+  struct FleetState {
     ModelLoadStates models;
-    std::map<std::string, ModelEngines> engines;
+    std::map<std::string, EngineCounts> engines;
     std::vector<LoadCandidate> candidates;
     std::size_t loading = 0;
-    bool knowsSteps = false;  ///< of one model at least
+    bool hasKnownSteps = false;  ///< steps of at least one model are known
   };
 
   [[nodiscard]] std::size_t configuredMaxLoads() const;
-  void notePublished(const DirectoryState& state, base::TimePoint now);
-  void noteTold(const DirectoryState& state);
-  /// Loads that have ended since the last turn.
-  void noteLoaded(const ReportedEngines& engines, base::TimePoint now);
-  /// Orders to engines that are not registered any more.
-  void forgetGone(const DirectoryState& state);
-  [[nodiscard]] Fleet observe(const DirectoryState& state, const ReportedEngines& engines,
-                              base::TimePoint now) const;
+  void trackPublished(const DirectoryState& state, base::TimePoint now);
+  void applyOpenJobs(const DirectoryState& state);
+  /// Marks loads that are complete and updates the limiter.
+  void markLoaded(const ReportedEngines& engines, base::TimePoint now);
+  /// Removes commands to engines that are no longer registered.
+  void removeGone(const DirectoryState& state);
+  [[nodiscard]] FleetState observe(const DirectoryState& state, const ReportedEngines& engines,
+                                   base::TimePoint now) const;
   [[nodiscard]] ModelLoadStates modelStates(const DirectoryState& state, base::TimePoint now) const;
-  /// True while the engine is expected to carry out the order.
-  [[nodiscard]] static bool isUnderWay(const IssuedCommand& given, const ReportedEngine& engine,
-                                       base::TimePoint now);
+  /// Whether the engine is still expected to carry out the command.
+  [[nodiscard]] static bool isInProgress(const IssuedCommand& issued, const ReportedEngine& engine,
+                                         base::TimePoint now);
   [[nodiscard]] LoadCommand makeCommand(const DirectoryState& state, const LoadCandidate& candidate,
                                         std::uint64_t term, base::TimePoint now);
-  void updateSummary(const Fleet& fleet, base::TimePoint now);
+  void updateSummary(const FleetState& fleet, base::TimePoint now);
 
   const LoadSchedulerSettings settings_;
   base::TimePoint m_earliestCommandTime{};
-  EngineAssigner m_homes;
+  EngineAssigner m_assigner;
   StepForecast m_forecast;
-  LoadLimiter m_budget;
-  std::unique_ptr<const LoadPolicy> m_policy;
-  std::optional<ToldWork> m_told;
+  LoadLimiter m_loadLimiter;
+  std::unique_ptr<const LoadPolicy> m_loadPolicy;
+  std::optional<PendingOpenJobs> m_pendingOpenJobs;
   WeightsSummary m_summary;
-  std::map<std::string, IssuedCommand> m_issued;  ///< latest order by instance
-  struct Published {
+  std::map<std::string, IssuedCommand> m_issued;  ///< latest command by instance
+  struct PublishedVersion {
     std::uint64_t version = 0;
     base::TimePoint seenAt{};
   };
-  std::map<std::string, Published> published_;  ///< newest version by model, and since when
+  std::map<std::string, PublishedVersion> m_published;  ///< newest version by model
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/model_demand.cpp
+++ b/src/directory/model_demand.cpp
@@ -5,33 +5,33 @@
 namespace tackpick::directory {
 namespace {
 
-/// Work counts half after this time.
+/// Time after which work counts half.
 constexpr double kHalfLifeSeconds = 12.0;
-/// Work is aged in steps of this length.
-constexpr base::Duration kAgingStep = base::milliseconds(250);
+/// Interval at which decay is applied.
+constexpr base::Duration kDecayInterval = base::milliseconds(250);
 
 }  // namespace
 
-double ModelDemand::factor(base::TimePoint now) const {
-  return std::exp2(-base::toSeconds(now - aged_at_) / kHalfLifeSeconds);
+double ModelDemand::decayFactor(base::TimePoint now) const {
+  return std::exp2(-base::toSeconds(now - m_decayedAt) / kHalfLifeSeconds);
 }
 
 void ModelDemand::add(const std::string& model, double events, base::TimePoint now) {
-  if (now - aged_at_ >= kAgingStep) {
-    const double aged = factor(now);
-    for (auto& [known, work] : work_) {
-      work *= aged;
+  if (now - m_decayedAt >= kDecayInterval) {
+    const double decay = decayFactor(now);
+    for (auto& [known, work] : m_work) {
+      work *= decay;
     }
-    aged_at_ = now;
+    m_decayedAt = now;
   }
-  work_[model] += events;
+  m_work[model] += events;
 }
 
 std::map<std::string, double> ModelDemand::recent(base::TimePoint now) const {
-  std::map<std::string, double> recent = work_;
-  const double aged = factor(now);
+  std::map<std::string, double> recent = m_work;
+  const double decay = decayFactor(now);
   for (auto& [model, work] : recent) {
-    work *= aged;
+    work *= decay;
   }
   return recent;
 }
--- a/src/directory/model_demand.h
+++ b/src/directory/model_demand.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much each model is asked of the engines.
+/// Recent demand for each model at a gateway.
 #pragma once
 
 #include <map>
@@ -9,18 +9,18 @@
 
 namespace tackpick::directory {
 
-/// A gateway's recent work by model, in events of streams received. Older work counts less and
-/// less. Gateways keep it, not the leading controller, so that it outlives a change of leader.
+/// A gateway's recent work by model, in received stream events with exponential decay. Kept at the
+/// gateways, so that it survives a change of the leading controller.
 class ModelDemand {
  public:
   void add(const std::string& model, double events, base::TimePoint now);
   [[nodiscard]] std::map<std::string, double> recent(base::TimePoint now) const;
 
  private:
-  [[nodiscard]] double factor(base::TimePoint now) const;
+  [[nodiscard]] double decayFactor(base::TimePoint now) const;
 
-  std::map<std::string, double> work_;
-  base::TimePoint aged_at_{};
+  std::map<std::string, double> m_work;
+  base::TimePoint m_decayedAt{};
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/model_ranking.cpp
+++ b/src/directory/model_ranking.cpp
@@ -6,132 +6,133 @@
 namespace tackpick::directory {
 namespace {
 
-/// The time in whole loads: steps that are nearer to each other are equally urgent.
-base::Duration wholeLoads(base::Duration time, base::Duration loadTime) {
+/// Rounds the time down to a multiple of the load time: steps within one load time are equally
+/// urgent.
+base::Duration roundToLoadTime(base::Duration time, base::Duration loadTime) {
   const base::Duration unit = std::max(loadTime, base::Duration{1});
   return time / unit * unit;
 }
 
-/// Work that comes without a pause must not keep an engine from new weights: it loads once it is so
-/// many versions behind, or the newest is there for so long. Steps in time need no older ones.
+/// Bounds on deferral, so that continuous work does not keep an engine from loading: it loads when
+/// it is this many versions behind or the newest version has been published for this long.
 constexpr std::uint64_t kMaxStaleness = 3;
 constexpr base::Duration kMaxDeferral = base::seconds(10);
 
 }  // namespace
 
-ModelRanking::ModelRanking(const ModelLoadState& model, base::Duration settlingTime,
+ModelRanking::ModelRanking(const ModelLoadState& model, base::Duration gracePeriod,
                            base::Duration loadTime, base::TimePoint now)
-    : m_model(model), m_settlingTime(settlingTime), m_loadTime(loadTime), m_now(now) {
-  std::uint32_t served = 0;  // items that wait and may begin as engines are
+    : m_model(model), m_gracePeriod(gracePeriod), m_loadTime(loadTime), m_now(now) {
+  std::uint32_t servableItems = 0;  // waiting items that can start on engines as they are
   std::uint64_t oldest = 0;
-  for (const StepNeed& step : model.needs) {
+  for (const StepDemand& step : model.stepDemands) {
     if (step.open && slotsFrom(model.readySlots, step.version) > 0) {
-      served += step.waiting;
+      servableItems += step.waiting;
       oldest = oldest == 0 ? step.version : std::min(oldest, step.version);
     }
   }
-  const bool presses =
-      std::any_of(model.needs.begin(), model.needs.end(),
-                  [&](const StepNeed& step) { return step.version > oldest && isPressing(step); });
+  const bool hasUrgentStep =
+      std::any_of(model.stepDemands.begin(), model.stepDemands.end(),
+                  [&](const StepDemand& step) { return step.version > oldest && isDueSoon(step); });
   const std::uint32_t ready = slotsFrom(model.readySlots, oldest);
-  m_spare = presses && served > 0 ? ready - std::min(ready, served) : 0;
+  m_spareSlots = hasUrgentStep && servableItems > 0 ? ready - std::min(ready, servableItems) : 0;
 }
 
-bool ModelRanking::isPressing(const StepNeed& step) const {
-  // Two rounds of loads are what half of the engines, and then the others, take.
-  constexpr int kRounds = 2;
+bool ModelRanking::isDueSoon(const StepDemand& step) const {
+  // Half of the engines load first and the rest second.
+  constexpr int kLoadRounds = 2;
   return step.version <= m_model.published &&
-         (step.open || step.expectedAt - m_now <= m_settlingTime + m_loadTime * kRounds);
+         (step.open || step.expectedAt - m_now <= m_gracePeriod + m_loadTime * kLoadRounds);
 }
 
 void ModelRanking::rank(Candidates candidates, std::vector<RankedLoad>& ranked) {
-  for (const StepNeed& step : m_model.needs) {
+  for (const StepDemand& step : m_model.stepDemands) {
     rankForStep(step, candidates, ranked);
   }
   rankRest(candidates, ranked);
 }
 
-void ModelRanking::rankForStep(const StepNeed& step, Candidates& candidates,
+void ModelRanking::rankForStep(const StepDemand& step, Candidates& candidates,
                                std::vector<RankedLoad>& ranked) {
   if (step.version > m_model.published) {
-    return;  // no load helps before that version is there
+    return;  // the version is not published yet
   }
   std::uint32_t availableSlots = slotsFrom(m_model.readySlots, step.version) +
-                                 slotsFrom(m_model.loadingSlots, step.version) + m_promised;
-  const base::Duration left = step.open ? step.slack : step.expectedAt - m_now;
-  Candidates others;
+                                 slotsFrom(m_model.loadingSlots, step.version) + m_plannedSlots;
+  const base::Duration timeLeft = step.open ? step.slack : step.expectedAt - m_now;
+  Candidates remaining;
   for (const LoadCandidate* candidate : candidates) {
     if (candidate->held >= step.version || availableSlots >= step.slots) {
-      others.push_back(candidate);
+      remaining.push_back(candidate);
       continue;
     }
-    const double covered = static_cast<double>(availableSlots) / step.slots;
+    const double coverage = static_cast<double>(availableSlots) / step.slots;
     availableSlots += candidate->slots;
-    m_promised += candidate->slots;
-    if (!reserve(*candidate)) {
-      ranked.push_back({step.open ? LoadUrgency::kOpenStep : LoadUrgency::kExpectedStep,
-                        wholeLoads(left, m_loadTime), covered,
+    m_plannedSlots += candidate->slots;
+    if (!reserveForStep(*candidate)) {
+      ranked.push_back({step.open ? LoadPriority::kOpenStep : LoadPriority::kExpectedStep,
+                        roundToLoadTime(timeLeft, m_loadTime), coverage,
                         PlannedLoad{candidate, !servesOpenStep(*candidate)}});
     }
   }
-  candidates = std::move(others);
+  candidates = std::move(remaining);
 }
 
 void ModelRanking::rankRest(const Candidates& candidates, std::vector<RankedLoad>& ranked) {
-  // The newest version may be older than all that is open or expected: it would serve nothing.
+  // The newest version may be older than every open or expected step requires.
   const bool serves =
-      std::any_of(m_model.needs.begin(), m_model.needs.end(),
-                  [&](const StepNeed& step) { return step.version <= m_model.published; });
-  if (m_now - m_model.publishedAt < (serves ? m_settlingTime : kMaxDeferral)) {
+      std::any_of(m_model.stepDemands.begin(), m_model.stepDemands.end(),
+                  [&](const StepDemand& step) { return step.version <= m_model.published; });
+  if (m_now - m_model.publishedAt < (serves ? m_gracePeriod : kMaxDeferral)) {
     return;
   }
   for (const LoadCandidate* candidate : candidates) {
-    const bool isDeferred = servesOpenStep(*candidate) && mayDefer(*candidate);
-    if (!isDeferred && !reserve(*candidate)) {
-      ranked.push_back(
-          {LoadUrgency::kNone, m_model.publishedAt - m_now, 0, PlannedLoad{candidate, false}});
+    const bool isDeferred = servesOpenStep(*candidate) && canDefer(*candidate);
+    if (!isDeferred && !reserveForStep(*candidate)) {
+      ranked.push_back({LoadPriority::kBackground, m_model.publishedAt - m_now, 0,
+                        PlannedLoad{candidate, false}});
     }
   }
 }
 
-bool ModelRanking::isBeginning(const StepNeed& step) const {
+bool ModelRanking::isStarting(const StepDemand& step) const {
   if (step.open) {
-    return m_now - step.expectedAt < m_settlingTime;
+    return m_now - step.expectedAt < m_gracePeriod;
   }
-  // A step that is late comes as soon as its version is published.
-  const base::TimePoint lastSign = std::max(step.expectedAt, m_model.publishedAt);
-  return step.expectedAt - m_now <= m_loadTime && m_now - lastSign < m_settlingTime;
+  // A late step starts as soon as its version is published.
+  const base::TimePoint latestSignal = std::max(step.expectedAt, m_model.publishedAt);
+  return step.expectedAt - m_now <= m_loadTime && m_now - latestSignal < m_gracePeriod;
 }
 
-bool ModelRanking::mayDefer(const LoadCandidate& candidate) const {
+bool ModelRanking::canDefer(const LoadCandidate& candidate) const {
   return candidate.held + kMaxStaleness > m_model.published &&
          m_now - m_model.publishedAt < kMaxDeferral;
 }
 
-bool ModelRanking::reserve(const LoadCandidate& candidate) {
-  if (!mayDefer(candidate)) {
+bool ModelRanking::reserveForStep(const LoadCandidate& candidate) {
+  if (!canDefer(candidate)) {
     return false;
   }
   bool serves = false;
-  for (const StepNeed& step : m_model.needs) {
-    if (candidate.held >= step.version && isBeginning(step)) {
+  for (const StepDemand& step : m_model.stepDemands) {
+    if (candidate.held >= step.version && isStarting(step)) {
       if (!step.open) {
         return true;
       }
       serves = true;
     }
   }
-  if (serves && m_spare >= candidate.slots) {
-    m_spare -= candidate.slots;
+  if (serves && m_spareSlots >= candidate.slots) {
+    m_spareSlots -= candidate.slots;
     return false;
   }
   return serves;
 }
 
 bool ModelRanking::servesOpenStep(const LoadCandidate& candidate) const {
-  return std::any_of(m_model.needs.begin(), m_model.needs.end(), [&](const StepNeed& step) {
-    return step.open && candidate.held >= step.version;
-  });
+  return std::any_of(
+      m_model.stepDemands.begin(), m_model.stepDemands.end(),
+      [&](const StepDemand& step) { return step.open && candidate.held >= step.version; });
 }
 
 }  // namespace tackpick::directory
--- a/src/directory/model_ranking.h
+++ b/src/directory/model_ranking.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which engines of one model should load, and how urgently.
+/// Ranks the engines of one model for loading.
 #pragma once
 
 #include <cstdint>
@@ -9,50 +9,52 @@
 
 namespace tackpick::directory {
 
-/// What a load answers; lower ones go first.
-enum class LoadUrgency : std::uint8_t { kOpenStep, kExpectedStep, kNone };
+/// Class of a planned load; lower values go first.
+enum class LoadPriority : std::uint8_t { kOpenStep, kExpectedStep, kBackground };
 
-/// A load and what it is compared by with those of other models.
+/// A planned load with its sort criteria across models.
 struct RankedLoad {
-  LoadUrgency urgency = LoadUrgency::kNone;
-  base::Duration key{0};  ///< of one urgency the lowest goes first
-  double covered = 0;     ///< share of the step's slots that are there without this load
+  LoadPriority priority = LoadPriority::kBackground;
+  base::Duration sortKey{0};  ///< within a priority, lower values go first
+  double coverage = 0;        ///< share of the step's slots that are available without this load
   PlannedLoad load;
 };
 
-/// Ranks the engines of one model whose steps are known. Made anew for each plan.
+/// Ranks the engines of one model whose steps are known. Constructed for each plan.
 class ModelRanking {
  public:
   using Candidates = std::vector<const LoadCandidate*>;
 
-  ModelRanking(const ModelLoadState& model, base::Duration settlingTime, base::Duration loadTime,
+  ModelRanking(const ModelLoadState& model, base::Duration gracePeriod, base::Duration loadTime,
                base::TimePoint now);
 
-  /// `candidates`: those with the oldest weights first. Appends those that may load now.
+  /// Appends the loads that may start now. `candidates`: sorted by held version, oldest first.
   void rank(Candidates candidates, std::vector<RankedLoad>& ranked);
 
  private:
-  /// Ranks engines for one step until it has slots for its items; takes them off `candidates`.
-  void rankForStep(const StepNeed& step, Candidates& candidates, std::vector<RankedLoad>& ranked);
-  /// Ranks what no known step needs.
+  /// Ranks engines for one step until its items have enough slots; removes them from `candidates`.
+  void rankForStep(const StepDemand& step, Candidates& candidates, std::vector<RankedLoad>& ranked);
+  /// Ranks engines that no known step needs.
   void rankRest(const Candidates& candidates, std::vector<RankedLoad>& ranked);
-  /// True when engines that load for `step` must begin to now.
-  [[nodiscard]] bool isPressing(const StepNeed& step) const;
-  /// True when items of `step` will begin within a moment.
-  [[nodiscard]] bool isBeginning(const StepNeed& step) const;
-  /// True when the newest version is not old enough to be loaded in any case.
-  [[nodiscard]] bool mayDefer(const LoadCandidate& candidate) const;
-  /// True when the engine is left to a step that is beginning.
-  [[nodiscard]] bool reserve(const LoadCandidate& candidate);
+  /// Whether loads for `step` must start now to be complete in time.
+  [[nodiscard]] bool isDueSoon(const StepDemand& step) const;
+  /// Whether items of `step` are about to start.
+  [[nodiscard]] bool isStarting(const StepDemand& step) const;
+  /// Whether the load may be deferred: the engine is not too far behind and the newest version is
+  /// recent.
+  [[nodiscard]] bool canDefer(const LoadCandidate& candidate) const;
+  /// Whether the engine is kept for a step that is starting.
+  [[nodiscard]] bool reserveForStep(const LoadCandidate& candidate);
   [[nodiscard]] bool servesOpenStep(const LoadCandidate& candidate) const;
 
   const ModelLoadState& m_model;
-  const base::Duration m_settlingTime;
+  const base::Duration m_gracePeriod;
   const base::Duration m_loadTime;
   const base::TimePoint m_now;
-  std::uint32_t m_promised = 0;  ///< slots of engines that are ranked: they will hold the newest
-  /// Slots that steps which are beginning need not have, when the next one presses.
-  std::uint32_t m_spare = 0;
+  /// Slots of engines that are ranked to load the newest version.
+  std::uint32_t m_plannedSlots = 0;
+  /// Slots that starting steps can spare for the next step if that is due soon.
+  std::uint32_t m_spareSlots = 0;
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/oldest_first.cpp
+++ b/src/directory/oldest_first_load_policy.cpp
@@ -1,13 +1,14 @@
-#include "directory/oldest_first.h"
+#include "directory/oldest_first_load_policy.h"
 
 #include <algorithm>
 #include <tuple>
 
 namespace tackpick::directory {
 
-std::vector<PlannedLoad> OldestFirst::plan(const std::vector<LoadCandidate>& candidates,
-                                           const ModelLoadStates& models,
-                                           base::Duration /*loadTime*/, base::TimePoint now) const {
+std::vector<PlannedLoad> OldestFirstLoadPolicy::plan(const std::vector<LoadCandidate>& candidates,
+                                                     const ModelLoadStates& models,
+                                                     base::Duration /*loadTime*/,
+                                                     base::TimePoint now) const {
   struct Ranked {
     base::TimePoint publishedAt{};
     const LoadCandidate* candidate = nullptr;
--- a/src/directory/oldest_first.h
+++ b/src/directory/oldest_first_load_policy.h
@@ -1,17 +1,17 @@
 /// \file
-/// Engines load in the order in which versions were published.
+/// Load policy in order of publication.
 #pragma once
 
 #include "directory/load_policy.h"
 
 namespace tackpick::directory {
 
-/// The policy that knows nothing of steps: first the model whose version was published first, of
-/// one model first the engines with the oldest weights. An engine that holds the version before
-/// waits for `settlingTime`: work that comes with a version may still begin there.
-class OldestFirst final : public LoadPolicy {
+/// Load policy that ignores steps: loads the model whose version was published first, and within a
+/// model the engines with the oldest weights. An engine with the previous version waits for
+/// `gracePeriod`, since work may still start on that version.
+class OldestFirstLoadPolicy final : public LoadPolicy {
  public:
-  explicit OldestFirst(base::Duration settlingTime) : m_settlingTime(settlingTime) {}
+  explicit OldestFirstLoadPolicy(base::Duration gracePeriod) : m_gracePeriod(gracePeriod) {}
 
   [[nodiscard]] std::vector<PlannedLoad> plan(const std::vector<LoadCandidate>& candidates,
                                               const ModelLoadStates& models,
@@ -19,11 +19,11 @@
                                               base::TimePoint now) const override;
   [[nodiscard]] bool isDue(const LoadCandidate& candidate, const ModelLoadState& model,
                            base::TimePoint now) const {
-    return candidate.held + 1 < model.published || now - model.publishedAt >= m_settlingTime;
+    return candidate.held + 1 < model.published || now - model.publishedAt >= m_gracePeriod;
   }
 
  private:
-  const base::Duration m_settlingTime;
+  const base::Duration m_gracePeriod;
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/rejection_policy.cpp
+++ b/src/directory/rejection_policy.cpp
@@ -2,13 +2,12 @@
 
 namespace tackpick::directory {
 
-// What is missing here may have been added since the configuration was confirmed. A gateway that
-// has lost the controllers for longer than a change may take would otherwise refuse, for as long as
-// they are away, what has long been allowed.
-RejectionKind RejectionPolicy::judge(std::optional<base::TimePoint> confirmedAt,
-                                     base::TimePoint now) const {
+// A route or key may have been added after the configuration was last confirmed. A gateway that
+// cannot reach the controllers must not permanently reject such requests.
+RejectionKind RejectionPolicy::classify(std::optional<base::TimePoint> confirmedAt,
+                                        base::TimePoint now) const {
   const bool fresh = confirmedAt && now - *confirmedAt <= m_maxStaleness;
-  return fresh ? RejectionKind::kFinal : RejectionKind::kLater;
+  return fresh ? RejectionKind::kPermanent : RejectionKind::kRetryable;
 }
 
 }  // namespace tackpick::directory
--- a/src/directory/rejection_policy.h
+++ b/src/directory/rejection_policy.h
@@ -1,6 +1,5 @@
 /// \file
-/// Whether a gateway may turn a request away for good because its configuration lacks the request's
-/// route or key.
+/// Classifies rejections of requests whose route or key is not in the gateway's configuration.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +10,19 @@
 namespace tackpick::directory {
 
 enum class RejectionKind : std::uint8_t {
-  kFinal,  ///< the route or key is not there
-  kLater,  ///< it may be there by now: the caller should come again
+  kPermanent,  ///< the route or key does not exist
+  kRetryable,  ///< it may have been added; the caller should retry
 };
 
 class RejectionPolicy {
  public:
-  /// `maxStaleness`: an accepted change is in force everywhere after this time.
+  /// `maxStaleness`: time after which an accepted change is applied at all gateways.
   explicit RejectionPolicy(base::Duration maxStaleness) : m_maxStaleness(maxStaleness) {}
 
-  /// `confirmedAt`: up to when the configuration held is known to have been the newest; nothing
-  /// when that was never known.
-  [[nodiscard]] RejectionKind judge(std::optional<base::TimePoint> confirmedAt,
-                                    base::TimePoint now) const;
+  /// `confirmedAt`: last time at which the held configuration was confirmed to be the newest;
+  /// std::nullopt if never.
+  [[nodiscard]] RejectionKind classify(std::optional<base::TimePoint> confirmedAt,
+                                       base::TimePoint now) const;
 
  private:
   base::Duration m_maxStaleness;
--- a/src/directory/request_label.h
+++ b/src/directory/request_label.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a call to the controllers is called in logs and metrics.
+/// Label of a request to the controllers in logs and metrics.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
 
 struct RequestLabel {
   std::string_view call;
-  std::string subject;   ///< version, instance, model or machine that it is about
-  bool changes = false;  ///< it asks for a change that its caller repeats until it is acknowledged
+  std::string subject;      ///< version, instance, model or machine concerned
+  bool isMutation = false;  ///< a change that the caller retries until it is acknowledged
 };
 
 [[nodiscard]] RequestLabel labelOf(const DirectoryRequest& request);
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -5,8 +5,8 @@
 namespace tackpick::directory {
 namespace {
 
-/// The ledgers' leader tells its open work twice a second; older figures decide nothing.
-constexpr base::Duration kWorkLifetime = base::seconds(2);
+/// Age after which reported open jobs are ignored.
+constexpr base::Duration kMaxReportAge = base::seconds(2);
 
 void count(const InstanceViewRef& instance, duties::RegisteredInstances& zone) {
   const InstanceRecord& record = *instance.record;
@@ -18,20 +18,20 @@
   zone.unresponsive += instance.unresponsive ? 1 : 0;
 }
 
-std::optional<duties::CapacityDemand> demandOf(const Service& service, const ReportedOpenJobs& work,
-                                               const std::map<std::string, double>& recentDemand,
-                                               base::TimePoint now) {
-  // What else a service runs is not told.
-  const bool known =
-      !service.models.empty() && work.reportedAt && now - *work.reportedAt < kWorkLifetime;
+std::optional<duties::CapacityDemand> capacityDemand(
+    const Service& service, const ReportedOpenJobs& reportedJobs,
+    const std::map<std::string, double>& recentDemand, base::TimePoint now) {
+  // Open jobs are reported only for services with models.
+  const bool known = !service.models.empty() && reportedJobs.reportedAt &&
+                     now - *reportedJobs.reportedAt < kMaxReportAge;
   if (!known) {
     return std::nullopt;
   }
   duties::CapacityDemand demand;
-  demand.reportAge = now - *work.reportedAt;
+  demand.reportAge = now - *reportedJobs.reportedAt;
   for (const std::string& model : service.models) {
-    const auto open = work.works.find(model);
-    if (open != work.works.end() && !open->second.empty()) {
+    const auto open = reportedJobs.openJobs.find(model);
+    if (open != reportedJobs.openJobs.end() && !open->second.empty()) {
       demand.works.insert(*open);
     }
     const auto recent = recentDemand.find(model);
@@ -56,7 +56,7 @@
 
 std::vector<duties::ScaledService> scaledServices(const DirectoryState& state,
                                                   const std::vector<InstanceViewRef>& instances,
-                                                  const ReportedOpenJobs& work,
+                                                  const ReportedOpenJobs& reportedJobs,
                                                   const std::map<std::string, double>& recentDemand,
                                                   base::TimePoint now) {
   std::vector<duties::ScaledService> services;
@@ -68,7 +68,7 @@
     scaled.name = service.name;
     scaled.scaling = *service.scaling;
     scaled.slots = std::max(service.slots, 1U);
-    scaled.demand = demandOf(service, work, recentDemand, now);
+    scaled.demand = capacityDemand(service, reportedJobs, recentDemand, now);
     addInstances(instances, scaled);
   }
   return services;
--- a/src/directory/scaled_services.h
+++ b/src/directory/scaled_services.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the controllers' leader knows of the services whose instances the platform starts.
+/// Input of the autoscaler: services whose instances are started on the platform.
 #pragma once
 
 #include <map>
@@ -14,16 +14,16 @@
 
 namespace tackpick::directory {
 
-/// Open work as the ledgers' leader last told it.
+/// Open jobs as last reported by the ledgers' leader.
 struct ReportedOpenJobs {
-  jobs::OpenJobsByModel works;
+  jobs::OpenJobsByModel openJobs;
   std::optional<base::TimePoint> reportedAt;
 };
 
-/// The services with bounds on their instances. `recentDemand` by model: see ModelDemand.
+/// Returns the services with scaling settings. `recentDemand` by model: see ModelDemand.
 [[nodiscard]] std::vector<duties::ScaledService> scaledServices(
     const DirectoryState& state, const std::vector<InstanceViewRef>& instances,
-    const ReportedOpenJobs& work, const std::map<std::string, double>& recentDemand,
+    const ReportedOpenJobs& reportedJobs, const std::map<std::string, double>& recentDemand,
     base::TimePoint now);
 
 }  // namespace tackpick::directory
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -6,29 +6,29 @@
 namespace tackpick::directory {
 namespace {
 
-/// Steps that are forecast ahead of the newest, at most: a trainer has few open at once.
+/// Maximum number of steps that are forecast ahead of the newest.
 constexpr std::uint64_t kMaxExpected = 2;
-/// Steps that the time of the next is taken from: late ones among them are few, and an error of the
-/// interval counts no more often.
-constexpr std::size_t kSchedule = 4;
-/// A job this old when it is first told came before versions that are published by now.
-constexpr base::Duration kFreshJob = base::milliseconds(500);
+/// Number of submissions from which the time of the next step is estimated.
+constexpr std::size_t kSubmissionHistorySize = 4;
+/// Maximum age of a job at its first report for which its lag is recorded. Older jobs may have been
+/// submitted before the newest version was published.
+constexpr base::Duration kNewJobMaxAge = base::milliseconds(500);
 
 template <class Value>
-void remember(std::deque<Value>& values, const Value& value, std::size_t memory) {
+void pushBounded(std::deque<Value>& values, const Value& value, std::size_t historySize) {
   values.push_back(value);
-  if (values.size() > memory) {
+  if (values.size() > historySize) {
     values.pop_front();
   }
 }
 
-/// The lower or the upper median; `otherwise` where nothing is known.
+/// Whether a median of an even number of values is the lower or the upper one.
 enum class Median : std::uint8_t { kLower, kUpper };
 template <class Value>
-Value medianOf(const std::deque<Value>& values, const Value& otherwise,
+Value medianOf(const std::deque<Value>& values, const Value& fallback,
                Median median = Median::kLower) {
   if (values.empty()) {
-    return otherwise;
+    return fallback;
   }
   std::vector<Value> sorted(values.begin(), values.end());
   const std::size_t index = (sorted.size() - (median == Median::kLower ? 1 : 0)) / 2;
@@ -39,65 +39,67 @@
 
 }  // namespace
 
-void StepForecast::note(const jobs::OpenJobsByModel& works,
-                        const std::map<std::string, std::uint64_t>& published,
-                        base::TimePoint reportedAt) {
-  for (const auto& [model, open] : works) {
+void StepForecast::update(const jobs::OpenJobsByModel& openJobs,
+                          const std::map<std::string, std::uint64_t>& published,
+                          base::TimePoint reportedAt) {
+  for (const auto& [model, open] : openJobs) {
     const auto version = published.find(model);
-    noteModel(m_models[model], open, version == published.end() ? 0 : version->second, reportedAt);
+    updateModel(m_models[model], open, version == published.end() ? 0 : version->second,
+                reportedAt);
   }
   for (auto& [model, steps] : m_models) {
-    if (!works.contains(model)) {
-      noteModel(steps, {}, 0, reportedAt);
+    if (!openJobs.contains(model)) {
+      updateModel(steps, {}, 0, reportedAt);
     }
   }
 }
 
-void StepForecast::noteModel(ModelSteps& steps, const std::vector<jobs::OpenJob>& works,
-                             std::uint64_t published, base::TimePoint reportedAt) {
+void StepForecast::updateModel(StepHistory& steps, const std::vector<jobs::OpenJob>& openJobs,
+                               std::uint64_t published, base::TimePoint reportedAt) {
   std::set<std::string> open;
-  for (const jobs::OpenJob& work : works) {
-    open.insert(work.job);
-    const bool isKnown =
-        steps.known.contains(work.job) ||
-        std::find(steps.ended.begin(), steps.ended.end(), work.job) != steps.ended.end();
+  for (const jobs::OpenJob& openJob : openJobs) {
+    open.insert(openJob.job);
+    const bool isKnown = steps.openJobIds.contains(openJob.job) ||
+                         std::find(steps.recentlyEnded.begin(), steps.recentlyEnded.end(),
+                                   openJob.job) != steps.recentlyEnded.end();
     if (!isKnown) {
-      noteSubmission(steps, work, published, reportedAt - work.age);
+      recordSubmission(steps, openJob, published, reportedAt - openJob.age);
     }
   }
-  for (const std::string& job : steps.known) {
+  for (const std::string& job : steps.openJobIds) {
     if (!open.contains(job)) {
-      remember(steps.ended, job, m_settings.memory);
+      pushBounded(steps.recentlyEnded, job, m_settings.historySize);
     }
   }
-  steps.known = std::move(open);
-  steps.open = works;
+  steps.openJobIds = std::move(open);
+  steps.open = openJobs;
   steps.reportedAt = reportedAt;
 }
 
-void StepForecast::noteSubmission(ModelSteps& steps, const jobs::OpenJob& work,
-                                  std::uint64_t published, base::TimePoint submittedAt) {
+void StepForecast::recordSubmission(StepHistory& steps, const jobs::OpenJob& openJob,
+                                    std::uint64_t published, base::TimePoint submittedAt) {
   if (!steps.submittedAt.empty()) {
     const base::TimePoint last = steps.submittedAt.back();
     if (submittedAt < last) {
-      return;  // the clock of another leader of the ledgers: its age says nothing
+      return;  // the ledgers' leader has changed and its clock differs: the interval is not usable
     }
-    remember(steps.intervals, submittedAt - last, m_settings.memory);
+    pushBounded(steps.intervals, submittedAt - last, m_settings.historySize);
     const std::uint64_t increment =
-        work.minimumVersion - std::min(work.minimumVersion, steps.minimum);
-    remember(steps.increments, increment, m_settings.memory);
+        openJob.minimumVersion - std::min(openJob.minimumVersion, steps.lastMinVersion);
+    pushBounded(steps.increments, increment, m_settings.historySize);
   }
-  if (work.age < kFreshJob && work.minimumVersion <= published) {
-    remember(steps.lags, published - work.minimumVersion, m_settings.memory);
+  if (openJob.age < kNewJobMaxAge && openJob.minimumVersion <= published) {
+    pushBounded(steps.lags, published - openJob.minimumVersion, m_settings.historySize);
   }
-  remember(steps.items, work.items, m_settings.memory);
-  remember(steps.submittedAt, submittedAt, kSchedule);
-  steps.minimum = work.minimumVersion;
-  steps.slack = work.slack;
+  pushBounded(steps.items, openJob.items, m_settings.historySize);
+  pushBounded(steps.submittedAt, submittedAt, kSubmissionHistorySize);
+  steps.lastMinVersion = openJob.minimumVersion;
+  steps.slack = openJob.slack;
 }
 
-base::TimePoint StepForecast::nextDue(const ModelSteps& steps, base::Duration interval) const {
-  // A late step does not move the time of the next: the earliest by the last few is taken.
+base::TimePoint StepForecast::nextStepTime(const StepHistory& steps,
+                                           base::Duration interval) const {
+  // A late step does not delay the next one: the earliest estimate is used.
   base::TimePoint due = base::TimePoint::max();
   int distance = static_cast<int>(steps.submittedAt.size());
   for (const base::TimePoint submittedAt : steps.submittedAt) {
@@ -107,50 +109,52 @@
   return due;
 }
 
-std::vector<StepNeed> StepForecast::needs(const std::string& model, std::uint64_t published,
-                                          base::TimePoint now) const {
-  std::vector<StepNeed> needs;
+std::vector<StepDemand> StepForecast::stepDemands(const std::string& model, std::uint64_t published,
+                                                  base::TimePoint now) const {
+  std::vector<StepDemand> stepDemands;
   const auto found = m_models.find(model);
   if (found == m_models.end() || found->second.intervals.empty()) {
-    return needs;
+    return stepDemands;
   }
-  addOpen(found->second, now, needs);
-  addExpected(found->second, published, now, needs);
-  return needs;
+  addOpenSteps(found->second, now, stepDemands);
+  addExpectedSteps(found->second, published, now, stepDemands);
+  return stepDemands;
 }
 
-void StepForecast::addOpen(const ModelSteps& steps, base::TimePoint now,
-                           std::vector<StepNeed>& needs) const {
-  if (now - steps.reportedAt > m_settings.staleAfter) {
+void StepForecast::addOpenSteps(const StepHistory& steps, base::TimePoint now,
+                                std::vector<StepDemand>& stepDemands) const {
+  if (now - steps.reportedAt > m_settings.reportTimeout) {
     return;
   }
-  for (const jobs::OpenJob& work : steps.open) {
-    if (work.waiting > 0) {
-      needs.push_back({true, work.minimumVersion, work.items, work.waiting,
-                       steps.reportedAt - work.age, work.slack});
+  for (const jobs::OpenJob& openJob : steps.open) {
+    if (openJob.waiting > 0) {
+      stepDemands.push_back({true, openJob.minimumVersion, openJob.items, openJob.waiting,
+                             steps.reportedAt - openJob.age, openJob.slack});
     }
   }
-  std::stable_sort(needs.begin(), needs.end(), [](const StepNeed& left, const StepNeed& right) {
-    return left.slack < right.slack;
-  });
+  std::stable_sort(
+      stepDemands.begin(), stepDemands.end(),
+      [](const StepDemand& left, const StepDemand& right) { return left.slack < right.slack; });
 }
 
-void StepForecast::addExpected(const ModelSteps& steps, std::uint64_t published,
-                               base::TimePoint now, std::vector<StepNeed>& needs) const {
+void StepForecast::addExpectedSteps(const StepHistory& steps, std::uint64_t published,
+                                    base::TimePoint now,
+                                    std::vector<StepDemand>& stepDemands) const {
   const base::Duration interval = medianOf(steps.intervals, base::Duration{0});
-  if (now - steps.submittedAt.back() > interval * m_settings.patienceIntervals) {
+  if (now - steps.submittedAt.back() > interval * m_settings.maxIdleIntervals) {
     return;
   }
-  // The first steps of a trainer may all allow the first version: they do not count as the rule.
+  // The first steps of a trainer may all have the same minimum version; the upper median ignores
+  // them.
   const std::uint64_t increment = medianOf(steps.increments, std::uint64_t{1}, Median::kUpper);
   const std::uint64_t lag = medianOf(steps.lags, std::uint64_t{1});
   const std::uint32_t slots = medianOf(steps.items, 0U);
-  const base::TimePoint firstDue = nextDue(steps, interval);
+  const base::TimePoint firstExpectedAt = nextStepTime(steps, interval);
   for (std::uint64_t ahead = 1; ahead <= kMaxExpected; ++ahead) {
-    const std::uint64_t version = steps.minimum + ahead * increment;
-    const base::TimePoint due = firstDue + interval * static_cast<int>(ahead - 1);
-    needs.push_back({false, version, slots, slots, due, steps.slack});
-    // The one after it comes when a version is published that is not there yet.
+    const std::uint64_t version = steps.lastMinVersion + ahead * increment;
+    const base::TimePoint due = firstExpectedAt + interval * static_cast<int>(ahead - 1);
+    stepDemands.push_back({false, version, slots, slots, due, steps.slack});
+    // The step after that depends on a version that is not published yet.
     if (version + lag > published) {
       break;
     }
