--- a/src/control/control_commands.h
+++ b/src/control/control_commands.h
@@ -12,13 +12,13 @@
 
 namespace tackpick::control {
 
-/// Change of one settings node. `expectedRevision` must be the node's current revision, zero when
-/// the node must not exist; without it the change is unconditional.
+/// Change of one settings node. `expectedRevision` must equal the node's current revision, or zero
+/// if the node must not exist; without it the change is unconditional.
 struct NodeChange {
   std::string path;
   std::optional<base::Revision> expectedRevision;
   bool remove = false;
-  bool replace = false;  ///< drop the values that `set` does not name
+  bool replace = false;  ///< removes values that `set` does not contain
   std::map<SettingKey, SettingValue> set;
   std::vector<SettingKey> unset;
 
@@ -28,7 +28,7 @@
   }
 };
 
-/// Several node changes that take effect together or not at all.
+/// Several node changes that are applied atomically.
 struct ApplyChange {
   std::string author;
   bool dryRun = false;
@@ -40,7 +40,7 @@
   }
 };
 
-/// Sighting of an engine, from the machine list.
+/// Registers an engine found in the machine list.
 struct RegisterEngine {
   EngineRecord record;
 
@@ -50,7 +50,7 @@
   }
 };
 
-/// Operator's drain of an engine, or its end.
+/// Starts or ends the draining of an engine by an operator.
 struct DrainEngine {
   base::EngineId engine;
   bool drained = true;
@@ -61,7 +61,7 @@
   }
 };
 
-/// New weights. Versions of a model only go up.
+/// Publishes a version of weights. Versions of a model only increase.
 struct PublishWeights {
   std::string model;
   base::WeightsVersion version;
@@ -84,8 +84,8 @@
 using ControlOperation =
     std::variant<ApplyChange, RegisterEngine, DrainEngine, PublishWeights, PutCredential>;
 
-/// A command of the control log. Resending the same `requestId` with the same operation gives the
-/// first outcome again; with another operation it is refused. Empty: not remembered.
+/// A command of the control log. A command with a known `requestId` returns the first outcome if
+/// the operation is the same and is rejected otherwise. An empty id is not recorded.
 struct ControlCommand {
   std::string requestId;
   ControlOperation operation;
@@ -98,9 +98,9 @@
 
 enum class ChangeStatus : std::uint8_t {
   kAccepted,
-  kUnchanged,        ///< valid, but everything was already so; no new revision
+  kUnchanged,        ///< valid, but nothing changed; no new revision
   kConflict,         ///< a node is not at the expected revision
-  kInvalid,          ///< breaks a rule; see `message`
+  kInvalid,          ///< the change is invalid; see `message`
   kRequestIdReused,  ///< the request id was used for another change
 };
 
@@ -118,7 +118,7 @@
 
 struct ChangeOutcome {
   ChangeStatus status = ChangeStatus::kInvalid;
-  base::Revision revision;  ///< made by this change, or in force when nothing changed
+  base::Revision revision;  ///< made by this change, or the current one if nothing changed
   std::string message;
   std::vector<NodeConflict> conflicts;
 
@@ -128,7 +128,7 @@
   }
 };
 
-/// A line of the history: what one accepted change did to one node.
+/// History entry: effect of one accepted change on one node.
 struct HistoryEntry {
   base::Revision revision;
   std::string author;
@@ -143,7 +143,7 @@
   }
 };
 
-/// Reads the whole control state as a full delta.
+/// Reads the complete control state as a full delta.
 struct ReadState {
   template <class Archive>
   void serialize(Archive& /*archive*/) {}
@@ -163,7 +163,7 @@
 
 struct HistoryResult {
   std::vector<HistoryEntry> entries;
-  bool truncated = false;  ///< older entries were dropped
+  bool truncated = false;  ///< older entries were removed
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/control/control_delta.h
+++ b/src/control/control_delta.h
@@ -1,5 +1,5 @@
 /// \file
-/// The records of the control state and the difference of two revisions of it.
+/// Records of the control state, and the difference between two revisions.
 #pragma once
 
 #include <map>
@@ -25,7 +25,7 @@
   }
 };
 
-/// An engine as the controllers know it.
+/// An engine in the control state.
 struct EngineRecord {
   base::EngineId engine;
   base::Revision revision;
@@ -34,8 +34,8 @@
   std::uint16_t port = 0;
   std::string zone;
   std::string model;
-  bool drained = false;   ///< by an operator
-  bool draining = false;  ///< by the machine list; sticky for this incarnation
+  bool drained = false;   ///< drained by an operator
+  bool draining = false;  ///< reported by the machine list; never reset for the same incarnation
   bool removed = false;
 
   template <class Archive>
@@ -58,7 +58,7 @@
 
 enum class CredentialRole : std::uint8_t { kCaller, kTrainer, kOperator };
 
-/// A bearer token, kept only as its hash.
+/// Hash and permissions of a bearer token.
 struct CredentialRecord {
   std::string tokenHash;  ///< SHA-256, hexadecimal
   base::Revision revision;
@@ -72,8 +72,8 @@
   }
 };
 
-/// Everything that changed after revision `from`, up to and including `to`. Applying it to any
-/// revision in [from, to] gives exactly `to`. `full` replaces whatever the receiver had.
+/// Changes after revision `from` up to and including `to`. Applying them to any revision in [from,
+/// to] gives exactly `to`. If `full` is set they replace the receiver's state.
 struct ControlDelta {
   base::Revision from;
   base::Revision to;
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -8,11 +8,11 @@
 namespace tackpick::control {
 namespace {
 
-constexpr std::size_t kMaximumPathLength = 200;
+constexpr std::size_t kMaxPathLength = 200;
 
-/// A path is empty or lower-case names joined by slashes.
+/// Whether the path is empty or consists of lower-case names joined by slashes.
 bool isValidPath(const std::string& path) {
-  if (path.size() > kMaximumPathLength || path.starts_with('/') || path.ends_with('/') ||
+  if (path.size() > kMaxPathLength || path.starts_with('/') || path.ends_with('/') ||
       path.find("//") != std::string::npos) {
     return false;
   }
@@ -21,9 +21,10 @@
   });
 }
 
-/// Adds the records that changed after `have`; a full delta carries no tombstones.
+/// Appends the records that changed after `knownRevision`; a full delta contains no tombstones.
 template <typename Map, typename Record>
-void collect(const Map& records, base::Revision have, bool full, std::vector<Record>& changed) {
+void collectChanged(const Map& records, base::Revision knownRevision, bool full,
+                    std::vector<Record>& changed) {
   for (const auto& entry : records) {
     const Record& record = entry.second;
     if constexpr (requires { record.removed; }) {
@@ -31,7 +32,7 @@
         continue;
       }
     }
-    if (full || record.revision > have) {
+    if (full || record.revision > knownRevision) {
       changed.push_back(record);
     }
   }
@@ -42,38 +43,39 @@
 base::Bytes ControlState::apply(consensus::LogIndex index, const base::Bytes& command) {
   const auto decoded = base::decode<ControlCommand>(command);
   if (!decoded) {
-    return base::encode(refused(ChangeStatus::kInvalid, "unreadable command"));
+    return base::encode(rejectedOutcome(ChangeStatus::kInvalid, "malformed command"));
   }
   return base::encode(applyOnce(base::Revision{index}, *decoded, command));
 }
 
-ChangeOutcome ControlState::applyOnce(base::Revision next, const ControlCommand& command,
+ChangeOutcome ControlState::applyOnce(base::Revision nextRevision, const ControlCommand& command,
                                       const base::Bytes& encoded) {
   const std::uint64_t hash = base::hashBytes(encoded);
-  const auto known = content_.requests.find(command.requestId);
-  if (known != content_.requests.end() && !limits_.mutants.forgetRequestIds) {
+  const auto known = m_data.requests.find(command.requestId);
+  if (known != m_data.requests.end() && !limits_.mutants.forgetRequestIds) {
     if (known->second.operationHash == hash) {
       return known->second.outcome;
     }
-    return refused(ChangeStatus::kRequestIdReused,
-                   "request id " + command.requestId + " was used for another change");
+    return rejectedOutcome(ChangeStatus::kRequestIdReused,
+                           "request id " + command.requestId + " was used for another change");
   }
-  ChangeOutcome outcome = std::visit(
-      [&](const auto& operation) { return applyOperation(next, operation); }, command.operation);
-  // Only accepted changes are remembered: repeating a refused one changes nothing either.
+  ChangeOutcome outcome =
+      std::visit([&](const auto& operation) { return applyOperation(nextRevision, operation); },
+                 command.operation);
+  // Only accepted changes are recorded, since a rejected one has no effect when repeated.
   if (!command.requestId.empty() && outcome.status == ChangeStatus::kAccepted) {
-    remember(command.requestId, hash, outcome);
+    recordRequest(command.requestId, hash, outcome);
   }
   return outcome;
 }
 
-ChangeOutcome ControlState::applyOperation(base::Revision next, const ApplyChange& change) {
+ChangeOutcome ControlState::applyOperation(base::Revision nextRevision, const ApplyChange& change) {
   ChangeOutcome outcome;
   for (const NodeChange& node : change.changes) {
-    if (std::string problem = checkNodeChange(node); !problem.empty()) {
-      return refused(ChangeStatus::kInvalid, std::move(problem));
+    if (std::string problem = validateNodeChange(node); !problem.empty()) {
+      return rejectedOutcome(ChangeStatus::kInvalid, std::move(problem));
     }
-    const SettingsNode* current = content_.settings.find(node.path);
+    const SettingsNode* current = m_data.settings.find(node.path);
     const base::Revision revision = current == nullptr ? base::Revision{} : current->revision;
     if (node.expectedRevision && *node.expectedRevision != revision &&
         !limits_.mutants.ignoreExpectedRevision) {
@@ -84,27 +86,27 @@
   }
   if (!outcome.conflicts.empty()) {
     outcome.status = ChangeStatus::kConflict;
-    outcome.revision = content_.revision;
+    outcome.revision = m_data.revision;
     outcome.message = "the node has changed since the expected revision";
     return outcome;
   }
   if (change.dryRun) {
-    return refused(ChangeStatus::kUnchanged, "dry run: the change is valid");
+    return rejectedOutcome(ChangeStatus::kUnchanged, "dry run: the change is valid");
   }
   for (const NodeChange& node : change.changes) {
-    const SettingsNode changed = changedNode(next, node);
-    record(next, change.author, changed);
-    content_.settings.put(changed);
+    const SettingsNode changed = applyNodeChange(nextRevision, node);
+    appendHistory(nextRevision, change.author, changed);
+    m_data.settings.put(changed);
   }
   pruneTombstones();
-  return accepted(next);
+  return acceptedOutcome(nextRevision);
 }
 
-std::string ControlState::checkNodeChange(const NodeChange& change) const {
+std::string ControlState::validateNodeChange(const NodeChange& change) const {
   if (!isValidPath(change.path)) {
-    return change.path + ": a path is lower-case names joined by slashes";
+    return change.path + ": path must consist of lower-case names joined by slashes";
   }
-  if (change.remove && (change.path.empty() || content_.settings.hasChildren(change.path))) {
+  if (change.remove && (change.path.empty() || m_data.settings.hasChildren(change.path))) {
     return change.path + ": only a node without children can be removed";
   }
   for (const auto& [key, value] : change.set) {
@@ -115,15 +117,16 @@
   return {};
 }
 
-SettingsNode ControlState::changedNode(base::Revision next, const NodeChange& change) const {
+SettingsNode ControlState::applyNodeChange(base::Revision nextRevision,
+                                           const NodeChange& change) const {
   SettingsNode node;
   node.path = change.path;
-  node.revision = next;
+  node.revision = nextRevision;
   node.removed = change.remove;
   if (change.remove) {
     return node;
   }
-  const SettingsNode* current = content_.settings.find(change.path);
+  const SettingsNode* current = m_data.settings.find(change.path);
   if (current != nullptr && !change.replace) {
     node.values = current->values;
   }
@@ -136,145 +139,152 @@
   return node;
 }
 
-ChangeOutcome ControlState::applyOperation(base::Revision next, const RegisterEngine& command) {
+ChangeOutcome ControlState::applyOperation(base::Revision nextRevision,
+                                           const RegisterEngine& command) {
   EngineRecord record = command.record;
-  record.revision = next;
-  const auto known = content_.engines.find(record.engine);
-  if (known != content_.engines.end()) {
+  record.revision = nextRevision;
+  const auto known = m_data.engines.find(record.engine);
+  if (known != m_data.engines.end()) {
     const EngineRecord& before = known->second;
-    // The list lags and flaps: an older run never replaces a newer one, and a run that was once
-    // draining stays so.
+    // The machine list is delayed and may be inconsistent: an older incarnation never replaces a
+    // newer one, and an incarnation that was draining stays draining.
     if (record.incarnation < before.incarnation) {
-      return refused(ChangeStatus::kUnchanged, "an older incarnation");
+      return rejectedOutcome(ChangeStatus::kUnchanged, "a newer incarnation is registered");
     }
     record.drained = before.drained;
-    const bool sameRun = record.incarnation == before.incarnation;
-    record.draining = record.draining || (sameRun && before.draining);
-    const bool same = sameRun && record.draining == before.draining && record.host == before.host &&
-                      record.port == before.port && record.model == before.model &&
-                      record.zone == before.zone && record.removed == before.removed;
+    const bool sameIncarnation = record.incarnation == before.incarnation;
+    record.draining = record.draining || (sameIncarnation && before.draining);
+    const bool same = sameIncarnation && record.draining == before.draining &&
+                      record.host == before.host && record.port == before.port &&
+                      record.model == before.model && record.zone == before.zone &&
+                      record.removed == before.removed;
     if (same) {
-      return refused(ChangeStatus::kUnchanged, "already known");
+      return rejectedOutcome(ChangeStatus::kUnchanged, "the engine is already registered");
     }
   }
-  content_.engines[record.engine] = record;
-  return accepted(next);
+  m_data.engines[record.engine] = record;
+  return acceptedOutcome(nextRevision);
 }
 
-ChangeOutcome ControlState::applyOperation(base::Revision next, const DrainEngine& command) {
-  const auto found = content_.engines.find(command.engine);
-  if (found == content_.engines.end()) {
-    return refused(ChangeStatus::kInvalid, "no such engine");
+ChangeOutcome ControlState::applyOperation(base::Revision nextRevision,
+                                           const DrainEngine& command) {
+  const auto found = m_data.engines.find(command.engine);
+  if (found == m_data.engines.end()) {
+    return rejectedOutcome(ChangeStatus::kInvalid, "unknown engine");
   }
   if (found->second.drained == command.drained) {
-    return refused(ChangeStatus::kUnchanged, "already so");
+    return rejectedOutcome(ChangeStatus::kUnchanged, "the engine is already in this state");
   }
   found->second.drained = command.drained;
-  found->second.revision = next;
-  return accepted(next);
+  found->second.revision = nextRevision;
+  return acceptedOutcome(nextRevision);
 }
 
-ChangeOutcome ControlState::applyOperation(base::Revision next, const PublishWeights& command) {
-  WeightsRecord& record = content_.weights[command.model];
+ChangeOutcome ControlState::applyOperation(base::Revision nextRevision,
+                                           const PublishWeights& command) {
+  WeightsRecord& record = m_data.weights[command.model];
   if (command.version <= record.version) {
     const bool same = command.version == record.version;
-    return refused(same ? ChangeStatus::kUnchanged : ChangeStatus::kInvalid,
-                   "version " + std::to_string(record.version.value) + " is already published");
+    return rejectedOutcome(
+        same ? ChangeStatus::kUnchanged : ChangeStatus::kInvalid,
+        "version " + std::to_string(record.version.value) + " is already published");
   }
-  record = {command.model, next, command.version};
-  return accepted(next);
+  record = {command.model, nextRevision, command.version};
+  return acceptedOutcome(nextRevision);
 }
 
-ChangeOutcome ControlState::applyOperation(base::Revision next, const PutCredential& command) {
+ChangeOutcome ControlState::applyOperation(base::Revision nextRevision,
+                                           const PutCredential& command) {
   constexpr std::size_t kHashLength = 64;
   if (command.record.tokenHash.size() != kHashLength) {
-    return refused(ChangeStatus::kInvalid, "a token hash has 64 hexadecimal digits");
+    return rejectedOutcome(ChangeStatus::kInvalid, "token hash must have 64 hexadecimal digits");
   }
   CredentialRecord record = command.record;
-  record.revision = next;
-  content_.credentials[record.tokenHash] = record;
-  return accepted(next);
+  record.revision = nextRevision;
+  m_data.credentials[record.tokenHash] = record;
+  return acceptedOutcome(nextRevision);
 }
 
-void ControlState::remember(const std::string& id, std::uint64_t hash,
-                            const ChangeOutcome& outcome) {
-  content_.requests[id] = {id, hash, outcome};
-  content_.requestOrder.push_back(id);
-  // Forgetting in blocks keeps the cost of erasing from the front of a vector low.
-  if (content_.requestOrder.size() < limits_.rememberedRequests * 2) {
+void ControlState::recordRequest(const std::string& id, std::uint64_t hash,
+                                 const ChangeOutcome& outcome) {
+  m_data.requests[id] = {id, hash, outcome};
+  m_data.requestOrder.push_back(id);
+  // Removing in blocks keeps the cost of erasing from the front of a vector low.
+  if (m_data.requestOrder.size() < limits_.maxRequestIds * 2) {
     return;
   }
   const auto keepFrom =
-      content_.requestOrder.end() - static_cast<std::ptrdiff_t>(limits_.rememberedRequests);
-  for (auto it = content_.requestOrder.begin(); it != keepFrom; ++it) {
-    content_.requests.erase(*it);
+      m_data.requestOrder.end() - static_cast<std::ptrdiff_t>(limits_.maxRequestIds);
+  for (auto it = m_data.requestOrder.begin(); it != keepFrom; ++it) {
+    m_data.requests.erase(*it);
   }
-  content_.requestOrder.erase(content_.requestOrder.begin(), keepFrom);
+  m_data.requestOrder.erase(m_data.requestOrder.begin(), keepFrom);
 }
 
-void ControlState::record(base::Revision next, const std::string& author,
-                          const SettingsNode& after) {
+void ControlState::appendHistory(base::Revision nextRevision, const std::string& author,
+                                 const SettingsNode& after) {
   HistoryEntry entry;
-  entry.revision = next;
+  entry.revision = nextRevision;
   entry.author = author;
   entry.path = after.path;
   entry.after = after.values;
   entry.removed = after.removed;
-  if (const SettingsNode* before = content_.settings.find(after.path)) {
+  if (const SettingsNode* before = m_data.settings.find(after.path)) {
     entry.before = before->values;
   }
-  content_.history.push_back(std::move(entry));
-  if (content_.history.size() >= limits_.historyEntries * 2) {
+  m_data.history.push_back(std::move(entry));
+  if (m_data.history.size() >= limits_.maxHistoryEntries * 2) {
     const auto dropped =
-        static_cast<std::ptrdiff_t>(content_.history.size() - limits_.historyEntries);
-    content_.history.erase(content_.history.begin(), content_.history.begin() + dropped);
-    content_.historyTruncated = true;
+        static_cast<std::ptrdiff_t>(m_data.history.size() - limits_.maxHistoryEntries);
+    m_data.history.erase(m_data.history.begin(), m_data.history.begin() + dropped);
+    m_data.historyTruncated = true;
   }
 }
 
 void ControlState::pruneTombstones() {
   std::vector<std::pair<base::Revision, std::string>> tombstones;
-  for (const auto& [path, node] : content_.settings.nodes()) {
+  for (const auto& [path, node] : m_data.settings.nodes()) {
     if (node.removed) {
       tombstones.emplace_back(node.revision, path);
     }
   }
-  if (tombstones.size() <= limits_.tombstones * 2) {
+  if (tombstones.size() <= limits_.maxTombstones * 2) {
     return;
   }
   std::sort(tombstones.begin(), tombstones.end());
-  tombstones.resize(tombstones.size() - limits_.tombstones);
+  tombstones.resize(tombstones.size() - limits_.maxTombstones);
   for (const auto& [revision, path] : tombstones) {
-    content_.settings.erase(path);
-    content_.prunedRevision = std::max(content_.prunedRevision, revision);
+    m_data.settings.erase(path);
+    m_data.prunedRevision = std::max(m_data.prunedRevision, revision);
   }
 }
 
-ChangeOutcome ControlState::accepted(base::Revision next) {
-  content_.revision = next;
+ChangeOutcome ControlState::acceptedOutcome(base::Revision nextRevision) {
+  m_data.revision = nextRevision;
   ChangeOutcome outcome;
   outcome.status = ChangeStatus::kAccepted;
-  outcome.revision = next;
+  outcome.revision = nextRevision;
   return outcome;
 }
 
-ChangeOutcome ControlState::refused(ChangeStatus status, std::string message) const {
+ChangeOutcome ControlState::rejectedOutcome(ChangeStatus status, std::string message) const {
   ChangeOutcome outcome;
   outcome.status = status;
-  outcome.revision = content_.revision;
+  outcome.revision = m_data.revision;
   outcome.message = std::move(message);
   return outcome;
 }
 
-ControlDelta ControlState::deltaSince(base::Revision have) const {
+ControlDelta ControlState::deltaSince(base::Revision knownRevision) const {
   ControlDelta delta;
-  delta.full = !have.valid() || have < content_.prunedRevision || have > content_.revision;
-  delta.from = delta.full ? base::Revision{} : have;
-  delta.to = content_.revision;
-  collect(content_.settings.nodes(), have, delta.full, delta.nodes);
-  collect(content_.engines, have, delta.full, delta.engines);
-  collect(content_.weights, have, delta.full, delta.weights);
-  collect(content_.credentials, have, delta.full, delta.credentials);
+  delta.full = !knownRevision.valid() || knownRevision < m_data.prunedRevision ||
+               knownRevision > m_data.revision;
+  delta.from = delta.full ? base::Revision{} : knownRevision;
+  delta.to = m_data.revision;
+  collectChanged(m_data.settings.nodes(), knownRevision, delta.full, delta.nodes);
+  collectChanged(m_data.engines, knownRevision, delta.full, delta.engines);
+  collectChanged(m_data.weights, knownRevision, delta.full, delta.weights);
+  collectChanged(m_data.credentials, knownRevision, delta.full, delta.credentials);
   return delta;
 }
 
@@ -285,19 +295,18 @@
   }
   if (const auto* history = std::get_if<ReadHistory>(&*decoded)) {
     HistoryResult result;
-    result.truncated = content_.historyTruncated;
-    std::copy_if(content_.history.begin(), content_.history.end(),
-                 std::back_inserter(result.entries),
+    result.truncated = m_data.historyTruncated;
+    std::copy_if(m_data.history.begin(), m_data.history.end(), std::back_inserter(result.entries),
                  [&](const HistoryEntry& entry) { return entry.revision > history->after; });
     return base::encode(result);
   }
   return base::encode(deltaSince(base::Revision{}));
 }
 
-base::Bytes ControlState::takeSnapshot() const { return base::encode(content_); }
+base::Bytes ControlState::takeSnapshot() const { return base::encode(m_data); }
 
 void ControlState::loadSnapshot(const base::Bytes& snapshot) {
-  content_ = base::decode<Content>(snapshot).value_or(Content{});
+  m_data = base::decode<SnapshotData>(snapshot).value_or(SnapshotData{});
 }
 
 }  // namespace tackpick::control
--- a/src/control/control_state.h
+++ b/src/control/control_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The replicated control state: settings tree, engines, weights, credentials.
+/// Replicated control state: settings tree, engines, weights, credentials.
 #pragma once
 
 #include <deque>
@@ -12,14 +12,15 @@
 
 namespace tackpick::control {
 
-/// Knobs of ControlState; part of the replicated behaviour, so the same on every replica.
+/// Limits of ControlState. They affect the replicated state, so they must be equal on all replicas.
 struct ControlLimits {
-  /// Request ids remembered; the oldest are forgotten first. Weeks at 17,000 changes a day would
-  /// not fit, and a resend comes within minutes: this keeps more than two days.
-  std::size_t rememberedRequests = 40'000;
-  std::size_t historyEntries = 4'000;
-  /// Tombstones kept; an older receiver gets the full state.
-  std::size_t tombstones = 1'000;
+  /// Minimum number of request ids that are kept to recognize resent commands; the oldest are
+  /// removed first.
+  std::size_t maxRequestIds = 40'000;
+  std::size_t maxHistoryEntries = 4'000;
+  /// Minimum number of tombstones that are kept. Receivers with an older revision get the full
+  /// state.
+  std::size_t maxTombstones = 1'000;
 
   struct Mutants {
     bool ignoreExpectedRevision = false;
@@ -27,8 +28,8 @@
   } mutants;
 };
 
-/// Deterministic. The revision of a change is the index of its log entry, so it rises across
-/// leaders, restarts and snapshots.
+/// State machine of the control state. The revision of a change is the index of its log entry, so
+/// it increases across leaders, restarts and snapshots. Deterministic.
 class ControlState final : public consensus::StateMachine {
  public:
   explicit ControlState(ControlLimits limits = {}) : limits_(limits) {}
@@ -38,18 +39,18 @@
   [[nodiscard]] base::Bytes takeSnapshot() const override;
   void loadSnapshot(const base::Bytes& snapshot) override;
 
-  [[nodiscard]] base::Revision revision() const { return content_.revision; }
-  [[nodiscard]] ControlDelta deltaSince(base::Revision have) const;
-  [[nodiscard]] const SettingsTree& settings() const { return content_.settings; }
+  [[nodiscard]] base::Revision revision() const { return m_data.revision; }
+  [[nodiscard]] ControlDelta deltaSince(base::Revision knownRevision) const;
+  [[nodiscard]] const SettingsTree& settings() const { return m_data.settings; }
   [[nodiscard]] const std::map<base::EngineId, EngineRecord>& engines() const {
-    return content_.engines;
+    return m_data.engines;
   }
   [[nodiscard]] const std::map<std::string, WeightsRecord>& weights() const {
-    return content_.weights;
+    return m_data.weights;
   }
 
  private:
-  struct RememberedRequest {
+  struct CompletedRequest {
     std::string id;
     std::uint64_t operationHash = 0;
     ChangeOutcome outcome;
@@ -59,15 +60,15 @@
       archive(id, operationHash, outcome);
     }
   };
-  /// All that a snapshot holds.
-  struct Content {
+  /// Contents of a snapshot.
+  struct SnapshotData {
     base::Revision revision;
-    base::Revision prunedRevision;  ///< tombstones up to here were dropped
+    base::Revision prunedRevision;  ///< tombstones up to this revision were removed
     SettingsTree settings;
     std::map<base::EngineId, EngineRecord> engines;
     std::map<std::string, WeightsRecord> weights;
     std::map<std::string, CredentialRecord> credentials;
-    std::map<std::string, RememberedRequest> requests;
+    std::map<std::string, CompletedRequest> requests;
     std::vector<std::string> requestOrder;  ///< oldest first
     std::vector<HistoryEntry> history;
     bool historyTruncated = false;
@@ -79,24 +80,26 @@
     }
   };
 
-  ChangeOutcome applyOnce(base::Revision next, const ControlCommand& command,
+  ChangeOutcome applyOnce(base::Revision nextRevision, const ControlCommand& command,
                           const base::Bytes& encoded);
-  ChangeOutcome applyOperation(base::Revision next, const ApplyChange& change);
-  ChangeOutcome applyOperation(base::Revision next, const RegisterEngine& command);
-  ChangeOutcome applyOperation(base::Revision next, const DrainEngine& command);
-  ChangeOutcome applyOperation(base::Revision next, const PublishWeights& command);
-  ChangeOutcome applyOperation(base::Revision next, const PutCredential& command);
-  /// What is wrong with one node change, in one sentence; empty when nothing is.
-  [[nodiscard]] std::string checkNodeChange(const NodeChange& change) const;
-  [[nodiscard]] SettingsNode changedNode(base::Revision next, const NodeChange& change) const;
-  void remember(const std::string& id, std::uint64_t hash, const ChangeOutcome& outcome);
-  void record(base::Revision next, const std::string& author, const SettingsNode& after);
+  ChangeOutcome applyOperation(base::Revision nextRevision, const ApplyChange& change);
+  ChangeOutcome applyOperation(base::Revision nextRevision, const RegisterEngine& command);
+  ChangeOutcome applyOperation(base::Revision nextRevision, const DrainEngine& command);
+  ChangeOutcome applyOperation(base::Revision nextRevision, const PublishWeights& command);
+  ChangeOutcome applyOperation(base::Revision nextRevision, const PutCredential& command);
+  /// Returns an error message for an invalid node change; empty if it is valid.
+  [[nodiscard]] std::string validateNodeChange(const NodeChange& change) const;
+  [[nodiscard]] SettingsNode applyNodeChange(base::Revision nextRevision,
+                                             const NodeChange& change) const;
+  void recordRequest(const std::string& id, std::uint64_t hash, const ChangeOutcome& outcome);
+  void appendHistory(base::Revision nextRevision, const std::string& author,
+                     const SettingsNode& after);
   void pruneTombstones();
-  ChangeOutcome accepted(base::Revision next);
-  [[nodiscard]] ChangeOutcome refused(ChangeStatus status, std::string message) const;
+  ChangeOutcome acceptedOutcome(base::Revision nextRevision);
+  [[nodiscard]] ChangeOutcome rejectedOutcome(ChangeStatus status, std::string message) const;
 
   ControlLimits limits_;
-  Content content_;
+  SnapshotData m_data;
 };
 
 }  // namespace tackpick::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -36,14 +36,14 @@
   if (!command) {
     return;
   }
-  const bool leads = submit(*command, now, [respond](const ChangeOutcome* outcome) {
+  const bool isLeader = submit(*command, now, [respond](const ChangeOutcome* outcome) {
     if (outcome == nullptr) {
       respond(CommandStatus::kUnavailable, {});
     } else {
       respond(CommandStatus::kOk, base::encode(*outcome));
     }
   });
-  if (!leads) {
+  if (!isLeader) {
     respond(CommandStatus::kNotLeader, {});
   }
 }
@@ -67,14 +67,14 @@
                                        settings_.mutants.acceptBeforeInForce) {
                               completion(&*outcome);
                             } else {
-                              awaiting_.push_back({*outcome, completion});
+                              m_pendingChanges.push_back({*outcome, completion});
                             }
                           });
 }
 
 void Controller::handle(base::NodeId from, const transport::WatchRequest& message,
                         base::TimePoint now) {
-  if (!maySpeak(now)) {
+  if (!holdsLeaderLease(now)) {
     actions_.messages.push_back({from, transport::WatchRedirect{replica_.raft().leader()}});
     return;
   }
@@ -83,8 +83,8 @@
     watchers_.erase(from);
     return;
   }
-  if (awaitsMachineList(now)) {
-    return;  // the gateway asks again
+  if (isWaitingForMachineList(now)) {
+    return;  // the gateway repeats the request
   }
   transport::WatchResponse response;
   response.incarnation = message.incarnation;
@@ -96,10 +96,10 @@
 }
 
 void Controller::onMachineList(const std::vector<MachineListEntry>& machines, base::TimePoint now) {
-  if (!maySpeak(now)) {
+  if (!holdsLeaderLease(now)) {
     return;
   }
-  list_term_ = replica_.raft().currentTerm();
+  m_machineListTerm = replica_.raft().currentTerm();
   for (const MachineListEntry& machine : machines) {
     const auto known = state_.engines().find(machine.engine.engine);
     const bool changed = known == state_.engines().end() ||
@@ -108,9 +108,9 @@
                           known->second.draining != machine.engine.draining);
     if (changed) {
       const ControlCommand command{{}, RegisterEngine{machine.engine}};
-      const bool proposed = replica_.propose(base::encode(command), now,
-                                             [this](const base::Bytes*, auto) { --list_changes_; });
-      list_changes_ += proposed ? 1 : 0;
+      const bool proposed = replica_.propose(
+          base::encode(command), now, [this](const base::Bytes*, auto) { --m_pendingListChanges; });
+      m_pendingListChanges += proposed ? 1 : 0;
     }
   }
 }
@@ -125,22 +125,23 @@
     std::erase_if(watchers_,
                   [&](const auto& entry) { return !leases_.leases().contains(entry.first); });
   }
-  orderEngines(now);
+  sendEngineCommands(now);
 }
 
 ControllerActions Controller::finish(base::TimePoint now) {
   replica_.finish(now, actions_.messages);
   observeLeadership(now);
   pushChanges(now);
-  answerInForce(now);
+  completeAppliedChanges(now);
   return std::exchange(actions_, {});
 }
 
-bool Controller::maySpeak(base::TimePoint now) const { return replica_.canRead(now); }
+bool Controller::holdsLeaderLease(base::TimePoint now) const { return replica_.canRead(now); }
 
-bool Controller::awaitsMachineList(base::TimePoint now) const {
-  const bool unknown = list_term_ != replica_.raft().currentTerm() || list_changes_ > 0;
-  return unknown && now - replica_.raft().leaderSince() < settings_.machineListWait;
+bool Controller::isWaitingForMachineList(base::TimePoint now) const {
+  const bool unknown =
+      m_machineListTerm != replica_.raft().currentTerm() || m_pendingListChanges > 0;
+  return unknown && now - replica_.raft().leaderSince() < settings_.machineListTimeout;
 }
 
 void Controller::observeLeadership(base::TimePoint now) {
@@ -156,21 +157,22 @@
   observed_term_ = raft.currentTerm();
 }
 
-void Controller::answerInForce(base::TimePoint now) {
-  for (AwaitingForce& waiting : std::exchange(awaiting_, {})) {
+void Controller::completeAppliedChanges(base::TimePoint now) {
+  for (PendingChange& pending : std::exchange(m_pendingChanges, {})) {
     if (!replica_.raft().isLeader()) {
-      waiting.completion(nullptr);
-    } else if (maySpeak(now) && leases_.inForceEverywhere(waiting.outcome.revision, now)) {
-      waiting.completion(&waiting.outcome);
+      pending.completion(nullptr);
+    } else if (holdsLeaderLease(now) &&
+               leases_.isAppliedEverywhere(pending.outcome.revision, now)) {
+      pending.completion(&pending.outcome);
     } else {
-      awaiting_.push_back(std::move(waiting));
+      m_pendingChanges.push_back(std::move(pending));
     }
   }
 }
 
 void Controller::pushChanges(base::TimePoint now) {
-  // Most turns change nothing: with hundreds of watchers, looking at each would cost most of all.
-  if (pushed_revision_ == state_.revision() || !maySpeak(now)) {
+  // Avoids a loop over all watchers in turns without changes.
+  if (pushed_revision_ == state_.revision() || !holdsLeaderLease(now)) {
     return;
   }
   pushed_revision_ = state_.revision();
@@ -186,15 +188,15 @@
   }
 }
 
-void Controller::orderEngines(base::TimePoint now) {
-  constexpr base::Duration kOrderInterval = base::milliseconds(40);
-  if (now - ordered_at_ < kOrderInterval || !maySpeak(now)) {
+void Controller::sendEngineCommands(base::TimePoint now) {
+  constexpr base::Duration kRolloutInterval = base::milliseconds(40);
+  if (now - m_rolloutAt < kRolloutInterval || !holdsLeaderLease(now)) {
     return;
   }
-  ordered_at_ = now;
-  const auto orders =
+  m_rolloutAt = now;
+  const auto commands =
       rollout_.step(state_.engines(), state_.weights(), replica_.raft().currentTerm(), now);
-  actions_.orders.insert(actions_.orders.end(), orders.begin(), orders.end());
+  actions_.engineCommands.insert(actions_.engineCommands.end(), commands.begin(), commands.end());
 }
 
 }  // namespace tackpick::control
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -1,5 +1,5 @@
 /// \file
-/// The controller role: replicated control state, serving leases, engine orders.
+/// Controller role: replicated control state, serving leases, engine commands.
 #pragma once
 
 #include <functional>
@@ -12,35 +12,35 @@
 
 namespace tackpick::control {
 
-/// Knobs of a Controller.
+/// Settings of Controller.
 struct ControllerSettings {
   consensus::ReplicaSettings replica;
   ControlLimits limits;
   ServingLeaseSettings leases;
   WeightsRolloutSettings rollout;
-  /// A new leader grants no serving lease until what the machine list says is in force, or for this
-  /// long the list cannot be read; zero where there is no list. Without that, gateways that waited
-  /// for a leader would serve before they learn which engines began to leave meanwhile.
-  base::Duration machineListWait{0};
+  /// Maximum time for which a new leader delays serving leases until the contents of the machine
+  /// list are committed; zero without a list. Gateways would otherwise serve before they learn
+  /// which engines are draining.
+  base::Duration machineListTimeout{0};
 
   struct Mutants {
-    bool acceptBeforeInForce = false;  ///< answer a change as soon as it is committed
+    bool acceptBeforeInForce = false;  ///< reports a change as accepted as soon as it is committed
   } mutants;
 };
 
-/// One line of the platform's lagging machine list.
+/// Entry of the platform's machine list, which may be delayed.
 struct MachineListEntry {
   EngineRecord engine;
 };
 
-/// What the driver must do after a turn, besides syncing.
+/// Actions for the caller to carry out after a call of finish().
 struct ControllerActions {
   transport::Outbox messages;
-  std::vector<engine::OutgoingEngineCommand> orders;
+  std::vector<engine::OutgoingEngineCommand> engineCommands;
 };
 
-/// Deterministic; owned by one thread. A change is answered as accepted only once it is in force
-/// everywhere: see ServingLeases.
+/// Controller of a cluster whose machines are declared. A change is reported as accepted only once
+/// it is applied at all gateways (see ServingLeases). Deterministic; owned by one thread.
 class Controller {
  public:
   Controller(base::NodeId self, base::GroupId group, ControllerSettings settings,
@@ -53,15 +53,16 @@
   void onMachineList(const std::vector<MachineListEntry>& machines, base::TimePoint now);
   void onCommandReply(const engine::EngineCommandReply& reply, base::TimePoint now);
   void tick(base::TimePoint now);
-  /// Ends a turn: syncs, applies, and says what to send.
+  /// Ends a turn: syncs the log, applies entries and returns the actions to carry out.
   [[nodiscard]] ControllerActions finish(base::TimePoint now);
 
-  /// Called with the outcome once it is in force, or nothing when leadership was lost on the way.
+  /// Called with the outcome once the change is applied at all gateways, or nullptr if leadership
+  /// was lost before.
   using ChangeCompletion = std::function<void(const ChangeOutcome* outcome)>;
-  /// Submits an operator's change. False when this controller does not lead.
+  /// Submits an operator's change. Returns false if this controller is not the leader.
   bool submit(const ControlCommand& command, base::TimePoint now, ChangeCompletion completion);
 
-  /// True when reads of state() see every accepted change.
+  /// Whether reads of state() include every accepted change.
   [[nodiscard]] bool canRead(base::TimePoint now) const { return replica_.canRead(now); }
   [[nodiscard]] const ControlState& state() const { return state_; }
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
@@ -70,21 +71,21 @@
   [[nodiscard]] const WeightsRollout& rollout() const { return rollout_; }
 
  private:
-  struct AwaitingForce {
+  struct PendingChange {
     ChangeOutcome outcome;
     ChangeCompletion completion;
   };
   struct Watcher {
     base::Incarnation incarnation;
-    base::Revision sent;  ///< configuration last sent to it
+    base::Revision sent;  ///< revision last sent
   };
 
-  [[nodiscard]] bool maySpeak(base::TimePoint now) const;
-  [[nodiscard]] bool awaitsMachineList(base::TimePoint now) const;
+  [[nodiscard]] bool holdsLeaderLease(base::TimePoint now) const;
+  [[nodiscard]] bool isWaitingForMachineList(base::TimePoint now) const;
   void observeLeadership(base::TimePoint now);
-  void answerInForce(base::TimePoint now);
+  void completeAppliedChanges(base::TimePoint now);
   void pushChanges(base::TimePoint now);
-  void orderEngines(base::TimePoint now);
+  void sendEngineCommands(base::TimePoint now);
 
   const ControllerSettings settings_;
   ControlState state_;
@@ -93,12 +94,12 @@
   WeightsRollout rollout_;
   bool was_leader_ = false;
   consensus::Term observed_term_ = 0;
-  consensus::Term list_term_ = 0;  ///< in which the machine list was last read
-  std::size_t list_changes_ = 0;   ///< found in the list and not yet in force
-  std::vector<AwaitingForce> awaiting_;
+  consensus::Term m_machineListTerm = 0;  ///< term in which the machine list was last read
+  std::size_t m_pendingListChanges = 0;   ///< changes from the list that are not committed yet
+  std::vector<PendingChange> m_pendingChanges;
   std::map<base::NodeId, Watcher> watchers_;
-  base::TimePoint ordered_at_{};    ///< when engines were last looked at for orders
-  base::Revision pushed_revision_;  ///< every watcher was sent this one or a newer
+  base::TimePoint m_rolloutAt{};    ///< time of the last rollout step
+  base::Revision pushed_revision_;  ///< revision that was sent to every watcher
   ControllerActions actions_;
 };
 
--- a/src/control/serving_leases.cpp
+++ b/src/control/serving_leases.cpp
@@ -6,7 +6,7 @@
 
 void ServingLeases::onBecameLeader(base::TimePoint now) {
   leases_.clear();
-  earlier_leases_end_ = settings_.mutants.forgetEarlierLeases ? now : now + maxDuration();
+  m_previousLeasesEnd = settings_.mutants.forgetEarlierLeases ? now : now + maxDuration();
 }
 
 base::Duration ServingLeases::grant(base::NodeId gateway, base::Incarnation incarnation,
@@ -15,17 +15,17 @@
   if (incarnation < lease.incarnation) {
     return base::Duration{0};
   }
-  const bool sameRun = incarnation == lease.incarnation;
+  const bool sameIncarnation = incarnation == lease.incarnation;
   lease.incarnation = incarnation;
-  lease.acknowledged = sameRun ? std::max(lease.acknowledged, acknowledged) : acknowledged;
+  lease.acknowledged = sameIncarnation ? std::max(lease.acknowledged, acknowledged) : acknowledged;
   lease.expiresAt = now + maxDuration();
   return settings_.duration;
 }
 
 void ServingLeases::release(base::NodeId gateway) { leases_.erase(gateway); }
 
-bool ServingLeases::inForceEverywhere(base::Revision revision, base::TimePoint now) const {
-  if (now < earlier_leases_end_) {
+bool ServingLeases::isAppliedEverywhere(base::Revision revision, base::TimePoint now) const {
+  if (now < m_previousLeasesEnd) {
     return false;
   }
   return std::all_of(leases_.begin(), leases_.end(), [&](const auto& entry) {
@@ -45,8 +45,8 @@
 }
 
 base::Duration ServingLeases::maxDuration() const {
-  constexpr int kWholePercent = 100;
-  return settings_.duration * (kWholePercent + settings_.clockDriftPercent) / kWholePercent;
+  constexpr int kHundredPercent = 100;
+  return settings_.duration * (kHundredPercent + settings_.clockDriftPercent) / kHundredPercent;
 }
 
 }  // namespace tackpick::control
--- a/src/control/serving_leases.h
+++ b/src/control/serving_leases.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which gateways may be serving, and under which configuration.
+/// Leases under which gateways serve requests.
 #pragma once
 
 #include <map>
@@ -9,36 +9,38 @@
 
 namespace tackpick::control {
 
-/// Knobs of ServingLeases.
+/// Settings of ServingLeases.
 struct ServingLeaseSettings {
   base::Duration duration = base::seconds(4);
-  /// The clocks of a controller and a gateway may differ in rate by at most this many percent.
+  /// Maximum difference between the clock rates of a controller and a gateway, in percent.
   int clockDriftPercent = 2;
 
   struct Mutants {
-    bool forgetEarlierLeases = false;  ///< a new leader takes no care of its predecessor's leases
+    bool forgetEarlierLeases = false;  ///< a new leader ignores leases of its predecessor
   } mutants;
 };
 
-/// Kept by the leading controller, in memory. A gateway serves only under a lease, so a revision is
-/// in force everywhere once every gateway whose lease may still run has acknowledged it. A new
-/// leader does not know its predecessor's leases and waits until they must have run out.
+/// Serving leases granted by the leading controller, held in memory. A gateway serves only under a
+/// lease, so a revision is applied everywhere once every gateway with an unexpired lease has
+/// acknowledged it. A new leader has no record of its predecessor's leases and waits until all of
+/// them have expired.
 class ServingLeases {
  public:
   explicit ServingLeases(ServingLeaseSettings settings) : settings_(settings) {}
 
   /// Call when this controller becomes leader.
   void onBecameLeader(base::TimePoint now);
-  /// Grants or renews; returns how long the gateway may serve from sending its request.
+  /// Grants or renews a lease. Returns the time for which the gateway may serve, counted from when
+  /// it sent the request.
   base::Duration grant(base::NodeId gateway, base::Incarnation incarnation,
                        base::Revision acknowledged, base::TimePoint now);
-  /// The gateway gave its lease back.
+  /// Removes the lease that the gateway returned.
   void release(base::NodeId gateway);
-  /// True when no gateway can be serving under a configuration older than `revision`.
-  [[nodiscard]] bool inForceEverywhere(base::Revision revision, base::TimePoint now) const;
-  /// Gateways with a lease that runs.
+  /// Whether no gateway can be serving under a revision older than `revision`.
+  [[nodiscard]] bool isAppliedEverywhere(base::Revision revision, base::TimePoint now) const;
+  /// Returns the number of gateways with an unexpired lease.
   [[nodiscard]] std::size_t size(base::TimePoint now) const;
-  /// True when some lease had run out.
+  /// Removes expired leases. Returns whether there were any.
   bool dropExpired(base::TimePoint now);
 
   struct Lease {
@@ -49,12 +51,12 @@
   [[nodiscard]] const std::map<base::NodeId, Lease>& leases() const { return leases_; }
 
  private:
-  /// A lease's length on this controller's clock, lengthened by the worst drift.
+  /// Returns the maximum duration of a lease on this controller's clock, including clock drift.
   [[nodiscard]] base::Duration maxDuration() const;
 
   const ServingLeaseSettings settings_;
   std::map<base::NodeId, Lease> leases_;
-  base::TimePoint earlier_leases_end_{};
+  base::TimePoint m_previousLeasesEnd{};
 };
 
 }  // namespace tackpick::control
--- a/src/control/settings_tree.cpp
+++ b/src/control/settings_tree.cpp
@@ -10,13 +10,13 @@
   return slash == std::string_view::npos ? std::string() : std::string(path.substr(0, slash));
 }
 
-const SettingsNode* SettingsTree::findAny(const std::string& path) const {
+const SettingsNode* SettingsTree::findIncludingRemoved(const std::string& path) const {
   const auto found = nodes_.find(path);
   return found == nodes_.end() ? nullptr : &found->second;
 }
 
 const SettingsNode* SettingsTree::find(const std::string& path) const {
-  const SettingsNode* node = findAny(path);
+  const SettingsNode* node = findIncludingRemoved(path);
   return node == nullptr || node->removed ? nullptr : node;
 }
 
--- a/src/control/weights_rollout.cpp
+++ b/src/control/weights_rollout.cpp
@@ -7,99 +7,102 @@
 std::vector<engine::OutgoingEngineCommand> WeightsRollout::step(
     const std::map<base::EngineId, EngineRecord>& engines,
     const std::map<std::string, WeightsRecord>& weights, std::uint64_t term, base::TimePoint now) {
-  std::vector<engine::OutgoingEngineCommand> orders;
-  std::erase_if(observed_, [&](const auto& entry) { return !engines.contains(entry.first); });
-  Progress progress = countOrdered(now);
+  std::vector<engine::OutgoingEngineCommand> commands;
+  std::erase_if(m_engines, [&](const auto& entry) { return !engines.contains(entry.first); });
+  InFlightCounts counts = countInFlight(now);
   for (const auto& [id, record] : engines) {
-    const auto wanted = weights.find(record.model);
-    if (wanted == weights.end() || record.draining || record.removed) {
+    const auto published = weights.find(record.model);
+    if (published == weights.end() || record.draining || record.removed) {
       continue;
     }
-    Observed& observed = observed_[id];
-    if (observed.incarnation != record.incarnation) {
-      observed = {};
-      observed.incarnation = record.incarnation;
+    EngineProgress& engineProgress = m_engines[id];
+    if (engineProgress.incarnation != record.incarnation) {
+      engineProgress = {};
+      engineProgress.incarnation = record.incarnation;
     }
-    observed.model = record.model;
-    const base::WeightsVersion target = wanted->second.version;
-    if (observed.active == target || !mayOrder(observed, now)) {
+    engineProgress.model = record.model;
+    const base::WeightsVersion target = published->second.version;
+    if (engineProgress.active == target || !canSendCommand(engineProgress, now)) {
       continue;
     }
     using engine::EngineCommandKind;
-    const bool prepared = observed.prepared == target;
+    const bool prepared = engineProgress.prepared == target;
     const EngineCommandKind kind =
         prepared ? EngineCommandKind::kActivateWeights : EngineCommandKind::kPrepareWeights;
-    ModelProgress& model = progress.models[record.model];
-    const bool room = prepared ? model.swapping < swapLimit(model.engines)
-                               : progress.loading < settings_.concurrentLoads;
-    const bool repeats = observed.ordered && observed.lastOrder == kind;
-    if (!room && !repeats) {
+    ModelCounts& model = counts.models[record.model];
+    const bool hasCapacity = prepared ? model.activating < activationLimit(model.engines)
+                                      : counts.loading < settings_.concurrentLoads;
+    const bool isRetry = engineProgress.commandPending && engineProgress.lastCommand == kind;
+    if (!hasCapacity && !isRetry) {
       continue;
     }
-    if (!repeats) {
-      (prepared ? model.swapping : progress.loading) += 1;
+    if (!isRetry) {
+      (prepared ? model.activating : counts.loading) += 1;
     }
-    observed.ordered = true;
-    observed.orderedAt = now;
-    observed.lastOrder = kind;
-    engine::EngineCommand order;
-    order.fence = {term, ++sequence_};
-    order.kind = kind;
-    order.model = record.model;
-    order.version = target;
-    orders.push_back({id, order});
+    engineProgress.commandPending = true;
+    engineProgress.commandSentAt = now;
+    engineProgress.lastCommand = kind;
+    engine::EngineCommand command;
+    command.fence = {term, ++sequence_};
+    command.kind = kind;
+    command.model = record.model;
+    command.version = target;
+    commands.push_back({id, command});
   }
-  return orders;
+  return commands;
 }
 
 void WeightsRollout::onReply(const engine::EngineCommandReply& reply, base::TimePoint /*now*/) {
-  const auto found = observed_.find(reply.state.engine);
-  if (found == observed_.end() || reply.status == engine::EngineCommandStatus::kStaleFence) {
+  const auto found = m_engines.find(reply.state.engine);
+  if (found == m_engines.end() || reply.status == engine::EngineCommandStatus::kStaleFence) {
     return;
   }
-  Observed& observed = found->second;
-  const bool advanced = observed.prepared != reply.state.preparedVersion ||
-                        observed.active != reply.state.activeVersion;
-  observed.active = reply.state.activeVersion;
-  observed.prepared = reply.state.preparedVersion;
+  EngineProgress& engineProgress = found->second;
+  const bool advanced = engineProgress.prepared != reply.state.preparedVersion ||
+                        engineProgress.active != reply.state.activeVersion;
+  engineProgress.active = reply.state.activeVersion;
+  engineProgress.prepared = reply.state.preparedVersion;
   if (advanced) {
-    observed.ordered = false;
+    engineProgress.commandPending = false;
   }
 }
 
-bool WeightsRollout::mayOrder(const Observed& observed, base::TimePoint now) const {
-  return !observed.ordered || now - observed.orderedAt >= settings_.retryInterval;
+bool WeightsRollout::canSendCommand(const EngineProgress& engineProgress,
+                                    base::TimePoint now) const {
+  return !engineProgress.commandPending ||
+         now - engineProgress.commandSentAt >= settings_.retryInterval;
 }
 
-WeightsRollout::Progress WeightsRollout::countOrdered(base::TimePoint now) const {
-  // An engine that does not answer must not hold its place for ever.
-  constexpr int kIntervalsBeforeGivingUp = 25;
-  Progress progress;
-  for (const auto& [id, observed] : observed_) {
-    ModelProgress& model = progress.models[observed.model];
+WeightsRollout::InFlightCounts WeightsRollout::countInFlight(base::TimePoint now) const {
+  // A command that is not answered stops counting after this number of retry intervals.
+  constexpr int kMaxRetryIntervals = 25;
+  InFlightCounts counts;
+  for (const auto& [id, engineProgress] : m_engines) {
+    ModelCounts& model = counts.models[engineProgress.model];
     ++model.engines;
-    const bool underWay =
-        observed.ordered &&
-        now - observed.orderedAt < settings_.retryInterval * kIntervalsBeforeGivingUp;
-    if (underWay && observed.lastOrder == engine::EngineCommandKind::kPrepareWeights) {
-      ++progress.loading;
-    } else if (underWay && observed.lastOrder == engine::EngineCommandKind::kActivateWeights) {
-      ++model.swapping;
+    const bool inFlight =
+        engineProgress.commandPending &&
+        now - engineProgress.commandSentAt < settings_.retryInterval * kMaxRetryIntervals;
+    if (inFlight && engineProgress.lastCommand == engine::EngineCommandKind::kPrepareWeights) {
+      ++counts.loading;
+    } else if (inFlight &&
+               engineProgress.lastCommand == engine::EngineCommandKind::kActivateWeights) {
+      ++model.activating;
     }
   }
-  return progress;
+  return counts;
 }
 
-std::size_t WeightsRollout::swapLimit(std::size_t engines) const {
-  constexpr std::size_t kWholePercent = 100;
+std::size_t WeightsRollout::activationLimit(std::size_t engines) const {
+  constexpr std::size_t kHundredPercent = 100;
   return std::max<std::size_t>(
-      1, engines * static_cast<std::size_t>(settings_.swappingPercent) / kWholePercent);
+      1, engines * static_cast<std::size_t>(settings_.maxActivatingPercent) / kHundredPercent);
 }
 
 std::size_t WeightsRollout::activeCount(const std::string& model,
                                         base::WeightsVersion version) const {
   return static_cast<std::size_t>(
-      std::count_if(observed_.begin(), observed_.end(), [&](const auto& entry) {
+      std::count_if(m_engines.begin(), m_engines.end(), [&](const auto& entry) {
         return entry.second.model == model && entry.second.active == version;
       }));
 }
--- a/src/control/weights_rollout.h
+++ b/src/control/weights_rollout.h
@@ -1,5 +1,5 @@
 /// \file
-/// Brings the newest published weights onto every engine.
+/// Rollout of the newest published weights to all engines.
 #pragma once
 
 #include <cstdint>
@@ -13,64 +13,67 @@
 
 namespace tackpick::control {
 
-/// Knobs of WeightsRollout.
+/// Settings of WeightsRollout.
 struct WeightsRolloutSettings {
-  /// Engines that may fetch from the weight store at once; set it to the store's rate limit
+  /// Maximum number of engines that load from the weights store at once: the store's rate limit
   /// divided by the rate of one engine.
   std::size_t concurrentLoads = 8;
-  /// Share of a model's engines that may swap at once, so that callers keep being served.
-  int swappingPercent = 34;
-  /// An order without effect is repeated this often.
+  /// Maximum percentage of a model's engines that activate weights at once, so that the others keep
+  /// serving.
+  int maxActivatingPercent = 34;
+  /// Interval after which a command without effect is retried.
   base::Duration retryInterval = base::milliseconds(400);
 };
 
-/// Orders each engine to prepare the newest version beside the active one, and then to activate
-/// it. Orders are repeated until the engine reports the wanted state, so lost orders, lost replies,
-/// failed swaps and restarted engines need no case of their own. Used by the leading controller.
+/// Commands each engine to prepare the newest version beside the active one, and then to activate
+/// it. Commands are retried until the engine reports the required state, which covers lost
+/// commands, lost replies, failed activations and restarted engines. Used by the leading
+/// controller.
 class WeightsRollout {
  public:
   explicit WeightsRollout(WeightsRolloutSettings settings) : settings_(settings) {}
 
-  /// Orders to send now. `term` is the leader's; it makes the fences.
+  /// Returns the commands to send now. `term`: term of the leader, part of the fences.
   [[nodiscard]] std::vector<engine::OutgoingEngineCommand> step(
       const std::map<base::EngineId, EngineRecord>& engines,
       const std::map<std::string, WeightsRecord>& weights, std::uint64_t term, base::TimePoint now);
   void onReply(const engine::EngineCommandReply& reply, base::TimePoint now);
-  /// Forgets what engines reported; call when this controller becomes leader.
-  void reset() { observed_.clear(); }
-  /// Engines of `model` that reported `version` as active.
+  /// Clears the engine states; call when this controller becomes leader.
+  void reset() { m_engines.clear(); }
+  /// Returns the number of engines of `model` that reported `version` as active.
   [[nodiscard]] std::size_t activeCount(const std::string& model,
                                         base::WeightsVersion version) const;
 
  private:
-  struct Observed {
+  struct EngineProgress {
     base::Incarnation incarnation;
     std::string model;
     base::WeightsVersion active;
     base::WeightsVersion prepared;
-    base::TimePoint orderedAt{};
-    bool ordered = false;
-    engine::EngineCommandKind lastOrder = engine::EngineCommandKind::kPrepareWeights;
+    base::TimePoint commandSentAt{};
+    bool commandPending = false;
+    engine::EngineCommandKind lastCommand = engine::EngineCommandKind::kPrepareWeights;
   };
 
-  /// Engines of one model.
-  struct ModelProgress {
+  /// Engine counts of one model.
+  struct ModelCounts {
     std::size_t engines = 0;
-    std::size_t swapping = 0;
+    std::size_t activating = 0;
   };
-  /// Orders under way.
-  struct Progress {
+  /// Number of commands in flight.
+  struct InFlightCounts {
     std::size_t loading = 0;
-    std::map<std::string, ModelProgress> models;
+    std::map<std::string, ModelCounts> models;
   };
 
-  [[nodiscard]] bool mayOrder(const Observed& observed, base::TimePoint now) const;
-  /// Counted once a step: with thousands of engines, counting for each would cost their square.
-  [[nodiscard]] Progress countOrdered(base::TimePoint now) const;
-  [[nodiscard]] std::size_t swapLimit(std::size_t engines) const;
+  [[nodiscard]] bool canSendCommand(const EngineProgress& engineProgress,
+                                    base::TimePoint now) const;
+  /// Counts the commands in flight. Called once per step to avoid quadratic cost.
+  [[nodiscard]] InFlightCounts countInFlight(base::TimePoint now) const;
+  [[nodiscard]] std::size_t activationLimit(std::size_t engines) const;
 
   const WeightsRolloutSettings settings_;
-  std::map<base::EngineId, Observed> observed_;
+  std::map<base::EngineId, EngineProgress> m_engines;
   std::uint64_t sequence_ = 0;
 };
 
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -99,7 +99,8 @@
     control::ControllerSettings controller;
     controller.rollout.concurrentLoads = settings_.concurrentWeightLoads;
     constexpr base::Duration kListWait = base::seconds(3);
-    controller.machineListWait = settings_.machineListUrl.empty() ? base::Duration{0} : kListWait;
+    controller.machineListTimeout =
+        settings_.machineListUrl.empty() ? base::Duration{0} : kListWait;
     controller_ = std::make_unique<control::Controller>(self_, settings_.controllers.group,
                                                         controller, *log, *random_, now());
   }
@@ -217,7 +218,7 @@
   turn_scheduled_ = false;
   if (controller_) {
     const control::ControllerActions actions = controller_->finish(now());
-    for (const engine::OutgoingEngineCommand& order : actions.orders) {
+    for (const engine::OutgoingEngineCommand& order : actions.engineCommands) {
       const control::EngineRecord& record = controller_->state().engines().at(order.engine);
       engine_link_->setAddress(order.engine, record.host, record.port);
       engine_link_->sendLoadCommand(order.engine, order.order);
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -259,7 +259,7 @@
   if (controller_) {
     control::ControllerActions result = controller_->finish(localNow());
     messages = std::move(result.messages);
-    orders = std::move(result.orders);
+    orders = std::move(result.engineCommands);
   } else if (ledger_) {
     messages = ledger_->finish(localNow());
   } else {
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -17,7 +17,7 @@
 /// The simulated platform has a machine list.
 [[nodiscard]] inline control::ControllerSettings controllersWithAMachineList() {
   control::ControllerSettings controller;
-  controller.machineListWait = base::seconds(3);
+  controller.machineListTimeout = base::seconds(3);
   return controller;
 }
 
--- a/test/control/control_state_test.cpp
+++ b/test/control/control_state_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Test(control_state, values_reach_all_beneath_unless_overridden) {
+Test(control_state, values_are_inherited_unless_overridden) {
   control::ControlState state;
   apply(state, 1, set("", "t", 3));
   apply(state, 2, set("", "t/a", 7));
@@ -68,10 +68,10 @@
   std::get<control::ApplyChange>(command.operation).changes.push_back(bad);
   const auto outcome = apply(state, 1, command);
   cr_assert(outcome.status == control::ChangeStatus::kInvalid);
-  cr_assert_null(state.settings().find("t"), "nothing of it took effect");
+  cr_assert_null(state.settings().find("t"), "no part of the change was applied");
 }
 
-Test(control_state, weights_only_go_up_and_leaving_is_sticky) {
+Test(control_state, weights_versions_only_increase_and_draining_is_never_reset) {
   control::ControlState state;
   apply(state, 1, {"", control::PublishWeights{"m", {5}}});
   cr_assert(apply(state, 2, {"", control::PublishWeights{"m", {4}}}).status !=
@@ -83,23 +83,24 @@
   apply(state, 3, {"", control::RegisterEngine{record}});
   record.draining = false;
   apply(state, 4, {"", control::RegisterEngine{record}});
-  cr_assert(state.engines().at({1}).draining, "a flapping list does not bring it back");
+  cr_assert(state.engines().at({1}).draining, "draining is never reset for an incarnation");
   record.incarnation = {11};
   apply(state, 5, {"", control::RegisterEngine{record}});
-  cr_assert_not(state.engines().at({1}).draining, "a new incarnation is a new engine");
+  cr_assert_not(state.engines().at({1}).draining, "a new incarnation is not draining");
 }
 
-Test(serving_leases, in_force_waits_for_acknowledgements_leases_and_predecessors) {
+Test(serving_leases, revision_is_applied_after_acknowledgements_or_expired_leases) {
   constexpr base::TimePoint kStart{base::seconds(1000)};
   control::ServingLeases leases({});
   leases.onBecameLeader(kStart);
-  cr_assert_not(leases.inForceEverywhere({5}, kStart + base::seconds(1)), "predecessor's leases");
+  cr_assert_not(leases.isAppliedEverywhere({5}, kStart + base::seconds(1)), "predecessor's leases");
   const base::TimePoint later = kStart + base::seconds(5);
-  cr_assert(leases.inForceEverywhere({5}, later));
+  cr_assert(leases.isAppliedEverywhere({5}, later));
   leases.grant({1}, {1}, {4}, later);
-  cr_assert_not(leases.inForceEverywhere({5}, later));
+  cr_assert_not(leases.isAppliedEverywhere({5}, later));
   leases.grant({1}, {1}, {5}, later);
-  cr_assert(leases.inForceEverywhere({5}, later));
-  cr_assert_not(leases.inForceEverywhere({6}, later + base::seconds(4)), "drift is allowed for");
-  cr_assert(leases.inForceEverywhere({6}, later + base::seconds(5)), "the lease ran out");
+  cr_assert(leases.isAppliedEverywhere({5}, later));
+  cr_assert_not(leases.isAppliedEverywhere({6}, later + base::seconds(4)),
+                "clock drift is included");
+  cr_assert(leases.isAppliedEverywhere({6}, later + base::seconds(5)), "the lease has expired");
 }
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -18,9 +18,9 @@
 constexpr base::NodeId kSelf = base::makeNodeId(1, 0);
 constexpr base::NodeId kGateway = base::makeNodeId(2, 5);
 
-/// A controller that is its whole group.
+/// A group of one controller.
 struct Fixture {
-  explicit Fixture(base::Duration machineListWait) {
+  explicit Fixture(base::Duration machineListTimeout) {
     consensus::Membership initial;
     initial.voters = {kSelf};
     log = base::recover(
@@ -29,7 +29,7 @@
         },
         [](const base::Error&) { return std::unique_ptr<storage::SegmentedLog>(); });
     control::ControllerSettings settings;
-    settings.machineListWait = machineListWait;
+    settings.machineListTimeout = machineListTimeout;
     controller = std::make_unique<control::Controller>(kSelf, kGroup, settings, *log, random, now);
     run(base::seconds(1));
   }
@@ -39,12 +39,12 @@
       (void)controller->finish(now);
     }
   }
-  /// True when a gateway gets a serving lease before the turn ends.
-  bool asksTooEarly() {
+  /// Whether a gateway gets a serving lease before the turn ends.
+  bool grantsLeaseBeforeCommit() {
     controller->handle(kGateway, transport::WatchRequest{{7}, 1, {}, false}, now);
     return hasLease(controller->finish(now));
   }
-  /// True when a gateway that asks now gets a serving lease.
+  /// Whether a gateway that sends a watch request now gets a serving lease.
   bool grantsLease() {
     controller->handle(kGateway, transport::WatchRequest{{7}, 1, {}, false}, now);
     return hasLease(controller->finish(now));
@@ -68,9 +68,8 @@
 
 }  // namespace
 
-// Found by scenario everything, seed 34: the controllers had been down for nine seconds; a new
-// leader granted leases before it read the machine list, and an engine that had begun to leave got
-// work.
+// Guards against leases that a new leader grants before it has read the machine list: draining
+// engines would get work.
 Test(controller, new_leader_reads_the_machine_list_before_it_grants_leases) {
   Fixture fixture(base::seconds(3));
   cr_assert(fixture.controller->replica().raft().isLeader());
@@ -80,11 +79,12 @@
   draining.engine.incarnation = {1};
   draining.engine.draining = true;
   fixture.controller->onMachineList({draining}, fixture.now);
-  cr_assert_not(fixture.asksTooEarly(), "what the list says is not yet committed");
+  cr_assert_not(fixture.grantsLeaseBeforeCommit(),
+                "the contents of the list are not committed yet");
   cr_assert(fixture.grantsLease());
 }
 
-Test(controller, unreadable_machine_list_delays_leases_only_for_a_while) {
+Test(controller, unreadable_machine_list_delays_leases_only_up_to_the_timeout) {
   Fixture fixture(base::seconds(3));
   cr_assert_not(fixture.grantsLease());
   fixture.run(base::seconds(3));
