--- a/src/edge/work_call.cpp
+++ b/src/edge/work_call.cpp
@@ -86,7 +86,7 @@
                       {"places_loading", model.loadingSlots},
                       {"expected_in_s", secondsOrNull(model.expectedIn)}});
   }
-  return {{"models", models}, {"loading", weights.loading}, {"load_budget", weights.budget}};
+  return {{"models", models}, {"loading", weights.loading}, {"load_budget", weights.maxLoads}};
 }
 
 /// Serializes JSON. Names may contain invalid UTF-8, which is replaced.
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -127,7 +127,7 @@
 bool ControlServer::tryAnswerHeartbeat(const directory::InstanceHeartbeat& heartbeat,
                                        const std::shared_ptr<http::Exchange>& exchange) {
   using Verdict = directory::HeartbeatRelay::Verdict;
-  const Verdict decision = m_heartbeatRelay.take(
+  const Verdict decision = m_heartbeatRelay.accept(
       node_.directory().state(), heartbeat, node_.clusterMember().lastContactAt(), node_.now());
   if (decision == Verdict::kForward) {
     return false;
@@ -158,13 +158,13 @@
 }
 
 void ControlServer::tick() {
-  const auto batch = m_heartbeatRelay.due(node_.now());
+  const auto batch = m_heartbeatRelay.takeBatch(node_.now());
   if (!batch) {
     return;
   }
   node_.clusterMember().call(directory::DirectoryRequest{*batch}, kCallTimeout, node_.now(),
                              [this](const directory::DirectoryReply* reply) {
-                               m_heartbeatRelay.onTold(reply != nullptr);
+                               m_heartbeatRelay.onBatchAcknowledged(reply != nullptr);
                              });
 }
 
@@ -181,7 +181,7 @@
   detail.add("status", static_cast<std::uint64_t>(status)).add("took_ms", took);
   if (reply == nullptr) {
     logTimeout(name.call, name.subject, status, took);
-  } else if (name.changes) {
+  } else if (name.isMutation) {
     const bool accepted = status == kOk;
     telemetry::logEvent(
         accepted ? telemetry::EventId::kChangeAccepted : telemetry::EventId::kChangeRefused,
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -44,7 +44,7 @@
 /// Part of the process's memory available for unsent responses: one in this many bytes.
 constexpr std::size_t kUnsentMemoryDivisor = 8;
 
-http::ExchangeLimits toExchangeLimits(const directory::CallerLimits& limits,
+http::ExchangeLimits toExchangeLimits(const directory::RequestLimits& limits,
                                       const config::ProcessLimits& process) {
   constexpr unsigned kMegabyteShift = 20;
   http::ExchangeLimits exchange;
@@ -141,7 +141,7 @@
 void GatewayServer::rejectUnknown(int status, const std::shared_ptr<http::Exchange>& exchange) {
   const std::optional<base::TimePoint> confirmedAt = node_.clusterMember().confirmedAt();
   const bool final =
-      m_rejectionPolicy.judge(confirmedAt, node_.now()) == directory::RejectionKind::kFinal;
+      m_rejectionPolicy.classify(confirmedAt, node_.now()) == directory::RejectionKind::kPermanent;
   const int responseStatus = final ? status : kUnavailable;
   const auto age = confirmedAt ? std::optional(node_.now() - *confirmedAt) : std::nullopt;
   m_rejectionLog.log(responseStatus, configuration_->version, age, node_.now());
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -195,9 +195,9 @@
   directory::DirectorySettings settings;
   settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
   settings.initialLedgerVoters = 2 * settings_.toleratedLosses + 1;
-  settings.orders.concurrentLoads = settings_.concurrentLoads;
-  settings.instanceSilence = settings_.instanceHeartbeat + kHeartbeatSlack;
-  settings.orders.heartbeatTimeout = settings.instanceSilence;
+  settings.loads.concurrentLoads = settings_.concurrentLoads;
+  settings.overdueAfter = settings_.instanceHeartbeat + kHeartbeatSlack;
+  settings.loads.heartbeatTimeout = settings.overdueAfter;
   constexpr base::Duration kCommandLeaseMargin = base::milliseconds(100);
   settings.commandLease.duration = settings_.commandLease + kCommandLeaseMargin;
   settings.commandLease.enginesEnforceFences = settings_.enginesEnforceFences;
@@ -367,10 +367,10 @@
   if (directory_) {
     const directory::DirectoryActions actions = directory_->finish(now());
     sendAll(actions.messages);
-    for (const directory::LoadCommand& command : actions.orders) {
+    for (const directory::LoadCommand& command : actions.loadCommands) {
       sendLoadCommand(command);
     }
-    for (const directory::InstanceRecord& engine : actions.versionQueries) {
+    for (const directory::InstanceRecord& engine : actions.enginesToPoll) {
       queryVersions(engine);
     }
     for (const duties::UsageReport& report : actions.usageReports) {
