--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -42,8 +42,8 @@
   return state;
 }
 
-std::vector<jobs::PlacementEngine> makeEngines(std::uint32_t count, std::uint32_t zones) {
-  std::vector<jobs::PlacementEngine> engines;
+std::vector<jobs::EngineInfo> makeEngines(std::uint32_t count, std::uint32_t zones) {
+  std::vector<jobs::EngineInfo> engines;
   for (std::uint32_t i = 0; i < count; ++i) {
     engines.push_back({"engine" + std::to_string(i),
                        kSlots,
@@ -86,7 +86,7 @@
       own.erase(own.begin());
     }
     (void)leases.renew(gateway, own, state, now);
-    leases.giveBack(gateway, own, state);
+    leases.release(gateway, own, state);
     leases.onLeaseRequest(gateway, "zone" + std::to_string(index % kZones), true, now);
     for (const jobs::GrantedItem& granted : leases.lease(gateway, room, state, now)) {
       own.push_back({granted.key, granted.engine});
@@ -128,7 +128,7 @@
     std::vector<base::NodeId> free;
     for (std::uint32_t i = 0; i <= gateways / kGivingBack; ++i) {
       free.push_back(base::makeNodeId(next++ % gateways + 1, 1));
-      leases.giveBack(free.back(), {}, state);
+      leases.release(free.back(), {}, state);
     }
     const auto begun = std::chrono::steady_clock::now();
     (void)leases.lease(free.front(), room, state, now);
--- a/bench/placement/main.cpp
+++ b/bench/placement/main.cpp
@@ -38,8 +38,8 @@
   std::chrono::steady_clock::time_point m_begun = std::chrono::steady_clock::now();
 };
 
-std::vector<jobs::PlacementEngine> makeEngines(std::uint32_t count) {
-  std::vector<jobs::PlacementEngine> engines;
+std::vector<jobs::EngineInfo> makeEngines(std::uint32_t count) {
+  std::vector<jobs::EngineInfo> engines;
   for (std::uint32_t i = 0; i < count; ++i) {
     engines.push_back({"engine" + std::to_string(i),
                        kSlots,
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -185,7 +185,7 @@
 void ClusterMember::call(const jobs::JobRequest& request, base::Duration deadline,
                          base::TimePoint now, JobCallback callback) {
   const auto* read = std::get_if<jobs::ReadJob>(&request);
-  const base::Duration resend = kCallResend + (read == nullptr ? base::Duration{0} : read->hold);
+  const base::Duration resend = kCallResend + (read == nullptr ? base::Duration{0} : read->maxWait);
   callLedgers(ledgers_, request, {resend, deadline}, now, std::move(callback));
 }
 
--- a/src/jobs/engine_affinity.cpp
+++ b/src/jobs/engine_affinity.cpp
@@ -9,13 +9,14 @@
 namespace tackpick::jobs {
 namespace {
 
-/// The highest wins; a gateway wins in proportion to its slots.
+/// Returns the rendezvous score of a gateway for an engine. The highest score wins; a gateway wins
+/// in proportion to its slots.
 double scoreOf(const ActiveGateway& gateway, std::uint64_t engineHash) {
-  constexpr unsigned kUnusedBits = 11;  // a double holds 53
+  constexpr unsigned kUnusedBits = 11;  // a double has 53 bits of precision
   constexpr double kUnit = 1.0 / 9007199254740992.0;
   const std::uint64_t bits = base::mix(engineHash, gateway.gateway.value) >> kUnusedBits;
-  const double drawn = (static_cast<double>(bits) + 1.0) * kUnit;
-  return std::log(drawn) / std::max(gateway.slots, 1U);
+  const double uniform = (static_cast<double>(bits) + 1.0) * kUnit;
+  return std::log(uniform) / std::max(gateway.slots, 1U);
 }
 
 }  // namespace
@@ -25,10 +26,10 @@
   m_engines.clear();
 }
 
-void EngineAffinity::forget(const std::string& engine) {
+void EngineAffinity::remove(const std::string& engine) {
   m_engines.erase(engine);
   for (auto& [name, zone] : m_zones) {
-    zone.drawn.erase(engine);
+    zone.preferredByEngine.erase(engine);
   }
 }
 
@@ -36,7 +37,7 @@
   Zone& zone = m_zones[name];
   if (zone.gateways != gateways) {
     zone.gateways = std::move(gateways);
-    zone.drawn.clear();
+    zone.preferredByEngine.clear();
   }
 }
 
@@ -45,12 +46,12 @@
                                base::TimePoint now) {
   Zone& zone = m_zones[name];
   for (const auto& [id, count] : items) {
-    const auto [drawn, added] = zone.drawn.try_emplace(id);
+    const auto [entry, added] = zone.preferredByEngine.try_emplace(id);
     if (added) {
-      drawn->second = draw(zone.gateways, id);
+      entry->second = selectPreferred(zone.gateways, id);
     }
     Engine& engine = m_engines[id];
-    engine.preferred = drawn->second;
+    engine.preferred = entry->second;
     if (engine.waiting == 0) {
       engine.waitingSince = now;
     }
@@ -58,11 +59,11 @@
   }
 }
 
-EngineAffinity::Preferred EngineAffinity::draw(const std::vector<ActiveGateway>& gateways,
-                                               const std::string& engine) {
+EngineAffinity::PreferredGateways EngineAffinity::selectPreferred(
+    const std::vector<ActiveGateway>& gateways, const std::string& engine) {
   const std::uint64_t hash = base::hashBytes(engine);
   std::array<double, 2> scores{};
-  Preferred best{};
+  PreferredGateways best{};
   for (const ActiveGateway& gateway : gateways) {
     const double score = scoreOf(gateway, hash);
     if (!best[0].valid() || score > scores[0]) {
@@ -76,36 +77,38 @@
   return best;
 }
 
-bool EngineAffinity::prefers(const Engine& engine, base::NodeId gateway) {
+bool EngineAffinity::isPreferred(const Engine& engine, base::NodeId gateway) {
   return engine.preferred[0] == gateway || engine.preferred[1] == gateway;
 }
 
-bool EngineAffinity::mayTake(base::NodeId gateway, const std::string& id,
-                             base::TimePoint now) const {
+bool EngineAffinity::isEligible(base::NodeId gateway, const std::string& id,
+                                base::TimePoint now) const {
   const auto found = m_engines.find(id);
   if (found == m_engines.end()) {
     return true;
   }
   const Engine& engine = found->second;
-  return engine.open || prefers(engine, gateway) || !engine.preferred[0].valid() ||
-         now - engine.waitingSince >= m_settings.anyAfter;
+  return engine.openToAll || isPreferred(engine, gateway) || !engine.preferred[0].valid() ||
+         now - engine.waitingSince >= m_settings.fallbackDelay;
 }
 
-void EngineAffinity::onTaken(base::NodeId gateway, const std::string& id, base::TimePoint now) {
+void EngineAffinity::onItemLeased(base::NodeId gateway, const std::string& id,
+                                  base::TimePoint now) {
   const auto found = m_engines.find(id);
   if (found == m_engines.end()) {
     return;
   }
   Engine& engine = found->second;
   engine.waiting -= engine.waiting > 0 ? 1 : 0;
-  engine.open = !prefers(engine, gateway);  // else they did not come in time
+  // if not preferred, the preferred gateways did not request in time
+  engine.openToAll = !isPreferred(engine, gateway);
   engine.waitingSince = now;
 }
 
 void EngineAffinity::onDeclined(const std::string& id) {
   const auto found = m_engines.find(id);
   if (found != m_engines.end()) {
-    found->second.open = true;
+    found->second.openToAll = true;
   }
 }
 
--- a/src/jobs/engine_affinity.h
+++ b/src/jobs/engine_affinity.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which gateways run the items of which engines within a zone.
+/// Assigns the items of each engine to preferred gateways within a zone.
 #pragma once
 
 #include <array>
@@ -13,14 +13,14 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of an EngineAffinity.
+/// Settings of an EngineAffinity.
 struct EngineAffinitySettings {
-  /// What neither preferred gateway took for so long is any gateway's: one that is frozen, slow or
-  /// stops does not ask. One that runs items asks within this time.
-  base::Duration anyAfter = base::milliseconds(80);
+  /// Time after which any gateway may lease items that neither preferred gateway has leased. An
+  /// active gateway requests items within this time; one that is frozen or stopping does not.
+  base::Duration fallbackDelay = base::milliseconds(80);
 };
 
-/// A gateway that runs items, and how many slots it takes.
+/// A gateway that runs items, and its number of slots.
 struct ActiveGateway {
   base::NodeId gateway;
   std::uint32_t slots = 0;
@@ -28,47 +28,48 @@
   bool operator==(const ActiveGateway&) const = default;
 };
 
-/// Each connection to an engine serves one item at a time and is closed when it is idle for long,
-/// so items of an engine should go to gateways that hold connections to it. Of a zone's gateways
-/// each engine has two preferred ones, drawn by its name (rendezvous hashing, weighted by slots),
-/// so that few engines change theirs when a gateway comes or goes. Deterministic.
+/// Selects two preferred gateways for each engine, by rendezvous hashing weighted by slots. A
+/// connection to an engine serves one item at a time and is closed when idle, so items of an engine
+/// should go to gateways that already hold connections to it. When a gateway joins or leaves, few
+/// engines change their preferred gateways. Deterministic.
 class EngineAffinity {
  public:
   explicit EngineAffinity(EngineAffinitySettings settings = {}) : m_settings(settings) {}
 
   void clear();
-  /// The engine is gone.
-  void forget(const std::string& engine);
-  /// The gateways that run items in `zone`.
+  /// Removes an engine.
+  void remove(const std::string& engine);
+  /// Sets the gateways that run items in `zone`.
   void setGateways(const std::string& zone, std::vector<ActiveGateway> gateways);
-  /// Items wait for an engine of `zone`, by the engine's id.
+  /// Records how many planned items wait for each engine of `zone`, by engine id.
   void onPlanned(const std::string& zone, const std::map<std::string, std::uint32_t>& items,
                  base::TimePoint now);
-  /// True when `gateway` of the engine's zone may take items of the engine.
-  [[nodiscard]] bool mayTake(base::NodeId gateway, const std::string& engine,
-                             base::TimePoint now) const;
-  /// The gateway took an item of the engine.
-  void onTaken(base::NodeId gateway, const std::string& engine, base::TimePoint now);
-  /// The gateway asked, may take the engine's items and has no room: others need not wait for it.
+  /// Returns whether `gateway`, which is in the engine's zone, may lease items of the engine now.
+  [[nodiscard]] bool isEligible(base::NodeId gateway, const std::string& engine,
+                                base::TimePoint now) const;
+  /// Records that the gateway leased an item of the engine.
+  void onItemLeased(base::NodeId gateway, const std::string& engine, base::TimePoint now);
+  /// Records that an eligible gateway requested items and has no free slot, so that other gateways
+  /// need not wait for it.
   void onDeclined(const std::string& engine);
 
  private:
-  using Preferred = std::array<base::NodeId, 2>;  ///< invalid: none
+  using PreferredGateways = std::array<base::NodeId, 2>;  ///< invalid if there is none
 
   struct Engine {
-    Preferred preferred;
-    std::uint32_t waiting = 0;  ///< items
+    PreferredGateways preferred;
+    std::uint32_t waiting = 0;  ///< number of planned items
     base::TimePoint waitingSince{};
-    bool open = false;  ///< any gateway may take its items
+    bool openToAll = false;  ///< any gateway may lease its items
   };
   struct Zone {
     std::vector<ActiveGateway> gateways;
-    std::map<std::string, Preferred> drawn;  ///< by engine
+    std::map<std::string, PreferredGateways> preferredByEngine;  ///< by engine id
   };
 
-  [[nodiscard]] static Preferred draw(const std::vector<ActiveGateway>& gateways,
-                                      const std::string& engine);
-  [[nodiscard]] static bool prefers(const Engine& engine, base::NodeId gateway);
+  [[nodiscard]] static PreferredGateways selectPreferred(const std::vector<ActiveGateway>& gateways,
+                                                         const std::string& engine);
+  [[nodiscard]] static bool isPreferred(const Engine& engine, base::NodeId gateway);
 
   EngineAffinitySettings m_settings;
   std::map<std::string, Zone> m_zones;
--- a/src/jobs/engine_event_interval.cpp
+++ b/src/jobs/engine_event_interval.cpp
@@ -6,30 +6,29 @@
 namespace tackpick::jobs {
 namespace {
 
-/// No engine makes events faster, and none so slow is of use: what lies outside is an error.
+/// Reported intervals outside these bounds are rejected as errors.
 constexpr double kMinEventIntervalMs = 0.001;
 constexpr double kMaxEventIntervalMs = 60'000;
-/// Of the recent average: three reports outweigh what was known before.
+/// Weight of a new report in the recent average.
 constexpr double kRecentWeight = 0.3;
-/// Nothing that old is told.
-constexpr base::Duration kOldest = base::seconds(3600);
-/// Gateways tell event intervals twice a second: samples that are apart by no more are of the same
-/// time.
-constexpr base::Duration kSameTime = base::milliseconds(500);
-/// The long run forgets this slowly, so that seconds of slowness hardly change it.
-constexpr base::Duration kLongRun = base::seconds(20);
-/// A gap between two samples counts as no more than this in the long run.
+/// Reports older than this are rejected.
+constexpr base::Duration kMaxReportAge = base::seconds(3600);
+/// Samples that are at most this far apart count as simultaneous; gateways report twice a second.
+constexpr base::Duration kConcurrentWindow = base::milliseconds(500);
+/// Time constant of the long-term average; seconds of slowness hardly change it.
+constexpr base::Duration kLongTermWindow = base::seconds(20);
+/// Maximum time step that one sample contributes to the long-term average.
 constexpr base::Duration kMaxStep = base::seconds(1);
-/// A sample of this age is as good as a new one.
-constexpr base::Duration kFresh = base::seconds(1);
-/// After that, recent evidence counts half as much each time this passes.
+/// Age up to which a sample is not discounted.
+constexpr base::Duration kFreshAge = base::seconds(1);
+/// Half-life of the recent average's weight beyond kFreshAge.
 constexpr base::Duration kRecentHalfLife = base::seconds(2);
-/// The long run, where nothing is seen of the engine any more.
-constexpr base::Duration kLongRunHalfLife = base::seconds(60);
-/// What an engine says of the moment is over by then.
-constexpr base::Duration kMoment = base::milliseconds(500);
+/// Half-life of the long-term average's weight against the median of the zone.
+constexpr base::Duration kLongTermHalfLife = base::seconds(60);
+/// Time for which a slowdown reported by the engine is valid.
+constexpr base::Duration kTransientWindow = base::milliseconds(500);
 constexpr std::uint32_t kNormalPercent = 100;
-/// More is taken as this: the delay of a moment is bounded anyway.
+/// Larger slowdown reports are clamped to this.
 constexpr std::uint32_t kMaxPercent = 10'000;
 
 bool isPlausible(double eventIntervalMs) {
@@ -37,91 +36,95 @@
          eventIntervalMs <= kMaxEventIntervalMs;
 }
 
-/// From `from` to `to` by `share`, as a ratio.
-double between(double from, double to, double share) { return from * std::pow(to / from, share); }
+/// Interpolates geometrically between `from` (`share` 0) and `to` (`share` 1).
+double interpolate(double from, double to, double share) {
+  return from * std::pow(to / from, share);
+}
 
 double seconds(base::Duration duration) { return base::toSeconds(duration); }
 
-/// What is left of evidence of that age.
-double remaining(base::Duration age, base::Duration halfLife) {
+/// Returns the remaining weight of a sample of the given age.
+double decayFactor(base::Duration age, base::Duration halfLife) {
   return age <= base::Duration{0} ? 1.0 : std::exp2(-seconds(age) / seconds(halfLife));
 }
 
 }  // namespace
 
-bool EngineEventInterval::note(const EventIntervalReport& report, double typicalMs,
-                               base::TimePoint now) {
+bool EngineEventInterval::addSample(const EventIntervalReport& report, double medianMs,
+                                    base::TimePoint now) {
   if (!isPlausible(report.eventIntervalMs) || report.age < base::Duration{0} ||
-      report.age > kOldest) {
+      report.age > kMaxReportAge) {
     return false;
   }
   recordSlowdown(report, now);
   const base::TimePoint sampledAt = now - report.age;
-  const bool fresh = report.age <= kFresh;
+  const bool fresh = report.age <= kFreshAge;
   if (!isKnown()) {
     m_recentMs = report.eventIntervalMs;
-    m_longRunMs = typicalMs > 0 || !fresh ? typicalMs : report.eventIntervalMs;
+    m_longTermMs = medianMs > 0 || !fresh ? medianMs : report.eventIntervalMs;
     m_sampledAt = sampledAt;
-    m_learntAt = sampledAt;
+    m_longTermUpdatedAt = sampledAt;
     return true;
   }
-  const bool sameTime = fresh && sampledAt + kSameTime >= m_sampledAt;
+  const bool sameTime = fresh && sampledAt + kConcurrentWindow >= m_sampledAt;
   if (sampledAt <= m_sampledAt && !sameTime) {
-    return true;  // told again, or a later one is known
+    return true;  // a repeated sample, or older than the latest one
   }
   const base::TimePoint latest = std::max(m_sampledAt, sampledAt);
-  m_recentMs = between(expectedMs(typicalMs, latest), report.eventIntervalMs, kRecentWeight);
+  m_recentMs = interpolate(expectedMs(medianMs, latest), report.eventIntervalMs, kRecentWeight);
   m_sampledAt = latest;
-  learnLongRun(report.eventIntervalMs, m_sampledAt);
+  updateLongTerm(report.eventIntervalMs, m_sampledAt);
   return true;
 }
 
-void EngineEventInterval::learnLongRun(double eventIntervalMs, base::TimePoint now) {
-  const base::Duration step = std::min(now - m_learntAt, kMaxStep);
+void EngineEventInterval::updateLongTerm(double eventIntervalMs, base::TimePoint now) {
+  const base::Duration step = std::min(now - m_longTermUpdatedAt, kMaxStep);
   if (step <= base::Duration{0}) {
     return;
   }
-  m_learntAt = now;
-  if (m_longRunMs <= 0) {
-    m_longRunMs = eventIntervalMs;
+  m_longTermUpdatedAt = now;
+  if (m_longTermMs <= 0) {
+    m_longTermMs = eventIntervalMs;
     return;
   }
-  m_longRunMs =
-      between(m_longRunMs, eventIntervalMs, 1.0 - std::exp(-seconds(step) / seconds(kLongRun)));
+  m_longTermMs = interpolate(m_longTermMs, eventIntervalMs,
+                             1.0 - std::exp(-seconds(step) / seconds(kLongTermWindow)));
 }
 
 void EngineEventInterval::recordSlowdown(const EventIntervalReport& report, base::TimePoint now) {
-  const base::TimePoint saidAt = now - std::max(report.slowdownAge, base::Duration{0});
-  if (now - saidAt >= kMoment || (m_slowdownAt && saidAt < *m_slowdownAt)) {
+  const base::TimePoint reportedAt = now - std::max(report.slowdownAge, base::Duration{0});
+  if (now - reportedAt >= kTransientWindow || (m_slowdownAt && reportedAt < *m_slowdownAt)) {
     return;
   }
-  m_slowdownAt = saidAt;
+  m_slowdownAt = reportedAt;
   m_slowdownPercent = std::clamp(report.slowdownPercent, kNormalPercent, kMaxPercent);
 }
 
-double EngineEventInterval::expectedMs(double typicalMs, base::TimePoint now) const {
+double EngineEventInterval::expectedMs(double medianMs, base::TimePoint now) const {
   if (!isKnown()) {
-    return typicalMs;
+    return medianMs;
   }
   const base::Duration age = now - m_sampledAt;
-  if (age <= kFresh) {
+  if (age <= kFreshAge) {
     return m_recentMs;
   }
-  double longRun = longRunMs();
-  if (typicalMs > 0) {
-    longRun =
-        m_longRunMs > 0 ? between(typicalMs, longRun, remaining(age, kLongRunHalfLife)) : typicalMs;
+  double longTerm = longTermMs();
+  if (medianMs > 0) {
+    longTerm = m_longTermMs > 0
+                   ? interpolate(medianMs, longTerm, decayFactor(age, kLongTermHalfLife))
+                   : medianMs;
   }
-  return between(longRun, m_recentMs, remaining(age - kFresh, kRecentHalfLife));
+  return interpolate(longTerm, m_recentMs, decayFactor(age - kFreshAge, kRecentHalfLife));
 }
 
-base::Duration EngineEventInterval::momentaryDelay(base::TimePoint now) const {
+base::Duration EngineEventInterval::transientDelay(base::TimePoint now) const {
   const std::uint32_t percent = slowdownPercent(now);
-  return kMoment * (percent - kNormalPercent) / percent;
+  return kTransientWindow * (percent - kNormalPercent) / percent;
 }
 
 std::uint32_t EngineEventInterval::slowdownPercent(base::TimePoint now) const {
-  return m_slowdownAt && now - *m_slowdownAt < kMoment ? m_slowdownPercent : kNormalPercent;
+  return m_slowdownAt && now - *m_slowdownAt < kTransientWindow ? m_slowdownPercent
+                                                                : kNormalPercent;
 }
 
 std::optional<base::Duration> EngineEventInterval::age(base::TimePoint now) const {
--- a/src/jobs/engine_event_interval.h
+++ b/src/jobs/engine_event_interval.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is known of the pace of one engine.
+/// The observed event interval of one engine.
 #pragma once
 
 #include <cstdint>
@@ -10,40 +10,43 @@
 
 namespace tackpick::jobs {
 
-/// Deterministic. Two averages: a recent one, which follows a change within a few reports, and one
-/// over the long run. Without new reports the expected pace returns from the recent average to the
-/// long run, and over minutes to what is typical of the engine's zone: evidence of slowness is not
-/// renewed where nothing runs, so an engine that has recovered must come to be tried again.
+/// Estimates the event interval of one engine from a recent average, which follows a change within
+/// a few reports, and a long-term average. Without new reports the expected interval returns from
+/// the recent average to the long-term one, and over minutes to the median of the engine's zone: an
+/// engine without items produces no samples, so a recovered engine must be tried again.
+/// Deterministic.
 ///
-/// Averages are of logarithms: event intervals are compared as ratios, and one wrong report out of
-/// many moves them little.
+/// The averages are geometric: intervals are compared as ratios, and a single outlier has little
+/// effect.
 class EngineEventInterval {
  public:
-  /// A report that cannot be true changes nothing and gives false. Of two gateways that contradict
-  /// each other the one with the later sample counts; samples of about the same time are averaged.
-  /// `typicalMs`: of the engine's zone; zero: unknown.
-  bool note(const EventIntervalReport& report, double typicalMs, base::TimePoint now);
-  /// Milliseconds between two events as expected from now on; zero: unknown. `typicalMs`: of the
+  /// Adds a report. Returns false and changes nothing if its values are implausible. If two
+  /// gateways contradict each other, the later sample counts; samples of about the same time are
+  /// averaged. `medianMs`: median interval of the engine's zone; zero: unknown.
+  bool addSample(const EventIntervalReport& report, double medianMs, base::TimePoint now);
+  /// Returns the expected event interval in milliseconds; zero: unknown. `medianMs`: median of the
   /// engine's zone, or of all engines.
-  [[nodiscard]] double expectedMs(double typicalMs, base::TimePoint now) const;
-  /// What a run that starts now loses by the engine's slowness of this moment.
-  [[nodiscard]] base::Duration momentaryDelay(base::TimePoint now) const;
-  /// In percent of what is usual; 100 where the engine has not just said otherwise.
+  [[nodiscard]] double expectedMs(double medianMs, base::TimePoint now) const;
+  /// Returns the expected delay of a run that starts now, caused by a transient slowdown of the
+  /// engine.
+  [[nodiscard]] base::Duration transientDelay(base::TimePoint now) const;
+  /// Returns the slowdown in percent of normal; 100 unless the engine reported one recently.
   [[nodiscard]] std::uint32_t slowdownPercent(base::TimePoint now) const;
-  /// Over its whole time; while only one old sample is known, that. Zero: unknown.
-  [[nodiscard]] double longRunMs() const { return m_longRunMs > 0 ? m_longRunMs : m_recentMs; }
+  /// Returns the long-term average in milliseconds, or the recent one if there is none yet. Zero:
+  /// unknown.
+  [[nodiscard]] double longTermMs() const { return m_longTermMs > 0 ? m_longTermMs : m_recentMs; }
   [[nodiscard]] bool isKnown() const { return m_recentMs > 0; }
-  /// Since the last sample; nothing before the first.
+  /// Returns the time since the last sample; std::nullopt before the first.
   [[nodiscard]] std::optional<base::Duration> age(base::TimePoint now) const;
 
  private:
   void recordSlowdown(const EventIntervalReport& report, base::TimePoint now);
-  void learnLongRun(double eventIntervalMs, base::TimePoint now);
+  void updateLongTerm(double eventIntervalMs, base::TimePoint now);
 
   double m_recentMs = 0;
-  double m_longRunMs = 0;  ///< zero: learnt from no sample yet
+  double m_longTermMs = 0;  ///< zero: no sample yet
   base::TimePoint m_sampledAt{};
-  base::TimePoint m_learntAt{};  ///< when the long run last took in a sample
+  base::TimePoint m_longTermUpdatedAt{};  ///< time of the last sample in the long-term average
   std::uint32_t m_slowdownPercent = 100;
   std::optional<base::TimePoint> m_slowdownAt;
 };
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -7,20 +7,19 @@
 namespace tackpick::jobs {
 namespace {
 
-/// Between taking over the expected event intervals: they change over seconds, and there may be
-/// 10,000.
+/// Minimum time between two updates of the expected event intervals of all engines.
 constexpr base::Duration kEventIntervalRefresh = base::milliseconds(100);
-/// Between two classes. Paces of equal engines differ by the prompts that they read meanwhile; a
-/// class holds what differs by no more, so that equal engines are filled evenly.
-constexpr double kClassRatio = 1.6;
+/// Ratio of the event intervals of neighbouring tiers. Reading prompts makes equal engines appear
+/// to differ by less than this, so that they share a tier and are filled evenly.
+constexpr double kTierRatio = 1.6;
 
 }  // namespace
 
-void EnginePlacement::setEngines(std::vector<PlacementEngine> engines) {
+void EnginePlacement::setEngines(std::vector<EngineInfo> engines) {
   std::set<std::string> present;
-  for (PlacementEngine& told : engines) {
-    present.insert(told.id);
-    upsert(std::move(told));
+  for (EngineInfo& info : engines) {
+    present.insert(info.id);
+    upsert(std::move(info));
   }
   std::vector<std::string> missing;
   for (const auto& [id, engine] : m_engines) {
@@ -31,77 +30,77 @@
   changeEngines({}, missing);
 }
 
-void EnginePlacement::changeEngines(std::vector<PlacementEngine> changed,
+void EnginePlacement::changeEngines(std::vector<EngineInfo> changed,
                                     const std::vector<std::string>& removed) {
   for (const std::string& id : removed) {
     remove(id);
   }
-  for (PlacementEngine& told : changed) {
-    upsert(std::move(told));
+  for (EngineInfo& info : changed) {
+    upsert(std::move(info));
   }
 }
 
-void EnginePlacement::upsert(PlacementEngine told) {
-  const auto [known, added] = m_engines.try_emplace(told.id);
-  EngineWork& engine = known->second;
+void EnginePlacement::upsert(EngineInfo info) {
+  const auto [known, added] = m_engines.try_emplace(info.id);
+  EngineState& engine = known->second;
   if (!added) {
-    takeOutOfUse(known->first, engine);
-    detach(engine);
+    removePrimary(known->first, engine);
+    unlinkMachine(engine);
   }
-  m_taking -= !added && engine.told.acceptsItems ? 1 : 0;
-  m_taking += told.acceptsItems ? 1 : 0;
-  engine.told = std::move(told);
-  attach(engine);
-  if (engine.told.acceptsItems && !engine.told.standby) {
-    putInUse(known->first, engine);
+  m_acceptingCount -= !added && engine.info.acceptsItems ? 1 : 0;
+  m_acceptingCount += info.acceptsItems ? 1 : 0;
+  engine.info = std::move(info);
+  linkMachine(engine);
+  if (engine.info.acceptsItems && !engine.info.standby) {
+    addPrimary(known->first, engine);
   }
-  if (engine.told.standby) {
-    for (const auto& [model, version] : engine.told.versions) {
+  if (engine.info.standby) {
+    for (const auto& [model, version] : engine.info.versions) {
       std::uint64_t& newest = m_newestStandbyVersion[model];
       newest = std::max(newest, version);
     }
   }
-  forgetSearches();
+  invalidateCandidates();
 }
 
-void EnginePlacement::putInUse(std::string_view id, EngineWork& engine) {
-  m_inUse.emplace(id, &engine);
-  for (const auto& [model, version] : engine.told.versions) {
-    m_inUseByModel[model].emplace(id, &engine);
+void EnginePlacement::addPrimary(std::string_view id, EngineState& engine) {
+  m_primary.emplace(id, &engine);
+  for (const auto& [model, version] : engine.info.versions) {
+    m_primaryByModel[model].emplace(id, &engine);
   }
 }
 
-void EnginePlacement::takeOutOfUse(std::string_view id, const EngineWork& engine) {
-  if (m_inUse.erase(id) == 0) {
+void EnginePlacement::removePrimary(std::string_view id, const EngineState& engine) {
+  if (m_primary.erase(id) == 0) {
     return;
   }
-  for (const auto& [model, version] : engine.told.versions) {
-    const auto engines = m_inUseByModel.find(model);
+  for (const auto& [model, version] : engine.info.versions) {
+    const auto engines = m_primaryByModel.find(model);
     engines->second.erase(id);
     if (engines->second.empty()) {
-      m_inUseByModel.erase(engines);
+      m_primaryByModel.erase(engines);
     }
   }
 }
 
-void EnginePlacement::attach(EngineWork& engine) {
-  const std::string& machine = engine.told.machineName();
-  engine.pace = &m_eventIntervals.attach(machine, engine.told.zone);
-  m_byMachine[machine].insert(&engine);
+void EnginePlacement::linkMachine(EngineState& engine) {
+  const std::string& machine = engine.info.machineName();
+  engine.intervalEntry = &m_eventIntervals.addEngine(machine, engine.info.zone);
+  m_enginesByMachine[machine].insert(&engine);
   refreshEventInterval(engine, m_intervalsRefreshedAt);
 }
 
-void EnginePlacement::detach(EngineWork& engine) {
-  const std::string& machine = engine.told.machineName();
-  m_eventIntervals.detach(machine, m_intervalsRefreshedAt);
-  const auto engines = m_byMachine.find(machine);
+void EnginePlacement::unlinkMachine(EngineState& engine) {
+  const std::string& machine = engine.info.machineName();
+  m_eventIntervals.removeEngine(machine, m_intervalsRefreshedAt);
+  const auto engines = m_enginesByMachine.find(machine);
   engines->second.erase(&engine);
   if (engines->second.empty()) {
-    m_byMachine.erase(engines);
+    m_enginesByMachine.erase(engines);
   }
 }
 
-void EnginePlacement::forgetSearches() {
+void EnginePlacement::invalidateCandidates() {
   m_candidates.clear();
   m_standbyCursor.clear();
 }
@@ -111,15 +110,15 @@
   if (known == m_engines.end()) {
     return;
   }
-  m_taking -= known->second.told.acceptsItems ? 1 : 0;
-  detach(known->second);
-  m_loaded.erase(&known->second);
-  takeOutOfUse(known->first, known->second);
-  forgetSearches();
+  m_acceptingCount -= known->second.info.acceptsItems ? 1 : 0;
+  unlinkMachine(known->second);
+  m_enginesWithLoad.erase(&known->second);
+  removePrimary(known->first, known->second);
+  invalidateCandidates();
   m_engines.erase(known);
 }
 
-EngineWork* EnginePlacement::find(std::string_view id) {
+EngineState* EnginePlacement::find(std::string_view id) {
   const auto found = m_engines.find(id);
   return found == m_engines.end() ? nullptr : &found->second;
 }
@@ -127,11 +126,11 @@
 void EnginePlacement::recordEventIntervals(
     const std::map<std::string, EventIntervalReport>& reports, base::TimePoint now) {
   for (const auto& [machine, report] : reports) {
-    const auto engines = m_byMachine.find(machine);
-    if (engines == m_byMachine.end() || !m_eventIntervals.note(machine, report, now)) {
+    const auto engines = m_enginesByMachine.find(machine);
+    if (engines == m_enginesByMachine.end() || !m_eventIntervals.addSample(machine, report, now)) {
       continue;
     }
-    for (EngineWork* engine : engines->second) {
+    for (EngineState* engine : engines->second) {
       refreshEventInterval(*engine, now);
     }
   }
@@ -148,48 +147,48 @@
   }
 }
 
-void EnginePlacement::refreshEventInterval(EngineWork& engine, base::TimePoint now) {
-  engine.eventIntervalMs = m_eventIntervals.expectedMs(*engine.pace, now);
-  const EngineEventInterval& pace = engine.pace->pace;
-  engine.momentaryDelay = pace.momentaryDelay(now);
-  // Apart from those of its pace: within a class engines are compared by the pace alone.
+void EnginePlacement::refreshEventInterval(EngineState& engine, base::TimePoint now) {
+  engine.eventIntervalMs = m_eventIntervals.expectedMs(*engine.intervalEntry, now);
+  const EngineEventInterval& eventInterval = engine.intervalEntry->eventInterval;
+  engine.transientDelay = eventInterval.transientDelay(now);
+  // A slowdown affects the tier only: within a tier engines are compared by event interval alone.
   constexpr double kNormalPercent = 100.0;
   engine.speedTier =
-      speedTierOf(engine.eventIntervalMs * pace.slowdownPercent(now) / kNormalPercent);
+      speedTierOf(engine.eventIntervalMs * eventInterval.slowdownPercent(now) / kNormalPercent);
 }
 
 std::size_t EnginePlacement::speedTierOf(double eventIntervalMs) const {
-  if (eventIntervalMs <= 0 || m_eventIntervals.typicalMs() <= 0) {
-    return kTypicalTier;
+  if (eventIntervalMs <= 0 || m_eventIntervals.medianMs() <= 0) {
+    return kMedianTier;
   }
-  constexpr auto kMiddle = static_cast<double>(kTypicalTier);
+  constexpr auto kMiddle = static_cast<double>(kMedianTier);
   const double steps =
-      std::round(std::log(eventIntervalMs / m_eventIntervals.typicalMs()) / std::log(kClassRatio));
+      std::round(std::log(eventIntervalMs / m_eventIntervals.medianMs()) / std::log(kTierRatio));
   return static_cast<std::size_t>(kMiddle + std::clamp(steps, -kMiddle, kMiddle));
 }
 
 void EnginePlacement::setLoads(const std::map<std::string, std::uint32_t>& loads,
                                base::TimePoint now) {
-  for (EngineWork* engine : std::exchange(m_loaded, {})) {
+  for (EngineState* engine : std::exchange(m_enginesWithLoad, {})) {
     engine->load = 0;
   }
   for (const auto& [id, items] : loads) {
-    if (EngineWork* engine = find(id)) {
+    if (EngineState* engine = find(id)) {
       addLoad(*engine, items);
     }
   }
   refreshEventIntervals(now);
-  forgetSearches();
+  invalidateCandidates();
 }
 
-void EnginePlacement::addLoad(EngineWork& engine, std::uint32_t items) {
+void EnginePlacement::addLoad(EngineState& engine, std::uint32_t items) {
   engine.load += items;
-  m_loaded.insert(&engine);
+  m_enginesWithLoad.insert(&engine);
 }
 
 std::string EnginePlacement::zoneOf(const std::string& engine) const {
   const auto found = m_engines.find(engine);
-  return found == m_engines.end() ? std::string() : found->second.told.zone;
+  return found == m_engines.end() ? std::string() : found->second.info.zone;
 }
 
 double EnginePlacement::eventIntervalOf(const std::string& engine) const {
@@ -199,17 +198,17 @@
 
 std::map<std::string, std::uint32_t> EnginePlacement::slotsByZone() const {
   std::map<std::string, std::uint32_t> slots;
-  for (const auto& [id, engine] : m_inUse) {
-    slots[engine->told.zone] += engine->told.slots;
+  for (const auto& [id, engine] : m_primary) {
+    slots[engine->info.zone] += engine->info.slots;
   }
   return slots;
 }
 
-void EnginePlacement::takeBack(const std::string& id) {
-  EngineWork* engine = find(id);
+void EnginePlacement::undoPlacement(const std::string& id) {
+  EngineState* engine = find(id);
   if (engine != nullptr && engine->load > 0) {
     --engine->load;
-    forgetSearches();
+    invalidateCandidates();
   }
 }
 
@@ -217,8 +216,8 @@
                                           std::uint64_t minimumVersion) const {
   std::uint32_t slots = 0;
   for (const auto& [id, engine] : m_engines) {
-    if (engine.told.acceptsItems && engine.told.holds(model, minimumVersion)) {
-      slots += engine.told.slots;
+    if (engine.info.acceptsItems && engine.info.holds(model, minimumVersion)) {
+      slots += engine.info.slots;
     }
   }
   return slots;
@@ -228,50 +227,53 @@
   std::vector<EngineSummary> summaries;
   summaries.reserve(m_engines.size());
   for (const auto& [id, engine] : m_engines) {
-    const EngineEventInterval& pace = engine.pace->pace;
-    summaries.push_back({id, engine.told.zone, m_eventIntervals.expectedMs(*engine.pace, now),
-                         pace.slowdownPercent(now), pace.age(now), engine.load});
+    const EngineEventInterval& eventInterval = engine.intervalEntry->eventInterval;
+    summaries.push_back({id, engine.info.zone,
+                         m_eventIntervals.expectedMs(*engine.intervalEntry, now),
+                         eventInterval.slowdownPercent(now), eventInterval.age(now), engine.load});
   }
   return summaries;
 }
 
-SpeedTiers EnginePlacement::candidatesFor(const std::string& model, std::uint64_t minimumVersion) {
+SpeedTiers EnginePlacement::buildCandidates(const std::string& model,
+                                            std::uint64_t minimumVersion) {
   SpeedTiers candidates;
-  const auto engines = m_inUseByModel.find(model);
-  if (engines == m_inUseByModel.end()) {
+  const auto engines = m_primaryByModel.find(model);
+  if (engines == m_primaryByModel.end()) {
     return candidates;
   }
   for (const auto& [id, engine] : engines->second) {
-    if (engine->told.holds(model, minimumVersion)) {
+    if (engine->info.holds(model, minimumVersion)) {
       candidates.add(*engine);
     }
   }
   return candidates;
 }
 
-SpeedTiers& EnginePlacement::candidatesOf(const std::string& model, std::uint64_t minimumVersion) {
+SpeedTiers& EnginePlacement::cachedCandidates(const std::string& model,
+                                              std::uint64_t minimumVersion) {
   const auto key = std::pair(model, minimumVersion);
   auto found = m_candidates.find(key);
   if (found == m_candidates.end()) {
-    found = m_candidates.emplace(key, candidatesFor(model, minimumVersion)).first;
+    found = m_candidates.emplace(key, buildCandidates(model, minimumVersion)).first;
   }
   return found->second;
 }
 
-std::string EnginePlacement::placeInUse(const ItemRequirements& need) {
-  SpeedTiers& candidates = candidatesOf(need.model, need.minimumVersion);
-  EngineWork* engine = candidates.choose(need);
+std::string EnginePlacement::placeOnPrimary(const ItemRequirements& requirements) {
+  SpeedTiers& candidates = cachedCandidates(requirements.model, requirements.minimumVersion);
+  EngineState* engine = candidates.choose(requirements);
   if (engine == nullptr) {
     return {};
   }
   addLoad(*engine, 1);
   candidates.onPlaced();
-  return engine->told.id;
+  return engine->info.id;
 }
 
-std::string EnginePlacement::place(const ItemRequirements& need) {
-  std::string engine = placeInUse(need);
-  return engine.empty() ? placeOnStandby(need.model, need.minimumVersion) : engine;
+std::string EnginePlacement::place(const ItemRequirements& requirements) {
+  std::string engine = placeOnPrimary(requirements);
+  return engine.empty() ? placeOnStandby(requirements.model, requirements.minimumVersion) : engine;
 }
 
 std::string EnginePlacement::placeOnStandby(const std::string& model,
@@ -280,14 +282,14 @@
   if (newest == m_newestStandbyVersion.end() || newest->second < minimumVersion) {
     return {};
   }
-  // Engines only fill until the loads are told anew, so none is looked at twice.
+  // Loads only rise until the next setLoads(), so a full engine need not be checked again.
   const auto from = m_standbyCursor.try_emplace({model, minimumVersion}, m_engines.begin()).first;
   for (; from->second != m_engines.end(); ++from->second) {
-    EngineWork& engine = from->second->second;
-    if (engine.told.standby && engine.told.acceptsItems && !engine.isFull() &&
-        engine.told.holds(model, minimumVersion)) {
+    EngineState& engine = from->second->second;
+    if (engine.info.standby && engine.info.acceptsItems && !engine.isFull() &&
+        engine.info.holds(model, minimumVersion)) {
       addLoad(engine, 1);
-      return engine.told.id;
+      return engine.info.id;
     }
   }
   return {};
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -1,6 +1,6 @@
 /// \file
-/// Where a leased item should run: the ledgers' leader sees the items of all gateways, each gateway
-/// only its own.
+/// Selects the engine on which a leased item should run. It runs at the ledgers' leader, which sees
+/// the items of all gateways.
 #pragma once
 
 #include <cstddef>
@@ -23,14 +23,14 @@
 
 namespace tackpick::jobs {
 
-/// Deterministic. Items are counted at the engine where their gateway runs them, or where they were
-/// placed when it has not said so yet. The engines that may run items of one model and minimum
-/// version are kept in heaps by their cost, one for each class of event intervals, so that placing
-/// an item costs the logarithm of the engines.
+/// Places items on engines. An item counts at the engine that its gateway reports, or at the one it
+/// was placed on until the gateway reports it. Engines that may run items of one model and minimum
+/// version are kept in heaps ordered by cost, one for each speed tier, so that a placement takes
+/// time logarithmic in the number of engines. Deterministic.
 ///
-/// An item whose length and due time are known goes to the slowest class where it ends in time even
-/// if its text turns out much longer than expected: faster engines stay free for those that need
-/// them. Any other item goes where it ends soonest.
+/// An item with a known length and due time goes to the slowest tier that completes it in time even
+/// if its text becomes much longer than expected, which keeps faster engines free for items that
+/// need them. Any other item goes where it completes first.
 class EnginePlacement {
  public:
   EnginePlacement() = default;
@@ -38,77 +38,79 @@
   EnginePlacement& operator=(const EnginePlacement&) = delete;
   ~EnginePlacement() = default;
 
-  /// All engines there are; all others are forgotten.
-  void setEngines(std::vector<PlacementEngine> engines);
-  /// Engines that changed or are new, and ids of those that are gone.
-  void changeEngines(std::vector<PlacementEngine> changed, const std::vector<std::string>& removed);
-  /// A gateway tells of the event intervals of engines, by machine.
+  /// Replaces all engines.
+  void setEngines(std::vector<EngineInfo> engines);
+  /// Adds or updates the engines of `changed` and removes those with the ids in `removed`.
+  void changeEngines(std::vector<EngineInfo> changed, const std::vector<std::string>& removed);
+  /// Records a gateway's reports of event intervals, by machine.
   void recordEventIntervals(const std::map<std::string, EventIntervalReport>& reports,
                             base::TimePoint now);
-  /// Items run at each engine, before the next placements.
+  /// Sets the number of items at each engine; call it before the next placements.
   void setLoads(const std::map<std::string, std::uint32_t>& loads, base::TimePoint now);
-  /// False while no engine takes items: gateways choose by themselves.
-  [[nodiscard]] bool knowsEngines() const { return m_taking > 0; }
-  /// Engines that placing looks at.
-  [[nodiscard]] std::size_t engineCount() const { return m_inUse.size(); }
-  /// Milliseconds between two events that are expected of a known engine; else zero.
+  /// Whether any engine accepts items. If not, the gateways select engines themselves.
+  [[nodiscard]] bool hasAcceptingEngines() const { return m_acceptingCount > 0; }
+  /// Returns the number of engines that accept items and are not on standby.
+  [[nodiscard]] std::size_t engineCount() const { return m_primary.size(); }
+  /// Returns the expected event interval of an engine in milliseconds; zero if the engine is
+  /// unknown.
   [[nodiscard]] double eventIntervalOf(const std::string& engine) const;
-  /// The zone of a known engine; else empty.
+  /// Returns the zone of an engine; empty if the engine is unknown.
   [[nodiscard]] std::string zoneOf(const std::string& engine) const;
-  /// Slots at all engines that take items and are not on standby, by zone.
+  /// Returns the slots of all engines that accept items and are not on standby, by zone.
   [[nodiscard]] std::map<std::string, std::uint32_t> slotsByZone() const;
-  /// The engine that will have run an item soonest, counting the item there from now on. A few
-  /// items more than an engine has slots wait there, so that it never stands idle between a result
-  /// and the next lease. Empty when every engine that may run the item is full.
-  [[nodiscard]] std::string place(const ItemRequirements& need);
+  /// Returns the id of the engine for the item and counts the item there; empty if every engine
+  /// that may run it is full. A few more items than slots may queue at an engine, so that it is not
+  /// idle between a result and the next lease.
+  [[nodiscard]] std::string place(const ItemRequirements& requirements);
 
-  /// The item was not leased after all.
-  void takeBack(const std::string& engine);
-  /// Slots at engines that take items and hold these weights or newer, engines on standby
-  /// included.
+  /// Removes the load of an item that was placed and not leased.
+  void undoPlacement(const std::string& engine);
+  /// Returns the slots of engines that accept items and hold `minimumVersion` or newer, including
+  /// engines on standby.
   [[nodiscard]] std::uint32_t readySlots(const std::string& model,
                                          std::uint64_t minimumVersion) const;
-  /// All engines, by id.
+  /// Returns a summary of all engines, ordered by id.
   [[nodiscard]] std::vector<EngineSummary> summaries(base::TimePoint now) const;
 
  private:
-  using Engines = std::map<std::string, EngineWork, std::less<>>;
-  using EnginesById = std::map<std::string_view, EngineWork*>;
+  using Engines = std::map<std::string, EngineState, std::less<>>;
+  using EnginesById = std::map<std::string_view, EngineState*>;
 
-  [[nodiscard]] EngineWork* find(std::string_view id);
-  void upsert(PlacementEngine told);
-  void putInUse(std::string_view id, EngineWork& engine);
-  void takeOutOfUse(std::string_view id, const EngineWork& engine);
-  /// Joins the engine with what is known of its machine.
-  void attach(EngineWork& engine);
-  void detach(EngineWork& engine);
+  [[nodiscard]] EngineState* find(std::string_view id);
+  void upsert(EngineInfo info);
+  void addPrimary(std::string_view id, EngineState& engine);
+  void removePrimary(std::string_view id, const EngineState& engine);
+  /// Links the engine with the entry of its machine.
+  void linkMachine(EngineState& engine);
+  void unlinkMachine(EngineState& engine);
   void remove(const std::string& id);
-  void addLoad(EngineWork& engine, std::uint32_t items);
-  /// Loads or engines changed.
-  void forgetSearches();
-  /// Takes the expected event intervals over from what is known, now and then.
+  void addLoad(EngineState& engine, std::uint32_t items);
+  /// Discards the candidates after loads or engines have changed.
+  void invalidateCandidates();
+  /// Updates the expected event intervals of all engines if kEventIntervalRefresh has passed.
   void refreshEventIntervals(base::TimePoint now);
-  void refreshEventInterval(EngineWork& engine, base::TimePoint now);
+  void refreshEventInterval(EngineState& engine, base::TimePoint now);
   [[nodiscard]] std::size_t speedTierOf(double eventIntervalMs) const;
-  [[nodiscard]] SpeedTiers candidatesFor(const std::string& model, std::uint64_t minimumVersion);
-  [[nodiscard]] SpeedTiers& candidatesOf(const std::string& model, std::uint64_t minimumVersion);
-  [[nodiscard]] std::string placeInUse(const ItemRequirements& need);
+  [[nodiscard]] SpeedTiers buildCandidates(const std::string& model, std::uint64_t minimumVersion);
+  [[nodiscard]] SpeedTiers& cachedCandidates(const std::string& model,
+                                             std::uint64_t minimumVersion);
+  [[nodiscard]] std::string placeOnPrimary(const ItemRequirements& requirements);
   [[nodiscard]] std::string placeOnStandby(const std::string& model, std::uint64_t minimumVersion);
 
   Engines m_engines;
-  std::size_t m_taking = 0;                           ///< engines that take items
-  EnginesById m_inUse;                                ///< those of them that are not on standby
-  std::map<std::string, EnginesById> m_inUseByModel;  ///< by model that they hold
-  /// By model: no engine on standby holds newer weights.
+  std::size_t m_acceptingCount = 0;  ///< number of engines that accept items
+  EnginesById m_primary;             ///< engines that accept items and are not on standby
+  std::map<std::string, EnginesById> m_primaryByModel;  ///< m_primary by model
+  /// By model: newest version that an engine on standby holds.
   std::map<std::string, std::uint64_t> m_newestStandbyVersion;
-  /// By model and minimum version: those on standby before this one have no room.
+  /// By model and minimum version: all standby engines before this one are full.
   std::map<std::pair<std::string, std::uint64_t>, Engines::iterator> m_standbyCursor;
-  std::set<EngineWork*> m_loaded;  ///< engines with items
-  /// By model and minimum version; made anew after loads or engines changed.
+  std::set<EngineState*> m_enginesWithLoad;  ///< engines with a load above zero
+  /// By model and minimum version; rebuilt after loads or engines have changed.
   std::map<std::pair<std::string, std::uint64_t>, SpeedTiers> m_candidates;
   EventIntervalTable m_eventIntervals;
-  std::map<std::string, std::set<EngineWork*>> m_byMachine;
-  base::TimePoint m_intervalsRefreshedAt{};  ///< when event intervals were last taken over
+  std::map<std::string, std::set<EngineState*>> m_enginesByMachine;
+  base::TimePoint m_intervalsRefreshedAt{};  ///< time of the last refreshEventIntervals()
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/estimate_calibration.h
+++ b/src/jobs/estimate_calibration.h
@@ -1,27 +1,27 @@
 /// \file
-/// Corrects callers' estimates by how their earlier ones compare with real lengths.
+/// Corrects callers' length estimates by comparing earlier estimates with actual lengths.
 #pragma once
 
 namespace tackpick::jobs {
 
-/// A linear regression of real lengths on estimates, both as logarithms, in which older
-/// observations weigh less. Where estimates err much, extreme ones are drawn towards the mean.
+/// Linear regression of the logarithms of actual lengths on those of estimates, with decaying
+/// weights of older observations. If estimates are poor, extreme ones are drawn towards the mean.
 /// Deterministic.
 class EstimateCalibration {
  public:
-  /// Nothing was observed: the unit of the estimates is not known.
+  /// Whether there are no observations. The unit of the estimates is then unknown.
   [[nodiscard]] bool empty() const { return m_weight <= 0; }
-  /// The length at the median of what was estimated as `estimate` > 0. Not while empty().
+  /// Returns the predicted median length for `estimate` > 0. Must not be called while empty().
   [[nodiscard]] double predict(double estimate) const;
-  /// Both > 0.
+  /// Adds an observation; both values must be positive.
   void observe(double estimate, double length);
 
  private:
   double m_weight = 0;
-  double m_meanEstimate = 0;  ///< of logarithms, as is all below
+  double m_meanEstimate = 0;  ///< mean of the logarithms of the estimates
   double m_meanLength = 0;
-  double m_variance = 0;    ///< of estimates, times the weight
-  double m_covariance = 0;  ///< of estimates and lengths, times the weight
+  double m_variance = 0;    ///< weighted sum of squares of log estimates
+  double m_covariance = 0;  ///< weighted sum of products of log estimates and log lengths
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/event_interval_report.h
+++ b/src/jobs/event_interval_report.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a gateway has seen of an engine's pace.
+/// A gateway's observation of an engine's event interval.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,14 @@
 
 namespace tackpick::jobs {
 
-/// Ages are durations, since clocks of machines differ.
+/// Event interval and slowdown of one engine. Times are given as ages, because the clocks of
+/// machines differ.
 struct EventIntervalReport {
-  double eventIntervalMs = 0;  ///< milliseconds between two events of a stream
-  base::Duration age{0};       ///< since the last event that it was measured by
-  /// How long work takes at this moment, in percent of what is usual there, as the engine said.
+  double eventIntervalMs = 0;  ///< zero: unknown
+  base::Duration age{0};       ///< age of the last event in the sample
+  /// Slowdown that the engine reported, in percent of normal.
   std::uint32_t slowdownPercent = 100;
-  base::Duration slowdownAge{0};  ///< since the engine said so
+  base::Duration slowdownAge{0};  ///< age of the engine's slowdown report
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/jobs/event_interval_table.h
+++ b/src/jobs/event_interval_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The event intervals of all engines, as gateways tell them to the ledgers' leader.
+/// Event intervals of all engines, as gateways report them to the ledgers' leader.
 #pragma once
 
 #include <map>
@@ -11,39 +11,40 @@
 
 namespace tackpick::jobs {
 
-/// Deterministic. Paces are kept by machine: an engine that loads other weights, or starts again,
-/// runs on the same one. A machine without engines is remembered for a while, since engines that
-/// start again are away for a moment.
+/// Event intervals by machine: an engine that loads other weights or restarts runs on the same
+/// machine. A machine without engines is retained for a while, because restarting engines are
+/// briefly absent. Deterministic.
 class EventIntervalTable {
  public:
-  /// A machine's entry; stays valid until detach().
+  /// The entry of a machine; valid until removeEngine().
   struct Entry {
     std::string zone;
-    EngineEventInterval pace;
-    std::uint32_t engines = 0;  ///< attached
-    base::TimePoint unusedSince{};
+    EngineEventInterval eventInterval;
+    std::uint32_t engines = 0;  ///< number of engines on the machine
+    base::TimePoint idleSince{};
   };
 
-  /// An engine runs on the machine.
-  Entry& attach(const std::string& machine, const std::string& zone);
-  /// One that was attached does so no more.
-  void detach(const std::string& machine, base::TimePoint now);
-  /// False when the machine is unknown or the report cannot be true.
-  bool note(const std::string& machine, const EventIntervalReport& report, base::TimePoint now);
-  /// Brings what is typical up to date, and forgets machines long gone.
+  /// Adds an engine to the machine and returns the machine's entry.
+  Entry& addEngine(const std::string& machine, const std::string& zone);
+  /// Removes an engine from the machine.
+  void removeEngine(const std::string& machine, base::TimePoint now);
+  /// Adds a report. Returns false if the machine is unknown or the report is implausible.
+  bool addSample(const std::string& machine, const EventIntervalReport& report,
+                 base::TimePoint now);
+  /// Updates the medians and removes machines without engines after the retention time.
   void refresh(base::TimePoint now);
-  /// Expected of that machine; where nothing was ever seen of it, what is typical of its zone, else
-  /// of all. Zero while no pace is known at all.
+  /// Returns the expected event interval of a machine in milliseconds. Without observations it is
+  /// the median of the machine's zone, else of all machines; zero: no interval is known.
   [[nodiscard]] double expectedMs(const Entry& entry, base::TimePoint now) const;
-  /// Median over the long run of all engines; zero: unknown.
-  [[nodiscard]] double typicalMs() const { return m_typicalMs; }
+  /// Returns the median of the long-term averages of all engines in milliseconds; zero: unknown.
+  [[nodiscard]] double medianMs() const { return m_medianMs; }
 
  private:
-  [[nodiscard]] double typicalOfZone(const std::string& zone) const;
+  [[nodiscard]] double zoneMedianMs(const std::string& zone) const;
 
   std::map<std::string, Entry> m_entries;
-  std::map<std::string, double> m_typicalByZone;  ///< only zones where a pace is known
-  double m_typicalMs = 0;
+  std::map<std::string, double> m_medianByZone;  ///< only zones with a known interval
+  double m_medianMs = 0;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/fifo_scheduler.h
+++ b/src/jobs/fifo_scheduler.h
@@ -1,15 +1,15 @@
 /// \file
-/// Items of the oldest job first.
+/// Schedules the items of the oldest job first.
 #pragma once
 
 #include "jobs/job_scheduler.h"
 
 namespace tackpick::jobs {
 
-/// The order where one tenant's jobs of one model are all there is. Deterministic.
+/// Used while all jobs belong to one tenant, model and priority. Deterministic.
 class FifoScheduler final : public JobScheduler {
  public:
-  void begin(const std::vector<QueuedWork>& work) override {
+  void begin(const std::vector<SchedulableJob>& work) override {
     m_jobs = work.size();
     m_next = 0;
   }
--- a/src/jobs/free_slots.h
+++ b/src/jobs/free_slots.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many further items the engines can run, by model and by the version of its weights.
+/// Number of further items that engines can run, by model and version of its weights.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,32 @@
 
 namespace tackpick::jobs {
 
-/// An item of minimum version m may run at engines that hold m or newer, so items share slots: of
-/// those at engines with version v or newer, all items whose minimum is above the next older
-/// version have their part. Deterministic.
+/// Free slots shared by items of different minimum versions. An item of minimum version m may run
+/// at any engine that holds m or newer, so one slot counts for several minimum versions.
+/// Deterministic.
 class FreeSlots {
  public:
-  /// `slots` more at engines that hold `version` of `model`.
+  /// Adds `slots` at engines that hold `version` of `model`.
   void add(const std::string& model, std::uint64_t version, std::uint32_t slots);
-  /// Keeps one part in `parts` of all slots, rounded up, after adding `percent` of them for items
-  /// that may wait at the engines.
-  void share(std::uint32_t parts, std::uint32_t percent);
-  /// Takes a place for an item. False, and nothing taken, when there is none.
+  /// Scales all slots to `percent` of their number and divides them by `parts`, rounding up. More
+  /// than 100 percent allows items to queue at the engines.
+  void divide(std::uint32_t parts, std::uint32_t percent);
+  /// Takes a slot for an item. Returns false and changes nothing if none is free.
   bool take(const std::string& model, std::uint64_t minimumVersion);
-  /// Takes a place also where there is none left: the item runs already.
-  void occupy(const std::string& model, std::uint64_t minimumVersion);
+  /// Takes a slot for an item that is already running, even if none is free.
+  void forceTake(const std::string& model, std::uint64_t minimumVersion);
   [[nodiscard]] bool empty() const;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(m_rooms);
+    archive(m_models);
   }
 
  private:
-  /// By version: slots at engines with that version or a newer one.
-  using Room = std::map<std::uint64_t, std::uint32_t>;
+  /// Slots at engines that hold the version or a newer one, by version.
+  using SlotsByVersion = std::map<std::uint64_t, std::uint32_t>;
 
-  std::map<std::string, Room> m_rooms;
+  std::map<std::string, SlotsByVersion> m_models;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/gateway_capacity.cpp
+++ b/src/jobs/gateway_capacity.cpp
@@ -6,20 +6,20 @@
 namespace tackpick::jobs {
 namespace {
 
-/// The rest is for callers' own requests, and for bursts.
-constexpr double kProcessorForItems = 0.5;
-constexpr double kLinkForItems = 0.5;
-constexpr double kMemoryForItems = 0.25;
-constexpr double kDescriptorsForItems = 0.25;
+/// Shares of a gateway's resources that are budgeted for items. The rest is for callers' requests
+/// and bursts.
+constexpr double kCpuShare = 0.5;
+constexpr double kLinkShare = 0.5;
+constexpr double kMemoryShare = 0.25;
+constexpr double kDescriptorShare = 0.25;
 
-/// Half a millisecond for an item that runs for half a second, and a tenth of one for each of some
-/// 20 events a second.
+/// CPU time of the requests and of about 20 events per second of an item.
 constexpr double kCoresPerSlot = 0.003;
-/// 20 events of 2 KB a second, in and out again to the ledgers.
+/// About 20 events of 2 KB per second, received and sent on to the ledgers.
 constexpr double kMbpsPerSlot = 0.64;
-/// The request, the text and the buffers of its connections.
+/// Memory of the request, the text and the connection buffers.
 constexpr double kMegabytesPerSlot = 0.25;
-/// A kept connection may wait beside the one in use.
+/// One connection in use and one idle connection.
 constexpr double kDescriptorsPerSlot = 2;
 
 constexpr double kMaxCores = 1024;
@@ -28,37 +28,37 @@
 constexpr double kMaxMbps = 1e7;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
-std::optional<double> slots(double told, double most, double share, double perSlot) {
-  const bool known = told > 0 && told <= most;  // false for what is no number, too
-  return known ? std::optional(told * share / perSlot) : std::nullopt;
+std::optional<double> slotBound(double reported, double maxValue, double share, double perSlot) {
+  const bool known = reported > 0 && reported <= maxValue;  // false for NaN
+  return known ? std::optional(reported * share / perSlot) : std::nullopt;
 }
 
-bool textsFillMemory(const GatewayCapacity& capacity) {
-  const double bytes = capacity.memoryMb * kMemoryForItems * kBytesPerMegabyte;
+bool exceedsMemoryBudget(const GatewayCapacity& capacity) {
+  const double bytes = capacity.memoryMb * kMemoryShare * kBytesPerMegabyte;
   return bytes > 0 && static_cast<double>(capacity.bufferedTextBytes) > bytes;
 }
 
 }  // namespace
 
 std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity) {
-  std::optional<double> fewest;
+  std::optional<double> minBound;
   for (const std::optional<double>& bound :
-       {slots(capacity.cpuCores, kMaxCores, kProcessorForItems, kCoresPerSlot),
-        slots(capacity.memoryMb, kMaxMemoryMb, kMemoryForItems, kMegabytesPerSlot),
-        slots(capacity.fileDescriptors, kMaxDescriptors, kDescriptorsForItems, kDescriptorsPerSlot),
-        slots(capacity.linkMbps, kMaxMbps, kLinkForItems, kMbpsPerSlot)}) {
+       {slotBound(capacity.cpuCores, kMaxCores, kCpuShare, kCoresPerSlot),
+        slotBound(capacity.memoryMb, kMaxMemoryMb, kMemoryShare, kMegabytesPerSlot),
+        slotBound(capacity.fileDescriptors, kMaxDescriptors, kDescriptorShare, kDescriptorsPerSlot),
+        slotBound(capacity.linkMbps, kMaxMbps, kLinkShare, kMbpsPerSlot)}) {
     if (bound) {
-      fewest = std::min(fewest.value_or(*bound), *bound);
+      minBound = std::min(minBound.value_or(*bound), *bound);
     }
   }
-  if (!fewest) {
+  if (!minBound) {
     return std::nullopt;
   }
-  if (textsFillMemory(capacity)) {
+  if (exceedsMemoryBudget(capacity)) {
     return kMinGatewaySlots;
   }
   return static_cast<std::uint32_t>(
-      std::clamp<double>(*fewest, kMinGatewaySlots, kMaxGatewaySlots));
+      std::clamp<double>(*minBound, kMinGatewaySlots, kMaxGatewaySlots));
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/gateway_capacity.h
+++ b/src/jobs/gateway_capacity.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many slots at engines a gateway can serve.
+/// Number of engine slots that a gateway can serve.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace tackpick::jobs {
 
-/// What a gateway has, and how it fares, as it tells the ledgers' leader. Zero: unknown.
+/// Resources and load of a gateway, as reported to the ledgers' leader. Zero: unknown.
 struct GatewayCapacity {
   double cpuCores = 0;
   std::uint32_t memoryMb = 0;
   std::uint32_t fileDescriptors = 0;
   double linkMbps = 0;
-  std::uint64_t bufferedTextBytes = 0;  ///< of the items that it runs
-  base::Duration eventLoopLag{0};       ///< how late its event loop ticks
+  std::uint64_t bufferedTextBytes = 0;  ///< text of running items
+  base::Duration eventLoopLag{0};       ///< see base::EventLoopLag
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -25,12 +25,12 @@
   }
 };
 
-/// Bounds of what slotsFor() says.
+/// Bounds of the result of slotsFor().
 inline constexpr std::uint32_t kMinGatewaySlots = 6;
 inline constexpr std::uint32_t kMaxGatewaySlots = 48;
 
-/// Slots at engines that a gateway of that capacity can serve; nothing when it tells none of what
-/// bounds them. Values that no machine has count as unknown.
+/// Returns the number of engine slots that a gateway of that capacity can serve; std::nullopt if
+/// all resources are unknown. Implausible values count as unknown.
 [[nodiscard]] std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity);
 
 }  // namespace tackpick::jobs
--- a/src/jobs/gateway_selector.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -17,61 +17,63 @@
   }
 }
 
-void GatewaySelector::note(base::NodeId gateway, const std::string& zone, bool acceptsItems,
-                           base::TimePoint now, const GatewayCapacity& capacity) {
-  Zone& home = m_zones[zone];
+void GatewaySelector::recordRequest(base::NodeId gateway, const std::string& zone,
+                                    bool acceptsItems, base::TimePoint now,
+                                    const GatewayCapacity& capacity) {
+  Zone& zoneState = m_zones[zone];
   if (!acceptsItems) {
-    const auto known = home.gateways.find(gateway);
-    if (known != home.gateways.end()) {
-      erase(home, known);
+    const auto known = zoneState.gateways.find(gateway);
+    if (known != zoneState.gateways.end()) {
+      erase(zoneState, known);
     }
     return;
   }
-  const auto [known, added] = home.gateways.try_emplace(gateway);
-  Gateway& asking = known->second;
-  home.outdated = home.outdated || added || !isSound(asking, now);
+  const auto [known, added] = zoneState.gateways.try_emplace(gateway);
+  Gateway& entry = known->second;
+  zoneState.outdated = zoneState.outdated || added || !isResponsive(entry, now);
   if (!added) {
-    unrank(home, gateway, asking);
+    unrank(zoneState, gateway, entry);
   }
-  measure(home, asking, capacity, now);
-  rank(home, gateway, asking);
-  asking.askedAt = now;
-  asking.active = isActive(gateway, home, now);
+  updateCapacity(zoneState, entry, capacity, now);
+  rank(zoneState, gateway, entry);
+  entry.lastRequestAt = now;
+  entry.active = isActive(gateway, zoneState, now);
 }
 
-void GatewaySelector::measure(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
-                              base::TimePoint now) const {
+void GatewaySelector::updateCapacity(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
+                                     base::TimePoint now) const {
   const std::uint32_t size = jobs::slotsFor(capacity).value_or(m_settings.slotsPerGateway);
   const bool wasSlow = gateway.slow.isSlow();
-  const bool first = gateway.askedAt == base::TimePoint{};
-  gateway.lateness = capacity.eventLoopLag;
+  const bool first = gateway.lastRequestAt == base::TimePoint{};
+  gateway.lag = capacity.eventLoopLag;
   if (gateway.active && !first) {
-    gateway.lateness = std::max(gateway.lateness, now - gateway.askedAt - m_settings.usualInterval);
+    gateway.lag =
+        std::max(gateway.lag, now - gateway.lastRequestAt - m_settings.expectedCallInterval);
   }
-  findUsualLateness(zone, now);
-  gateway.slow.note(gateway.lateness, zone.usualLateness, now);
+  updateMedianLag(zone, now);
+  gateway.slow.addSample(gateway.lag, zone.medianLag, now);
   zone.outdated = zone.outdated || size != gateway.size || wasSlow != gateway.slow.isSlow();
   gateway.size = size;
 }
 
-void GatewaySelector::findUsualLateness(Zone& zone, base::TimePoint now) {
+void GatewaySelector::updateMedianLag(Zone& zone, base::TimePoint now) {
   constexpr base::Duration kInterval = base::milliseconds(500);
-  if (now - zone.latenessFoundAt < kInterval) {
+  if (now - zone.medianLagUpdatedAt < kInterval) {
     return;
   }
-  zone.latenessFoundAt = now;
-  std::vector<base::Duration> running;
+  zone.medianLagUpdatedAt = now;
+  std::vector<base::Duration> lags;
   for (const auto& [node, gateway] : zone.gateways) {
     if (gateway.active) {
-      running.push_back(gateway.lateness);
+      lags.push_back(gateway.lag);
     }
   }
-  if (running.empty()) {
+  if (lags.empty()) {
     return;
   }
-  const auto middle = running.begin() + static_cast<std::ptrdiff_t>((running.size() - 1) / 2);
-  std::nth_element(running.begin(), middle, running.end());
-  zone.usualLateness = *middle;
+  const auto middle = lags.begin() + static_cast<std::ptrdiff_t>((lags.size() - 1) / 2);
+  std::nth_element(lags.begin(), middle, lags.end());
+  zone.medianLag = *middle;
 }
 
 void GatewaySelector::rank(Zone& zone, base::NodeId node, const Gateway& gateway) {
@@ -93,7 +95,7 @@
   zone.outdated = true;
 }
 
-void GatewaySelector::forget(std::uint32_t gatewayNumber) {
+void GatewaySelector::remove(std::uint32_t gatewayNumber) {
   for (auto& [name, zone] : m_zones) {
     auto known = zone.gateways.lower_bound(base::makeNodeId(gatewayNumber, 0));
     while (known != zone.gateways.end() && base::nodeNumber(known->first) == gatewayNumber) {
@@ -105,45 +107,45 @@
 std::uint32_t GatewaySelector::slotsFor(const Zone& zone, const Gateway& gateway) const {
   const bool equal = zone.sizes.size() <= 1;
   const std::uint32_t slots = equal ? m_settings.slotsPerGateway : gateway.size;
-  return gateway.slow.isSlow() ? std::max(slots / m_settings.slowDivisor, 1U) : slots;
+  return gateway.slow.isSlow() ? std::max(slots / m_settings.slowSlotDivisor, 1U) : slots;
 }
 
-bool GatewaySelector::isSound(const Gateway& gateway, base::TimePoint now) const {
+bool GatewaySelector::isResponsive(const Gateway& gateway, base::TimePoint now) const {
   const base::Duration limit =
-      gateway.active ? m_settings.activeSilence : m_settings.standbySilence;
-  return now - gateway.askedAt < limit;
+      gateway.active ? m_settings.activeTimeout : m_settings.standbyTimeout;
+  return now - gateway.lastRequestAt < limit;
 }
 
-void GatewaySelector::findActive(Zone& zone, base::TimePoint now) const {
-  constexpr base::Duration kMaxUse = base::milliseconds(20);
-  if (!zone.outdated && now - zone.foundAt < kMaxUse) {
+void GatewaySelector::selectActive(Zone& zone, base::TimePoint now) const {
+  constexpr base::Duration kMaxSelectionAge = base::milliseconds(20);
+  if (!zone.outdated && now - zone.selectedAt < kMaxSelectionAge) {
     return;
   }
   zone.active.clear();
-  zone.foundAt = now;
+  zone.selectedAt = now;
   zone.outdated = false;
   std::uint32_t availableSlots = 0;
-  std::uint32_t spare = 0;
-  zone.enough = false;
+  std::uint32_t redundant = 0;
+  zone.sufficient = false;
   for (const Rank& next : zone.ranked) {
     const Gateway& gateway = zone.gateways.at(next.gateway);
-    if (!isSound(gateway, now)) {
+    if (!isResponsive(gateway, now)) {
       continue;
     }
-    zone.enough = availableSlots >= zone.slots && spare == m_settings.spareGateways;
-    if (zone.enough) {
+    zone.sufficient = availableSlots >= zone.slots && redundant == m_settings.spareGateways;
+    if (zone.sufficient) {
       return;
     }
-    spare += availableSlots >= zone.slots ? 1 : 0;
+    redundant += availableSlots >= zone.slots ? 1 : 0;
     availableSlots += slotsFor(zone, gateway);
     zone.active.insert(next.gateway);
   }
-  zone.enough = availableSlots >= zone.slots && spare == m_settings.spareGateways;
+  zone.sufficient = availableSlots >= zone.slots && redundant == m_settings.spareGateways;
 }
 
 bool GatewaySelector::isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const {
-  findActive(zone, now);
-  return !zone.enough || zone.active.contains(gateway);
+  selectActive(zone, now);
+  return !zone.sufficient || zone.active.contains(gateway);
 }
 
 bool GatewaySelector::isActive(base::NodeId gateway, const std::string& zone, base::TimePoint now) {
@@ -154,7 +156,7 @@
 std::uint32_t GatewaySelector::activeCount(base::TimePoint now) {
   std::uint32_t count = 0;
   for (auto& [name, zone] : m_zones) {
-    findActive(zone, now);
+    selectActive(zone, now);
     count += static_cast<std::uint32_t>(zone.active.size());
   }
   return std::max(count, 1U);
@@ -163,20 +165,20 @@
 std::optional<std::uint32_t> GatewaySelector::maxItems(base::NodeId gateway,
                                                        const std::string& zone,
                                                        base::TimePoint now) {
-  const auto home = m_zones.find(zone);
-  if (home == m_zones.end()) {
+  const auto zoneState = m_zones.find(zone);
+  if (zoneState == m_zones.end()) {
     return std::nullopt;
   }
-  const auto known = home->second.gateways.find(gateway);
-  if (known == home->second.gateways.end()) {
+  const auto known = zoneState->second.gateways.find(gateway);
+  if (known == zoneState->second.gateways.end()) {
     return std::nullopt;
   }
-  findActive(home->second, now);
-  const bool usual = home->second.sizes.size() <= 1 && !known->second.slow.isSlow();
-  if (usual || !home->second.enough) {
+  selectActive(zoneState->second, now);
+  const bool unlimited = zoneState->second.sizes.size() <= 1 && !known->second.slow.isSlow();
+  if (unlimited || !zoneState->second.sufficient) {
     return std::nullopt;
   }
-  return slotsFor(home->second, known->second) * m_settings.itemsPerSlot;
+  return slotsFor(zoneState->second, known->second) * m_settings.itemsPerSlot;
 }
 
 std::vector<ActiveGateway> GatewaySelector::activeIn(const std::string& zone, base::TimePoint now) {
@@ -185,7 +187,7 @@
   if (found == m_zones.end()) {
     return active;
   }
-  findActive(found->second, now);
+  selectActive(found->second, now);
   for (const base::NodeId node : found->second.active) {
     active.push_back({node, slotsFor(found->second, found->second.gateways.at(node))});
   }
@@ -196,7 +198,7 @@
   std::vector<GatewaySummary> summaries;
   for (const auto& [name, zone] : m_zones) {
     for (const auto& [node, gateway] : zone.gateways) {
-      const bool active = !zone.enough || zone.active.contains(node);
+      const bool active = !zone.sufficient || zone.active.contains(node);
       summaries.push_back(
           {node, name, slotsFor(zone, gateway), 0, active, gateway.slow.slowSince()});
     }
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which gateways run items, when there are more than are needed.
+/// Selects the gateways that run items if there are more than needed.
 #pragma once
 
 #include <cstdint>
@@ -17,75 +17,73 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of a GatewaySelector.
+/// Settings of a GatewaySelector.
 struct GatewaySelectorSettings {
-  /// Slots at engines that one gateway serves where all are of the same size: an item costs a
-  /// gateway about half a millisecond of processor time and runs for half a second and more, so
-  /// this is far from its limit.
+  /// Engine slots that one gateway serves if all gateways have the same size.
   std::uint32_t slotsPerGateway = 24;
-  /// More than needed in each zone, so that the loss of one leaves no engine idle.
+  /// Number of gateways beyond those needed in each zone, so that the loss of one leaves no engine
+  /// idle.
   std::uint32_t spareGateways = 2;
-  /// A gateway that runs items asks several times within this time.
-  base::Duration activeSilence = base::milliseconds(600);
-  /// One that stands by asks at least once within this time.
-  base::Duration standbySilence = base::milliseconds(2500);
-  /// A gateway that runs items asks within this time; what it takes longer, it is late.
-  base::Duration usualInterval = base::milliseconds(300);
-  /// A slow gateway takes one in so many of its slots.
-  std::uint32_t slowDivisor = 4;
-  /// Items that a gateway may hold for each of its slots: some wait at engines, and the gateways
-  /// of a zone may be fewer than their share.
+  /// Time without a request after which an active gateway is not responsive.
+  base::Duration activeTimeout = base::milliseconds(600);
+  /// Time without a request after which a standby gateway is not responsive.
+  base::Duration standbyTimeout = base::milliseconds(2500);
+  /// Maximum expected time between two requests of an active gateway; time beyond it counts as lag.
+  base::Duration expectedCallInterval = base::milliseconds(300);
+  /// Divisor of the slots of a slow gateway.
+  std::uint32_t slowSlotDivisor = 4;
+  /// Maximum items that a gateway may hold for each of its slots; some of them queue at engines.
   std::uint32_t itemsPerSlot = 2;
   SlownessDetectorSettings slow;
 };
 
-/// What is known of one gateway.
+/// State of one gateway, for operators.
 struct GatewaySummary {
   base::NodeId gateway;
   std::string zone;
-  std::uint32_t slots = 0;  ///< that it takes now
-  std::uint32_t held = 0;   ///< items
-  bool active = false;      ///< it runs items; else it stands by
+  std::uint32_t slots = 0;  ///< engine slots that it serves at present
+  std::uint32_t held = 0;   ///< leased items
+  bool active = false;      ///< it runs items; false: it is on standby
   std::optional<base::TimePoint> slowSince;
 };
 
-/// The ledgers' leader's. In each zone as many gateways run items as the engines there need; the
-/// others stand by and ask seldom, which saves calls, connections to engines and commits. Able
-/// gateways go before small ones, and slow ones come last; of equals those with the lowest numbers
-/// are taken. Deterministic.
+/// Selects in each zone as many active gateways as the engines need. The others are on standby and
+/// send requests rarely, which saves calls, connections to engines and commits. Larger gateways are
+/// selected before smaller ones and slow ones last; ties are resolved by the lowest id. Runs at the
+/// ledgers' leader. Deterministic.
 class GatewaySelector {
  public:
   explicit GatewaySelector(GatewaySelectorSettings settings = {}) : m_settings(settings) {}
 
   void clear() { m_zones.clear(); }
-  /// Slots of all engines in each zone; the most that was told counts, since engines that change
-  /// their weights are left out for a moment.
+  /// Sets the slots of all engines by zone. The maximum seen so far counts, because engines that
+  /// load weights are temporarily excluded.
   void setSlots(const std::map<std::string, std::uint32_t>& slotsByZone);
-  /// A gateway asks for items (`acceptsItems`), or for none any more.
-  void note(base::NodeId gateway, const std::string& zone, bool acceptsItems, base::TimePoint now,
-            const GatewayCapacity& capacity = {});
-  void forget(std::uint32_t gatewayNumber);
-  /// True when the gateway is one of those that run items; also while nothing is known of it.
+  /// Records a gateway's lease request. `acceptsItems`: false if it wants no more items.
+  void recordRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
+                     base::TimePoint now, const GatewayCapacity& capacity = {});
+  void remove(std::uint32_t gatewayNumber);
+  /// Whether the gateway is one of those that run items; also true if the zone is unknown.
   [[nodiscard]] bool isActive(base::NodeId gateway, const std::string& zone, base::TimePoint now);
-  /// Gateways that share the slots of all engines.
+  /// Returns the number of active gateways in all zones; at least 1.
   [[nodiscard]] std::uint32_t activeCount(base::TimePoint now);
-  /// Items that the gateway may hold; nothing: as many as it asks for.
+  /// Returns the maximum number of items that the gateway may hold; std::nullopt: no limit.
   [[nodiscard]] std::optional<std::uint32_t> maxItems(base::NodeId gateway, const std::string& zone,
                                                       base::TimePoint now);
-  /// Those of a zone that run items.
+  /// Returns the active gateways of a zone.
   [[nodiscard]] std::vector<ActiveGateway> activeIn(const std::string& zone, base::TimePoint now);
-  /// All gateways that ask, without what they hold.
+  /// Returns all known gateways, without the number of their leased items.
   [[nodiscard]] std::vector<GatewaySummary> summaries() const;
 
  private:
   struct Gateway {
-    base::TimePoint askedAt{};
+    base::TimePoint lastRequestAt{};
     bool active = false;
-    std::uint32_t size = 0;  ///< slots by its capacity
-    base::Duration lateness{0};
+    std::uint32_t size = 0;  ///< slots according to its capacity
+    base::Duration lag{0};
     SlownessDetector slow;
   };
-  /// The order in which gateways are chosen.
+  /// Sort key of gateways: the first ones are selected first.
   struct Rank {
     bool slow = false;
     std::uint32_t size = 0;
@@ -97,25 +95,25 @@
     std::uint32_t slots = 0;
     std::map<base::NodeId, Gateway> gateways;
     std::set<Rank> ranked;                         ///< all of `gateways`
-    std::map<std::uint32_t, std::uint32_t> sizes;  ///< gateways of each size
-    base::Duration usualLateness{0};               ///< median of those that run items
-    base::TimePoint latenessFoundAt{};
-    /// Those that run items; found anew when `outdated`, and now and then since others become
-    /// unresponsive. Every call of every gateway asks for it: counting them each time grows with
-    /// their square.
+    std::map<std::uint32_t, std::uint32_t> sizes;  ///< number of gateways by size
+    base::Duration medianLag{0};                   ///< median lag of the active gateways
+    base::TimePoint medianLagUpdatedAt{};
+    /// Active gateways. Selected again when `outdated`, and at short intervals because gateways may
+    /// become unresponsive; selecting them at each request would take time quadratic in the number
+    /// of gateways.
     std::set<base::NodeId> active;
-    bool enough = false;  ///< `active` has all slots and the spare gateways
-    base::TimePoint foundAt{};
+    bool sufficient = false;  ///< `active` covers all slots and the spare gateways
+    base::TimePoint selectedAt{};
     bool outdated = true;
   };
 
   [[nodiscard]] std::uint32_t slotsFor(const Zone& zone, const Gateway& gateway) const;
-  [[nodiscard]] bool isSound(const Gateway& gateway, base::TimePoint now) const;
+  [[nodiscard]] bool isResponsive(const Gateway& gateway, base::TimePoint now) const;
   [[nodiscard]] bool isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const;
-  void findActive(Zone& zone, base::TimePoint now) const;
-  void measure(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
-               base::TimePoint now) const;
-  static void findUsualLateness(Zone& zone, base::TimePoint now);
+  void selectActive(Zone& zone, base::TimePoint now) const;
+  void updateCapacity(Zone& zone, Gateway& gateway, const GatewayCapacity& capacity,
+                      base::TimePoint now) const;
+  static void updateMedianLag(Zone& zone, base::TimePoint now);
   static void rank(Zone& zone, base::NodeId node, const Gateway& gateway);
   static void unrank(Zone& zone, base::NodeId node, const Gateway& gateway);
   static void erase(Zone& zone, std::map<base::NodeId, Gateway>::iterator gateway);
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -9,7 +9,7 @@
 namespace tackpick::jobs {
 namespace {
 
-std::set<ItemKey> keysOf(const std::vector<HeldItem>& held) {
+std::set<ItemKey> heldKeysOf(const std::vector<HeldItem>& held) {
   std::set<ItemKey> keys;
   for (const HeldItem& item : held) {
     keys.insert(item.key);
@@ -21,7 +21,7 @@
 
 void ItemLeases::reset(std::uint64_t term, base::TimePoint now, base::Duration grace) {
   constexpr unsigned kTermShift = 32;
-  last_number_ = term << kTermShift;
+  m_lastLease = term << kTermShift;
   queue_.clear();
   plan_.clear();
   plan_outdated_ = true;
@@ -35,33 +35,33 @@
   m_gatewaySelector.setSlots(placement_.slotsByZone());
   first_seen_.clear();
   m_resubmittedGroups.clear();
-  seen_items_.clear();
+  m_knownItems.clear();
   m_itemOrders.clear();
   m_lateJobs.clear();
-  m_kinds.clear();
-  m_order = makeOrder();
-  leasing_from_ = now + grace;
+  m_jobKinds.clear();
+  m_scheduler = makeScheduler();
+  m_leasingFrom = now + grace;
 }
 
 bool ItemLeases::addJob(const std::string& id, const Job& job, base::TimePoint seenAt) {
   if (!first_seen_.try_emplace(id, seenAt).second) {
     return false;
   }
-  if (job.settled()) {
+  if (job.finished()) {
     return true;
   }
   m_models.insert(job.submission.model);
   std::set<std::string>& resubmitted = m_resubmittedGroups[id];
   for (const Item& item : job.submission.items) {
-    if (!seen_items_.insert(item.id).second) {
+    if (!m_knownItems.insert(item.id).second) {
       resubmitted.insert(item.group);
     }
   }
-  observeKind(job.submission);
+  recordJobKind(job.submission);
   const ItemOrder& order = m_itemOrders[id] = itemOrderOf(job.submission, resubmitted);
   for (const std::uint32_t item : order.items) {
     const ItemKey key{id, item};
-    if (!job.listed[item] && !leases_.contains(key)) {
+    if (!job.hasResult[item] && !leases_.contains(key)) {
       queue_.append(job, key);
     }
   }
@@ -69,20 +69,20 @@
   return true;
 }
 
-std::unique_ptr<JobScheduler> ItemLeases::makeOrder() const {
-  const bool bySlack = m_orderPolicy == SchedulerPolicy::kBySlack ||
-                       (m_orderPolicy == SchedulerPolicy::kAutomatic && m_kinds.size() > 1);
+std::unique_ptr<JobScheduler> ItemLeases::makeScheduler() const {
+  const bool bySlack = m_schedulerPolicy == SchedulerPolicy::kBySlack ||
+                       (m_schedulerPolicy == SchedulerPolicy::kAutomatic && m_jobKinds.size() > 1);
   if (bySlack) {
     return std::make_unique<SlackScheduler>();
   }
   return std::make_unique<FifoScheduler>();
 }
 
-void ItemLeases::observeKind(const JobSubmission& job) {
-  const std::size_t known = m_kinds.size();
-  m_kinds.emplace(job.model, job.tenant, job.priority);
-  if (known == 1 && m_kinds.size() > 1) {
-    m_order = makeOrder();
+void ItemLeases::recordJobKind(const JobSubmission& job) {
+  const std::size_t known = m_jobKinds.size();
+  m_jobKinds.emplace(job.model, job.tenant, job.priority);
+  if (known == 1 && m_jobKinds.size() > 1) {
+    m_scheduler = makeScheduler();
   }
 }
 
@@ -98,29 +98,29 @@
 
 bool ItemLeases::isOpen(const JobState& state, const ItemKey& key) {
   const Job* job = state.find(key.job);
-  return job != nullptr && !job->settled() && key.item < job->listed.size() &&
-         !job->listed[key.item];
+  return job != nullptr && !job->finished() && key.item < job->hasResult.size() &&
+         !job->hasResult[key.item];
 }
 
-void ItemLeases::setEngines(std::vector<PlacementEngine> engines) {
+void ItemLeases::setEngines(std::vector<EngineInfo> engines) {
   placement_.setEngines(std::move(engines));
   m_engineAffinity.clear();
-  observeEngines();
+  onEnginesChanged();
 }
 
-void ItemLeases::changeEngines(std::vector<PlacementEngine> changed,
+void ItemLeases::changeEngines(std::vector<EngineInfo> changed,
                                const std::vector<std::string>& removed) {
   if (changed.empty() && removed.empty()) {
     return;
   }
   placement_.changeEngines(std::move(changed), removed);
   for (const std::string& engine : removed) {
-    m_engineAffinity.forget(engine);
+    m_engineAffinity.remove(engine);
   }
-  observeEngines();
+  onEnginesChanged();
 }
 
-void ItemLeases::observeEngines() {
+void ItemLeases::onEnginesChanged() {
   m_gatewaySelector.setSlots(placement_.slotsByZone());
   plan_outdated_ = true;
 }
@@ -140,17 +140,17 @@
   if (!lease.engine.empty()) {
     ++items_by_engine_[lease.engine];
   }
-  lease.since = lease.until - lease_time_;
+  lease.leasedAt = lease.expiresAt - lease_time_;
   leases_by_gateway_[lease.gateway].insert(key);
   leases_.emplace(key, std::move(lease));
 }
 
 ItemLeases::Leases::iterator ItemLeases::eraseLease(Leases::iterator lease) {
   setEngine(lease->second, {});
-  const auto owned = leases_by_gateway_.find(lease->second.gateway);
-  owned->second.erase(lease->first);
-  if (owned->second.empty()) {
-    leases_by_gateway_.erase(owned);
+  const auto gatewayLeases = leases_by_gateway_.find(lease->second.gateway);
+  gatewayLeases->second.erase(lease->first);
+  if (gatewayLeases->second.empty()) {
+    leases_by_gateway_.erase(gatewayLeases);
   }
   plan_outdated_ = true;
   return leases_.erase(lease);
@@ -160,9 +160,9 @@
   if (lease.engine == engine) {
     return;
   }
-  const auto former = items_by_engine_.find(lease.engine);
-  if (former != items_by_engine_.end() && --former->second == 0) {
-    items_by_engine_.erase(former);
+  const auto previous = items_by_engine_.find(lease.engine);
+  if (previous != items_by_engine_.end() && --previous->second == 0) {
+    items_by_engine_.erase(previous);
   }
   if (!engine.empty()) {
     ++items_by_engine_[engine];
@@ -174,12 +174,12 @@
 void ItemLeases::refresh(const JobState& state, base::TimePoint now) {
   for (auto it = leases_.begin(); it != leases_.end();) {
     const bool open = isOpen(state, it->first);
-    if (open && now < it->second.until) {
+    if (open && now < it->second.expiresAt) {
       ++it;
       continue;
     }
     if (open) {
-      queue_.putBack(state.find(it->first.job), it->first);
+      queue_.requeue(state.find(it->first.job), it->first);
     }
     it = eraseLease(it);
   }
@@ -187,7 +187,7 @@
 
 std::vector<ItemKey> ItemLeases::renew(base::NodeId gateway, const std::vector<HeldItem>& held,
                                        const JobState& state, base::TimePoint now) {
-  endLeasesOfFormerRuns(gateway, now);
+  expireLeasesOfOldIncarnations(gateway, now);
   std::vector<ItemKey> revoked;
   for (const auto& [key, engine] : held) {
     if (!isOpen(state, key)) {
@@ -196,37 +196,37 @@
     }
     const auto lease = leases_.find(key);
     if (lease == leases_.end()) {
-      // Held since before this leader's time. The queue drops it when it comes to it.
+      // Leased by an earlier leader. The plan skips it in the queue.
       addLease(key, {gateway, now + lease_time_, engine});
     } else if (lease->second.gateway == gateway) {
-      lease->second.until = now + lease_time_;
+      lease->second.expiresAt = now + lease_time_;
       setEngine(lease->second, engine);
     } else {
-      revoked.push_back(key);  // another runs it by now
+      revoked.push_back(key);  // leased to another gateway
     }
   }
-  endUnheldLeases(gateway, held, now);
+  expireUnheldLeases(gateway, held, now);
   return revoked;
 }
 
-void ItemLeases::endUnheldLeases(base::NodeId gateway, const std::vector<HeldItem>& held,
-                                 base::TimePoint now) {
-  const auto owned = leases_by_gateway_.find(gateway);
-  if (owned == leases_by_gateway_.end()) {
+void ItemLeases::expireUnheldLeases(base::NodeId gateway, const std::vector<HeldItem>& held,
+                                    base::TimePoint now) {
+  const auto gatewayLeases = leases_by_gateway_.find(gateway);
+  if (gatewayLeases == leases_by_gateway_.end()) {
     return;
   }
-  const std::set<ItemKey> keys = keysOf(held);
-  for (const ItemKey& key : owned->second) {
+  const std::set<ItemKey> keys = heldKeysOf(held);
+  for (const ItemKey& key : gatewayLeases->second) {
     constexpr int kHalf = 2;
     Lease& lease = leases_.at(key);
-    const bool old = lease.until - now < lease_time_ / kHalf;
+    const bool old = lease.expiresAt - now < lease_time_ / kHalf;
     if (old && !keys.contains(key)) {
-      lease.until = now;
+      lease.expiresAt = now;
     }
   }
 }
 
-void ItemLeases::endLeasesOfFormerRuns(base::NodeId gateway, base::TimePoint now) {
+void ItemLeases::expireLeasesOfOldIncarnations(base::NodeId gateway, base::TimePoint now) {
   const std::uint32_t number = base::nodeNumber(gateway);
   for (auto it = leases_by_gateway_.lower_bound(base::makeNodeId(number, 0));
        it != leases_by_gateway_.end() && base::nodeNumber(it->first) == number; ++it) {
@@ -234,129 +234,133 @@
       continue;
     }
     for (const ItemKey& key : it->second) {
-      leases_.at(key).until = now;
+      leases_.at(key).expiresAt = now;
     }
   }
 }
 
 void ItemLeases::onGatewayLost(std::uint32_t gatewayNumber, base::Duration grace,
                                base::TimePoint now) {
-  affinity_.forget(gatewayNumber);
-  m_gatewaySelector.forget(gatewayNumber);
+  affinity_.remove(gatewayNumber);
+  m_gatewaySelector.remove(gatewayNumber);
   for (auto it = leases_by_gateway_.lower_bound(base::makeNodeId(gatewayNumber, 0));
        it != leases_by_gateway_.end() && base::nodeNumber(it->first) == gatewayNumber; ++it) {
     for (const ItemKey& key : it->second) {
       Lease& lease = leases_.at(key);
-      lease.until = std::min(lease.until, now + grace);
+      lease.expiresAt = std::min(lease.expiresAt, now + grace);
     }
   }
 }
 
-void ItemLeases::giveBack(base::NodeId gateway, const std::vector<HeldItem>& held,
-                          const JobState& state) {
-  const auto owned = leases_by_gateway_.find(gateway);
-  if (owned == leases_by_gateway_.end()) {
+void ItemLeases::release(base::NodeId gateway, const std::vector<HeldItem>& held,
+                         const JobState& state) {
+  const auto gatewayLeases = leases_by_gateway_.find(gateway);
+  if (gatewayLeases == leases_by_gateway_.end()) {
     return;
   }
-  const std::set<ItemKey> kept = keysOf(held);
-  const std::set<ItemKey> given = owned->second;
-  for (const ItemKey& key : given) {
-    if (!kept.contains(key)) {
-      queue_.putBack(state.find(key.job), key);
+  const std::set<ItemKey> heldKeys = heldKeysOf(held);
+  const std::set<ItemKey> leasedKeys = gatewayLeases->second;
+  for (const ItemKey& key : leasedKeys) {
+    if (!heldKeys.contains(key)) {
+      queue_.requeue(state.find(key.job), key);
       eraseLease(leases_.find(key));
     }
   }
 }
 
-std::vector<GrantedItem> ItemLeases::lease(base::NodeId gateway, FreeSlots wanted,
+std::vector<GrantedItem> ItemLeases::lease(base::NodeId gateway, FreeSlots requestedSlots,
                                            const JobState& state, base::TimePoint now) {
   std::vector<GrantedItem> leased;
-  if (now < leasing_from_) {
+  if (now < m_leasingFrom) {
     return leased;
   }
   plan(state, now);
-  leaseWhole(gateway, state, now, leased);
-  LeaseCall call = callOf(gateway, std::move(wanted), now);
+  leaseScoringOnly(gateway, state, now, leased);
+  LeaseRequest request = makeLeaseRequest(gateway, std::move(requestedSlots), now);
   for (auto& [zone, jobs] : plan_.zones()) {
-    // What suits another gateway keeps its place, so that every gateway sees the same plan.
-    if (!zone.empty() && !affinity_.suits(gateway, zone, now)) {
+    // Items for other gateways keep their position, so that every gateway is offered the same plan.
+    if (!zone.empty() && !affinity_.mayRun(gateway, zone, now)) {
       continue;
     }
-    // Where all jobs need the same model all engines run alike, and the next call fills one
-    // soonest.
-    call.byAffinity = m_models.size() > 1 && zone == call.zone;
-    for (auto& [age, planned] : jobs) {
-      leasePlanned(call, planned, state, leased);
+    // With a single model all engines are alike, and any gateway may fill them.
+    request.affinityOnly = m_models.size() > 1 && zone == request.zone;
+    for (auto& [run, planned] : jobs) {
+      leasePlanned(request, planned, state, leased);
     }
   }
   return leased;
 }
 
-void ItemLeases::leaseWhole(base::NodeId gateway, const JobState& state, base::TimePoint now,
-                            std::vector<GrantedItem>& leased) {
+void ItemLeases::leaseScoringOnly(base::NodeId gateway, const JobState& state, base::TimePoint now,
+                                  std::vector<GrantedItem>& leased) {
   for (QueuedJob& queued : queue_.jobs()) {
-    while (!queued.whole.empty()) {
-      const ItemKey key{queued.id, queued.whole.front()};
-      queued.whole.pop_front();
+    while (!queued.scoringOnly.empty()) {
+      const ItemKey key{queued.id, queued.scoringOnly.front()};
+      queued.scoringOnly.pop_front();
       if (isOpen(state, key) && !leases_.contains(key)) {
         addLease(key, {gateway, now + lease_time_, {}});
-        leased.push_back({key, ++last_number_, {}});
+        leased.push_back({key, ++m_lastLease, {}});
       }
     }
   }
 }
 
-ItemLeases::LeaseCall ItemLeases::callOf(base::NodeId gateway, FreeSlots wanted,
-                                         base::TimePoint now) {
-  LeaseCall call;
-  call.gateway = gateway;
-  call.zone = affinity_.zoneOf(gateway);
-  call.now = now;
-  call.room = std::move(wanted);
-  const auto owned = leases_by_gateway_.find(gateway);
-  const std::size_t held = owned == leases_by_gateway_.end() ? 0 : owned->second.size();
-  const std::size_t most = m_gatewaySelector.maxItems(gateway, call.zone, now)
-                               .value_or(std::numeric_limits<std::uint32_t>::max());
-  call.itemsLeft = most - std::min(most, held);
-  return call;
+ItemLeases::LeaseRequest ItemLeases::makeLeaseRequest(base::NodeId gateway,
+                                                      FreeSlots requestedSlots,
+                                                      base::TimePoint now) {
+  LeaseRequest request;
+  request.gateway = gateway;
+  request.zone = affinity_.zoneOf(gateway);
+  request.now = now;
+  request.freeSlots = std::move(requestedSlots);
+  const auto gatewayLeases = leases_by_gateway_.find(gateway);
+  const std::size_t held =
+      gatewayLeases == leases_by_gateway_.end() ? 0 : gatewayLeases->second.size();
+  const std::size_t limit = m_gatewaySelector.maxItems(gateway, request.zone, now)
+                                .value_or(std::numeric_limits<std::uint32_t>::max());
+  request.remainingItems = limit - std::min(limit, held);
+  return request;
 }
 
 std::vector<GatewaySummary> ItemLeases::gateways() const {
   std::vector<GatewaySummary> gateways = m_gatewaySelector.summaries();
   for (GatewaySummary& summary : gateways) {
-    const auto owned = leases_by_gateway_.find(summary.gateway);
-    summary.held =
-        owned == leases_by_gateway_.end() ? 0 : static_cast<std::uint32_t>(owned->second.size());
+    const auto gatewayLeases = leases_by_gateway_.find(summary.gateway);
+    summary.held = gatewayLeases == leases_by_gateway_.end()
+                       ? 0
+                       : static_cast<std::uint32_t>(gatewayLeases->second.size());
   }
   return gateways;
 }
 
-void ItemLeases::leasePlanned(LeaseCall& call, PlannedJob& planned, const JobState& state,
+void ItemLeases::leasePlanned(LeaseRequest& request, PlannedJob& planned, const JobState& state,
                               std::vector<GrantedItem>& leased) {
-  // Items that suit others are passed over; with many of them, those in front go first.
-  constexpr std::size_t kMaxPassedOver = 128;
-  std::size_t at = 0;
-  while (at < planned.items.size() && at < kMaxPassedOver) {
-    const auto next = planned.items.begin() + static_cast<std::ptrdiff_t>(at);
+  // Items for other gateways are skipped; the limit bounds the time of a request.
+  constexpr std::size_t kMaxSkipped = 128;
+  std::size_t index = 0;
+  while (index < planned.items.size() && index < kMaxSkipped) {
+    const auto next = planned.items.begin() + static_cast<std::ptrdiff_t>(index);
     if (!isOpen(state, next->key) || leases_.contains(next->key)) {
       planned.items.erase(next);
       continue;
     }
-    if (call.byAffinity && !m_engineAffinity.mayTake(call.gateway, next->engine, call.now)) {
-      ++at;
+    if (request.affinityOnly &&
+        !m_engineAffinity.isEligible(request.gateway, next->engine, request.now)) {
+      ++index;
       continue;
     }
-    if (call.itemsLeft == 0 || !call.room.take(planned.model, planned.minimumVersion)) {
-      if (call.byAffinity) {
+    if (request.remainingItems == 0 ||
+        !request.freeSlots.take(planned.model, planned.minimumVersion)) {
+      if (request.affinityOnly) {
         m_engineAffinity.onDeclined(next->engine);
       }
       return;
     }
-    --call.itemsLeft;
-    m_engineAffinity.onTaken(call.gateway, next->engine, call.now);
-    addLease(next->key, {call.gateway, call.now + lease_time_, next->engine});
-    m_order->onLeased(next->key.job);
-    leased.push_back({std::move(next->key), ++last_number_, std::move(next->engine)});
+    --request.remainingItems;
+    m_engineAffinity.onItemLeased(request.gateway, next->engine, request.now);
+    addLease(next->key, {request.gateway, request.now + lease_time_, next->engine});
+    m_scheduler->onLeased(next->key.job);
+    leased.push_back({std::move(next->key), ++m_lastLease, std::move(next->engine)});
     planned.items.erase(next);
   }
 }
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which gateway runs which item: the memory of the ledgers' leader.
+/// Leases of items to gateways, kept in the memory of the ledgers' leader.
 #pragma once
 
 #include <map>
@@ -27,97 +27,102 @@
 
 namespace tackpick::jobs {
 
-/// An item with the number of its lease, which is higher than that of every earlier lease.
+/// A leased item and the number of its lease, which is higher than that of every earlier lease.
 struct GrantedItem {
   ItemKey key;
   std::uint64_t lease = 0;
-  std::string engine;  ///< where it should run; empty: all are full
+  std::string engine;  ///< engine on which it should run; empty: all are full
 };
 
-/// Deterministic. Items are leased in the order of a JobScheduler and, within a job, in that of
-/// leaseOrder(). A lease that its gateway stops renewing returns to the front of the queue. An item
-/// may run twice (the first result counts), so nothing here needs to be durable.
+/// Leases items in the order of a JobScheduler and, within a job, of leaseOrder(). An item whose
+/// lease expires returns to the front of the queue. An item may run twice (the first result
+/// counts), so leases need not be durable. Deterministic.
 ///
-/// Which item goes where is planned for all gateways at once, when something has changed and at
-/// most once in each `planInterval`: the cost of a gateway's call does not grow with the queue, the
-/// engines or the other gateways' leases.
+/// Items are planned for all gateways together, after a change and at most once per `planInterval`,
+/// so that the time of a gateway's request does not grow with the queue, the engines or the leases
+/// of other gateways.
 class ItemLeases {
  public:
   explicit ItemLeases(base::Duration leaseTime, base::Duration planInterval = {},
-                      SchedulerPolicy orderPolicy = SchedulerPolicy::kAutomatic,
+                      SchedulerPolicy schedulerPolicy = SchedulerPolicy::kAutomatic,
                       EngineAffinitySettings affinity = {})
       : lease_time_(leaseTime),
         plan_interval_(planInterval),
         m_engineAffinity(affinity),
-        m_orderPolicy(orderPolicy),
-        m_order(makeOrder()) {}
+        m_schedulerPolicy(schedulerPolicy),
+        m_scheduler(makeScheduler()) {}
 
-  /// Forgets everything; call when this ledger becomes leader in `term`. Every open item can be
-  /// leased again after `grace`, in which gateways tell what they hold.
+  /// Clears all state; call it when this ledger becomes leader in `term`. Open items can be leased
+  /// after `grace`, during which gateways report the items they hold.
   void reset(std::uint64_t term, base::TimePoint now, base::Duration grace);
-  /// Takes up the items of a job that is new to the leader; false when it was not. `seenAt`: when
-  /// this ledger first saw it.
+  /// Adds the open items of a job. Returns false if the job is already known. `seenAt`: time at
+  /// which this ledger first saw it.
   bool addJob(const std::string& id, const Job& job, base::TimePoint seenAt);
-  /// Takes effect with the next plan; leases stay.
+  /// Sets the tenants' priorities. They apply from the next plan on; existing leases are
+  /// unaffected.
   void setTenantPriorities(TenantPriorities priorities);
-  /// Groups of a job that an earlier one left unfinished.
+  /// Returns the groups of a job that were resubmitted after an earlier job left them incomplete.
   [[nodiscard]] std::set<std::string> resubmittedGroupsOf(const std::string& job) const;
-  /// Ends leases of jobs that are settled or gone, and returns expired ones to the queue.
+  /// Removes leases of items that are no longer open, and returns items with expired leases to the
+  /// queue.
   void refresh(const JobState& state, base::TimePoint now);
-  /// Renews what `gateway` holds. Returns the items it holds that need not run any more.
+  /// Renews the leases of the items that `gateway` holds. Returns those that need not run any more.
   [[nodiscard]] std::vector<ItemKey> renew(base::NodeId gateway, const std::vector<HeldItem>& held,
                                            const JobState& state, base::TimePoint now);
-  /// The connection to a gateway broke: its leases end after `grace` unless it renews them.
+  /// Handles the loss of the connection to a gateway: its leases expire after `grace` unless
+  /// renewed.
   void onGatewayLost(std::uint32_t gatewayNumber, base::Duration grace, base::TimePoint now);
-  /// Returns all leases of `gateway` to the queue, but those of items that it holds.
-  void giveBack(base::NodeId gateway, const std::vector<HeldItem>& held, const JobState& state);
-  /// A gateway asks for items, or for none any more.
+  /// Returns all items leased to `gateway` that it does not hold to the queue.
+  void release(base::NodeId gateway, const std::vector<HeldItem>& held, const JobState& state);
+  /// Records a gateway's lease request. `acceptsItems`: false if it wants no more items.
   void onLeaseRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
                       base::TimePoint now, const GatewayCapacity& capacity = {}) {
-    affinity_.note(gateway, zone, acceptsItems, now);
-    m_gatewaySelector.note(gateway, zone, acceptsItems, now, capacity);
+    affinity_.recordRequest(gateway, zone, acceptsItems, now);
+    m_gatewaySelector.recordRequest(gateway, zone, acceptsItems, now, capacity);
   }
-  /// Which gateways run items.
+  /// Returns the selector of the gateways that run items.
   [[nodiscard]] GatewaySelector& gatewaySelector() { return m_gatewaySelector; }
-  /// All gateways that ask for items.
+  /// Returns all gateways that request items.
   [[nodiscard]] std::vector<GatewaySummary> gateways() const;
-  /// Leases items to `gateway` that should run at engines in its zone, as many as find a place in
-  /// `wanted`, and whole texts that only their score is missing of. The caller asks the gateway
-  /// selector first whether the gateway runs items.
-  [[nodiscard]] std::vector<GrantedItem> lease(base::NodeId gateway, FreeSlots wanted,
+  /// Leases items that should run at engines in the zone of `gateway`, as many as fit into
+  /// `requestedSlots`, and items with complete text that need only a score. The caller must check
+  /// with the gateway selector that the gateway is active.
+  [[nodiscard]] std::vector<GrantedItem> lease(base::NodeId gateway, FreeSlots requestedSlots,
                                                const JobState& state, base::TimePoint now);
-  /// Leased items by the engine where they run or were placed.
+  /// Returns the number of leased items by the engine on which they run or were placed.
   [[nodiscard]] const std::map<std::string, std::uint32_t>& itemsByEngine() const {
     return items_by_engine_;
   }
-  /// Until the job's results are due; the longest duration where no due time is known.
+  /// Returns the time until the job's results are due; Duration::max() if there is no due time.
   [[nodiscard]] base::Duration timeUntilDue(const Job& job, const std::string& id,
                                             base::TimePoint now) const;
-  /// Events that are still expected of an item's text; zero: unknown.
+  /// Returns the expected remaining events of an item's text; zero: unknown.
   [[nodiscard]] double remainingEvents(const Job& job, const ItemKey& key,
                                        base::TimePoint now) const;
-  /// timeUntilDue() less what the longest open item that the caller needs is expected to take.
+  /// Returns timeUntilDue() minus the expected run time of the longest open item that the caller
+  /// needs.
   [[nodiscard]] base::Duration slackOf(const Job& job, const std::string& id,
                                        base::TimePoint now) const;
-  /// What is known of the lengths of texts.
+  /// Returns the forecast of the lengths of texts.
   [[nodiscard]] LengthForecast& forecast() { return m_forecast; }
   [[nodiscard]] const LengthForecast& forecast() const { return m_forecast; }
-  /// How fast texts are made.
+  /// Returns the event intervals by model.
   [[nodiscard]] ModelEventIntervals& eventIntervals() { return m_eventIntervals; }
-  /// For operators: open jobs, and what each tenant has of the engines.
+  /// Returns a summary of open jobs and of the tenants' shares, for operators.
   [[nodiscard]] WorkSummary summary(const JobState& state, base::TimePoint now) const;
-  /// Items of a job that are leased.
+  /// Returns the number of leased items of a job.
   [[nodiscard]] std::uint32_t runningItems(const std::string& job) const;
-  /// All engines there are.
-  void setEngines(std::vector<PlacementEngine> engines);
-  void changeEngines(std::vector<PlacementEngine> changed, const std::vector<std::string>& removed);
+  /// Replaces all engines.
+  void setEngines(std::vector<EngineInfo> engines);
+  void changeEngines(std::vector<EngineInfo> changed, const std::vector<std::string>& removed);
   [[nodiscard]] EnginePlacement& placement() { return placement_; }
-  /// When the leader first saw the job; it was submitted no later.
+  /// Returns the time at which the leader first saw the job, which is not before its submission;
+  /// `now` if it is unknown.
   [[nodiscard]] base::TimePoint firstSeen(const std::string& job, base::TimePoint now) const;
   [[nodiscard]] const std::map<std::string, base::TimePoint>& knownJobs() const {
     return first_seen_;
   }
-  void forgetJob(const std::string& job) {
+  void removeJob(const std::string& job) {
     first_seen_.erase(job);
     m_resubmittedGroups.erase(job);
     m_itemOrders.erase(job);
@@ -127,67 +132,69 @@
  private:
   struct Lease {
     base::NodeId gateway;
-    base::TimePoint until{};
-    std::string engine;  ///< where it runs, or was placed
-    base::TimePoint since = {};
+    base::TimePoint expiresAt{};
+    std::string engine;  ///< engine on which it runs or was placed
+    base::TimePoint leasedAt = {};
   };
-  /// A queued job while a plan is made.
+  /// A queued job during planning.
   struct JobPlan;
-  /// Model, tenant and priority of a job's route.
+  /// Model, tenant and route priority of a job.
   using JobKind = std::tuple<std::string, std::string, std::uint32_t>;
 
   using Leases = std::map<ItemKey, Lease>;
 
-  /// A gateway's call for items.
-  struct LeaseCall {
+  /// State of a gateway's request for items.
+  struct LeaseRequest {
     base::NodeId gateway;
     std::string zone;
     base::TimePoint now{};
-    FreeSlots room;
-    std::size_t itemsLeft = 0;  ///< that it may hold besides those that it holds
-    bool byAffinity = false;    ///< it takes only items of engines that the affinity allows
+    FreeSlots freeSlots;
+    std::size_t remainingItems = 0;  ///< maximum number of items that it may still lease
+    bool affinityOnly = false;  ///< lease only items of engines for which the gateway is eligible
   };
 
-  /// Another process runs at the gateway's address by now: what the former held is free.
-  void endLeasesOfFormerRuns(base::NodeId gateway, base::TimePoint now);
-  /// What the gateway was given and does not hold did not reach it, or was given back.
-  void endUnheldLeases(base::NodeId gateway, const std::vector<HeldItem>& held,
-                       base::TimePoint now);
+  /// Expires leases of earlier processes at the gateway's address.
+  void expireLeasesOfOldIncarnations(base::NodeId gateway, base::TimePoint now);
+  /// Expires leases of items that the gateway does not hold: they were released, or the reply was
+  /// lost.
+  void expireUnheldLeases(base::NodeId gateway, const std::vector<HeldItem>& held,
+                          base::TimePoint now);
   void addLease(const ItemKey& key, Lease lease);
   Leases::iterator eraseLease(Leases::iterator lease);
   void setEngine(Lease& lease, const std::string& engine);
-  /// Plans what is queued, when the plan is no longer up to date.
+  /// Plans the queued items if the plan is outdated.
   void plan(const JobState& state, base::TimePoint now);
-  [[nodiscard]] std::vector<JobPlan> queuedJobs(const JobState& state, base::TimePoint now);
-  void beginOrder(std::vector<JobPlan>& jobs);
-  /// Plans all items that find a place.
+  [[nodiscard]] std::vector<JobPlan> makeJobPlans(const JobState& state, base::TimePoint now);
+  void beginScheduling(std::vector<JobPlan>& jobs);
+  /// Plans items until the engines are full or no item is left.
   void planItems(std::vector<JobPlan>& jobs);
-  /// Finds a place for the next item of a job; false when there is none.
+  /// Places the next item of a job; returns false if no engine has a free slot.
   bool planItem(JobPlan& plan, std::size_t run);
-  /// Goes on to the next item that waits for an engine; false when none does.
-  bool advance(JobPlan& plan);
+  /// Skips items that need no engine; returns false if no other item is left.
+  bool skipToNext(JobPlan& plan);
   [[nodiscard]] Urgency urgencyOf(JobPlan& plan);
-  [[nodiscard]] std::unique_ptr<JobScheduler> makeOrder() const;
-  void observeKind(const JobSubmission& job);
-  /// Tells the engines' affinity for which engines items are planned.
-  void observePlan(base::TimePoint now);
-  void observeEngines();
-  void leaseWhole(base::NodeId gateway, const JobState& state, base::TimePoint now,
-                  std::vector<GrantedItem>& leased);
-  /// What the gateway may take of the plan.
-  [[nodiscard]] LeaseCall callOf(base::NodeId gateway, FreeSlots wanted, base::TimePoint now);
-  void leasePlanned(LeaseCall& call, PlannedJob& planned, const JobState& state,
+  [[nodiscard]] std::unique_ptr<JobScheduler> makeScheduler() const;
+  void recordJobKind(const JobSubmission& job);
+  /// Updates the engine affinity with the planned items.
+  void updateAffinity(base::TimePoint now);
+  void onEnginesChanged();
+  void leaseScoringOnly(base::NodeId gateway, const JobState& state, base::TimePoint now,
+                        std::vector<GrantedItem>& leased);
+  /// Returns the limits of a gateway's request.
+  [[nodiscard]] LeaseRequest makeLeaseRequest(base::NodeId gateway, FreeSlots requestedSlots,
+                                              base::TimePoint now);
+  void leasePlanned(LeaseRequest& request, PlannedJob& planned, const JobState& state,
                     std::vector<GrantedItem>& leased);
   [[nodiscard]] static bool isOpen(const JobState& state, const ItemKey& key);
 
   const base::Duration lease_time_;
   const base::Duration plan_interval_;
-  base::TimePoint leasing_from_{};
-  std::uint64_t last_number_ = 0;  ///< of a lease
+  base::TimePoint m_leasingFrom{};
+  std::uint64_t m_lastLease = 0;  ///< number of the last lease
   EnginePlacement placement_;
   ZoneAffinity affinity_;
   EngineAffinity m_engineAffinity;
-  std::set<std::string> m_models;  ///< of all jobs that were seen
+  std::set<std::string> m_models;  ///< models of all jobs seen
   GatewaySelector m_gatewaySelector;
   ItemQueue queue_;
   LeasePlan plan_;
@@ -197,13 +204,13 @@
   std::map<base::NodeId, std::set<ItemKey>> leases_by_gateway_;
   std::map<std::string, std::uint32_t> items_by_engine_;
   std::map<std::string, base::TimePoint> first_seen_;
-  std::set<std::string> seen_items_;  ///< ids, to know those that come again
-  std::map<std::string, std::set<std::string>> m_resubmittedGroups;  ///< groups, by job
+  std::set<std::string> m_knownItems;  ///< item ids, to recognize resubmitted items
+  std::map<std::string, std::set<std::string>> m_resubmittedGroups;  ///< resubmitted groups by job
   std::map<std::string, ItemOrder> m_itemOrders;                     ///< by job
-  std::set<std::string> m_lateJobs;  ///< that cannot be whole in time
-  const SchedulerPolicy m_orderPolicy;
-  std::set<JobKind> m_kinds;  ///< of the jobs seen
-  std::unique_ptr<JobScheduler> m_order;
+  std::set<std::string> m_lateJobs;  ///< jobs that cannot complete in time
+  const SchedulerPolicy m_schedulerPolicy;
+  std::set<JobKind> m_jobKinds;  ///< of all jobs seen
+  std::unique_ptr<JobScheduler> m_scheduler;
   TenantPriorities m_priorities;
   LengthForecast m_forecast;
   ModelEventIntervals m_eventIntervals;
--- a/src/jobs/item_queue.cpp
+++ b/src/jobs/item_queue.cpp
@@ -14,34 +14,34 @@
   if (found != m_byId.end()) {
     return *found->second;
   }
-  // A job whose last items were leased comes back when a lease ends.
-  auto behind = m_jobs.end();
-  while (behind != m_jobs.begin() && std::prev(behind)->submittedAt > job.submittedAt) {
-    --behind;
+  // A job returns to the queue when a lease of its items ends, so the position is searched for.
+  auto position = m_jobs.end();
+  while (position != m_jobs.begin() && std::prev(position)->submittedAt > job.submittedAt) {
+    --position;
   }
-  const auto entry = m_jobs.insert(behind, {id, job.submittedAt, {}, {}});
+  const auto entry = m_jobs.insert(position, {id, job.submittedAt, {}, {}});
   m_byId.emplace(id, entry);
   return *entry;
 }
 
 void ItemQueue::append(const Job& job, const ItemKey& key) {
   QueuedJob& entry = entryOf(job, key.job);
-  (job.hasWholeText(key.item) ? entry.whole : entry.items).push_back(key.item);
+  (job.hasCompleteText(key.item) ? entry.scoringOnly : entry.items).push_back(key.item);
 }
 
-void ItemQueue::putBack(const Job* job, const ItemKey& key) {
+void ItemQueue::requeue(const Job* job, const ItemKey& key) {
   if (job == nullptr) {
     return;
   }
   QueuedJob& entry = entryOf(*job, key.job);
-  (job->hasWholeText(key.item) ? entry.whole : entry.items).push_front(key.item);
+  (job->hasCompleteText(key.item) ? entry.scoringOnly : entry.items).push_front(key.item);
 }
 
-void ItemQueue::dropSettled(const JobState& state) {
+void ItemQueue::removeFinished(const JobState& state) {
   for (auto it = m_jobs.begin(); it != m_jobs.end();) {
     const Job* job = state.find(it->id);
-    const bool empty = it->items.empty() && it->whole.empty();
-    if (job != nullptr && !job->settled() && !empty) {
+    const bool empty = it->items.empty() && it->scoringOnly.empty();
+    if (job != nullptr && !job->finished() && !empty) {
       ++it;
       continue;
     }
--- a/src/jobs/item_queue.h
+++ b/src/jobs/item_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Open items that nobody runs, by their job.
+/// Open items without a lease, by job.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,29 @@
 
 namespace tackpick::jobs {
 
-/// Items of one job that wait, in the order in which they should start. All need the same model and
-/// the same version of its weights, so none of them has a place where the first has none.
+/// Queued items of one job, in the order in which they should start. All items of a job need the
+/// same model and minimum version, so if the first one cannot be placed, none can.
 struct QueuedJob {
   std::string id;
   std::uint64_t submittedAt = 0;  ///< Job::submittedAt
   std::deque<std::uint32_t> items;
-  std::deque<std::uint32_t> whole;  ///< of these only the score is missing: they need no engine
+  /// Items with complete text that need a score and no engine.
+  std::deque<std::uint32_t> scoringOnly;
 };
 
-/// The queue of all jobs, oldest first. Deterministic. Items that are settled or run by now are
-/// dropped when they are taken out, not searched for.
+/// Queue of all jobs, oldest first. Finished or leased items are skipped when they are taken, not
+/// searched for. Deterministic.
 class ItemQueue {
  public:
   using Jobs = std::list<QueuedJob>;
 
   void clear();
-  /// Behind the other items of its job; jobs stand in the order of their submission.
+  /// Appends an item to the queue of its job. Jobs are ordered by submission.
   void append(const Job& job, const ItemKey& key);
-  /// Before the other items of its job.
-  void putBack(const Job* job, const ItemKey& key);
-  /// Drops jobs that have ended or are gone, and jobs without items.
-  void dropSettled(const JobState& state);
+  /// Returns an item to the front of the queue of its job; ignored if `job` is null.
+  void requeue(const Job* job, const ItemKey& key);
+  /// Removes jobs that are finished or unknown, and jobs without queued items.
+  void removeFinished(const JobState& state);
   [[nodiscard]] Jobs& jobs() { return m_jobs; }
 
  private:
--- a/src/jobs/item_requirements.h
+++ b/src/jobs/item_requirements.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an item needs of the engine that is to run it.
+/// Requirements of an item for its engine.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace tackpick::jobs {
 
-/// What is left of an item, and until when.
+/// Remaining work of an item and the time until it is due.
 struct ItemRequirements {
   std::string model;
-  std::uint64_t minimumVersion = 0;  ///< of that model's weights
-  /// Events that are still expected of its text; zero: unknown.
+  std::uint64_t minimumVersion = 0;  ///< oldest version of the weights that may run the item
+  /// Expected remaining events of its text; zero: unknown.
   double remainingEvents = 0;
-  /// Until its result is due; the longest duration where no due time is known.
+  /// Time until its result is due; Duration::max() if there is no due time.
   base::Duration timeUntilDue = base::Duration::max();
 
-  /// Whether the item ends in time can be told.
+  /// Whether both the remaining events and the due time are known.
   [[nodiscard]] bool isKnown() const {
     return remainingEvents > 0 && timeUntilDue != base::Duration::max();
   }
--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -27,10 +27,10 @@
   }
   StreamEvent event;
   bool first = true;
-  std::string_view rest = std::string_view(buffer_).substr(0, end);
-  while (!rest.empty()) {
-    const std::string_view line = rest.substr(0, rest.find('\n'));
-    rest.remove_prefix(std::min(rest.size(), line.size() + 1));
+  std::string_view remaining = std::string_view(buffer_).substr(0, end);
+  while (!remaining.empty()) {
+    const std::string_view line = remaining.substr(0, remaining.find('\n'));
+    remaining.remove_prefix(std::min(remaining.size(), line.size() + 1));
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos) {
       continue;
@@ -60,51 +60,51 @@
   }
   auto text = leased_.progress->text.unpack();
   if (!text) {
-    leased_.progress.reset();  // damaged: the text begins anew
-    begun_anew_ = true;
+    leased_.progress.reset();  // damaged: the text starts from the beginning
+    m_restarted = true;
     return;
   }
   text_ = std::move(*text);
   versions_ = std::move(leased_.progress->versions);
   last_event_ = leased_.progress->point.event;
-  kept_ = Kept{leased_.progress->point, text_.size(), leased_.progress->whole};
-  if (kept_->whole) {
+  m_saved = SavedPoint{leased_.progress->point, text_.size(), leased_.progress->textComplete};
+  if (m_saved->textComplete) {
     m_textCompleteSince = base::TimePoint{};
   }
   leased_.progress.reset();
 }
 
-std::optional<ItemProgress> ItemRun::offerProgress(std::uint64_t minEvents) {
-  if (!last_event_ || begun_anew_) {
+std::optional<ItemProgress> ItemRun::takeProgress(std::uint64_t minEvents) {
+  if (!last_event_ || m_restarted) {
     return std::nullopt;
   }
-  const std::uint64_t events = *last_event_ - (kept_ ? kept_->point.event : 0);
-  if (m_textCompleteSince ? kept_ && kept_->whole : events < minEvents) {
+  const std::uint64_t events = *last_event_ - (m_saved ? m_saved->point.event : 0);
+  if (m_textCompleteSince ? m_saved && m_saved->textComplete : events < minEvents) {
     return std::nullopt;
   }
   ItemProgress progress;
   progress.item = leased_.key.item;
-  progress.added.point = {leased_.lease, *last_event_};
-  progress.added.versions = versions_;
-  progress.added.text =
-      base::CompressedText(std::string_view(text_).substr(kept_ ? kept_->bytes : 0));
-  if (kept_) {
-    progress.after = kept_->point;
-  }
-  progress.added.whole = m_textCompleteSince.has_value();
-  offered_ = Kept{progress.added.point, text_.size(), progress.added.whole};
+  progress.delta.point = {leased_.lease, *last_event_};
+  progress.delta.versions = versions_;
+  progress.delta.text =
+      base::CompressedText(std::string_view(text_).substr(m_saved ? m_saved->bytes : 0));
+  if (m_saved) {
+    progress.after = m_saved->point;
+  }
+  progress.delta.textComplete = m_textCompleteSince.has_value();
+  m_pending = SavedPoint{progress.delta.point, text_.size(), progress.delta.textComplete};
   saving_ = true;
   return progress;
 }
 
-void ItemRun::onProgressSaved(bool known) {
+void ItemRun::onProgressSaved(bool acknowledged) {
   saving_ = false;
-  kept_ = known ? offered_ : std::nullopt;
+  m_saved = acknowledged ? m_pending : std::nullopt;
 }
 
-bool ItemRun::waitsUnkept(base::Duration delay, base::TimePoint now) const {
-  const bool kept = kept_ && kept_->whole;
-  return m_textCompleteSince && !finished_ && !kept && !saving_ && !begun_anew_ &&
+bool ItemRun::isUnsavedFor(base::Duration delay, base::TimePoint now) const {
+  const bool isSaved = m_saved && m_saved->textComplete;
+  return m_textCompleteSince && !finished_ && !isSaved && !saving_ && !m_restarted &&
          now - *m_textCompleteSince >= delay;
 }
 
@@ -118,11 +118,11 @@
 bool ItemRun::onHead(std::uint64_t version) {
   if (!accepts(version)) {
     if (leased_.singleVersion && version >= leased_.minimumVersion) {
-      // A text of one version cannot go on under another: it begins anew.
+      // A text of a single version cannot continue with another one: it starts from the beginning.
       text_.clear();
       last_event_.reset();
       versions_.clear();
-      begun_anew_ = true;
+      m_restarted = true;
     }
     return false;
   }
@@ -155,13 +155,13 @@
 }
 
 ItemResult ItemRun::completedAfterSaved() const {
-  if (!kept_ || begun_anew_) {
+  if (!m_saved || m_restarted) {
     return completed();
   }
-  const std::string_view added = std::string_view(text_).substr(kept_->bytes);
+  const std::string_view added = std::string_view(text_).substr(m_saved->bytes);
   ItemResult result{leased_.key.item, ItemState::kCompleted, base::CompressedText(added), versions_,
                     score_};
-  result.after = kept_->point;
+  result.after = m_saved->point;
   result.events = last_event_.value_or(0);
   return result;
 }
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -1,5 +1,5 @@
 /// \file
-/// One leased item at a gateway: collects its text over one or more runs.
+/// A leased item at a gateway, and its text over one or more runs.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,19 @@
 struct StreamEvent {
   std::optional<std::uint64_t> id;
   std::string data;
-  std::optional<std::uint64_t> version;  ///< the weights changed with this event
+  std::optional<std::uint64_t> version;  ///< set if the weights changed with this event
 };
 
-/// Takes server-sent events out of the bytes of an answer. Besides `id` and `data` it knows one
-/// field of its own that carries the version of the weights.
+/// Parses server-sent events. Besides `id` and `data` it reads one project-specific field with the
+/// version of the weights.
 class StreamEventParser {
  public:
   explicit StreamEventParser(std::string versionField) : version_field_(std::move(versionField)) {}
 
-  /// Adds bytes; next() then returns the whole events in them.
+  /// Adds received bytes.
   void feed(std::string_view bytes) { buffer_ += bytes; }
   [[nodiscard]] std::optional<StreamEvent> next();
-  /// True when bytes of an unfinished event are left.
+  /// Whether an incomplete event is buffered.
   [[nodiscard]] bool hasPartialEvent() const { return !buffer_.empty(); }
 
  private:
@@ -36,46 +36,52 @@
   std::string buffer_;
 };
 
-/// Deterministic. Text and position survive a broken run; the next run continues behind the last
-/// whole event.
+/// Collects the text of one item. If a run breaks, the next run continues after the last complete
+/// event. Deterministic.
 class ItemRun {
  public:
   explicit ItemRun(LeasedItem leased);
 
   [[nodiscard]] const LeasedItem& leased() const { return leased_; }
-  /// The event after which the next run is to continue; nothing before the first.
+  /// Returns the id of the event after which the next run continues; std::nullopt before the first.
   [[nodiscard]] std::optional<std::uint64_t> lastEvent() const { return last_event_; }
   [[nodiscard]] std::size_t textBytes() const { return text_.size(); }
 
-  /// A run's answer begins, made by `version`. False when that version must not make this text.
+  /// Handles the response headers of a run with weights `version`. Returns false if that version
+  /// must not be used for this text.
   [[nodiscard]] bool onHead(std::uint64_t version);
-  /// Adds an event. False when it does not follow the last one, or its version must not be used.
+  /// Adds an event. Returns false if it does not follow the last one or its version must not be
+  /// used.
   [[nodiscard]] bool onEvent(const StreamEvent& event);
-  /// The run ended whole; a score may still be missing.
+  /// Marks the text as complete; a score may still be missing.
   void onTextComplete(base::TimePoint now) { m_textCompleteSince = now; }
   [[nodiscard]] bool isTextComplete() const { return m_textCompleteSince.has_value(); }
-  /// Nothing more is to be kept of the text: its result is about to be handed in.
+  /// Marks the item as finished: its result is about to be committed and its text need not be
+  /// saved.
   void onFinished() { finished_ = true; }
   [[nodiscard]] bool isFinished() const { return finished_; }
-  /// The scorer's answer to this text.
+  /// Sets the score of this text.
   void onScore(std::string score) { score_ = std::move(score); }
-  /// The result of a whole run.
+  /// Returns the result with the complete text.
   [[nodiscard]] ItemResult completed() const;
-  /// The same without what the ledgers keep of the text. Not while isSaving().
+  /// Returns the result with only the text that follows the saved part. Must not be called while
+  /// isSaving().
   [[nodiscard]] ItemResult completedAfterSaved() const;
   [[nodiscard]] ItemResult terminated() const;
-  /// What the ledgers do not keep of the text yet; nothing with fewer than `minEvents` of them,
-  /// unless the text is whole. onProgressSaved() is to follow before the next offer.
-  [[nodiscard]] std::optional<ItemProgress> offerProgress(std::uint64_t minEvents);
-  /// The ledgers have taken what was offered, or it is not known whether they have.
-  void onProgressSaved(bool known);
-  /// An offer has no answer yet.
+  /// Returns the text that is not yet saved; std::nullopt if it has fewer than `minEvents` events
+  /// and is incomplete, or if there is nothing to save. onProgressSaved() must be called before the
+  /// next call.
+  [[nodiscard]] std::optional<ItemProgress> takeProgress(std::uint64_t minEvents);
+  /// Handles the end of a save. `acknowledged`: the ledgers replied; otherwise it is unknown
+  /// whether the text was saved.
+  void onProgressSaved(bool acknowledged);
+  /// Whether a save is in flight.
   [[nodiscard]] bool isSaving() const { return saving_; }
-  /// The whole text has waited for its score for `delay`, and the ledgers do not keep it.
-  [[nodiscard]] bool waitsUnkept(base::Duration delay, base::TimePoint now) const;
-  /// The engine answered with a failure. True when the item is to be given up.
+  /// Whether the complete text has been unsaved and without a score for `delay`.
+  [[nodiscard]] bool isUnsavedFor(base::Duration delay, base::TimePoint now) const;
+  /// Records a failure reported by the engine. Returns true if the item should be given up.
   [[nodiscard]] bool onFailure();
-  /// True when the item is too old to be tried again.
+  /// Whether the item has exceeded its queue timeout and must not be retried.
   [[nodiscard]] bool isExpired(base::Duration sinceLease) const;
 
  private:
@@ -83,16 +89,16 @@
 
   LeasedItem leased_;
   std::string text_;
-  /// How far the ledgers keep the text, and what was offered to them last.
-  struct Kept {
+  /// Position up to which the text is saved.
+  struct SavedPoint {
     ProgressPoint point;
     std::size_t bytes = 0;
-    bool whole = false;
+    bool textComplete = false;
   };
-  std::optional<Kept> kept_;
-  std::optional<Kept> offered_;
+  std::optional<SavedPoint> m_saved;
+  std::optional<SavedPoint> m_pending;
   bool saving_ = false;
-  bool begun_anew_ = false;  ///< the text no longer begins as the kept one does
+  bool m_restarted = false;  ///< the text no longer extends the saved one
   std::optional<std::uint64_t> last_event_;
   std::set<std::uint64_t> versions_;
   std::uint64_t run_version_ = 0;
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// Jobs: batches of opaque items that engines run and whose results are kept by the ledgers. What
-/// gateways ask of the ledgers' leader, and what goes through its log.
+/// Messages about jobs, which are batches of opaque items that engines run and whose results the
+/// ledgers store: requests of gateways to the ledgers' leader, and replicated commands.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,8 @@
 
 namespace tackpick::jobs {
 
-/// The request that has an item's whole text judged. It goes to the service of its own route.
+/// Request that has the complete text of an item scored. It is sent to the service of its own
+/// route.
 struct ScoringCall {
   std::string id;
   std::string host;
@@ -36,15 +37,15 @@
   }
 };
 
-/// One request of a job, to be run as it stands.
+/// One item of a job: a request that an engine runs unchanged.
 struct Item {
   std::string id;
   std::string path;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  std::string group;                 ///< items of a group share their prompt
-  std::uint32_t expectedTokens = 0;  ///< the caller's estimate of the output; zero: unknown
-  /// Its result is listed as completed only with the score of this call; nothing: it needs none.
+  std::string group;                 ///< items with the same group share a prompt
+  std::uint32_t expectedTokens = 0;  ///< the caller's estimate of the output length; zero: unknown
+  /// The item completes only with the score of this call; std::nullopt: it needs no score.
   std::optional<ScoringCall> scoring = std::nullopt;
 
   template <class Archive>
@@ -53,19 +54,21 @@
   }
 };
 
-/// A job as its caller submits it.
+/// A job as submitted by its caller.
 struct JobSubmission {
   std::string id;
-  std::string tenant;  ///< whose it is; empty: nobody's in particular
+  std::string tenant;  ///< owner of the job; empty: visible to all tenants
   std::string host;
   std::string model;
-  std::uint64_t minimumVersion = 0;  ///< oldest weights that may make its texts
-  std::uint32_t requiredGroups = 0;  ///< whole groups that the caller waits for; zero: all
-  std::uint32_t attempts = 1;        ///< answers of failure after which an item may be given up
-  base::Duration queueTimeout{0};    ///< an item may be given up so long after the submission
-  base::Duration resultDeadline{0};  ///< results are due so long after the submission; zero: none
+  std::uint64_t minimumVersion = 0;  ///< oldest version of the weights that may run its items
+  /// Number of complete groups that the caller waits for; zero: all.
+  std::uint32_t requiredGroups = 0;
+  std::uint32_t attempts = 1;  ///< number of reported failures after which an item may be given up
+  base::Duration queueTimeout{0};  ///< time after the submission at which an item may be given up
+  /// Time after the submission at which results are due; zero: no due time.
+  base::Duration resultDeadline{0};
   bool singleVersion = false;
-  std::uint32_t priority = 0;  ///< of its route; 0 is the highest
+  std::uint32_t priority = 0;  ///< priority of its route; 0 is the highest
   std::vector<Item> items;
 
   template <class Archive>
@@ -77,7 +80,7 @@
 
 enum class ItemState : std::uint8_t { kCompleted, kTerminated };
 
-/// How far a kept text reaches: the lease under which it was last extended, and its last event.
+/// End of a saved text: the lease under which it was last extended, and its last event.
 struct ProgressPoint {
   std::uint64_t lease = 0;
   std::uint64_t event = 0;
@@ -90,17 +93,17 @@
   }
 };
 
-/// What became of an item.
+/// The result of an item.
 struct ItemResult {
   std::uint32_t item = 0;  ///< its index in the job
   ItemState state = ItemState::kCompleted;
   base::CompressedText text;
-  std::set<std::uint64_t> versions;  ///< that made the text
-  std::string score = {};            ///< of the item's scoring call; empty when it has none
-  /// While the result is on its way: `text` follows the kept text, which reaches this point.
-  /// Nothing: it is the whole text.
+  std::set<std::uint64_t> versions;  ///< versions of the weights that generated the text
+  std::string score = {};            ///< score from the item's scoring call; empty if there is none
+  /// In a commit: `text` continues the saved text that ends at this point. std::nullopt: `text` is
+  /// complete.
   std::optional<ProgressPoint> after = std::nullopt;
-  std::uint64_t events = 0;  ///< of the whole text; zero: unknown
+  std::uint64_t events = 0;  ///< number of events of the complete text; zero: unknown
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -108,33 +111,35 @@
   }
 };
 
-/// The text that an unfinished item has so far, kept by the ledgers so that another gateway can
-/// continue it behind its last event.
+/// Text of an unfinished item that the ledgers have saved, so that another gateway can continue it
+/// after its last event.
 struct PartialText {
   ProgressPoint point;
   base::CompressedText text;
-  std::set<std::uint64_t> versions;  ///< that made the text
-  bool whole = false;                ///< only its score is missing
+  std::set<std::uint64_t> versions;  ///< versions of the weights that generated the text
+  bool textComplete = false;         ///< only the score is missing
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(point, text, versions, whole);
+    archive(point, text, versions, textComplete);
   }
 };
 
-/// What a gateway adds to the kept text of an item.
+/// Addition to the saved text of an item.
 struct ItemProgress {
-  std::uint32_t item = 0;              ///< its index in the job
-  std::optional<ProgressPoint> after;  ///< what `added` follows; nothing: it is the whole text
-  PartialText added;                   ///< its point is the one reached
+  std::uint32_t item = 0;  ///< its index in the job
+  /// End of the saved text that `delta` continues; std::nullopt: `delta` is the text from its
+  /// beginning.
+  std::optional<ProgressPoint> after;
+  PartialText delta;  ///< the new text; its point is the end of the extended text
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(item, after, added);
+    archive(item, after, delta);
   }
 };
 
-/// Names an item in the cluster.
+/// Identifies an item in the cluster.
 struct ItemKey {
   std::string job;
   std::uint32_t item = 0;
@@ -157,22 +162,22 @@
   }
 };
 
-/// Results from position `after` on; held back while there are none.
+/// Reads results from position `after` on; long poll: the reply is delayed while there are none.
 struct ReadJob {
   std::string id;
   std::uint64_t after = 0;
-  base::Duration hold{0};
-  /// A replica from which the caller would rather fetch many results; invalid: none.
-  base::NodeId nearby = {};
+  base::Duration maxWait{0};
+  /// Replica from which the caller prefers to fetch large results; invalid: none.
+  base::NodeId preferredReplica = {};
   std::string tenant = {};  ///< on whose behalf
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(id, after, hold, nearby, tenant);
+    archive(id, after, maxWait, preferredReplica, tenant);
   }
 };
 
-/// Results at positions of which the leader has said that they exist. Any replica may answer: a
-/// position never changes.
+/// Fetches results at positions that the leader has announced. Any replica may reply, because the
+/// result at a position never changes.
 struct FetchResults {
   std::string id;
   std::uint64_t after = 0;
@@ -202,7 +207,7 @@
   }
 };
 
-/// An item that a gateway holds, and the engine where it runs; empty: none at the moment.
+/// An item that a gateway holds, and the engine on which it runs; empty: none at present.
 struct HeldItem {
   ItemKey key;
   std::string engine;
@@ -212,17 +217,18 @@
   }
 };
 
-/// A gateway renews its leases and asks for more. Leases live in the leader's memory only.
+/// Renews the leases of a gateway and requests further items. Leases are kept in the leader's
+/// memory only.
 struct LeaseItems {
   std::vector<HeldItem> held;
-  std::map<std::string, EventIntervalReport> eventIntervals;  ///< by the name of the engine
-  FreeSlots wanted;                                           ///< for further items
-  bool draining = false;          ///< all its other leases are given back
-  std::string zone;               ///< the gateway's
-  GatewayCapacity capacity = {};  ///< the gateway's
+  std::map<std::string, EventIntervalReport> eventIntervals;  ///< by machine of the engine
+  FreeSlots freeSlots;                                        ///< slots for further items
+  bool draining = false;          ///< all leases not listed in `held` are released
+  std::string zone;               ///< zone of the gateway
+  GatewayCapacity capacity = {};  ///< capacity of the gateway
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(held, eventIntervals, wanted, draining, zone, capacity);
+    archive(held, eventIntervals, freeSlots, draining, zone, capacity);
   }
 };
 
@@ -252,7 +258,7 @@
   }
 };
 
-/// Keeps texts under way. What does not follow the text that is kept changes nothing.
+/// Saves texts of running items. A delta that does not continue the saved text is ignored.
 struct SaveProgress {
   std::vector<JobProgress> jobs;
   template <class Archive>
@@ -261,8 +267,8 @@
   }
 };
 
-/// An operator asks what waits and why.
-struct ReadWork {
+/// Requests a report about open work, for operators.
+struct GetWorkReport {
   std::uint8_t reserved = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -271,17 +277,17 @@
 };
 
 using JobRequest = std::variant<SubmitJob, ReadJob, ReadItem, EndJob, LeaseItems, CommitResults,
-                                SaveProgress, FetchResults, ReadWork>;
+                                SaveProgress, FetchResults, GetWorkReport>;
 
-/// Says on whose behalf a caller's request is made.
+/// Sets the tenant on whose behalf the request is made.
 void setTenant(JobRequest& request, const std::string& tenant);
 
-// Answers.
+// Replies.
 
 enum class JobStatus : std::uint8_t {
   kDone,
   kNotFound,
-  kNotOwner,  ///< a submission whose id another tenant uses
+  kNotOwner,  ///< the id of the submission is used by another tenant
 };
 
 struct ReadResult {
@@ -293,24 +299,24 @@
   }
 };
 
-/// An item to run, with what its job says about it.
+/// A leased item, with the properties of its job.
 struct LeasedItem {
   ItemKey key;
-  std::uint64_t lease = 0;              ///< rises with each lease that a ledger gives
-  std::optional<PartialText> progress;  ///< of earlier leases
-  std::string engine;                   ///< where it should run; empty: all are full
+  std::uint64_t lease = 0;  ///< lease number; increases with each lease that a leader grants
+  std::optional<PartialText> progress;  ///< text saved under earlier leases
+  std::string engine;                   ///< engine on which it should run; empty: all are full
   Item item;
-  std::string tenant;  ///< of its job; empty: nobody in particular
+  std::string tenant;  ///< tenant of its job; empty: none
   std::string host;
   std::string model;
   std::uint64_t minimumVersion = 0;
   bool singleVersion = false;
   std::uint32_t attempts = 1;
-  base::Duration age{0};  ///< since its job was submitted
+  base::Duration age{0};  ///< time since its job was submitted
   base::Duration queueTimeout{0};
-  /// Until its job's results are due; the longest duration where no due time is known.
+  /// Time until the job's results are due; Duration::max() if there is no due time.
   base::Duration timeUntilDue = base::Duration::max();
-  /// Events that are still expected of its text; zero: unknown.
+  /// Expected remaining events of its text; zero: unknown.
   double remainingEvents = 0;
 
   template <class Archive>
@@ -322,33 +328,35 @@
 
 struct JobReply {
   JobStatus status = JobStatus::kDone;
-  std::uint64_t total = 0;          ///< items of the job
+  std::uint64_t total = 0;          ///< number of items of the job
   std::vector<ReadResult> results;  ///< ReadJob, FetchResults
-  std::uint64_t elsewhere = 0;      ///< ReadJob: so many are to be fetched from its `nearby`
-  std::string body;                 ///< ReadItem
-  std::vector<LeasedItem> leased;   ///< LeaseItems
-  std::vector<ItemKey> revoked;     ///< LeaseItems: held ones that need not be run any more
-  /// LeaseItems: other gateways run the items of this one's zone; it need not ask often.
+  /// ReadJob: number of results to fetch from the preferred replica
+  std::uint64_t replicaResults = 0;
+  std::string body;                ///< ReadItem
+  std::vector<LeasedItem> leased;  ///< LeaseItems
+  std::vector<ItemKey> revoked;    ///< LeaseItems: held items that need not run any more
+  /// LeaseItems: the gateway is on standby and need not send requests often.
   bool standby = false;
-  std::uint32_t activeGateways = 0;  ///< LeaseItems: gateways that share the slots of all engines
-  /// LeaseItems that tell event intervals: items of all gateways, by the engine where they run.
+  /// LeaseItems: number of active gateways, which share the slots of all engines
+  std::uint32_t activeGateways = 0;
+  /// LeaseItems with event intervals: items of all gateways, by engine.
   std::map<std::string, std::uint32_t> itemsByEngine;
-  /// LeaseItems: this leader has not heard event intervals of the gateway; its next call should
-  /// tell them.
+  /// LeaseItems: this leader has no event intervals of the gateway; its next request should contain
+  /// them.
   bool wantsEventIntervals = false;
-  std::optional<WorkReport> work;  ///< ReadWork
+  std::optional<WorkReport> work;  ///< GetWorkReport
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(status, total, results, elsewhere, body, leased, revoked, standby, activeGateways,
+    archive(status, total, results, replicaResults, body, leased, revoked, standby, activeGateways,
             itemsByEngine, wantsEventIntervals, work);
   }
 };
 
-// Through the log.
+// Replicated commands.
 
-/// Drops jobs whose retention is over.
-struct ForgetJobs {
+/// Removes jobs after their retention time.
+struct RemoveJobs {
   std::vector<std::string> ids;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -356,6 +364,6 @@
   }
 };
 
-using JobCommand = std::variant<SubmitJob, EndJob, CommitResults, ForgetJobs, SaveProgress>;
+using JobCommand = std::variant<SubmitJob, EndJob, CommitResults, RemoveJobs, SaveProgress>;
 
 }  // namespace tackpick::jobs
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr base::Duration kSlowWorkInterval = base::milliseconds(100);
+constexpr base::Duration kMaintenanceInterval = base::milliseconds(100);
 
 std::vector<ReadResult> resultsOf(const Job& job, std::uint64_t begin, std::uint64_t end) {
   std::vector<ReadResult> results;
@@ -29,8 +29,8 @@
       self_(self),
       replica_(self, group, settings.replica, log, state_, random, now),
       service_(self, replica_),
-      leases_(settings.leaseTime, settings.planInterval, settings.workOrder),
-      gathering_(settings.gathering) {}
+      leases_(settings.leaseTime, settings.planInterval, settings.schedulerPolicy),
+      m_longPoll(settings.longPoll) {}
 
 void JobRole::handle(base::NodeId from, const transport::RaftEnvelope& message,
                      base::TimePoint now) {
@@ -63,17 +63,17 @@
 }
 
 void JobRole::onRequest(const Caller& caller, const ReadJob& request, base::TimePoint now) {
-  reads_.push_back({caller, request, now, now + request.hold});
+  reads_.push_back({caller, request, now, now + request.maxWait});
 }
 
 void JobRole::onRequest(const Caller& caller, const ReadItem& request, base::TimePoint /*now*/) {
   JobReply reply;
   reply.status = JobStatus::kNotFound;
-  const Job* job = state_.findFor(request.tenant, request.job);
+  const Job* job = state_.findOwned(request.tenant, request.job);
   if (job != nullptr && !job->ended) {
-    for (std::size_t i = 0; i < job->listed.size(); ++i) {
+    for (std::size_t i = 0; i < job->hasResult.size(); ++i) {
       const Item& item = job->submission.items[i];
-      if (item.id == request.item && !job->listed[i]) {
+      if (item.id == request.item && !job->hasResult[i]) {
         reply.status = JobStatus::kDone;
         reply.body = item.body;
       }
@@ -83,7 +83,7 @@
 }
 
 void JobRole::onRequest(const Caller& caller, const EndJob& request, base::TimePoint now) {
-  const Job* job = state_.findFor(request.tenant, request.id);
+  const Job* job = state_.findOwned(request.tenant, request.id);
   if (job == nullptr || job->ended) {
     replyWith(caller, {});
     return;
@@ -97,13 +97,14 @@
   reply.wantsEventIntervals = recordReporter(caller.node, !request.eventIntervals.empty());
   reply.revoked = leases_.renew(caller.node, request.held, state_, now);
   if (request.draining) {
-    leases_.giveBack(caller.node, request.held, state_);
+    leases_.release(caller.node, request.held, state_);
   }
-  leases_.onLeaseRequest(caller.node, request.zone, !request.wanted.empty(), now, request.capacity);
+  leases_.onLeaseRequest(caller.node, request.zone, !request.freeSlots.empty(), now,
+                         request.capacity);
   reply.standby = !leases_.gatewaySelector().isActive(caller.node, request.zone, now);
   reply.activeGateways = leases_.gatewaySelector().activeCount(now);
   if (!reply.standby) {
-    for (const GrantedItem& granted : leases_.lease(caller.node, request.wanted, state_, now)) {
+    for (const GrantedItem& granted : leases_.lease(caller.node, request.freeSlots, state_, now)) {
       reply.leased.push_back(describe(granted, now));
     }
   }
@@ -113,8 +114,8 @@
   replyWith(caller, reply);
 }
 
-bool JobRole::recordReporter(base::NodeId gateway, bool told) {
-  if (told) {
+bool JobRole::recordReporter(base::NodeId gateway, bool reported) {
+  if (reported) {
     m_intervalReporters.insert(gateway);
   }
   return !m_intervalReporters.contains(gateway);
@@ -128,8 +129,8 @@
   for (const HeldItem& held : request.held) {
     const Job* job = state_.find(held.key.job);
     if (job != nullptr) {
-      leases_.eventIntervals().note(job->submission.model,
-                                    leases_.placement().eventIntervalOf(held.engine));
+      leases_.eventIntervals().addSample(job->submission.model,
+                                         leases_.placement().eventIntervalOf(held.engine));
     }
   }
 }
@@ -161,24 +162,25 @@
 }
 
 void JobRole::onRequest(const Caller& caller, const CommitResults& request, base::TimePoint now) {
-  const CommitResults news = state_.withoutKnown(request);
-  if (news.jobs.empty()) {
+  const CommitResults newResults = state_.newResultsOf(request);
+  if (newResults.jobs.empty()) {
     replyWith(caller, {});
     return;
   }
-  for (const JobResults& job : news.jobs) {
+  for (const JobResults& job : newResults.jobs) {
     for (const ItemResult& result : job.results) {
-      leases_.forecast().learn(state_.find(job.job)->submission, result);
+      leases_.forecast().train(state_.find(job.job)->submission, result);
     }
   }
-  proposeFor(caller, news, now);
+  proposeFor(caller, newResults, now);
 }
 
 void JobRole::onRequest(const Caller& caller, const SaveProgress& request, base::TimePoint now) {
   proposeFor(caller, request, now);
 }
 
-void JobRole::onRequest(const Caller& caller, const ReadWork& /*request*/, base::TimePoint now) {
+void JobRole::onRequest(const Caller& caller, const GetWorkReport& /*request*/,
+                        base::TimePoint now) {
   JobReply reply;
   reply.work = makeWorkReport(leases_.summary(state_, now), leases_.placement().summaries(now),
                               leases_.gateways(), now);
@@ -191,7 +193,7 @@
   const Job* job = state_.find(request.id);
   const std::uint64_t end = request.after + request.count;
   if (job == nullptr || end < request.after || end > job->results.size()) {
-    reply.status = JobStatus::kNotFound;  // this replica lags, or belongs to the group no more
+    reply.status = JobStatus::kNotFound;  // this replica lags or has left the group
   } else {
     reply.results = resultsOf(*job, request.after, end);
   }
@@ -199,7 +201,7 @@
 }
 
 void JobRole::onPeerLost(std::uint32_t number, base::TimePoint now) {
-  leases_.onGatewayLost(number, settings_.lostGatewayGrace, now);
+  leases_.onGatewayLost(number, settings_.disconnectGrace, now);
   std::erase_if(m_intervalReporters,
                 [&](base::NodeId node) { return base::nodeNumber(node) == number; });
 }
@@ -216,26 +218,26 @@
   if (!replica_.canRead(now)) {
     return std::nullopt;
   }
-  OpenJobsByModel works;
+  OpenJobsByModel jobsByModel;
   for (const auto* entry : state_.bySubmission()) {
     const auto& [id, job] = *entry;
-    if (!job.settled()) {
-      works[job.submission.model].push_back(workOf(id, job, now));
+    if (!job.finished()) {
+      jobsByModel[job.submission.model].push_back(openJobOf(id, job, now));
     }
   }
-  return works;
+  return jobsByModel;
 }
 
-OpenJob JobRole::workOf(const std::string& id, const Job& job, base::TimePoint now) const {
-  OpenJob work;
-  work.job = id;
-  work.minimumVersion = job.submission.minimumVersion;
-  work.items = static_cast<std::uint32_t>(job.submission.items.size() - job.results.size());
+OpenJob JobRole::openJobOf(const std::string& id, const Job& job, base::TimePoint now) const {
+  OpenJob openJob;
+  openJob.job = id;
+  openJob.minimumVersion = job.submission.minimumVersion;
+  openJob.items = static_cast<std::uint32_t>(job.submission.items.size() - job.results.size());
   const std::uint32_t running = leases_.runningItems(id);
-  work.waiting = work.items - std::min(work.items, running);
-  work.age = now - leases_.firstSeen(id, now);
-  work.slack = leases_.slackOf(job, id, now);
-  return work;
+  openJob.waiting = openJob.items - std::min(openJob.items, running);
+  openJob.age = now - leases_.firstSeen(id, now);
+  openJob.slack = leases_.slackOf(job, id, now);
+  return openJob;
 }
 
 std::optional<WorkSummary> JobRole::workSummary(base::TimePoint now) const {
@@ -244,40 +246,40 @@
 
 void JobRole::tick(base::TimePoint now) {
   replica_.tick(now);
-  if (now - slow_work_at_ < kSlowWorkInterval || !replica_.canRead(now)) {
+  if (now - m_maintenanceAt < kMaintenanceInterval || !replica_.canRead(now)) {
     return;
   }
-  slow_work_at_ = now;
+  m_maintenanceAt = now;
   leases_.refresh(state_, now);
   expireJobs(now);
   service_.repair(nodes_, settings_.repair, now);
 }
 
 void JobRole::expireJobs(base::TimePoint now) {
-  ForgetJobs forget;
+  RemoveJobs expired;
   for (const auto& [id, job] : state_.jobs()) {
-    const bool open = !job.settled();
+    const bool open = !job.finished();
     const base::Duration limit =
         open ? std::max(settings_.retention, job.submission.queueTimeout) : settings_.retention;
     if (now - leases_.firstSeen(id, now) > limit) {
-      forget.ids.push_back(id);
+      expired.ids.push_back(id);
     }
   }
-  for (const std::string& id : forget.ids) {
-    leases_.forgetJob(id);
-    gathering_.forgetJob(id);
+  for (const std::string& id : expired.ids) {
+    leases_.removeJob(id);
+    m_longPoll.removeJob(id);
   }
-  if (!forget.ids.empty()) {
-    service_.propose(encodeCommand(JobCommand{forget}), now);
+  if (!expired.ids.empty()) {
+    service_.propose(encodeCommand(JobCommand{expired}), now);
   }
 }
 
 transport::Outbox JobRole::finish(base::TimePoint now) {
   transport::Outbox messages;
   replica_.finish(now, messages);
-  observeJobs(now);
-  observeLeadership(now);
-  takeUpJobs(now);
+  recordSubmissions(now);
+  checkLeadership(now);
+  registerNewJobs(now);
   answerReads(now);
   transport::Outbox answers = std::exchange(service_.outbox(), {});
   messages.insert(messages.end(), std::make_move_iterator(answers.begin()),
@@ -285,55 +287,55 @@
   return messages;
 }
 
-void JobRole::observeJobs(base::TimePoint now) {
-  if (m_observedJobs == state_.jobChanges()) {
+void JobRole::recordSubmissions(base::TimePoint now) {
+  if (m_observedRevision == state_.jobsRevision()) {
     return;
   }
-  m_observedJobs = state_.jobChanges();
+  m_observedRevision = state_.jobsRevision();
   std::erase_if(m_submissions, [&](const auto& known) {
     const Job* job = state_.find(known.first);
     return job == nullptr || job->submittedAt != known.second.index;
   });
   for (const auto& [id, job] : state_.jobs()) {
-    m_submissions.try_emplace(id, Submission{job.submittedAt, now});
+    m_submissions.try_emplace(id, SubmissionRecord{job.submittedAt, now});
   }
 }
 
-void JobRole::takeUpJobs(base::TimePoint now) {
-  if (seen_jobs_ == state_.jobChanges() || !replica_.canRead(now)) {
+void JobRole::registerNewJobs(base::TimePoint now) {
+  if (m_leasedRevision == state_.jobsRevision() || !replica_.canRead(now)) {
     return;
   }
-  const bool submittedHere = seen_jobs_.has_value();
-  seen_jobs_ = state_.jobChanges();
-  if (!submittedHere) {
-    learnFromResults();
+  const bool wasLeader = m_leasedRevision.has_value();
+  m_leasedRevision = state_.jobsRevision();
+  if (!wasLeader) {
+    trainForecast();
   }
   for (const auto* entry : state_.bySubmission()) {
     const auto& [id, job] = *entry;
-    if (leases_.addJob(id, job, m_submissions.at(id).appliedAt) && submittedHere) {
-      gathering_.addJob(id, job, leases_.resubmittedGroupsOf(id));
+    if (leases_.addJob(id, job, m_submissions.at(id).appliedAt) && wasLeader) {
+      m_longPoll.addJob(id, job, leases_.resubmittedGroupsOf(id));
     }
   }
 }
 
-void JobRole::learnFromResults() {
+void JobRole::trainForecast() {
   leases_.forecast().clear();
   for (const auto& [id, job] : state_.jobs()) {
     for (const ItemResult& result : job.results) {
-      leases_.forecast().learn(job.submission, result);
+      leases_.forecast().train(job.submission, result);
     }
   }
 }
 
-void JobRole::observeLeadership(base::TimePoint now) {
+void JobRole::checkLeadership(base::TimePoint now) {
   const consensus::RaftConsensus& raft = replica_.raft();
   if (raft.isLeader() && (!was_leader_ || observed_term_ != raft.currentTerm())) {
     leader_since_ = now;
     service_.endTerm();
     leases_.reset(raft.currentTerm(), now, settings_.leaseGrace);
     m_intervalReporters.clear();
-    gathering_.reset();
-    seen_jobs_.reset();
+    m_longPoll.reset();
+    m_leasedRevision.reset();
   }
   was_leader_ = raft.isLeader();
   observed_term_ = raft.currentTerm();
@@ -341,10 +343,10 @@
 
 void JobRole::answerReads(base::TimePoint now) {
   const bool readable = replica_.canRead(now);
-  gathering_.observe(state_,
+  m_longPoll.observe(state_,
                      [&](const std::string& id) { return now - leases_.firstSeen(id, now); });
   for (PendingRead& pending : std::exchange(reads_, {})) {
-    const Job* job = state_.findFor(pending.read.tenant, pending.read.id);
+    const Job* job = state_.findOwned(pending.read.tenant, pending.read.id);
     if (!readable) {
       service_.refuse(pending.caller, CommandStatus::kNotLeader);
       continue;
@@ -355,7 +357,7 @@
       replyWith(pending.caller, reply);
       continue;
     }
-    if (waits(pending, *job, now)) {
+    if (shouldWait(pending, *job, now)) {
       reads_.push_back(std::move(pending));
       continue;
     }
@@ -363,16 +365,16 @@
   }
 }
 
-bool JobRole::waits(const PendingRead& pending, const Job& job, base::TimePoint now) {
-  if (job.settled() || now >= pending.until) {
+bool JobRole::shouldWait(const PendingRead& pending, const Job& job, base::TimePoint now) {
+  if (job.finished() || now >= pending.expiresAt) {
     return false;
   }
   if (pending.read.after >= job.results.size()) {
     return true;
   }
   const base::TimePoint submittedAt = leases_.firstSeen(pending.read.id, now);
-  return gathering_.holds(pending.read.id, job, now - submittedAt, pending.askedAt - submittedAt,
-                          pending.until - now);
+  return m_longPoll.shouldHold(pending.read.id, job, now - submittedAt,
+                               pending.receivedAt - submittedAt, pending.expiresAt - now);
 }
 
 void JobRole::answerRead(const PendingRead& pending, const Job& job) {
@@ -381,16 +383,16 @@
   std::size_t bytes = 0;
   while (end < job.results.size()) {
     bytes += job.results[end].text.length();
-    if (end > begin && bytes > settings_.answerBytes) {
+    if (end > begin && bytes > settings_.maxReplyBytes) {
       break;
     }
     ++end;
   }
   JobReply reply;
   reply.total = job.submission.items.size();
-  const base::NodeId nearby = pending.read.nearby;
-  if (nearby.valid() && nearby != self_ && bytes > settings_.directBytes) {
-    reply.elsewhere = end - begin;
+  const base::NodeId preferredReplica = pending.read.preferredReplica;
+  if (preferredReplica.valid() && preferredReplica != self_ && bytes > settings_.maxInlineBytes) {
+    reply.replicaResults = end - begin;
   } else {
     reply.results = resultsOf(job, begin, end);
   }
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -1,5 +1,5 @@
 /// \file
-/// The ledger role of a cluster that forms itself: replicated jobs and the leases of their items.
+/// The ledger role of a node: replicated jobs and the leases of their items.
 #pragma once
 
 #include <map>
@@ -17,30 +17,34 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of a JobRole.
+/// Settings of a JobRole.
 struct JobRoleSettings {
   consensus::ReplicaSettings replica;
   cluster::GroupRepairSettings repair;
-  /// Results stay readable so long after the submission, and while the job is open.
+  /// Time after the submission for which a completed or ended job is readable. An open job is kept
+  /// for its queue timeout if that is longer.
   base::Duration retention = base::seconds(120);
-  /// Gateways renew their leases several times within this time.
+  /// Duration of a lease; gateways renew their leases several times within it.
   base::Duration leaseTime = base::milliseconds(1500);
-  /// Of a gateway whose connection broke: a sound one connects and renews within this time.
-  base::Duration lostGatewayGrace = base::milliseconds(350);
-  /// Of a new leader: gateways tell what they hold before anything is leased again.
+  /// Time after which the leases of a gateway whose connection broke expire; a healthy one
+  /// reconnects and renews them within this time.
+  base::Duration disconnectGrace = base::milliseconds(350);
+  /// Time after a change of leader before items are leased, in which gateways report the items they
+  /// hold.
   base::Duration leaseGrace = base::milliseconds(350);
-  /// Least time between two plans of what runs where: a plan costs about as much as the answers to
-  /// ten calls of gateways, which come each 80 ms and more.
+  /// Minimum time between two plans of the queued items; bounds the CPU time of planning.
   base::Duration planInterval = base::milliseconds(5);
-  SchedulerPolicy workOrder = SchedulerPolicy::kAutomatic;
-  /// Results in one answer.
-  std::size_t answerBytes = 900U << 10U;
-  LongPollSettings gathering;
-  /// More than this is left to the replica that the reader names as near.
-  std::size_t directBytes = 4U << 10U;
+  SchedulerPolicy schedulerPolicy = SchedulerPolicy::kAutomatic;
+  /// Maximum size of the results in one reply, in bytes; a reply contains at least one.
+  std::size_t maxReplyBytes = 900U << 10U;
+  LongPollSettings longPoll;
+  /// Maximum size of results, in bytes, that are returned inline if the reader names a preferred
+  /// replica.
+  std::size_t maxInlineBytes = 4U << 10U;
 };
 
-/// Deterministic; owned by one thread. Only the leader answers, and only under its lease.
+/// Ledger role: handles requests about jobs. Only the leader replies, while it holds its read
+/// lease; any replica replies to FetchResults. Deterministic; owned by one thread.
 class JobRole {
  public:
   JobRole(base::NodeId self, base::GroupId group, JobRoleSettings settings,
@@ -48,61 +52,62 @@
 
   void handle(base::NodeId from, const transport::RaftEnvelope& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::CommandRequest& message, base::TimePoint now);
-  /// The ledgers as the controllers hear them.
+  /// Sets the ledgers known to the controllers.
   void setNodes(std::vector<cluster::GroupNode> nodes) { nodes_ = std::move(nodes); }
-  /// The connection to a node broke.
+  /// Handles the loss of the connection to a node.
   void onPeerLost(std::uint32_t number, base::TimePoint now);
-  /// All engines there are.
-  void setEngines(std::vector<PlacementEngine> engines) { leases_.setEngines(std::move(engines)); }
-  /// Engines that changed or are new, and ids of those that are gone.
-  void changeEngines(std::vector<PlacementEngine> changed,
-                     const std::vector<std::string>& removed) {
+  /// Replaces all engines.
+  void setEngines(std::vector<EngineInfo> engines) { leases_.setEngines(std::move(engines)); }
+  /// Adds or updates the engines of `changed` and removes those with the ids in `removed`.
+  void changeEngines(std::vector<EngineInfo> changed, const std::vector<std::string>& removed) {
     leases_.changeEngines(std::move(changed), removed);
   }
-  /// Of the newest configuration.
+  /// Sets the tenants' priorities of the latest configuration.
   void setTenantPriorities(TenantPriorities priorities) {
     leases_.setTenantPriorities(std::move(priorities));
   }
   void tick(base::TimePoint now);
-  /// Ends a turn: syncs, applies, and returns what to send.
+  /// Ends an iteration of the event loop: syncs and applies the log, and returns the messages to
+  /// send.
   [[nodiscard]] transport::Outbox finish(base::TimePoint now);
   void prepareStop(base::TimePoint now) { replica_.raft().transferLeadership(now); }
-  /// The group's members, when this ledger leads it and no change of them is under way.
+  /// Returns the members of the group if this ledger is its leader and no membership change is
+  /// pending.
   [[nodiscard]] std::optional<consensus::Membership> stableMembership(base::TimePoint now) const;
 
-  /// Jobs that are not settled; nothing when another leads.
+  /// Returns all jobs that are not finished; std::nullopt if this ledger is not the leader.
   [[nodiscard]] std::optional<OpenJobsByModel> openJobs(base::TimePoint now) const;
-  /// Open jobs for operators; nothing when another leads.
+  /// Returns a summary of open jobs for operators; std::nullopt if this ledger is not the leader.
   [[nodiscard]] std::optional<WorkSummary> workSummary(base::TimePoint now) const;
-  /// What is known of the lengths of texts.
+  /// Returns the forecast of the lengths of texts.
   [[nodiscard]] const LengthForecast& forecast() const { return leases_.forecast(); }
-  /// Rises whenever a job comes or is settled.
-  [[nodiscard]] std::uint64_t workChanges() const { return state_.workChanges(); }
+  /// Increases whenever a job is added, ends or completes.
+  [[nodiscard]] std::uint64_t workRevision() const { return state_.workRevision(); }
 
   [[nodiscard]] const JobState& state() const { return state_; }
   [[nodiscard]] const consensus::Replica& replica() const { return replica_; }
-  /// Gateways that ask for items; empty when another leads.
+  /// Returns the gateways that request items; empty if this ledger is not the leader.
   [[nodiscard]] std::vector<GatewaySummary> gateways(base::TimePoint now) const {
     return replica_.canRead(now) ? leases_.gateways() : std::vector<GatewaySummary>{};
   }
-  /// Of the ledgers' group, as its leader sees it.
+  /// Returns the health of the ledgers' group as seen by its leader.
   [[nodiscard]] const std::optional<cluster::GroupHealth>& groupHealth() const {
     return service_.health();
   }
 
  private:
   using Caller = cluster::ServiceCaller;
-  /// A job's submission as this ledger applied it. A job that was forgotten may be submitted again
-  /// by the same id.
-  struct Submission {
+  /// Log index and time of a job's submission at this ledger. A removed job may be submitted again
+  /// with the same id.
+  struct SubmissionRecord {
     consensus::LogIndex index = 0;
-    base::TimePoint appliedAt{};  ///< it came no later
+    base::TimePoint appliedAt{};  ///< not before the submission
   };
   struct PendingRead {
     Caller caller;
     ReadJob read;
-    base::TimePoint askedAt{};
-    base::TimePoint until{};
+    base::TimePoint receivedAt{};
+    base::TimePoint expiresAt{};
   };
 
   void onRequest(const Caller& caller, const SubmitJob& request, base::TimePoint now);
@@ -112,28 +117,29 @@
   void onRequest(const Caller& caller, const LeaseItems& request, base::TimePoint now);
   void onRequest(const Caller& caller, const CommitResults& request, base::TimePoint now);
   void onRequest(const Caller& caller, const SaveProgress& request, base::TimePoint now);
-  void onRequest(const Caller& caller, const ReadWork& request, base::TimePoint now);
-  /// Also on replicas that do not lead.
+  void onRequest(const Caller& caller, const GetWorkReport& request, base::TimePoint now);
+  /// Also handled by replicas that are not the leader.
   void onRequest(const Caller& caller, const FetchResults& request, base::TimePoint now);
 
   void replyWith(const Caller& caller, const JobReply& reply);
   void proposeFor(const Caller& caller, const JobCommand& command, base::TimePoint now);
-  [[nodiscard]] OpenJob workOf(const std::string& id, const Job& job, base::TimePoint now) const;
-  /// Notes whether a gateway told event intervals in its call; true when it should in its next.
-  [[nodiscard]] bool recordReporter(base::NodeId gateway, bool told);
+  [[nodiscard]] OpenJob openJobOf(const std::string& id, const Job& job, base::TimePoint now) const;
+  /// Records whether a gateway's request contained event intervals. Returns whether its next one
+  /// should.
+  [[nodiscard]] bool recordReporter(base::NodeId gateway, bool reported);
   [[nodiscard]] LeasedItem describe(const GrantedItem& granted, base::TimePoint now) const;
   void recordEventIntervals(const LeaseItems& request, base::TimePoint now);
-  void observeLeadership(base::TimePoint now);
-  /// Notes when jobs come, also where another leads: their ages outlast a change of leader.
-  void observeJobs(base::TimePoint now);
-  /// What a leader knows of lengths at its beginning.
-  void learnFromResults();
-  /// Hands jobs that are new to this leader to the leases.
-  void takeUpJobs(base::TimePoint now);
+  void checkLeadership(base::TimePoint now);
+  /// Records when jobs arrive, also on followers, so that their ages survive a change of leader.
+  void recordSubmissions(base::TimePoint now);
+  /// Trains the length forecast of a new leader with the stored results.
+  void trainForecast();
+  /// Adds jobs that are new to this leader to the leases.
+  void registerNewJobs(base::TimePoint now);
   void answerReads(base::TimePoint now);
   void answerRead(const PendingRead& pending, const Job& job);
-  /// The read goes on waiting.
-  [[nodiscard]] bool waits(const PendingRead& pending, const Job& job, base::TimePoint now);
+  /// Whether the read should be held.
+  [[nodiscard]] bool shouldWait(const PendingRead& pending, const Job& job, base::TimePoint now);
   void expireJobs(base::TimePoint now);
 
   const JobRoleSettings settings_;
@@ -142,17 +148,20 @@
   consensus::Replica replica_;
   cluster::GroupService service_;
   ItemLeases leases_;
-  LongPollPolicy gathering_;
+  LongPollPolicy m_longPoll;
   std::vector<cluster::GroupNode> nodes_;
   bool was_leader_ = false;
   consensus::Term observed_term_ = 0;
   base::TimePoint leader_since_{};
-  std::optional<std::uint64_t> seen_jobs_;  ///< JobState::jobChanges() when they were taken up
-  std::uint64_t m_observedJobs = 0;         ///< JobState::jobChanges() at observeJobs()
-  std::map<std::string, Submission> m_submissions;  ///< by job
-  base::TimePoint slow_work_at_{};
+  /// JobState::jobsRevision() at the last registerNewJobs()
+  std::optional<std::uint64_t> m_leasedRevision;
+  /// JobState::jobsRevision() at the last recordSubmissions()
+  std::uint64_t m_observedRevision = 0;
+  std::map<std::string, SubmissionRecord> m_submissions;  ///< by job
+  base::TimePoint m_maintenanceAt{};
   std::vector<PendingRead> reads_;
-  std::set<base::NodeId> m_intervalReporters;  ///< gateways that told event intervals in this term
+  /// Gateways that reported event intervals in this term.
+  std::set<base::NodeId> m_intervalReporters;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/job_scheduler.cpp
+++ b/src/jobs/job_scheduler.cpp
@@ -5,11 +5,12 @@
 namespace tackpick::jobs {
 
 std::uint32_t slackClassOf(base::Duration slack) {
-  /// A place becomes free within about this time; less slack is none.
-  constexpr base::Duration kFirstClass = base::milliseconds(500);
-  constexpr std::uint32_t kLastClass = 10;
+  /// Upper bound of class 0: a slot becomes free within about this time.
+  constexpr base::Duration kFirstSlackClass = base::milliseconds(500);
+  constexpr std::uint32_t kMaxSlackClass = 10;
   std::uint32_t slackClass = 0;
-  for (base::Duration end = kFirstClass; slackClass < kLastClass && slack >= end; end *= 2) {
+  for (base::Duration end = kFirstSlackClass; slackClass < kMaxSlackClass && slack >= end;
+       end *= 2) {
     ++slackClass;
   }
   return slackClass;
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -12,67 +12,69 @@
 
 constexpr std::size_t kMaxStateBytes = std::size_t{1} << 30U;
 
-/// An item that needs not run any more keeps its id only.
-void forgetRequest(Item& item) {
+/// Clears all but the id of an item that need not run any more.
+void clearRequest(Item& item) {
   item.path = {};
   item.headers = {};
   item.body = {};
   item.scoring.reset();
 }
 
-/// True when `progress` continues what is kept or stands for itself. A text is made of the runs of
-/// one gateway after the other, each asked to continue behind the last event of the one before; a
-/// piece that follows anything else would join two runs.
-bool mayKeep(const PartialText* kept, const ItemProgress& progress) {
-  const ProgressPoint& reached = progress.added.point;
+/// Whether `progress` continues the saved text or replaces it. A text consists of runs of
+/// successive gateways, each continuing after the last event of the previous one; a delta that
+/// follows anything else would mix two runs.
+bool canApply(const PartialText* saved, const ItemProgress& progress) {
+  const ProgressPoint& reached = progress.delta.point;
   if (progress.after) {
-    return kept != nullptr && kept->point == *progress.after && reached.lease >= kept->point.lease;
+    return saved != nullptr && saved->point == *progress.after &&
+           reached.lease >= saved->point.lease;
   }
-  return kept == nullptr || reached.lease > kept->point.lease ||
-         (reached.lease == kept->point.lease && reached.event > kept->point.event);
+  return saved == nullptr || reached.lease > saved->point.lease ||
+         (reached.lease == saved->point.lease && reached.event > saved->point.event);
 }
 
-void keepProgress(Job& job, const ItemProgress& progress) {
+void applyProgress(Job& job, const ItemProgress& progress) {
   const auto found = job.partial.find(progress.item);
-  if (!mayKeep(found == job.partial.end() ? nullptr : &found->second, progress)) {
+  if (!canApply(found == job.partial.end() ? nullptr : &found->second, progress)) {
     return;
   }
-  PartialText& kept = job.partial[progress.item];
+  PartialText& saved = job.partial[progress.item];
   if (!progress.after) {
-    kept = progress.added;
+    saved = progress.delta;
     return;
   }
-  kept.point = progress.added.point;
-  kept.text.append(progress.added.text);
-  kept.whole = progress.added.whole;
-  kept.versions.insert(progress.added.versions.begin(), progress.added.versions.end());
+  saved.point = progress.delta.point;
+  saved.text.append(progress.delta.text);
+  saved.textComplete = progress.delta.textComplete;
+  saved.versions.insert(progress.delta.versions.begin(), progress.delta.versions.end());
 }
 
-/// Puts the kept text before a result that follows it. False when the result follows another text.
-bool joinKept(const Job& job, ItemResult& result) {
+/// Prepends the saved text to a result that continues it. Returns false if the result continues
+/// another text.
+bool prependSaved(const Job& job, ItemResult& result) {
   if (!result.after) {
     return true;
   }
-  const auto kept = job.partial.find(result.item);
-  if (kept == job.partial.end() || kept->second.point != *result.after) {
+  const auto saved = job.partial.find(result.item);
+  if (saved == job.partial.end() || saved->second.point != *result.after) {
     return false;
   }
-  base::CompressedText whole = kept->second.text;
-  whole.append(result.text);
-  result.text = std::move(whole);
+  base::CompressedText joined = saved->second.text;
+  joined.append(result.text);
+  result.text = std::move(joined);
   result.after.reset();
   return true;
 }
 
-void list(Job& job, ItemResult result) {
+void addResult(Job& job, ItemResult result) {
   const std::uint32_t item = result.item;
-  if (item >= job.listed.size() || job.listed[item] || !joinKept(job, result)) {
+  if (item >= job.hasResult.size() || job.hasResult[item] || !prependSaved(job, result)) {
     return;
   }
-  job.listed[item] = true;
+  job.hasResult[item] = true;
   job.results.push_back(std::move(result));
   job.partial.erase(item);
-  forgetRequest(job.submission.items[item]);
+  clearRequest(job.submission.items[item]);
 }
 
 }  // namespace
@@ -96,9 +98,9 @@
   if (added) {
     entry->second.submission = command.job;
     entry->second.submittedAt = index;
-    entry->second.listed.assign(command.job.items.size(), false);
-    ++job_changes_;
-    ++m_workChanges;
+    entry->second.hasResult.assign(command.job.items.size(), false);
+    ++m_jobsRevision;
+    ++m_workRevision;
   }
 }
 
@@ -106,10 +108,10 @@
   const auto found = jobs_.find(command.id);
   if (found != jobs_.end()) {
     found->second.ended = true;
-    ++m_workChanges;
+    ++m_workRevision;
     found->second.partial.clear();
     for (Item& item : found->second.submission.items) {
-      forgetRequest(item);
+      clearRequest(item);
     }
   }
 }
@@ -120,15 +122,15 @@
     if (found == jobs_.end()) {
       continue;
     }
-    const bool open = !found->second.settled();
+    const bool open = !found->second.finished();
     for (const ItemResult& result : results.results) {
-      list(found->second, result);
+      addResult(found->second, result);
     }
-    m_workChanges += open && found->second.settled() ? 1 : 0;
+    m_workRevision += open && found->second.finished() ? 1 : 0;
   }
 }
 
-void JobState::applyCommand(const ForgetJobs& command, consensus::LogIndex /*index*/) {
+void JobState::applyCommand(const RemoveJobs& command, consensus::LogIndex /*index*/) {
   for (const std::string& id : command.ids) {
     jobs_.erase(id);
   }
@@ -137,12 +139,12 @@
 void JobState::applyCommand(const SaveProgress& command, consensus::LogIndex /*index*/) {
   for (const JobProgress& progress : command.jobs) {
     const auto found = jobs_.find(progress.job);
-    if (found == jobs_.end() || found->second.settled()) {
+    if (found == jobs_.end() || found->second.finished()) {
       continue;
     }
     for (const ItemProgress& item : progress.items) {
-      if (item.item < found->second.listed.size() && !found->second.listed[item.item]) {
-        keepProgress(found->second, item);
+      if (item.item < found->second.hasResult.size() && !found->second.hasResult[item.item]) {
+        applyProgress(found->second, item);
       }
     }
   }
@@ -154,8 +156,8 @@
   for (const auto& job : jobs_) {
     jobs.push_back(&job);
   }
-  std::stable_sort(jobs.begin(), jobs.end(), [](const auto* left, const auto* right) {
-    return left->second.submittedAt < right->second.submittedAt;
+  std::stable_sort(jobs.begin(), jobs.end(), [](const auto* newResults, const auto* right) {
+    return newResults->second.submittedAt < right->second.submittedAt;
   });
   return jobs;
 }
@@ -165,40 +167,39 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-const Job* JobState::findFor(const std::string& tenant, const std::string& id) const {
+const Job* JobState::findOwned(const std::string& tenant, const std::string& id) const {
   const Job* job = find(id);
   return job != nullptr && job->belongsTo(tenant) ? job : nullptr;
 }
 
-CommitResults JobState::withoutKnown(const CommitResults& results) const {
-  CommitResults left;
+CommitResults JobState::newResultsOf(const CommitResults& results) const {
+  CommitResults newResults;
   for (const JobResults& job : results.jobs) {
     const Job* known = find(job.job);
-    JobResults some{job.job, {}};
+    JobResults jobResults{job.job, {}};
     for (const ItemResult& result : job.results) {
-      const bool open = known != nullptr && !known->ended && result.item < known->listed.size() &&
-                        !known->listed[result.item];
+      const bool open = known != nullptr && !known->ended &&
+                        result.item < known->hasResult.size() && !known->hasResult[result.item];
       if (open) {
-        some.results.push_back(result);
+        jobResults.results.push_back(result);
       }
     }
-    if (!some.results.empty()) {
-      left.jobs.push_back(std::move(some));
+    if (!jobResults.results.empty()) {
+      newResults.jobs.push_back(std::move(jobResults));
     }
   }
-  return left;
+  return newResults;
 }
 
-// Nearly all of it are texts, which are packed: compressing them again takes five times as long as
-// the rest and saves 3 percent.
+// The snapshot is not compressed: it consists mostly of texts that are already compressed.
 base::Bytes JobState::takeSnapshot() const { return base::encodeLarge(jobs_); }
 
 void JobState::loadSnapshot(const base::Bytes& snapshot) {
-  jobs_.clear();  // two states at once may not fit
+  jobs_.clear();  // frees memory: two states at once may not fit
   jobs_ = base::decode<Jobs>(snapshot).value_or(Jobs{});
   ++revision_;
-  ++job_changes_;
-  ++m_workChanges;
+  ++m_jobsRevision;
+  ++m_workRevision;
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/job_state.h
+++ b/src/jobs/job_state.h
@@ -13,37 +13,38 @@
 
 struct Job {
   JobSubmission submission;
-  consensus::LogIndex submittedAt = 0;           ///< of its submission in the log
-  std::vector<ItemResult> results;               ///< by position; never changes once listed
-  std::vector<bool> listed;                      ///< by item: it has a result
-  std::map<std::uint32_t, PartialText> partial;  ///< texts under way, by item
+  consensus::LogIndex submittedAt = 0;  ///< log index of its submission
+  std::vector<ItemResult> results;      ///< by position; a result never changes once it is listed
+  std::vector<bool> hasResult;          ///< by item: whether it has a result
+  std::map<std::uint32_t, PartialText> partial;  ///< saved texts of unfinished items, by item
   bool ended = false;
 
-  /// Only its tenant may read, end or submit it again. To others it does not exist.
+  /// Whether `tenant` may read, end or resubmit the job. To other tenants it does not exist.
   [[nodiscard]] bool belongsTo(const std::string& tenant) const {
     return submission.tenant.empty() || submission.tenant == tenant;
   }
   [[nodiscard]] bool complete() const { return results.size() == submission.items.size(); }
-  /// Nothing of it needs to run any more.
-  [[nodiscard]] bool settled() const { return ended || complete(); }
-  /// The item's whole text is kept: only its score is missing.
-  [[nodiscard]] bool hasWholeText(std::uint32_t item) const {
-    const auto kept = partial.find(item);
-    return kept != partial.end() && kept->second.whole;
+  /// Whether no item of the job needs to run any more.
+  [[nodiscard]] bool finished() const { return ended || complete(); }
+  /// Whether the complete text of the item is saved and only its score is missing.
+  [[nodiscard]] bool hasCompleteText(std::uint32_t item) const {
+    const auto saved = partial.find(item);
+    return saved != partial.end() && saved->second.textComplete;
   }
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(submission, submittedAt, results, listed, partial, ended);
+    archive(submission, submittedAt, results, hasResult, partial, ended);
   }
 };
 
-/// A command as it stands in the log: compressed, since most of it are texts, of which every
-/// replica keeps the latest in memory and on disk.
+/// Returns the compressed encoding of a command for the log. Commands consist mostly of texts,
+/// which every replica keeps in memory and on disk.
 [[nodiscard]] base::Bytes encodeCommand(const JobCommand& command);
 
-/// Deterministic. The first result for an item is listed at the next position of its job; later
-/// ones change nothing. A result that follows a kept text counts only while that text is kept.
+/// Jobs, items and results as a replicated state machine. The first result of an item is listed at
+/// the next position of its job; later ones are ignored. A result that continues a saved text is
+/// ignored unless that text is still saved. Deterministic.
 class JobState final : public consensus::StateMachine {
  public:
   using Jobs = std::map<std::string, Job>;  ///< by id
@@ -54,31 +55,31 @@
   void loadSnapshot(const base::Bytes& snapshot) override;
 
   [[nodiscard]] const Jobs& jobs() const { return jobs_; }
-  /// All jobs in the order of their submission.
+  /// Returns all jobs in the order of their submission.
   [[nodiscard]] std::vector<const Jobs::value_type*> bySubmission() const;
   [[nodiscard]] const Job* find(const std::string& id) const;
-  /// The job, unless it belongs to another tenant.
-  [[nodiscard]] const Job* findFor(const std::string& tenant, const std::string& id) const;
-  /// `results` without those that would change nothing.
-  [[nodiscard]] CommitResults withoutKnown(const CommitResults& results) const;
-  /// Rises with every change.
+  /// Returns the job if `tenant` may see it; else null.
+  [[nodiscard]] const Job* findOwned(const std::string& tenant, const std::string& id) const;
+  /// Returns `results` without those that would change nothing.
+  [[nodiscard]] CommitResults newResultsOf(const CommitResults& results) const;
+  /// Increases with each command and snapshot.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
-  /// Rises whenever jobs were added.
-  [[nodiscard]] std::uint64_t jobChanges() const { return job_changes_; }
-  /// Rises whenever a job was added, ended or completed.
-  [[nodiscard]] std::uint64_t workChanges() const { return m_workChanges; }
+  /// Increases whenever jobs are added.
+  [[nodiscard]] std::uint64_t jobsRevision() const { return m_jobsRevision; }
+  /// Increases whenever a job is added, ends or completes.
+  [[nodiscard]] std::uint64_t workRevision() const { return m_workRevision; }
 
  private:
   void applyCommand(const SubmitJob& command, consensus::LogIndex index);
   void applyCommand(const EndJob& command, consensus::LogIndex index);
   void applyCommand(const CommitResults& command, consensus::LogIndex index);
-  void applyCommand(const ForgetJobs& command, consensus::LogIndex index);
+  void applyCommand(const RemoveJobs& command, consensus::LogIndex index);
   void applyCommand(const SaveProgress& command, consensus::LogIndex index);
 
   Jobs jobs_;
   std::uint64_t revision_ = 0;
-  std::uint64_t job_changes_ = 0;
-  std::uint64_t m_workChanges = 0;
+  std::uint64_t m_jobsRevision = 0;
+  std::uint64_t m_workRevision = 0;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/lease_order.cpp
+++ b/src/jobs/lease_order.cpp
@@ -10,7 +10,7 @@
 
 std::set<std::string> optionalGroups(const JobSubmission& job,
                                      const std::set<std::string>& resubmitted) {
-  std::map<std::string, std::uint32_t> longest;  // item of each group
+  std::map<std::string, std::uint32_t> longest;  // largest estimate of each group
   for (const Item& item : job.items) {
     longest[item.group] = std::max(longest[item.group], item.expectedTokens);
   }
@@ -21,26 +21,26 @@
     }
   }
   std::sort(ranked.rbegin(), ranked.rend());
-  const std::size_t wanted = job.requiredGroups == 0 ? longest.size() : job.requiredGroups;
-  const std::size_t spare = longest.size() - std::min(longest.size(), wanted);
+  const std::size_t required = job.requiredGroups == 0 ? longest.size() : job.requiredGroups;
+  const std::size_t optionalCount = longest.size() - std::min(longest.size(), required);
   std::set<std::string> groups;
-  for (std::size_t i = 0; i < std::min(spare, ranked.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(optionalCount, ranked.size()); ++i) {
     groups.insert(ranked[i].second);
   }
   return groups;
 }
 
 ItemOrder itemOrderOf(const JobSubmission& job, const std::set<std::string>& resubmitted) {
-  const std::set<std::string> spare = optionalGroups(job, resubmitted);
+  const std::set<std::string> optional = optionalGroups(job, resubmitted);
   ItemOrder order;
   for (const Item& item : job.items) {
-    order.spare.push_back(spare.contains(item.group));
+    order.isOptional.push_back(optional.contains(item.group));
   }
   const auto rank = [&](std::uint32_t item) {
     if (resubmitted.contains(job.items[item].group)) {
       return 0;
     }
-    return order.spare[item] ? 2 : 1;
+    return order.isOptional[item] ? 2 : 1;
   };
   order.items.resize(job.items.size());
   std::iota(order.items.begin(), order.items.end(), 0U);
--- a/src/jobs/lease_order.h
+++ b/src/jobs/lease_order.h
@@ -1,5 +1,5 @@
 /// \file
-/// In which order the items of one job start.
+/// Order in which the items of one job start.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace tackpick::jobs {
 
-/// Groups that the caller can do without: it does not wait for all, and of those that `resubmitted`
-/// does not name as many with the longest items as it need not have are spare.
+/// Returns the groups that the caller does not need: of the groups not in `resubmitted`, those with
+/// the longest items, as many as exceed the required groups.
 [[nodiscard]] std::set<std::string> optionalGroups(const JobSubmission& job,
                                                    const std::set<std::string>& resubmitted);
 
-/// The items of a job in the order in which they should start. First those of groups that
-/// `resubmitted` names, which the caller waits for in any case; then the others, longest expected
-/// first, since the longest decide when the job is whole; those of spare groups come last.
+/// Returns the items of a job in the order in which they should start. Items of `resubmitted`
+/// groups, which the caller needs in any case, are first; then the others by descending estimate,
+/// since the longest ones determine when the job completes; items of optional groups are last.
 [[nodiscard]] std::vector<std::uint32_t> leaseOrder(const JobSubmission& job,
                                                     const std::set<std::string>& resubmitted);
 
-/// The items of a job as the leases keep them.
+/// The order of a job's items.
 struct ItemOrder {
-  std::vector<std::uint32_t> items;  ///< in the order of leaseOrder()
-  std::vector<bool> spare;           ///< by item: its group is spare
+  std::vector<std::uint32_t> items;  ///< item indices in the order of leaseOrder()
+  std::vector<bool> isOptional;      ///< by item: its group is optional
 };
 
 [[nodiscard]] ItemOrder itemOrderOf(const JobSubmission& job,
--- a/src/jobs/lease_plan.h
+++ b/src/jobs/lease_plan.h
@@ -1,5 +1,5 @@
 /// \file
-/// Queued items with the engines where they should run, ready to be leased.
+/// Queued items and the engines on which they should run, ready to be leased.
 #pragma once
 
 #include <deque>
@@ -11,7 +11,7 @@
 
 namespace tackpick::jobs {
 
-/// An item and the engine that it is planned for; empty: the gateway chooses.
+/// An item and its planned engine; empty: the gateway selects one.
 struct PlannedItem {
   ItemKey key;
   std::string engine;
@@ -24,14 +24,15 @@
   std::deque<PlannedItem> items;
 };
 
-/// By the zone of the engine (empty: any) and in the order of the plan, so that a gateway's call
-/// finds what suits it without looking at the rest. Deterministic.
+/// Planned items by the zone of their engine (empty: any zone) and in the order of the plan, so
+/// that a gateway's request examines only items of its zones. Deterministic.
 class LeasePlan {
  public:
-  /// Runs of items of one zone, the first to start first.
+  /// Planned jobs of one zone by their position in the plan.
   using ZoneJobs = std::map<std::size_t, PlannedJob>;
 
-  /// `run`: rises whenever an item of another job than before is planned.
+  /// Appends an item. `run`: increases whenever the planned item is of another job than the
+  /// previous one.
   void add(const std::string& zone, std::size_t run, const Job& job, PlannedItem item) {
     PlannedJob& planned = m_zones[zone][run];
     planned.model = job.submission.model;
--- a/src/jobs/ledger_client.h
+++ b/src/jobs/ledger_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// How a gateway's modules reach the ledgers.
+/// Interface through which the modules of a gateway call the ledgers.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,8 @@
  public:
   virtual ~LedgerClient() = default;
 
-  /// Gets the reply, or null when there was none by the deadline; it may then still take effect.
+  /// Receives the reply, or null if there was none by the deadline; the request may then still take
+  /// effect.
   using Callback = std::function<void(const JobReply* reply)>;
   virtual void call(const JobRequest& request, base::Duration deadline, base::TimePoint now,
                     Callback callback) = 0;
