--- a/src/jobs/length_distribution.cpp
+++ b/src/jobs/length_distribution.cpp
@@ -7,32 +7,33 @@
 namespace {
 
 constexpr double kBinsPerOctave = 4.0;
-/// The binary logarithm where the first bin begins: ratios far below one have bins of their own.
+/// Binary logarithm of the lower bound of the first bin. Negative, because ratios below one have
+/// bins of their own.
 constexpr double kLowestOctave = -8.0;
-/// What one more observation leaves of the weight of the earlier ones: a few jobs are remembered.
-constexpr double kRetained = 1.0 - 1.0 / 512;
-/// Beyond all that was observed a quantity is expected to grow by this factor.
+/// Factor by which each new observation reduces the weight of the earlier ones.
+constexpr double kDecay = 1.0 - 1.0 / 512;
+/// Expected growth factor of a value beyond all observations.
 constexpr double kTailGrowth = 1.25;
 
 }  // namespace
 
 LengthDistribution LengthDistribution::logNormal(double median, double spread, double weight) {
-  // Quantiles at equal distances of probability stand for the whole.
+  // Approximates the density at equidistant deviations.
   constexpr int kSteps = 60;
-  constexpr double kReach = 3.0;  // standard deviations
-  LengthDistribution made;
+  constexpr double kMaxDeviations = 3.0;  // standard deviations
+  LengthDistribution distribution;
   double total = 0;
   for (int step = -kSteps; step <= kSteps; ++step) {
-    const double deviation = kReach * step / kSteps;
+    const double deviation = kMaxDeviations * step / kSteps;
     total += std::exp(-deviation * deviation / 2);
   }
   for (int step = -kSteps; step <= kSteps; ++step) {
-    const double deviation = kReach * step / kSteps;
+    const double deviation = kMaxDeviations * step / kSteps;
     const double density = std::exp(-deviation * deviation / 2) / total;
-    made.add(median * std::exp(spread * deviation), weight * density);
+    distribution.add(median * std::exp(spread * deviation), weight * density);
   }
-  made.sumUp();
-  return made;
+  distribution.updateTailSums();
+  return distribution;
 }
 
 std::size_t LengthDistribution::binOf(double value) {
@@ -52,24 +53,24 @@
     return;
   }
   for (Mass& bin : m_bins) {
-    bin.weight *= kRetained;
-    bin.sum *= kRetained;
+    bin.weight *= kDecay;
+    bin.sum *= kDecay;
   }
   add(value, 1);
-  sumUp();
+  updateTailSums();
 }
 
-void LengthDistribution::sumUp() {
+void LengthDistribution::updateTailSums() {
   for (std::size_t bin = kBins; bin-- > 0;) {
-    m_beyond[bin].weight = m_beyond[bin + 1].weight + m_bins[bin].weight;
-    m_beyond[bin].sum = m_beyond[bin + 1].sum + m_bins[bin].sum;
+    m_tailSums[bin].weight = m_tailSums[bin + 1].weight + m_bins[bin].weight;
+    m_tailSums[bin].sum = m_tailSums[bin + 1].sum + m_bins[bin].sum;
   }
 }
 
-double LengthDistribution::meanBeyond(double value) const {
-  /// With less than that the tail says nothing.
+double LengthDistribution::meanAbove(double value) const {
+  /// Minimum weight of a usable tail.
   constexpr double kMinWeight = 0.05;
-  const Mass& tail = value > 0 ? m_beyond[binOf(value) + 1] : m_beyond.front();
+  const Mass& tail = value > 0 ? m_tailSums[binOf(value) + 1] : m_tailSums.front();
   if (tail.weight < kMinWeight) {
     return value * kTailGrowth;
   }
--- a/src/jobs/length_forecast.h
+++ b/src/jobs/length_forecast.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many events of an item's text are still to come.
+/// Forecasts the number of remaining events of an item's text.
 #pragma once
 
 #include <cstdint>
@@ -13,45 +13,48 @@
 
 namespace tackpick::jobs {
 
-/// Lengths of the texts of one kind of job. Learns how real lengths compare with the callers'
-/// estimates, and how long texts without an estimate are. Deterministic.
+/// Model of the lengths of texts of one kind of job. Learns how actual lengths relate to the
+/// callers' estimates, and the lengths of texts without an estimate. Deterministic.
 class LengthModel {
  public:
-  /// Events still expected of a text that has `soFar`; zero: unknown. `estimate`: of the whole
-  /// text, by the caller; zero: none. A text that exceeds its estimate is likely a long one: the
-  /// forecast is the mean of the lengths that are still possible.
-  [[nodiscard]] double rest(std::uint32_t estimate, std::uint64_t soFar) const;
-  /// A text was whole after `events`. The unit of the estimates is known from the first on.
-  void learn(std::uint32_t estimate, std::uint64_t events);
-  /// Moving average of the forecasts' errors at the start of a text, as a part of its length.
+  /// Returns the expected remaining events of a text with `eventsSoFar` events; zero: unknown.
+  /// `estimate`: the caller's estimate of the complete text; zero: none. The forecast is the mean
+  /// of the lengths that are still possible, so a text that exceeds its estimate is expected to be
+  /// long.
+  [[nodiscard]] double remaining(std::uint32_t estimate, std::uint64_t eventsSoFar) const;
+  /// Adds the length of a complete text. The first text with an estimate determines the unit of the
+  /// estimates.
+  void train(std::uint32_t estimate, std::uint64_t events);
+  /// Returns the moving average of the relative error of forecasts at the start of a text.
   [[nodiscard]] double error() const { return m_error; }
 
  private:
   EstimateCalibration m_calibration;
-  LengthDistribution m_ratios = priorOfRatios();  ///< real length by calibrated estimate
-  LengthDistribution m_lengths;                   ///< of texts without an estimate
+  LengthDistribution m_ratios = ratioPrior();  ///< actual length divided by calibrated estimate
+  LengthDistribution m_lengths;                ///< lengths of texts without an estimate
   double m_error = 0;
   bool m_hasError = false;
 
-  [[nodiscard]] static LengthDistribution priorOfRatios();
+  [[nodiscard]] static LengthDistribution ratioPrior();
 };
 
-/// The length models of all kinds of jobs; jobs of one host and model are of one kind.
+/// Length models by kind of job; jobs with the same host and model are of one kind.
 class LengthForecast {
  public:
-  /// Stays valid, and sees what is learnt later.
+  /// Returns the model for a job. The reference stays valid and reflects later training.
   [[nodiscard]] const LengthModel& modelFor(const JobSubmission& job);
-  /// Events still expected of an item that has `soFar`; zero: unknown.
-  [[nodiscard]] double rest(const JobSubmission& job, const Item& item, std::uint64_t soFar) const;
+  /// Returns the expected remaining events of an item with `eventsSoFar` events; zero: unknown.
+  [[nodiscard]] double remaining(const JobSubmission& job, const Item& item,
+                                 std::uint64_t eventsSoFar) const;
   void clear() { m_models.clear(); }
-  /// An item of `job` was completed.
-  void learn(const JobSubmission& job, const ItemResult& result);
-  /// Errors by model of weights; of several hosts the greatest counts.
+  /// Trains the model with the result of an item of `job`.
+  void train(const JobSubmission& job, const ItemResult& result);
+  /// Returns the forecast errors by model of weights; the maximum over hosts.
   [[nodiscard]] std::map<std::string, double> errors() const;
 
  private:
-  using Kind = std::pair<std::string, std::string>;  ///< model, host
-  std::map<Kind, LengthModel> m_models;
+  using JobKind = std::pair<std::string, std::string>;  ///< model, host
+  std::map<JobKind, LengthModel> m_models;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/long_poll_policy.cpp
+++ b/src/jobs/long_poll_policy.cpp
@@ -10,7 +10,7 @@
 
 void LongPollPolicy::addJob(const std::string& id, const Job& job,
                             const std::set<std::string>& resubmitted) {
-  if (!job.settled()) {
+  if (!job.finished()) {
     m_jobs.try_emplace(id, job.submission, resubmitted);
   }
 }
@@ -23,24 +23,24 @@
     if (open) {
       groups.observe(*job);
     }
-    if (open && groups.whole()) {
-      noteTaken(job->submission.model, ageOf(id));
+    if (open && groups.isComplete()) {
+      recordDuration(job->submission.model, ageOf(id));
     }
-    entry = open && !groups.whole() ? std::next(entry) : m_jobs.erase(entry);
+    entry = open && !groups.isComplete() ? std::next(entry) : m_jobs.erase(entry);
   }
 }
 
-void LongPollPolicy::noteTaken(const std::string& model, base::Duration age) {
-  std::deque<base::Duration>& taken = m_taken[model];
-  taken.push_back(age);
-  if (taken.size() > m_settings.remembered) {
-    taken.pop_front();
+void LongPollPolicy::recordDuration(const std::string& model, base::Duration age) {
+  std::deque<base::Duration>& durations = m_durations[model];
+  durations.push_back(age);
+  if (durations.size() > m_settings.historySize) {
+    durations.pop_front();
   }
 }
 
 std::optional<base::Duration> LongPollPolicy::expected(const JobSubmission& job) const {
-  const auto found = m_taken.find(job.model);
-  if (found == m_taken.end()) {
+  const auto found = m_durations.find(job.model);
+  if (found == m_durations.end()) {
     return job.resultDeadline > base::Duration{0} ? std::optional(job.resultDeadline)
                                                   : std::nullopt;
   }
@@ -49,16 +49,17 @@
   return sorted[sorted.size() / 2];
 }
 
-bool LongPollPolicy::holds(const std::string& id, const Job& job, base::Duration age,
-                           base::Duration asked, base::Duration left) const {
-  const std::optional<base::Duration> whole = expected(job.submission);
-  if (!m_jobs.contains(id) || !whole || *whole - age > left) {
+bool LongPollPolicy::shouldHold(const std::string& id, const Job& job, base::Duration age,
+                                base::Duration requestAge, base::Duration remainingWait) const {
+  const std::optional<base::Duration> expectedEnd = expected(job.submission);
+  if (!m_jobs.contains(id) || !expectedEnd || *expectedEnd - age > remainingWait) {
     return false;
   }
-  const base::Duration due = job.submission.resultDeadline;
-  const base::Duration latest = due + m_settings.lateness;
-  const bool tellNow = due > base::Duration{0} && asked < latest && age >= latest;
-  return !tellNow;
+  const base::Duration deadline = job.submission.resultDeadline;
+  const base::Duration answerBy = deadline + m_settings.deadlineGrace;
+  const bool deadlinePassed =
+      deadline > base::Duration{0} && requestAge < answerBy && age >= answerBy;
+  return !deadlinePassed;
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/long_poll_policy.h
+++ b/src/jobs/long_poll_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// When a held read of results is answered.
+/// Decides when a long poll for results is answered.
 #pragma once
 
 #include <deque>
@@ -13,44 +13,45 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of a LongPollPolicy.
+/// Settings of a LongPollPolicy.
 struct LongPollSettings {
-  /// Results are told so long after they were due at the latest.
-  base::Duration lateness = base::milliseconds(300);
-  /// Jobs of a model from which the time of the next is told.
-  std::size_t remembered = 5;
+  /// Time after the due time at which results are returned at the latest.
+  base::Duration deadlineGrace = base::milliseconds(300);
+  /// Number of recent jobs of a model from which the duration of the next is expected.
+  std::size_t historySize = 5;
 };
 
-/// A caller that waits for whole groups reads, and reads again half a second after an answer. An
-/// answer with the first new result, just before the last one that it needs, costs it that half
-/// second: 0.5 to 0.9 s of a step of 8 s. So a read is held, within the wait that its caller asked
-/// for, when the job's wanted groups are expected to be whole by its end. Expected is what the last
-/// jobs of the model took. Deterministic; in the memory of the ledgers' leader only.
+/// Holds long polls until a job's required groups are expected to be complete. A caller reads again
+/// only some time after a reply, so a reply with the first new result just before the last required
+/// one would delay the caller. A read is held, within the wait requested by its caller, if the
+/// required groups are expected to complete by the end of that wait. The expected duration is that
+/// of recent jobs of the model. Deterministic; kept in the memory of the ledgers' leader only.
 class LongPollPolicy {
  public:
   explicit LongPollPolicy(LongPollSettings settings) : m_settings(settings) {}
 
   void reset();
   void addJob(const std::string& id, const Job& job, const std::set<std::string>& resubmitted);
-  void forgetJob(const std::string& id) { m_jobs.erase(id); }
-  /// The time since a job's submission.
+  void removeJob(const std::string& id) { m_jobs.erase(id); }
+  /// Returns the time since a job's submission.
   using AgeOf = std::function<base::Duration(const std::string& job)>;
-  /// Results may have been listed.
+  /// Updates the jobs from newly listed results.
   void observe(const JobState& state, const AgeOf& ageOf);
-  /// True when a read with new results should go on waiting. `asked`: the job's age when it came;
-  /// `left`: of its wait.
-  [[nodiscard]] bool holds(const std::string& id, const Job& job, base::Duration age,
-                           base::Duration asked, base::Duration left) const;
+  /// Whether a read that has new results should be held. `requestAge`: age of the job when the read
+  /// arrived; `remainingWait`: remaining wait of the read.
+  [[nodiscard]] bool shouldHold(const std::string& id, const Job& job, base::Duration age,
+                                base::Duration requestAge, base::Duration remainingWait) const;
 
  private:
-  void noteTaken(const std::string& model, base::Duration age);
-  /// What jobs of its model took until their wanted groups were whole; until one did, the time when
-  /// the job's results are due. Nothing: unknown.
+  void recordDuration(const std::string& model, base::Duration age);
+  /// Returns the median time until the required groups of recent jobs of the model were complete;
+  /// before the first one, the due time of the job. std::nullopt: unknown.
   [[nodiscard]] std::optional<base::Duration> expected(const JobSubmission& job) const;
 
   const LongPollSettings m_settings;
-  std::map<std::string, RequiredGroups> m_jobs;               ///< whose wanted groups are not whole
-  std::map<std::string, std::deque<base::Duration>> m_taken;  ///< by model, the latest last
+  std::map<std::string, RequiredGroups> m_jobs;  ///< jobs whose required groups are incomplete
+  /// Recent times to completion by model, latest last.
+  std::map<std::string, std::deque<base::Duration>> m_durations;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/minimum_shares.h
+++ b/src/jobs/minimum_shares.h
@@ -1,5 +1,5 @@
 /// \file
-/// A lower bound on the service that each of several competitors gets.
+/// Guarantees each of several competitors a minimum share of service.
 #pragma once
 
 #include <algorithm>
@@ -10,78 +10,79 @@
 
 namespace tackpick::jobs {
 
-/// Of those who wait, each is owed a part of every item that one of them is given. Who is owed a
-/// whole item goes first; as long as nobody is, any other order holds. What is owed is bounded, so
-/// that one who could not be served for a while does not displace the others later. Deterministic.
+/// Credits each waiting competitor with a part of every item that any of them receives. A
+/// competitor whose credit reaches an item must be served first; while there is none, the caller
+/// may use any order. The credit is bounded, so that a competitor that could not be served for a
+/// while does not displace the others later. Deterministic.
 template <class Key>
 class MinimumShares {
  public:
-  /// `fraction`: the part that all together are guaranteed, shared alike.
+  /// `fraction`: share of all items that is guaranteed, divided equally.
   explicit MinimumShares(double fraction) : m_fraction(fraction) {}
 
-  /// `key` waits from now on.
-  void enter(const Key& key) {
-    const auto place = find(key);
-    if (place == m_due.end() || place->first != key) {
-      m_due.emplace(place, key, m_clock + 1);
-      m_earliest = std::min(m_earliest, m_clock + 1);
+  /// Adds a waiting competitor.
+  void add(const Key& key) {
+    const auto position = find(key);
+    if (position == m_dueTimes.end() || position->first != key) {
+      m_dueTimes.emplace(position, key, m_clock + 1);
+      m_earliestDue = std::min(m_earliestDue, m_clock + 1);
     }
   }
-  /// `key` waits no more: what it was owed is void.
-  void leave(const Key& key) {
+  /// Removes a competitor that no longer waits; its credit is lost.
+  void remove(const Key& key) {
     const auto found = find(key);
-    if (found != m_due.end() && found->first == key) {
-      m_due.erase(found);
+    if (found != m_dueTimes.end() && found->first == key) {
+      m_dueTimes.erase(found);
     }
   }
-  /// Those for whom `waits(key)` is false leave.
+  /// Removes the competitors for which `isWaiting(key)` is false.
   template <class Predicate>
-  void keepOnly(Predicate waits) {
-    std::erase_if(m_due, [&](const auto& entry) { return !waits(entry.first); });
+  void retainOnly(Predicate isWaiting) {
+    std::erase_if(m_dueTimes, [&](const auto& entry) { return !isWaiting(entry.first); });
   }
-  /// `key` was given an item.
+  /// Records that `key` received an item.
   void charge(const Key& key) {
-    if (m_due.empty()) {
+    if (m_dueTimes.empty()) {
       return;
     }
     const auto found = find(key);
-    if (found != m_due.end() && found->first == key) {
+    if (found != m_dueTimes.end() && found->first == key) {
       const double due = std::max(found->second, m_clock + 1 - kMaxCredit);
       found->second = std::min(m_clock, due) + 1;
     }
-    m_clock += m_fraction / static_cast<double>(m_due.size());
+    m_clock += m_fraction / static_cast<double>(m_dueTimes.size());
   }
-  /// Who is owed an item for longest; nothing when nobody is.
-  [[nodiscard]] std::optional<Key> owed() {
-    if (m_earliest > m_clock) {
+  /// Returns the competitor that has been owed an item longest; std::nullopt if none is owed one.
+  [[nodiscard]] std::optional<Key> mostOverdue() {
+    if (m_earliestDue > m_clock) {
       return std::nullopt;
     }
     const auto first = std::min_element(
-        m_due.begin(), m_due.end(),
+        m_dueTimes.begin(), m_dueTimes.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
-    m_earliest = first == m_due.end() ? std::numeric_limits<double>::max() : first->second;
-    return m_earliest > m_clock ? std::nullopt : std::optional(first->first);
+    m_earliestDue = first == m_dueTimes.end() ? std::numeric_limits<double>::max() : first->second;
+    return m_earliestDue > m_clock ? std::nullopt : std::optional(first->first);
   }
 
  private:
-  /// Who waits, and the clock at which the next item is owed.
-  using Dues = std::vector<std::pair<Key, double>>;
+  /// Waiting competitors, and the clock value at which the next item of each is due.
+  using DueTimes = std::vector<std::pair<Key, double>>;
 
-  /// Where `key` stands, or would.
-  [[nodiscard]] typename Dues::iterator find(const Key& key) {
+  /// Returns the position of `key`, or the one at which it would be inserted.
+  [[nodiscard]] typename DueTimes::iterator find(const Key& key) {
     return std::lower_bound(
-        m_due.begin(), m_due.end(), key,
+        m_dueTimes.begin(), m_dueTimes.end(), key,
         [](const auto& entry, const Key& other) { return entry.first < other; });
   }
 
-  /// Items.
+  /// Maximum credit in items.
   static constexpr double kMaxCredit = 8.0;
 
   double m_fraction;
-  double m_clock = 0;  ///< items that each was owed since the beginning
-  Dues m_due;          ///< sorted: a plan copies it, which is cheap
-  /// No entry of `m_due` is below it; due times only rise.
-  double m_earliest = std::numeric_limits<double>::max();
+  double m_clock = 0;   ///< number of items owed to each competitor so far
+  DueTimes m_dueTimes;  ///< sorted vector, because each plan copies it
+  /// Lower bound of all entries of `m_dueTimes`; due times only increase.
+  double m_earliestDue = std::numeric_limits<double>::max();
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/model_event_intervals.h
+++ b/src/jobs/model_event_intervals.h
@@ -1,5 +1,5 @@
 /// \file
-/// How fast texts of each model are made.
+/// Average event intervals by model.
 #pragma once
 
 #include <chrono>
@@ -11,12 +11,12 @@
 
 namespace tackpick::jobs {
 
-/// Moving averages of the time between two events, over the engines that run a model's items.
-/// Deterministic.
+/// Moving averages of the event interval over the engines that run a model's items. Deterministic.
 class ModelEventIntervals {
  public:
-  /// An engine that runs an item of `model` makes an event each `eventIntervalMs` milliseconds.
-  void note(const std::string& model, double eventIntervalMs) {
+  /// Adds the event interval of an engine that runs an item of `model`, in milliseconds.
+  /// Implausible values are ignored.
+  void addSample(const std::string& model, double eventIntervalMs) {
     if (!(eventIntervalMs > 0) || !std::isfinite(eventIntervalMs)) {
       return;
     }
@@ -26,15 +26,16 @@
                                ? kWeight * (eventIntervalMs - m_overallIntervalMs)
                                : eventIntervalMs;
   }
-  /// Time that an engine takes for `events` of a text.
+  /// Returns the time that an engine needs for `events` of a text.
   [[nodiscard]] base::Duration timeFor(const std::string& model, double events) const {
     return timeAt(eventIntervalOf(model), events);
   }
-  /// Events that an engine makes in `time`.
+  /// Returns the number of events that an engine generates in `time`.
   [[nodiscard]] double eventsIn(const std::string& model, base::Duration time) const {
     return static_cast<double>(time.count()) / kMicrosPerMilli / eventIntervalOf(model);
   }
-  /// Milliseconds between two events. Of a model that has not run yet: as of the others.
+  /// Returns the event interval in milliseconds; for a model without samples the average of all
+  /// models.
   [[nodiscard]] double eventIntervalOf(const std::string& model) const {
     const auto known = m_eventIntervals.find(model);
     if (known != m_eventIntervals.end()) {
@@ -43,16 +44,17 @@
     return m_overallIntervalMs > 0 ? m_overallIntervalMs : kDefaultEventIntervalMs;
   }
   [[nodiscard]] static base::Duration timeAt(double eventIntervalMs, double events) {
-    constexpr base::Duration kLongest = std::chrono::hours(24);  // fits a sum with any due time
+    // avoids overflow in sums with due times
+    constexpr base::Duration kMaxDuration = std::chrono::hours(24);
     const double micros = events * eventIntervalMs * kMicrosPerMilli;
-    const bool fits = micros < static_cast<double>(kLongest.count());
-    return fits ? base::Duration(static_cast<base::Duration::rep>(micros)) : kLongest;
+    const bool fits = micros < static_cast<double>(kMaxDuration.count());
+    return fits ? base::Duration(static_cast<base::Duration::rep>(micros)) : kMaxDuration;
   }
 
  private:
   static constexpr double kMicrosPerMilli = 1000.0;
   static constexpr double kWeight = 0.05;
-  /// Of an engine that makes some thirty events a second, as language models do.
+  /// Event interval before the first sample.
   static constexpr double kDefaultEventIntervalMs = 30.0;
 
   std::map<std::string, double> m_eventIntervals;
--- a/src/jobs/open_jobs.h
+++ b/src/jobs/open_jobs.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is open at the ledgers, for those who plan weights and engines.
+/// Open jobs of the ledgers, for the planning of weights and engines.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 
 namespace tackpick::jobs {
 
-/// One open job, as the ledgers' leader sees it.
+/// An open job, as reported by the ledgers' leader.
 struct OpenJob {
   std::string job;
-  std::uint64_t minimumVersion = 0;  ///< oldest weights that may make its texts
-  std::uint32_t items = 0;           ///< without a result
-  std::uint32_t waiting = 0;         ///< of those, at no engine
-  base::Duration age{0};             ///< since the leader first saw it
-  /// Until its results are due, less what its longest open item is expected to need; below zero: it
-  /// is late. The longest duration where no due time is known.
+  std::uint64_t minimumVersion = 0;  ///< oldest version of the weights that may run its items
+  std::uint32_t items = 0;           ///< items without a result
+  std::uint32_t waiting = 0;         ///< items without a result that are not leased
+  base::Duration age{0};             ///< time since the leader first saw it
+  /// Time until the results are due, minus the expected run time of the longest open item;
+  /// negative: the job is late. Duration::max() if there is no due time.
   base::Duration slack = base::Duration::max();
 
   template <class Archive>
@@ -30,14 +30,14 @@
   }
 };
 
-/// Open jobs by model, each model's in the order of their submission.
+/// Open jobs by model, in the order of their submission.
 using OpenJobsByModel = std::map<std::string, std::vector<OpenJob>>;
 
-/// Items without a result of one model's jobs.
-[[nodiscard]] inline std::uint32_t itemsOf(const std::vector<OpenJob>& works) {
+/// Returns the number of items without a result of one model's jobs.
+[[nodiscard]] inline std::uint32_t itemsOf(const std::vector<OpenJob>& openJobs) {
   std::uint32_t items = 0;
-  for (const OpenJob& work : works) {
-    items += work.items;
+  for (const OpenJob& openJob : openJobs) {
+    items += openJob.items;
   }
   return items;
 }
--- a/src/jobs/placement_engine.h
+++ b/src/jobs/placement_engine.h
@@ -1,5 +1,5 @@
 /// \file
-/// An engine as placing sees it.
+/// Engine data for the placement of items.
 #pragma once
 
 #include <algorithm>
@@ -14,15 +14,17 @@
 
 namespace tackpick::jobs {
 
-/// An engine as the controllers see it.
-struct PlacementEngine {
+/// An engine as reported by the controllers.
+struct EngineInfo {
   std::string id;
   std::uint32_t slots = 0;
-  std::map<std::string, std::uint64_t> versions;  ///< weights by model
+  std::map<std::string, std::uint64_t> versions;  ///< version of the weights by model
   std::string zone = {};
-  bool acceptsItems = true;  ///< now; what is known of its pace outlasts a change of weights
-  bool standby = false;      ///< only when the others are full
-  /// Where it runs: what is known of the pace outlasts the engine's restarts. Empty: as the id.
+  /// False while it cannot run items, for example while it loads weights.
+  bool acceptsItems = true;
+  bool standby = false;  ///< used only if the other engines are full
+  /// Machine on which it runs; its event interval outlasts restarts of the engine. Empty: the id is
+  /// used.
   std::string machine = {};
 
   [[nodiscard]] const std::string& machineName() const { return machine.empty() ? id : machine; }
@@ -32,28 +34,30 @@
   }
 };
 
-/// Three of those that are faster than is typical, and three of the slower.
+/// Number of speed tiers: the median tier, three faster and three slower ones.
 inline constexpr std::size_t kSpeedTiers = 7;
-inline constexpr std::size_t kTypicalTier = kSpeedTiers / 2;
-
-/// An engine with what is known of its work.
-struct EngineWork {
-  PlacementEngine told;
-  std::uint32_t load = 0;                     ///< items there
-  EventIntervalTable::Entry* pace = nullptr;  ///< of its machine
-  double eventIntervalMs = 0;            ///< expected when event intervals were last taken over
-  base::Duration momentaryDelay{0};      ///< likewise
-  std::size_t speedTier = kTypicalTier;  ///< likewise, of the pace at that moment
-
-  /// Of one more item.
+inline constexpr std::size_t kMedianTier = kSpeedTiers / 2;
+
+/// An engine with its load and expected event interval.
+struct EngineState {
+  EngineInfo info;
+  std::uint32_t load = 0;                              ///< number of items
+  EventIntervalTable::Entry* intervalEntry = nullptr;  ///< entry of its machine
+  double eventIntervalMs = 0;  ///< expected event interval at the last refresh; zero: unknown
+  /// Expected delay from a transient slowdown at the last refresh.
+  base::Duration transientDelay{0};
+  /// Tier of the event interval and slowdown at the last refresh.
+  std::size_t speedTier = kMedianTier;
+
+  /// Returns the relative cost of one more item.
   [[nodiscard]] double cost() const {
-    return engineCost(eventIntervalMs, (load + 1.0) / told.slots);
+    return engineCost(eventIntervalMs, (load + 1.0) / info.slots);
   }
-  [[nodiscard]] std::uint32_t usedSlots() const { return std::min(load, told.slots); }
+  [[nodiscard]] std::uint32_t usedSlots() const { return std::min(load, info.slots); }
   [[nodiscard]] bool isFull() const {
-    /// One item may wait for so many slots.
+    /// Number of slots for each item that may queue at the engine.
     constexpr std::uint32_t kSlotsPerQueuedItem = 8;
-    return load >= told.slots + told.slots / kSlotsPerQueuedItem;
+    return load >= info.slots + info.slots / kSlotsPerQueuedItem;
   }
 };
 
--- a/src/jobs/progress_saver.cpp
+++ b/src/jobs/progress_saver.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// No unfinished text has so many events.
-constexpr std::uint64_t kNoUnfinished = std::numeric_limits<std::uint64_t>::max();
+/// Minimum number of events that selects complete texts only.
+constexpr std::uint64_t kCompleteOnly = std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace
 
-bool ProgressSaver::anyWaitsForScore(base::TimePoint now) const {
+bool ProgressSaver::hasUnsavedComplete(base::TimePoint now) const {
   const Runs runs = m_runs();
   return std::any_of(runs.begin(), runs.end(), [&](const auto& entry) {
-    return entry.second->waitsUnkept(m_settings.scoreWait, now);
+    return entry.second->isUnsavedFor(m_settings.scoreTimeout, now);
   });
 }
 
@@ -24,18 +24,18 @@
   if (m_saving) {
     return;
   }
-  const bool due = now - m_savedAt >= m_settings.interval;
-  if (!due && !anyWaitsForScore(now)) {
+  const bool intervalElapsed = now - m_savedAt >= m_settings.interval;
+  if (!intervalElapsed && !hasUnsavedComplete(now)) {
     return;
   }
-  m_savedAt = due ? now : m_savedAt;
-  SaveProgress request = collect(due ? m_settings.minEvents : kNoUnfinished);
+  m_savedAt = intervalElapsed ? now : m_savedAt;
+  SaveProgress request = collect(intervalElapsed ? m_settings.minEvents : kCompleteOnly);
   if (!request.jobs.empty()) {
     send(std::move(request), now, {});
   }
 }
 
-void ProgressSaver::saveAll(base::TimePoint now, std::function<void()> done) {
+void ProgressSaver::flush(base::TimePoint now, std::function<void()> done) {
   send(collect(1), now, std::move(done));
 }
 
@@ -43,11 +43,11 @@
   SaveProgress request;
   for (const auto& [key, run] : m_runs()) {
     std::optional<ItemProgress> progress =
-        run->isFinished() ? std::nullopt : run->offerProgress(minEvents);
+        run->isFinished() ? std::nullopt : run->takeProgress(minEvents);
     if (!progress) {
       continue;
     }
-    // Runs are in order of their jobs.
+    // Runs are ordered by job.
     if (request.jobs.empty() || request.jobs.back().job != key.job) {
       request.jobs.push_back({key.job, {}});
     }
@@ -68,14 +68,14 @@
                  });
 }
 
-void ProgressSaver::onReply(const SaveProgress& request, bool known) {
+void ProgressSaver::onReply(const SaveProgress& request, bool acknowledged) {
   const Runs runs = m_runs();
   for (const JobProgress& job : request.jobs) {
     for (const ItemProgress& progress : job.items) {
-      m_savedTexts += known ? 1 : 0;
+      m_savedTexts += acknowledged ? 1 : 0;
       const auto run = runs.find({job.job, progress.item});
-      if (run != runs.end() && run->second->leased().lease == progress.added.point.lease) {
-        run->second->onProgressSaved(known);
+      if (run != runs.end() && run->second->leased().lease == progress.delta.point.lease) {
+        run->second->onProgressSaved(acknowledged);
       }
     }
   }
--- a/src/jobs/progress_saver.h
+++ b/src/jobs/progress_saver.h
@@ -1,6 +1,6 @@
 /// \file
-/// Hands the texts of long items to the ledgers while they run, so that the loss of a gateway, or
-/// of every machine at once, does not make them begin anew.
+/// Saves the texts of long items at the ledgers while they run, so that after the loss of a gateway
+/// or of all machines they continue from the saved text.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,23 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of ProgressSaver.
+/// Settings of a ProgressSaver.
 struct ProgressSettings {
   base::Duration interval = base::milliseconds(700);
-  /// Items with fewer new events wait for the next interval: most of them are whole by then.
+  /// Minimum number of new events of an incomplete text to be saved; most shorter ones complete
+  /// before the next interval.
   std::uint64_t minEvents = 8;
-  /// A whole text is kept when its score has not come for so long; most come sooner, and then the
-  /// result is kept in one call.
-  base::Duration scoreWait = base::milliseconds(60);
+  /// Time after which a complete text is saved without its score. Most scores arrive sooner, and
+  /// then text and score are committed in one call.
+  base::Duration scoreTimeout = base::milliseconds(60);
   base::Duration callDeadline = base::seconds(2);
 };
 
-/// Deterministic; owned by one thread. At most one call is under way.
+/// Periodically saves the texts of a gateway's items. At most one call is in flight. Deterministic;
+/// owned by one thread.
 class ProgressSaver {
  public:
-  /// The items of this gateway, finished ones included until their results are taken.
+  /// All items of the gateway, including finished ones whose results are not yet committed.
   using Runs = std::map<ItemKey, ItemRun*>;
   using RunSource = std::function<Runs()>;
 
@@ -34,16 +36,16 @@
       : m_ledgers(ledgers), m_runs(std::move(runs)), m_settings(settings) {}
 
   void tick(base::TimePoint now);
-  /// Saves whatever is not kept yet, then calls `done`, also when that failed.
-  void saveAll(base::TimePoint now, std::function<void()> done);
-  /// Texts that the ledgers have taken.
+  /// Saves all unsaved text, then calls `done`, also if the save failed.
+  void flush(base::TimePoint now, std::function<void()> done);
+  /// Returns the number of saves that the ledgers acknowledged, counted by item.
   [[nodiscard]] std::uint64_t savedTexts() const { return m_savedTexts; }
 
  private:
-  [[nodiscard]] bool anyWaitsForScore(base::TimePoint now) const;
+  [[nodiscard]] bool hasUnsavedComplete(base::TimePoint now) const;
   [[nodiscard]] SaveProgress collect(std::uint64_t minEvents) const;
   void send(SaveProgress request, base::TimePoint now, std::function<void()> done);
-  void onReply(const SaveProgress& request, bool known);
+  void onReply(const SaveProgress& request, bool acknowledged);
 
   LedgerClient& m_ledgers;
   RunSource m_runs;
--- a/src/jobs/request_label.cpp
+++ b/src/jobs/request_label.cpp
@@ -11,7 +11,7 @@
 RequestLabel labelOfTyped(const CommitResults& /*request*/) { return {"commit", {}}; }
 RequestLabel labelOfTyped(const FetchResults& request) { return {"fetch_results", request.id}; }
 RequestLabel labelOfTyped(const SaveProgress& /*request*/) { return {"save_progress", {}}; }
-RequestLabel labelOfTyped(const ReadWork& /*request*/) { return {"read_work", {}}; }
+RequestLabel labelOfTyped(const GetWorkReport& /*request*/) { return {"read_work", {}}; }
 
 }  // namespace
 
--- a/src/jobs/request_label.h
+++ b/src/jobs/request_label.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a call about a job is called in logs and metrics.
+/// Names of job requests for logs and metrics.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 struct RequestLabel {
   std::string_view call;
-  std::string job;  ///< its id; empty when the call is about several
+  std::string job;  ///< id of the job; empty if the request concerns several jobs
 };
 
 [[nodiscard]] RequestLabel labelOf(const JobRequest& request);
--- a/src/jobs/required_groups.cpp
+++ b/src/jobs/required_groups.cpp
@@ -13,24 +13,24 @@
     const auto [index, added] = indices.emplace(item.group, next);
     if (added) {
       m_groups.push_back({0, resubmitted.contains(item.group)});
-      m_againLeft += m_groups.back().resubmitted ? 1 : 0;
+      m_resubmittedLeft += m_groups.back().resubmitted ? 1 : 0;
     }
     m_groupOfItem.push_back(index->second);
-    ++m_groups[index->second].itemsLeft;
+    ++m_groups[index->second].remainingItems;
   }
-  m_groupsLeft = job.requiredGroups == 0
-                     ? m_groups.size()
-                     : std::min<std::size_t>(job.requiredGroups, m_groups.size());
+  m_remainingGroups = job.requiredGroups == 0
+                          ? m_groups.size()
+                          : std::min<std::size_t>(job.requiredGroups, m_groups.size());
 }
 
 void RequiredGroups::observe(const Job& job) {
   for (; m_observed < job.results.size(); ++m_observed) {
     Group& group = m_groups[m_groupOfItem[job.results[m_observed].item]];
-    if (--group.itemsLeft > 0) {
+    if (--group.remainingItems > 0) {
       continue;
     }
-    m_groupsLeft -= m_groupsLeft > 0 ? 1 : 0;
-    m_againLeft -= group.resubmitted ? 1 : 0;
+    m_remainingGroups -= m_remainingGroups > 0 ? 1 : 0;
+    m_resubmittedLeft -= group.resubmitted ? 1 : 0;
   }
 }
 
--- a/src/jobs/required_groups.h
+++ b/src/jobs/required_groups.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much is missing until the groups that a job's caller waits for are whole.
+/// Tracks whether the groups that a job's caller waits for are complete.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,30 @@
 
 namespace tackpick::jobs {
 
-/// Of one job. Deterministic. A group is whole when all its items are listed.
+/// Tracks the required groups of one job. A group is complete when all its items have results.
+/// Deterministic.
 class RequiredGroups {
  public:
-  /// `resubmitted`: groups that an earlier job left unfinished. The caller waits for all of these,
-  /// whichever others are whole.
+  /// `resubmitted`: groups that an earlier job left incomplete. The caller needs all of them; they
+  /// also count towards the required number.
   RequiredGroups(const JobSubmission& job, const std::set<std::string>& resubmitted);
 
-  /// Takes in the results that were listed since the last call.
+  /// Processes the results listed since the last call.
   void observe(const Job& job);
-  [[nodiscard]] bool whole() const { return m_groupsLeft == 0 && m_againLeft == 0; }
+  [[nodiscard]] bool isComplete() const { return m_remainingGroups == 0 && m_resubmittedLeft == 0; }
 
  private:
   struct Group {
-    std::uint32_t itemsLeft = 0;
+    std::uint32_t remainingItems = 0;
     bool resubmitted = false;
   };
 
   std::vector<std::uint32_t> m_groupOfItem;
   std::vector<Group> m_groups;
-  std::size_t m_observed = 0;    ///< results taken in
-  std::size_t m_groupsLeft = 0;  ///< groups to become whole, those that come again included
-  std::size_t m_againLeft = 0;   ///< of those that come again
+  std::size_t m_observed = 0;  ///< number of results processed
+  /// Number of groups still required, including resubmitted ones.
+  std::size_t m_remainingGroups = 0;
+  std::size_t m_resubmittedLeft = 0;  ///< number of incomplete resubmitted groups
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/result_reader.h
+++ b/src/jobs/result_reader.h
@@ -1,5 +1,6 @@
 /// \file
-/// Reads a job's results for a caller, from a near replica where that spares bytes between zones.
+/// Reads a job's results for a caller, from a replica in the same zone if that reduces traffic
+/// between zones.
 #pragma once
 
 #include "base/identifiers.h"
@@ -7,20 +8,20 @@
 
 namespace tackpick::jobs {
 
-/// How a gateway reaches a replica that need not lead.
+/// Interface to a replica that need not be the leader.
 class ReplicaClient {
  public:
   virtual ~ReplicaClient() = default;
 
-  /// A ledger in this gateway's zone; invalid when there is none.
-  [[nodiscard]] virtual base::NodeId nearby() const = 0;
+  /// Returns a ledger in the gateway's zone; invalid if there is none.
+  [[nodiscard]] virtual base::NodeId localReplica() const = 0;
   virtual void fetch(base::NodeId ledger, const FetchResults& request, base::Duration deadline,
                      LedgerClient::Callback callback) = 0;
 };
 
-/// The ledgers' leader says which positions exist, and only it says that a job does not; the near
-/// replica gives the results at these positions, which never change. Deterministic; owned by one
-/// thread; must outlive its calls.
+/// Asks the ledgers' leader which result positions exist, or whether the job exists, and fetches
+/// the results at these positions from the local replica; they never change. Deterministic; owned
+/// by one thread; must outlive its calls.
 class ResultReader {
  public:
   ResultReader(LedgerClient& leader, ReplicaClient& replicas, const base::TimeSource& clock)
@@ -29,13 +30,13 @@
   void read(const ReadJob& request, base::Duration deadline, LedgerClient::Callback callback);
 
  private:
-  void fetch(ReadJob request, JobReply announced, LedgerClient::Callback callback);
+  void fetch(ReadJob request, JobReply leaderReply, LedgerClient::Callback callback);
   [[nodiscard]] base::NodeId usableReplica() const;
 
   LedgerClient& m_leader;
   ReplicaClient& m_replicas;
   const base::TimeSource& m_clock;
-  base::NodeId m_avoided;  ///< did not have what was asked of it
+  base::NodeId m_avoidedReplica;  ///< last replica that failed a fetch
   base::TimePoint m_avoidedUntil{};
 };
 
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a gateway decides about the runs of its items, from what it sees of them.
+/// Decisions of a gateway about the runs of its items.
 #pragma once
 
 #include <algorithm>
@@ -10,103 +10,106 @@
 
 namespace tackpick::jobs {
 
-/// A run of an item, as its gateway sees it.
+/// State of a run at its gateway.
 struct RunState {
-  bool expectedLong = false;  ///< by the caller's estimate
-  bool moved = false;         ///< it has left an engine that was slow
-  std::uint64_t events = 0;   ///< of its text so far, all runs together
-  bool begun = false;         ///< this run has brought an event
-  base::Duration silence{0};  ///< since this run's last byte
-  std::uint32_t moves = 0;    ///< away from engines that were full or made no events
+  bool expectedLong = false;   ///< according to the caller's estimate
+  bool moved = false;          ///< it was moved away from a slow engine
+  std::uint64_t events = 0;    ///< number of events of its text, over all runs
+  bool started = false;        ///< this run has received an event
+  base::Duration idleTime{0};  ///< time since the last byte of this run
+  std::uint32_t moves = 0;     ///< number of moves away from full or stalled engines
 };
 
-/// How soon an engine should take a run: 0 to 9, 0 first; callers' requests, which say nothing,
-/// count as 5 and come before all items. An engine that runs out of memory puts back the newest of
-/// the least urgent, which then waits for seconds: a long text that is put back decides when its
-/// step ends, a short one has time.
+/// Returns the urgency of a run at its engine: 0 to 9, 0 first. Callers' requests without an
+/// urgency count as 5 and precede all items. An engine that runs out of memory preempts the newest
+/// of its least urgent requests, so long texts, which determine when a job completes, are more
+/// urgent than short ones.
 [[nodiscard]] inline int urgencyOf(const RunState& run) {
-  constexpr int kBegunLong = 6;
-  constexpr int kExpectedLong = 7;
-  constexpr int kOther = 8;
+  constexpr int kStartedLongUrgency = 6;
+  constexpr int kExpectedLongUrgency = 7;
+  constexpr int kDefaultUrgency = 8;
   constexpr std::uint64_t kLongEvents = 30;
   if (run.moved || run.events >= kLongEvents) {
-    return kBegunLong;
+    return kStartedLongUrgency;
   }
-  return run.expectedLong ? kExpectedLong : kOther;
+  return run.expectedLong ? kExpectedLongUrgency : kDefaultUrgency;
 }
 
-/// True when a run should go on elsewhere, if another engine has room: its engine has put it back
-/// for want of memory, or is dead. 700 ms are 14 of the usual pauses between two events.
+/// Whether a run should move to another engine with free slots because its engine has preempted it
+/// or failed.
 [[nodiscard]] inline bool isStalled(const RunState& run) {
   constexpr base::Duration kStallLimit = base::milliseconds(700);
   constexpr std::uint32_t kMaxMoves = 3;
-  return run.begun && run.silence > kStallLimit && run.moves < kMaxMoves;
+  return run.started && run.idleTime > kStallLimit && run.moves < kMaxMoves;
 }
 
-/// Moves of a run to faster engines.
+/// Maximum number of moves of a run to faster engines.
 inline constexpr std::uint32_t kMaxMovesToFaster = 4;
-/// Elsewhere a text goes on at least so much faster. A batch that has just begun reads prompts
-/// between its events and seems up to 1.5 times slower than others for a second.
+/// Minimum speedup of a move. A batch that has just started reads prompts between its events and
+/// temporarily appears slower.
 inline constexpr double kMinMoveSpeedup = 1.7;
 
-/// Events to reckon with for the rest of a text that has `events`, `sinceLease` of them made under
-/// this lease, when `restAtLease` were expected at its beginning; zero: unknown. Estimates err, and
-/// once a text has outgrown its estimate it is too late to move it: one spread of the estimates is
-/// added. A text beyond that is expected to go on for a part of its length.
-[[nodiscard]] inline double remainingEventsOf(double restAtLease, std::uint64_t sinceLease,
+/// Returns a conservative estimate of the remaining events of a text with `events` events, of which
+/// `sinceLease` were generated under this lease; `remainingAtLease`: expected remaining events at
+/// the start of the lease. Zero: unknown. One standard deviation of the estimates is added, because
+/// a text that exceeds its estimate would be moved too late. A text beyond that is expected to grow
+/// by a share of its length.
+[[nodiscard]] inline double remainingEventsOf(double remainingAtLease, std::uint64_t sinceLease,
                                               std::uint64_t events) {
   constexpr double kLengthMargin = 1.65;
-  constexpr double kOutgrownShare = 0.5;
-  return restAtLease <= 0 ? 0.0
-                          : std::max(kLengthMargin * restAtLease - static_cast<double>(sinceLease),
-                                     kOutgrownShare * static_cast<double>(events));
+  constexpr double kOverrunShare = 0.5;
+  return remainingAtLease <= 0
+             ? 0.0
+             : std::max(kLengthMargin * remainingAtLease - static_cast<double>(sinceLease),
+                        kOverrunShare * static_cast<double>(events));
 }
 
-/// A run at the pace that it keeps to, and what is left of its text.
+/// Sustained speed and remaining text of a run.
 struct RunForecast {
-  double eventIntervalMs = 0;                           ///< between two events
-  double remainingEvents = 0;                           ///< zero: unknown
-  base::Duration timeUntilDue = base::Duration::max();  ///< the longest duration: unknown
-  std::uint32_t moves = 0;                              ///< to faster engines so far
+  double eventIntervalMs = 0;  ///< milliseconds between two events
+  double remainingEvents = 0;  ///< expected remaining events; zero: unknown
+  base::Duration timeUntilDue = base::Duration::max();  ///< Duration::max(): unknown
+  std::uint32_t moves = 0;  ///< number of moves to faster engines so far
 
-  /// Whether it ends in time can be told.
+  /// Whether both the remaining events and the due time are known.
   [[nodiscard]] bool isKnown() const {
     return remainingEvents > 0 && timeUntilDue != base::Duration::max();
   }
 };
 
-/// The longest pace of another engine, in milliseconds, at which the run should go on there;
-/// nothing when it stays: it ends in time where it is, or no engine can make it end clearly sooner.
+/// Returns the maximum event interval, in milliseconds, of another engine to which the run should
+/// move; std::nullopt if it should stay because it completes in time, no engine would complete it
+/// clearly sooner, or the remaining work is unknown.
 [[nodiscard]] inline std::optional<double> maxEventIntervalToMoveTo(const RunForecast& run) {
-  /// The prompt is read again, and a place may have to be waited for.
+  /// Cost of a move: the prompt is processed again and the item may queue.
   constexpr double kMoveCostMs = 400;
-  /// Less is within the error of event intervals.
+  /// Minimum gain of a move; smaller gains are within the error of event intervals.
   constexpr double kMinGainMs = 400;
   const double endsInMs = run.remainingEvents * run.eventIntervalMs;
   const bool late = endsInMs > base::toMilliseconds(run.timeUntilDue);
   if (!run.isKnown() || !late || run.moves >= kMaxMovesToFaster) {
     return std::nullopt;
   }
-  const double sooner = (endsInMs - kMoveCostMs - kMinGainMs) / run.remainingEvents;
-  const double longest = std::min(sooner, run.eventIntervalMs / kMinMoveSpeedup);
-  return longest > 0 ? std::optional(longest) : std::nullopt;
+  const double breakEvenMs = (endsInMs - kMoveCostMs - kMinGainMs) / run.remainingEvents;
+  const double maxMs = std::min(breakEvenMs, run.eventIntervalMs / kMinMoveSpeedup);
+  return maxMs > 0 ? std::optional(maxMs) : std::nullopt;
 }
 
-/// A run at an engine that ends at a stated time.
+/// A run at an engine that terminates at a known time.
 struct TerminatingRun {
-  base::Duration untilEnd{0};  ///< of the engine
-  double remainingEvents = 0;  ///< still expected of its text; zero: unknown
-  base::Duration pace{0};      ///< between two events there; zero: unknown
+  base::Duration timeToShutdown{0};  ///< time until the engine terminates
+  double remainingEvents = 0;        ///< expected remaining events; zero: unknown
+  base::Duration eventInterval{0};   ///< time between two events; zero: unknown
 };
 
-/// True when a run should go on elsewhere now, with the events that it has: what is left of it does
-/// not end there, or the time to hand it over is all that is left.
+/// Whether a run must move to another engine now, keeping its events: it would not complete before
+/// the engine terminates.
 [[nodiscard]] inline bool mustMove(const TerminatingRun& run) {
-  // To break off, and to be taken by another engine before this one closes the connection.
-  constexpr base::Duration kHandOver = base::milliseconds(300);
-  const auto rest = base::Duration(static_cast<base::Duration::rep>(
-      run.remainingEvents * static_cast<double>(run.pace.count())));
-  return run.untilEnd <= kHandOver + rest;
+  // Time to cancel the run and start it at another engine before this one closes the connection.
+  constexpr base::Duration kHandoverTime = base::milliseconds(300);
+  const auto remainingTime = base::Duration(static_cast<base::Duration::rep>(
+      run.remainingEvents * static_cast<double>(run.eventInterval.count())));
+  return run.timeToShutdown <= kHandoverTime + remainingTime;
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/run_event_interval.h
+++ b/src/jobs/run_event_interval.h
@@ -1,5 +1,5 @@
 /// \file
-/// How fast one run makes events.
+/// Measures the event interval of one run.
 #pragma once
 
 #include <deque>
@@ -9,18 +9,18 @@
 
 namespace tackpick::jobs {
 
-/// Deterministic. Knows the events of a short while.
+/// Keeps the events of a short sliding window. Deterministic.
 class RunEventInterval {
  public:
   void onEvent(base::TimePoint now);
-  /// Milliseconds between two events that the run keeps to: of a while's two halves the faster, so
-  /// that a slowness of a moment does not count. Nothing before the run has made events for so
-  /// long.
+  /// Returns the sustained event interval in milliseconds: the smaller one of the two halves of the
+  /// window, so that a transient slowdown does not count. std::nullopt until the run has generated
+  /// events for a full window.
   [[nodiscard]] std::optional<double> sustainedMs(base::TimePoint now) const;
 
  private:
-  base::TimePoint m_firstAt{};
-  std::deque<base::TimePoint> m_events;  ///< of the last while
+  base::TimePoint m_firstEventAt{};
+  std::deque<base::TimePoint> m_events;  ///< events of the window
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/scoring_attempts.cpp
+++ b/src/jobs/scoring_attempts.cpp
@@ -13,27 +13,28 @@
 
 }  // namespace
 
-ScoringStep ScoringAttempts::onResponse(const ScorerResponse& answer) {
+ScoringAction ScoringAttempts::onResponse(const ScorerResponse& response) {
   using namespace http::status;
-  const bool success = answer.complete && answer.status >= kOk && answer.status < kFirstRedirect;
-  if (success && !answer.signature.empty()) {
-    return ScoringStep::kScored;
+  const bool success =
+      response.complete && response.status >= kOk && response.status < kFirstRedirect;
+  if (success && !response.signature.empty()) {
+    return ScoringAction::kScored;
   }
-  const bool failed = answer.complete && !answer.notRun && answer.status == kServerError;
+  const bool failed = response.complete && !response.notExecuted && response.status == kServerError;
   if (!failed) {
-    ++m_refusals;
-    return ScoringStep::kRepeat;
+    ++m_consecutiveRefusals;
+    return ScoringAction::kRetry;
   }
-  m_refusals = 0;
+  m_consecutiveRefusals = 0;
   ++m_failures;
-  return m_failures >= m_attempts ? ScoringStep::kGivenUp : ScoringStep::kRepeat;
+  return m_failures >= m_attempts ? ScoringAction::kGivenUp : ScoringAction::kRetry;
 }
 
 base::Duration ScoringAttempts::delay() const {
-  if (m_refusals == 0) {
+  if (m_consecutiveRefusals == 0) {
     return base::Duration{0};
   }
-  return kFirstDelay * (1U << std::min(m_refusals - 1, kMaxDoublings));
+  return kFirstDelay * (1U << std::min(m_consecutiveRefusals - 1, kMaxDoublings));
 }
 
 }  // namespace tackpick::jobs
--- a/src/jobs/scoring_attempts.h
+++ b/src/jobs/scoring_attempts.h
@@ -1,5 +1,5 @@
 /// \file
-/// What follows an answer of an item's scorer.
+/// Decides what follows a response of an item's scorer.
 #pragma once
 
 #include <cstdint>
@@ -9,35 +9,36 @@
 
 namespace tackpick::jobs {
 
-/// A whole answer of a scorer, or the end of a call without one.
+/// A response of a scorer, or the end of a call without a complete response.
 struct ScorerResponse {
   bool complete = false;
-  bool notRun = false;  ///< the server says so, or was not reached
+  /// The server reported that it did not execute the call, or was not reached.
+  bool notExecuted = false;
   int status = 0;
   std::string signature;
 };
 
-enum class ScoringStep : std::uint8_t {
-  kScored,   ///< the answer's signature is the score
-  kRepeat,   ///< call another server
-  kGivenUp,  ///< the scorer has failed too often: the item may be given up
+enum class ScoringAction : std::uint8_t {
+  kScored,   ///< the signature of the response is the score
+  kRetry,    ///< retry at another server
+  kGivenUp,  ///< the scorer failed too often: the item may be given up
 };
 
-/// The calls for one text. Deterministic. A scorer may be asked any number of times; only whole
-/// answers that report its failure count towards `attempts`.
+/// Tracks the scoring calls for one text. A scorer may be called any number of times; only complete
+/// responses that report a failure of the scorer count towards `attempts`. Deterministic.
 class ScoringAttempts {
  public:
   explicit ScoringAttempts(std::uint32_t attempts) : m_attempts(attempts) {}
 
-  [[nodiscard]] ScoringStep onResponse(const ScorerResponse& answer);
-  /// How long to wait before the next call: nothing after a failure of the scorer, which another
-  /// server may not share; a little, growing, while servers refuse or cannot be reached.
+  [[nodiscard]] ScoringAction onResponse(const ScorerResponse& answer);
+  /// Returns the delay before the next call: zero after a failure of the scorer, which another
+  /// server may not share; exponential backoff while servers refuse calls or cannot be reached.
   [[nodiscard]] base::Duration delay() const;
 
  private:
   const std::uint32_t m_attempts;
   std::uint32_t m_failures = 0;
-  std::uint32_t m_refusals = 0;  ///< in a row
+  std::uint32_t m_consecutiveRefusals = 0;  ///< consecutive refusals
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/slack_scheduler.cpp
+++ b/src/jobs/slack_scheduler.cpp
@@ -27,22 +27,22 @@
   return m_jobs.try_emplace(tenant, kJobShare).first->second;
 }
 
-void SlackScheduler::Shares::enter(const Owner& owner) {
-  m_priorities.enter(owner.tenant.first);
-  tenantsOf(owner.tenant.first).enter(owner.tenant.second);
-  jobsOf(owner.tenant).enter(owner.job);
+void SlackScheduler::Shares::add(const ShareOwner& owner) {
+  m_priorities.add(owner.tenant.first);
+  tenantsOf(owner.tenant.first).add(owner.tenant.second);
+  jobsOf(owner.tenant).add(owner.job);
 }
 
-void SlackScheduler::Shares::charge(const Owner& owner) {
+void SlackScheduler::Shares::charge(const ShareOwner& owner) {
   m_priorities.charge(owner.tenant.first);
   tenantsOf(owner.tenant.first).charge(owner.tenant.second);
   jobsOf(owner.tenant).charge(owner.job);
 }
 
-void SlackScheduler::Shares::keepOnly(const std::vector<Entry>& waiting) {
+void SlackScheduler::Shares::retainOnly(const std::vector<Entry>& waiting) {
   std::vector<std::uint32_t> priorities;
   std::vector<TenantKey> tenants;
-  std::vector<std::pair<TenantKey, Id>> jobs;  // one may have come from another priority
+  std::vector<std::pair<TenantKey, Id>> jobs;  // a job may have changed its priority
   for (const Entry& entry : waiting) {
     priorities.push_back(entry.owner.tenant.first);
     tenants.push_back(entry.owner.tenant);
@@ -51,20 +51,20 @@
   sortUnique(priorities);
   sortUnique(tenants);
   sortUnique(jobs);
-  m_priorities.keepOnly([&](std::uint32_t priority) { return contains(priorities, priority); });
+  m_priorities.retainOnly([&](std::uint32_t priority) { return contains(priorities, priority); });
   std::erase_if(m_tenants, [&](const auto& entry) { return !contains(priorities, entry.first); });
   for (auto& [priority, shares] : m_tenants) {
-    shares.keepOnly([&, level = priority](Id tenant) {
+    shares.retainOnly([&, level = priority](Id tenant) {
       return contains(tenants, TenantKey{level, tenant});
     });
   }
   std::erase_if(m_jobs, [&](const auto& entry) { return !contains(tenants, entry.first); });
   for (auto& [tenant, shares] : m_jobs) {
-    shares.keepOnly([&, key = tenant](Id job) { return contains(jobs, std::pair(key, job)); });
+    shares.retainOnly([&, key = tenant](Id job) { return contains(jobs, std::pair(key, job)); });
   }
 }
 
-SlackScheduler::Owner SlackScheduler::ownerOf(const QueuedWork& work) {
+SlackScheduler::ShareOwner SlackScheduler::ownerOf(const SchedulableJob& work) {
   const auto [tenant, newTenant] = m_tenantIds.try_emplace(work.tenant, m_lastId + 1);
   m_lastId += newTenant ? 1 : 0;
   const auto [known, added] = m_waiting.try_emplace(work.job);
@@ -81,23 +81,23 @@
       ->second;
 }
 
-void SlackScheduler::begin(const std::vector<QueuedWork>& work) {
+void SlackScheduler::begin(const std::vector<SchedulableJob>& work) {
   ++m_plan;
   m_entries.clear();
   m_byPriority.clear();
   m_byTenant.clear();
   m_positions.clear();
-  for (const QueuedWork& queued : work) {
-    const Owner owner = ownerOf(queued);
+  for (const SchedulableJob& queued : work) {
+    const ShareOwner owner = ownerOf(queued);
     m_positions.emplace_back(owner.job, m_entries.size());
     m_entries.push_back({owner, queued.urgency});
     rank(m_entries.size() - 1);
   }
   std::sort(m_positions.begin(), m_positions.end());
   std::erase_if(m_waiting, [&](const auto& job) { return job.second.plan != m_plan; });
-  m_leased.keepOnly(m_entries);
+  m_leased.retainOnly(m_entries);
   for (const Entry& entry : m_entries) {
-    m_leased.enter(entry.owner);
+    m_leased.add(entry.owner);
   }
   m_planned = m_leased;
 }
@@ -118,13 +118,13 @@
   if (m_byPriority.empty()) {
     return std::nullopt;
   }
-  const std::optional<std::uint32_t> owed = m_planned.priorities().owed();
-  return nextOfPriority(owed.value_or(m_byPriority.begin()->first));
+  const std::optional<std::uint32_t> mostOverdue = m_planned.priorities().mostOverdue();
+  return nextOfPriority(mostOverdue.value_or(m_byPriority.begin()->first));
 }
 
 std::size_t SlackScheduler::nextOfPriority(std::uint32_t priority) {
-  if (const auto owed = m_planned.tenantsOf(priority).owed()) {
-    const TenantKey tenant{priority, *owed};
+  if (const auto mostOverdue = m_planned.tenantsOf(priority).mostOverdue()) {
+    const TenantKey tenant{priority, *mostOverdue};
     return nextOfTenant(tenant, m_byTenant.at(tenant).begin()->second);
   }
   const std::size_t mostUrgent = m_byPriority.at(priority).begin()->second;
@@ -132,8 +132,8 @@
 }
 
 std::size_t SlackScheduler::nextOfTenant(TenantKey tenant, std::size_t preferred) {
-  const auto owed = m_planned.jobsOf(tenant).owed();
-  return owed ? positionOf(*owed) : preferred;
+  const auto mostOverdue = m_planned.jobsOf(tenant).mostOverdue();
+  return mostOverdue ? positionOf(*mostOverdue) : preferred;
 }
 
 void SlackScheduler::onPlanned(std::size_t job, const Urgency& urgency) {
@@ -147,16 +147,16 @@
 }
 
 void SlackScheduler::onExhausted(std::size_t job) {
-  const Owner& owner = m_entries[job].owner;
+  const ShareOwner& owner = m_entries[job].owner;
   unrank(job);
-  m_planned.leaveJob(owner);
+  m_planned.removeJob(owner);
   if (m_byTenant.at(owner.tenant).empty()) {
     m_byTenant.erase(owner.tenant);
-    m_planned.leaveTenant(owner.tenant);
+    m_planned.removeTenant(owner.tenant);
   }
   if (m_byPriority.at(owner.tenant.first).empty()) {
     m_byPriority.erase(owner.tenant.first);
-    m_planned.leavePriority(owner.tenant.first);
+    m_planned.removePriority(owner.tenant.first);
   }
 }
 
--- a/src/jobs/slack_scheduler.h
+++ b/src/jobs/slack_scheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// Items by priority and slack, with a lower bound on each tenant's and each job's share.
+/// Schedules items by priority and slack, with a minimum share for each priority, tenant and job.
 #pragma once
 
 #include <map>
@@ -14,13 +14,12 @@
 
 namespace tackpick::jobs {
 
-/// Priorities in order, items of one priority by their urgency, equally urgent ones oldest job
-/// first. Bounded in three steps: each priority, each tenant of a priority and each job of a tenant
-/// that waits gets a minimum of what is leased, whatever the others' urgency. The estimates behind
-/// the urgency err, so nothing may depend on it alone. Deterministic.
+/// Plans items by priority, then by urgency, then by age of the job. Each priority, each tenant of
+/// a priority and each job of a tenant with waiting items gets a minimum share of the leased items:
+/// urgency is based on estimates, so it must not be able to starve anyone. Deterministic.
 class SlackScheduler final : public JobScheduler {
  public:
-  void begin(const std::vector<QueuedWork>& work) override;
+  void begin(const std::vector<SchedulableJob>& work) override;
   [[nodiscard]] std::optional<std::size_t> next() override;
   void onPlanned(std::size_t job, const Urgency& urgency) override;
   void onExhausted(std::size_t job) override;
@@ -29,35 +28,35 @@
  private:
   using Id = std::uint32_t;
   using TenantKey = std::pair<std::uint32_t, Id>;  ///< priority, tenant
-  /// Of a job that waits.
-  struct Owner {
+  /// A waiting job with its tenant and priority.
+  struct ShareOwner {
     TenantKey tenant;
     Id job = 0;
   };
-  /// A job of the plan, by its position there.
+  /// A job of the plan.
   struct Entry {
-    Owner owner;
+    ShareOwner owner;
     Urgency urgency;
   };
   using Rank = std::pair<Urgency, std::size_t>;
   using Ranks = std::set<Rank>;
 
-  /// What the priorities, their tenants and the tenants' jobs are owed.
+  /// Minimum shares of the priorities, their tenants and the tenants' jobs.
   class Shares {
    public:
-    /// Those who do not wait any more leave.
-    void keepOnly(const std::vector<Entry>& waiting);
-    void enter(const Owner& owner);
-    void leaveJob(const Owner& owner) { jobsOf(owner.tenant).leave(owner.job); }
-    void leaveTenant(TenantKey tenant) { tenantsOf(tenant.first).leave(tenant.second); }
-    void leavePriority(std::uint32_t priority) { m_priorities.leave(priority); }
-    void charge(const Owner& owner);
+    /// Removes priorities, tenants and jobs that have no waiting items.
+    void retainOnly(const std::vector<Entry>& waiting);
+    void add(const ShareOwner& owner);
+    void removeJob(const ShareOwner& owner) { jobsOf(owner.tenant).remove(owner.job); }
+    void removeTenant(TenantKey tenant) { tenantsOf(tenant.first).remove(tenant.second); }
+    void removePriority(std::uint32_t priority) { m_priorities.remove(priority); }
+    void charge(const ShareOwner& owner);
     [[nodiscard]] MinimumShares<std::uint32_t>& priorities() { return m_priorities; }
     [[nodiscard]] MinimumShares<Id>& tenantsOf(std::uint32_t priority);
     [[nodiscard]] MinimumShares<Id>& jobsOf(TenantKey tenant);
 
    private:
-    /// Parts of the service that go by share where urgency would give less.
+    /// Fractions of the service that are guaranteed at each level.
     static constexpr double kPriorityShare = 0.125;
     static constexpr double kTenantShare = 0.25;
     static constexpr double kJobShare = 0.25;
@@ -67,13 +66,13 @@
     std::map<TenantKey, MinimumShares<Id>> m_jobs;
   };
 
-  /// Of a job that waits or waited at the plan before.
-  struct Known {
-    Owner owner;
-    std::uint64_t plan = 0;  ///< the last in which it waited
+  /// A job that has waiting items in the current or previous plan.
+  struct WaitingJob {
+    ShareOwner owner;
+    std::uint64_t plan = 0;  ///< last plan in which it had waiting items
   };
 
-  [[nodiscard]] Owner ownerOf(const QueuedWork& work);
+  [[nodiscard]] ShareOwner ownerOf(const SchedulableJob& work);
   [[nodiscard]] std::size_t positionOf(Id job) const;
   void rank(std::size_t job);
   void unrank(std::size_t job);
@@ -82,15 +81,15 @@
 
   Id m_lastId = 0;
   std::map<std::string, Id> m_tenantIds;
-  std::uint64_t m_plan = 0;                ///< counts begin()
-  std::map<std::string, Known> m_waiting;  ///< by job
-  Shares m_leased;                         ///< by what was leased
-  // Of the plan under way.
-  Shares m_planned;  ///< by what was leased and planned
+  std::uint64_t m_plan = 0;                     ///< number of calls of begin()
+  std::map<std::string, WaitingJob> m_waiting;  ///< by job id
+  Shares m_leased;                              ///< shares according to leased items
+  // Members below: state of the current plan.
+  Shares m_planned;  ///< shares according to leased and planned items
   std::vector<Entry> m_entries;
   std::map<std::uint32_t, Ranks> m_byPriority;
   std::map<TenantKey, Ranks> m_byTenant;
-  std::vector<std::pair<Id, std::size_t>> m_positions;  ///< by job, sorted
+  std::vector<std::pair<Id, std::size_t>> m_positions;  ///< index in `m_entries` by job, sorted
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/slowness_detector.cpp
+++ b/src/jobs/slowness_detector.cpp
@@ -4,32 +4,32 @@
 
 namespace tackpick::jobs {
 
-void SlownessDetector::note(base::Duration lateness, base::Duration usual, base::TimePoint now) {
-  const bool late = lateness > std::max(m_settings.late, usual * m_settings.timesUsual);
-  if (late == isSlow()) {
-    m_otherSince.reset();
+void SlownessDetector::addSample(base::Duration lag, base::Duration baseline, base::TimePoint now) {
+  const bool isLate = lag > std::max(m_settings.lagThreshold, baseline * m_settings.medianFactor);
+  if (isLate == isSlow()) {
+    m_changePendingSince.reset();
     return;
   }
-  if (!m_otherSince) {
-    m_otherSince = now;
+  if (!m_changePendingSince) {
+    m_changePendingSince = now;
   }
-  const base::Duration needed = isSlow() ? m_recover : m_settings.confirm;
-  if (now - *m_otherSince < needed) {
+  const base::Duration needed = isSlow() ? m_recoveryTime : m_settings.confirmTime;
+  if (now - *m_changePendingSince < needed) {
     return;
   }
-  m_otherSince.reset();
-  if (late) {
-    beginSlow(now);
+  m_changePendingSince.reset();
+  if (isLate) {
+    markSlow(now);
   } else {
     m_slowSince.reset();
     m_recoveredAt = now;
   }
 }
 
-void SlownessDetector::beginSlow(base::TimePoint now) {
-  const bool again = m_recoveredAt && now - *m_recoveredAt < m_settings.forgive;
-  const base::Duration doubled = std::min(m_recover * 2, m_settings.maxRecover);
-  m_recover = again ? doubled : m_settings.recover;
+void SlownessDetector::markSlow(base::TimePoint now) {
+  const bool relapsed = m_recoveredAt && now - *m_recoveredAt < m_settings.resetTime;
+  const base::Duration doubled = std::min(m_recoveryTime * 2, m_settings.maxRecoveryTime);
+  m_recoveryTime = relapsed ? doubled : m_settings.recoveryTime;
   m_slowSince = now;
 }
 
--- a/src/jobs/slowness_detector.h
+++ b/src/jobs/slowness_detector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a gateway is slow at the moment.
+/// Detects whether a gateway is slow at present.
 #pragma once
 
 #include <optional>
@@ -8,40 +8,44 @@
 
 namespace tackpick::jobs {
 
-/// Knobs of a SlownessDetector.
+/// Settings of a SlownessDetector.
 struct SlownessDetectorSettings {
-  /// Two ticks of an event loop: less is the usual jitter.
-  base::Duration late = base::milliseconds(40);
-  /// When all gateways are late, as on a full host, none of them is slow.
-  int timesUsual = 3;
-  /// Late for so long without a break: longer than one window of a EventLoopLag.
-  base::Duration confirm = base::milliseconds(800);
-  /// In time for so long without a break; doubled each time that the gateway turns slow again soon.
-  base::Duration recover = base::seconds(2);
-  base::Duration maxRecover = base::seconds(16);
-  /// Sound for so long, it counts as one that never was slow.
-  base::Duration forgive = base::seconds(30);
+  /// Minimum lag that counts as late; less is normal jitter.
+  base::Duration lagThreshold = base::milliseconds(40);
+  /// Minimum ratio of the lag to that of the other gateways: if all are late, as on an overloaded
+  /// host, none of them is slow.
+  int medianFactor = 3;
+  /// Time of uninterrupted lateness after which the gateway is slow; longer than one window of an
+  /// EventLoopLag.
+  base::Duration confirmTime = base::milliseconds(800);
+  /// Time without lateness after which a slow gateway has recovered; doubled each time that it soon
+  /// becomes slow again.
+  base::Duration recoveryTime = base::seconds(2);
+  base::Duration maxRecoveryTime = base::seconds(16);
+  /// Time since recovery after which the recovery time is reset to its initial value.
+  base::Duration resetTime = base::seconds(30);
 };
 
-/// Deterministic. Fed with each call of the gateway.
+/// Detects slowness of a gateway from the lag at each of its calls. Deterministic.
 class SlownessDetector {
  public:
   explicit SlownessDetector(SlownessDetectorSettings settings = {}) : m_settings(settings) {}
 
-  /// `lateness` is the gateway's, `usual` that of the gateways around it.
-  void note(base::Duration lateness, base::Duration usual, base::TimePoint now);
+  /// Adds the lag of the gateway at a call; `baseline` is the lag of the other gateways in its
+  /// zone.
+  void addSample(base::Duration lag, base::Duration baseline, base::TimePoint now);
   [[nodiscard]] bool isSlow() const { return m_slowSince.has_value(); }
   [[nodiscard]] std::optional<base::TimePoint> slowSince() const { return m_slowSince; }
 
  private:
-  void beginSlow(base::TimePoint now);
+  void markSlow(base::TimePoint now);
 
   SlownessDetectorSettings m_settings;
-  /// Since when it has not been what it counts as.
-  std::optional<base::TimePoint> m_otherSince;
+  /// Time since which the lag contradicts the current state; empty: it does not.
+  std::optional<base::TimePoint> m_changePendingSince;
   std::optional<base::TimePoint> m_slowSince;
   std::optional<base::TimePoint> m_recoveredAt;
-  base::Duration m_recover{0};
+  base::Duration m_recoveryTime{0};
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/speed_tiers.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -5,15 +5,14 @@
 namespace tackpick::jobs {
 namespace {
 
-/// A text may be so much longer than expected: estimates err with a spread of 0.5 (log-normal), and
-/// one text of some 400 is longer than this.
+/// Safety factor on the expected length of a text.
 constexpr double kLengthMargin = 4.0;
-/// Slots are short when this part of them is taken. Until then an item on a fast engine is in
-/// nobody's way, and there no error of its estimate makes it late.
-constexpr double kShortShare = 0.85;
-/// From the placement to the first event, and from the last one to the result: a lease on its way,
-/// a prompt that is read, a commit.
-constexpr base::Duration kOverhead = base::milliseconds(500);
+/// Utilization from which slots of faster tiers are scarce. Below it, items may use faster tiers
+/// than they need, which makes them robust against estimation errors.
+constexpr double kScarceUtilization = 0.85;
+/// Time beside the generation of events: delivery of the lease, processing of the prompt, commit of
+/// the result.
+constexpr base::Duration kDispatchOverhead = base::milliseconds(500);
 
 }  // namespace
 
@@ -29,13 +28,13 @@
   return candidate;
 }
 
-void SpeedTiers::SpeedTier::settle() {
+void SpeedTiers::SpeedTier::refreshFront() {
   while (!heap.empty()) {
-    const EngineWork& engine = *front().engine;
+    const EngineState& engine = *front().engine;
     if (!engine.isFull() && engine.cost() <= front().cost) {
       return;
     }
-    // Its cost may have risen since: items of another model were placed there.
+    // The cost may have increased because items of another model were placed on the engine.
     Candidate candidate = pop();
     if (!engine.isFull()) {
       candidate.cost = engine.cost();
@@ -44,77 +43,79 @@
   }
 }
 
-void SpeedTiers::add(EngineWork& engine) {
-  SpeedTier& own = m_classes.at(engine.speedTier);
-  own.push({engine.cost(), m_added, &engine});
-  own.slots += engine.told.slots;
-  own.taken += engine.usedSlots();
-  ++m_added;
+void SpeedTiers::add(EngineState& engine) {
+  SpeedTier& engineTier = m_tiers.at(engine.speedTier);
+  engineTier.push({engine.cost(), m_nextIndex, &engine});
+  engineTier.slots += engine.info.slots;
+  engineTier.slotsInUse += engine.usedSlots();
+  ++m_nextIndex;
 }
 
-EngineWork* SpeedTiers::choose(const ItemRequirements& need) {
-  for (SpeedTier& each : m_classes) {
-    each.settle();
+EngineState* SpeedTiers::choose(const ItemRequirements& requirements) {
+  for (SpeedTier& tier : m_tiers) {
+    tier.refreshFront();
   }
-  m_chosen = slowestSafe(need);
-  m_chosen = m_chosen != nullptr ? m_chosen : soonest(need);
+  m_chosen = slowestMeetingDeadline(requirements);
+  m_chosen = m_chosen != nullptr ? m_chosen : fastestFinish(requirements);
   if (m_chosen == nullptr) {
     return nullptr;
   }
-  EngineWork* engine = m_chosen->front().engine;
-  m_takenBefore = engine->usedSlots();
+  EngineState* engine = m_chosen->front().engine;
+  m_usedBefore = engine->usedSlots();
   return engine;
 }
 
 void SpeedTiers::onPlaced() {
   Candidate candidate = m_chosen->pop();
   candidate.cost = candidate.engine->cost();
-  m_chosen->taken += candidate.engine->usedSlots() - m_takenBefore;
+  m_chosen->slotsInUse += candidate.engine->usedSlots() - m_usedBefore;
   m_chosen->push(candidate);
 }
 
-bool SpeedTiers::isSafe(const EngineWork& engine, const ItemRequirements& need) {
-  if (engine.load >= engine.told.slots) {
+bool SpeedTiers::meetsDeadline(const EngineState& engine, const ItemRequirements& requirements) {
+  if (engine.load >= engine.info.slots) {
     return false;
   }
-  const double delayMs = base::toMilliseconds(kOverhead + engine.momentaryDelay);
-  const double runMs = kLengthMargin * need.remainingEvents * engine.cost();
-  return delayMs + runMs <= base::toMilliseconds(need.timeUntilDue);
+  const double delayMs = base::toMilliseconds(kDispatchOverhead + engine.transientDelay);
+  const double runMs = kLengthMargin * requirements.remainingEvents * engine.cost();
+  return delayMs + runMs <= base::toMilliseconds(requirements.timeUntilDue);
 }
 
-SpeedTiers::SpeedTier* SpeedTiers::slowestSafe(const ItemRequirements& need) {
-  if (!need.isKnown()) {
+SpeedTiers::SpeedTier* SpeedTiers::slowestMeetingDeadline(const ItemRequirements& requirements) {
+  if (!requirements.isKnown()) {
     return nullptr;
   }
   SpeedTier* slowest = nullptr;
-  std::uint32_t fasterSlots = 0;  // at the faster classes
-  std::uint32_t taken = 0;
-  for (SpeedTier& each : m_classes) {
-    if (taken < kShortShare * fasterSlots) {
+  std::uint32_t fasterSlots = 0;  // slots of the faster tiers
+  std::uint32_t slotsInUse = 0;
+  for (SpeedTier& tier : m_tiers) {
+    if (slotsInUse < kScarceUtilization * fasterSlots) {
       return slowest;
     }
-    const bool safe = !each.heap.empty() && isSafe(*each.front().engine, need);
-    slowest = safe ? &each : slowest;
-    fasterSlots += each.slots;
-    taken += each.taken;
+    const bool inTime = !tier.heap.empty() && meetsDeadline(*tier.front().engine, requirements);
+    slowest = inTime ? &tier : slowest;
+    fasterSlots += tier.slots;
+    slotsInUse += tier.slotsInUse;
   }
   return slowest;
 }
 
-std::pair<double, std::size_t> SpeedTiers::endOf(const SpeedTier& of,
-                                                 const ItemRequirements& need) {
-  const Candidate& front = of.front();
-  const double delayMs = base::toMilliseconds(front.engine->momentaryDelay);
-  const double runMs = need.isKnown() ? need.remainingEvents * front.cost + delayMs : front.cost;
+std::pair<double, std::size_t> SpeedTiers::finishKey(const SpeedTier& candidates,
+                                                     const ItemRequirements& requirements) {
+  const Candidate& front = candidates.front();
+  const double delayMs = base::toMilliseconds(front.engine->transientDelay);
+  const double runMs =
+      requirements.isKnown() ? requirements.remainingEvents * front.cost + delayMs : front.cost;
   return {runMs, front.index};
 }
 
-SpeedTiers::SpeedTier* SpeedTiers::soonest(const ItemRequirements& need) {
+SpeedTiers::SpeedTier* SpeedTiers::fastestFinish(const ItemRequirements& requirements) {
   SpeedTier* best = nullptr;
-  for (SpeedTier& each : m_classes) {
+  for (SpeedTier& tier : m_tiers) {
     const bool better =
-        !each.heap.empty() && (best == nullptr || endOf(each, need) < endOf(*best, need));
-    best = better ? &each : best;
+        !tier.heap.empty() &&
+        (best == nullptr || finishKey(tier, requirements) < finishKey(*best, requirements));
+    best = better ? &tier : best;
   }
   return best;
 }
--- a/src/jobs/speed_tiers.h
+++ b/src/jobs/speed_tiers.h
@@ -1,5 +1,5 @@
 /// \file
-/// Chooses among the engines that may run items of one model and minimum version.
+/// Selects among the engines that may run items of one model and minimum version.
 #pragma once
 
 #include <array>
@@ -13,58 +13,62 @@
 
 namespace tackpick::jobs {
 
-/// Deterministic. Engines of about the same pace are kept in a heap by their cost, so that a choice
-/// costs the logarithm of the engines. Their loads only rise while they are here.
+/// Engines of similar speed are kept in a heap by their cost, so that a selection takes logarithmic
+/// time. The loads of the engines may only increase during the lifetime of this object.
+/// Deterministic.
 class SpeedTiers {
  public:
-  /// Of engines of equal cost the one that was added first is chosen.
-  void add(EngineWork& engine);
-  /// The engine that is to run the item; null when all are full. onPlaced() follows once the item
-  /// counts there.
-  [[nodiscard]] EngineWork* choose(const ItemRequirements& need);
+  /// Adds an engine. Among engines of equal cost the one added first is selected.
+  void add(EngineState& engine);
+  /// Returns the engine for the item; null if all are full. onPlaced() must be called once the item
+  /// counts as load of the engine.
+  [[nodiscard]] EngineState* choose(const ItemRequirements& requirements);
   void onPlaced();
 
  private:
-  /// An engine of a heap, at the cost that it had when it was put there.
+  /// An engine in a heap, with its cost when it was inserted.
   struct Candidate {
     double cost = 0;
-    std::size_t index = 0;  ///< of equals the first is taken
-    EngineWork* engine = nullptr;
+    std::size_t index = 0;  ///< insertion order; resolves ties
+    EngineState* engine = nullptr;
 
-    /// For a heap whose front is the cheapest.
+    /// Inverted, so that the front of the heap is the cheapest.
     bool operator<(const Candidate& other) const {
       return std::pair(cost, index) > std::pair(other.cost, other.index);
     }
   };
-  /// Engines of about the same pace.
+  /// Engines of similar speed.
   struct SpeedTier {
     std::vector<Candidate> heap;
     std::uint32_t slots = 0;
-    std::uint32_t taken = 0;  ///< of the slots
+    std::uint32_t slotsInUse = 0;  ///< number of used slots
 
     [[nodiscard]] const Candidate& front() const { return heap.front(); }
     void push(const Candidate& candidate);
     Candidate pop();
-    /// Brings the cheapest engine that is not full to the front.
-    void settle();
+    /// Moves the cheapest engine that is not full to the front.
+    void refreshFront();
   };
 
-  /// The item ends in time there, also when its text is much longer than expected, and need not
-  /// wait for a place.
-  [[nodiscard]] static bool isSafe(const EngineWork& engine, const ItemRequirements& need);
-  /// When a class's front will have run the item, to compare; of equals the first added is less.
-  [[nodiscard]] static std::pair<double, std::size_t> endOf(const SpeedTier& of,
-                                                            const ItemRequirements& need);
-  /// The slowest class whose front is safe, slower ones only while slots at the faster are short;
-  /// null: none is, or the need is not known.
-  [[nodiscard]] SpeedTier* slowestSafe(const ItemRequirements& need);
-  /// The class whose front will have run the item soonest; null: all are full.
-  [[nodiscard]] SpeedTier* soonest(const ItemRequirements& need);
+  /// Whether the engine has a free slot and completes the item in time even if its text is much
+  /// longer than expected.
+  [[nodiscard]] static bool meetsDeadline(const EngineState& engine,
+                                          const ItemRequirements& requirements);
+  /// Returns a key that orders tiers by the finish time of the item at their front engine; ties are
+  /// resolved by insertion order.
+  [[nodiscard]] static std::pair<double, std::size_t> finishKey(
+      const SpeedTier& tier, const ItemRequirements& requirements);
+  /// Returns the slowest tier whose front engine meets the deadline; slower tiers are considered
+  /// only while slots of the faster ones are scarce. Null if there is none or the requirements are
+  /// unknown.
+  [[nodiscard]] SpeedTier* slowestMeetingDeadline(const ItemRequirements& requirements);
+  /// Returns the tier whose front engine finishes the item first; null if all are full.
+  [[nodiscard]] SpeedTier* fastestFinish(const ItemRequirements& requirements);
 
-  std::array<SpeedTier, kSpeedTiers> m_classes;  ///< fastest first
-  std::size_t m_added = 0;
+  std::array<SpeedTier, kSpeedTiers> m_tiers;  ///< fastest first
+  std::size_t m_nextIndex = 0;
   SpeedTier* m_chosen = nullptr;
-  std::uint32_t m_takenBefore = 0;  ///< slots of the chosen engine
+  std::uint32_t m_usedBefore = 0;  ///< used slots of the chosen engine before the placement
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/tenant_priorities.h
+++ b/src/jobs/tenant_priorities.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which tenants' work goes before the others'.
+/// Priorities of tenants.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace tackpick::jobs {
 
-/// The priorities that a configuration gives to tenants. Deterministic.
+/// Priorities of tenants according to the configuration. Deterministic.
 class TenantPriorities {
  public:
   TenantPriorities() = default;
@@ -23,10 +23,11 @@
     }
   }
 
-  /// The tenant's own priority where it has one, else that of the route; 0 is the highest.
-  [[nodiscard]] std::uint32_t of(const std::string& tenant, std::uint32_t ofRoute) const {
+  /// Returns the tenant's own priority if it has one, else that of the route; 0 is the highest.
+  [[nodiscard]] std::uint32_t priorityOf(const std::string& tenant,
+                                         std::uint32_t routePriority) const {
     const auto found = m_priorities.find(tenant);
-    return found == m_priorities.end() ? ofRoute : found->second;
+    return found == m_priorities.end() ? routePriority : found->second;
   }
   bool operator==(const TenantPriorities&) const = default;
 
--- a/src/jobs/work_report.cpp
+++ b/src/jobs/work_report.cpp
@@ -6,9 +6,9 @@
 namespace tackpick::jobs {
 namespace {
 
-/// Keeps the first rows by `before`; returns how many there were.
+/// Sorts rows by `before`, truncates them to kMaxReportRows and returns their original number.
 template <typename Row, typename Before>
-std::uint64_t keepFirst(std::vector<Row>& rows, Before before) {
+std::uint64_t sortAndTruncate(std::vector<Row>& rows, Before before) {
   const std::uint64_t total = rows.size();
   std::stable_sort(rows.begin(), rows.end(), before);
   rows.resize(std::min(rows.size(), kMaxReportRows));
@@ -36,18 +36,18 @@
                           const std::vector<GatewaySummary>& gateways, base::TimePoint now) {
   WorkReport report;
   report.jobs = std::move(work.jobs);
-  report.totalJobs = keepFirst(report.jobs, [](const JobSummary& left, const JobSummary& right) {
-    return left.slack < right.slack;
-  });
+  report.totalJobs = sortAndTruncate(
+      report.jobs,
+      [](const JobSummary& left, const JobSummary& right) { return left.slack < right.slack; });
   report.tenants = std::move(work.tenants);
   report.engines = std::move(engines);
   report.totalEngines =
-      keepFirst(report.engines, [](const EngineSummary& left, const EngineSummary& right) {
+      sortAndTruncate(report.engines, [](const EngineSummary& left, const EngineSummary& right) {
         return left.eventIntervalMs > right.eventIntervalMs;
       });
   report.gateways = reportsOf(gateways, now);
   report.totalGateways =
-      keepFirst(report.gateways, [](const GatewayReport& left, const GatewayReport& right) {
+      sortAndTruncate(report.gateways, [](const GatewayReport& left, const GatewayReport& right) {
         return std::pair(left.slowFor.has_value(), left.slots) >
                std::pair(right.slowFor.has_value(), right.slots);
       });
--- a/src/jobs/work_report.h
+++ b/src/jobs/work_report.h
@@ -1,5 +1,5 @@
 /// \file
-/// The answer of the ledgers' leader to an operator who asks what waits and why.
+/// Report of the ledgers' leader about open work, for operators.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,16 @@
 
 namespace tackpick::jobs {
 
-/// Rows of each list in one report, so that its size does not grow with the cluster.
+/// Maximum number of rows of each list, so that the size of a report is bounded.
 inline constexpr std::size_t kMaxReportRows = 200;
 
-/// One gateway that asks for items.
+/// A gateway that requests items.
 struct GatewayReport {
   base::NodeId gateway;
   std::string zone;
-  std::uint32_t slots = 0;  ///< that it takes now
-  std::uint32_t held = 0;   ///< items
-  bool active = false;      ///< it runs items; else it stands by
+  std::uint32_t slots = 0;  ///< engine slots that it serves at present
+  std::uint32_t held = 0;   ///< leased items
+  bool active = false;      ///< it runs items; false: it is on standby
   std::optional<base::Duration> slowFor;
 
   template <class Archive>
@@ -34,14 +34,14 @@
   }
 };
 
-/// The first rows of each list, with how many there are in all.
+/// The first rows of each list, and the total number of rows.
 struct WorkReport {
   std::vector<JobSummary> jobs;  ///< least slack first
   std::uint64_t totalJobs = 0;
   std::map<std::string, TenantSummary> tenants;
-  std::vector<EngineSummary> engines;  ///< slowest first, those of unknown pace last
+  std::vector<EngineSummary> engines;  ///< slowest first, unknown event intervals last
   std::uint64_t totalEngines = 0;
-  std::vector<GatewayReport> gateways;  ///< slow ones first, then those with most slots
+  std::vector<GatewayReport> gateways;  ///< slow gateways first, then by descending slots
   std::uint64_t totalGateways = 0;
 
   template <class Archive>
@@ -50,7 +50,7 @@
   }
 };
 
-/// Orders and shortens what the leader knows at `now`.
+/// Builds a report from the leader's state at `now`; sorts and truncates the lists.
 [[nodiscard]] WorkReport makeWorkReport(WorkSummary work, std::vector<EngineSummary> engines,
                                         const std::vector<GatewaySummary>& gateways,
                                         base::TimePoint now);
--- a/src/jobs/work_summary.h
+++ b/src/jobs/work_summary.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the ledgers' leader tells operators about open jobs and what runs them.
+/// Summaries of open jobs, tenants and engines, for operators.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,20 @@
 
 namespace tackpick::jobs {
 
-/// One open job.
+/// Summary of an open job.
 struct JobSummary {
   std::string job;
   std::string tenant;
   std::string model;
-  std::uint64_t minimumVersion = 0;  ///< oldest weights that may make its texts
-  std::uint32_t readySlots = 0;      ///< at engines that take items and hold that version or newer
-  std::uint32_t priority = 0;        ///< 0 is the highest
-  std::uint32_t waiting = 0;         ///< items at no engine
-  std::uint32_t running = 0;         ///< leased items
-  /// As OpenJob::slack.
+  std::uint64_t minimumVersion = 0;  ///< oldest version of the weights that may run its items
+  /// Slots at engines that accept items and hold that version or newer.
+  std::uint32_t readySlots = 0;
+  std::uint32_t priority = 0;  ///< 0 is the highest
+  std::uint32_t waiting = 0;   ///< items without a lease
+  std::uint32_t running = 0;   ///< leased items
+  /// See OpenJob::slack.
   base::Duration slack = base::Duration::max();
-  base::Duration age{0};  ///< since the leader first saw it
+  base::Duration age{0};  ///< time since the leader first saw it
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -33,11 +34,11 @@
   }
 };
 
-/// What one tenant has and waits for.
+/// Summary of a tenant's items.
 struct TenantSummary {
-  std::uint32_t waiting = 0;  ///< items
-  std::uint32_t running = 0;  ///< items
-  double share = 0;           ///< part of all running items
+  std::uint32_t waiting = 0;
+  std::uint32_t running = 0;
+  double share = 0;  ///< share of all running items
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -45,13 +46,13 @@
   }
 };
 
-/// What placing goes by at one engine.
+/// Summary of an engine's state in the placement.
 struct EngineSummary {
   std::string id;
   std::string zone;
-  double eventIntervalMs = 0;           ///< expected; zero: unknown
-  std::uint32_t slowdownPercent = 100;  ///< at this moment, of what is usual
-  /// Since the last sample; nothing: the pace is what is typical of the zone.
+  double eventIntervalMs = 0;           ///< expected event interval in milliseconds; zero: unknown
+  std::uint32_t slowdownPercent = 100;  ///< current slowdown in percent of normal
+  /// Time since the last sample; std::nullopt: the event interval is the median of the zone.
   std::optional<base::Duration> sampleAge;
   std::uint32_t items = 0;
 
@@ -61,7 +62,7 @@
   }
 };
 
-/// Open jobs in the order of their submission, and their tenants.
+/// Summaries of open jobs, in the order of their submission, and of their tenants.
 struct WorkSummary {
   std::vector<JobSummary> jobs;
   std::map<std::string, TenantSummary> tenants;
--- a/src/jobs/zone_affinity.cpp
+++ b/src/jobs/zone_affinity.cpp
@@ -5,13 +5,14 @@
 namespace tackpick::jobs {
 namespace {
 
-/// Gateways ask about twice within this time; the items of a zone where none does go elsewhere.
-constexpr base::Duration kSilenceLimit = base::milliseconds(200);
+/// Time after the last request of any gateway of a zone after which items of the zone may run
+/// elsewhere. Gateways send about two requests within this time.
+constexpr base::Duration kRequestTimeout = base::milliseconds(200);
 
 }  // namespace
 
-void ZoneAffinity::note(base::NodeId gateway, const std::string& zone, bool acceptsItems,
-                        base::TimePoint now) {
+void ZoneAffinity::recordRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
+                                 base::TimePoint now) {
   if (acceptsItems) {
     m_gateways[gateway] = {zone, now};
   } else {
@@ -19,7 +20,7 @@
   }
 }
 
-void ZoneAffinity::forget(std::uint32_t gatewayNumber) {
+void ZoneAffinity::remove(std::uint32_t gatewayNumber) {
   std::erase_if(m_gateways,
                 [&](const auto& entry) { return base::nodeNumber(entry.first) == gatewayNumber; });
 }
@@ -29,13 +30,14 @@
   return known == m_gateways.end() ? std::string() : known->second.zone;
 }
 
-bool ZoneAffinity::suits(base::NodeId gateway, const std::string& zone, base::TimePoint now) const {
+bool ZoneAffinity::mayRun(base::NodeId gateway, const std::string& zone,
+                          base::TimePoint now) const {
   const auto own = m_gateways.find(gateway);
   if (own == m_gateways.end() || own->second.zone == zone) {
     return true;
   }
   return std::none_of(m_gateways.begin(), m_gateways.end(), [&](const auto& entry) {
-    return entry.second.zone == zone && now - entry.second.askedAt < kSilenceLimit;
+    return entry.second.zone == zone && now - entry.second.lastRequestAt < kRequestTimeout;
   });
 }
 
--- a/src/jobs/zone_affinity.h
+++ b/src/jobs/zone_affinity.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which gateways run the items of which engines.
+/// Assigns items to gateways in the zone of their engine.
 #pragma once
 
 #include <map>
@@ -10,24 +10,25 @@
 
 namespace tackpick::jobs {
 
-/// The items of an engine go to gateways of its zone while any asks for items there, so that texts
-/// cross no zone on their way from the engine. Deterministic.
+/// Items of an engine run at gateways of its zone while any of these requests items, which avoids
+/// traffic between zones. Deterministic.
 class ZoneAffinity {
  public:
-  /// A gateway asks for items, or (`acceptsItems` false) for none any more.
-  void note(base::NodeId gateway, const std::string& zone, bool acceptsItems, base::TimePoint now);
-  void forget(std::uint32_t gatewayNumber);
+  /// Records a gateway's lease request. `acceptsItems`: false if it wants no more items.
+  void recordRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
+                     base::TimePoint now);
+  void remove(std::uint32_t gatewayNumber);
   void clear() { m_gateways.clear(); }
-  /// Where the gateway is; empty: unknown.
+  /// Returns the zone of the gateway; empty: unknown.
   [[nodiscard]] std::string zoneOf(base::NodeId gateway) const;
-  /// True when `gateway` may run items of an engine in `zone`.
-  [[nodiscard]] bool suits(base::NodeId gateway, const std::string& zone,
-                           base::TimePoint now) const;
+  /// Whether `gateway` may run items of an engine in `zone`.
+  [[nodiscard]] bool mayRun(base::NodeId gateway, const std::string& zone,
+                            base::TimePoint now) const;
 
  private:
   struct Gateway {
     std::string zone;
-    base::TimePoint askedAt{};
+    base::TimePoint lastRequestAt{};
   };
 
   std::map<base::NodeId, Gateway> m_gateways;
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -189,7 +189,7 @@
     onJobReply(request, reply, answer, node_.now() - begun);
   };
   if (const auto* read = std::get_if<jobs::ReadJob>(&request)) {
-    result_reader_.read(*read, kLedgerDeadline + read->hold, onReply);
+    result_reader_.read(*read, kLedgerDeadline + read->maxWait, onReply);
   } else {
     ledgers_.call(request, kLedgerDeadline, begun, onReply);
   }
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -93,10 +93,10 @@
     return {};
   }
   jobs::FreeSlots wanted = instances_.freeSlots(engine_models_);
-  wanted.share(m_activeGateways, kOvercommitPercent);
+  wanted.divide(m_activeGateways, kOvercommitPercent);
   for (const auto& [key, item] : items_) {
     if (needsEngine(*item)) {
-      wanted.occupy(item->run.leased().model, item->run.leased().minimumVersion);
+      wanted.forceTake(item->run.leased().model, item->run.leased().minimumVersion);
     }
   }
   return wanted;
@@ -121,7 +121,7 @@
     return;
   }
   jobs::LeaseItems request;
-  request.wanted = wantedItems();
+  request.freeSlots = wantedItems();
   request.draining = released_;
   request.zone = node_.settings().zone;
   request.capacity = capacity();
@@ -159,7 +159,7 @@
     cancelAttempt(*item);
     scores_.cancel(key);
   }
-  progress_.saveAll(node_.now(), [this] { giveBack(); });
+  progress_.flush(node_.now(), [this] { giveBack(); });
 }
 
 void ItemRunner::giveBack() {
@@ -291,8 +291,8 @@
   state.expectedLong = isLong(item);
   state.moved = item.moves > 0;
   state.events = item.run.lastEvent().value_or(0);
-  state.begun = item.exchange.valid() && item.intervalStart != base::TimePoint{};
-  state.silence = now - item.lastByteAt;
+  state.started = item.exchange.valid() && item.intervalStart != base::TimePoint{};
+  state.idleTime = now - item.lastByteAt;
   state.moves = item.queueMoves;
   return state;
 }
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -169,11 +169,12 @@
                         static_cast<double>(item->eventsAtLease);
     const auto* entry = instances_.find(item->instance);
     jobs::TerminatingRun run;
-    run.untilEnd = ending->second - now;
+    run.timeToShutdown = ending->second - now;
     run.remainingEvents = std::max(0.0, item->run.leased().remainingEvents - made);
-    run.pace = entry == nullptr ? base::Duration{0}
-                                : base::Duration(static_cast<base::Duration::rep>(
-                                      entry->eventIntervalMs * base::milliseconds(1).count()));
+    run.eventInterval = entry == nullptr
+                            ? base::Duration{0}
+                            : base::Duration(static_cast<base::Duration::rep>(
+                                  entry->eventIntervalMs * base::milliseconds(1).count()));
     if (!jobs::mustMove(run)) {
       continue;
     }
--- a/src/node/member_ledger_client.h
+++ b/src/node/member_ledger_client.h
@@ -20,7 +20,7 @@
     m_node.wake();
   }
 
-  [[nodiscard]] base::NodeId nearby() const override { return m_node.member().zoneLedger(); }
+  [[nodiscard]] base::NodeId localReplica() const override { return m_node.member().zoneLedger(); }
 
   void fetch(base::NodeId ledger, const jobs::FetchResults& request, base::Duration deadline,
              jobs::LedgerClient::Callback callback) override {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -38,9 +38,9 @@
 /// a second.
 constexpr base::Duration kHeartbeatSlack = base::milliseconds(2800);
 
-std::vector<jobs::PlacementEngine> placementEngines(
+std::vector<jobs::EngineInfo> placementEngines(
     const std::vector<directory::InstanceView>& instances) {
-  std::vector<jobs::PlacementEngine> engines;
+  std::vector<jobs::EngineInfo> engines;
   for (const directory::InstanceView& instance : instances) {
     const bool acceptsItems = !instance.record.draining && !instance.loading &&
                               !instance.unresponsive && instance.record.slots > 0 &&
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -156,7 +156,7 @@
   if (ledger_) {
     const auto& kept = ledger_->state().jobs();
     const auto open = std::count_if(kept.begin(), kept.end(),
-                                    [](const auto& entry) { return !entry.second.settled(); });
+                                    [](const auto& entry) { return !entry.second.finished(); });
     metrics_.set(GaugeId::kKeptJobs, static_cast<double>(kept.size()));
     metrics_.set(GaugeId::kOpenJobs, static_cast<double>(open));
     for (const auto& [model, error] : ledger_->forecast().errors()) {
--- a/src/node/open_jobs_sender.cpp
+++ b/src/node/open_jobs_sender.cpp
@@ -14,7 +14,7 @@
 
 void OpenJobsSender::tick(const jobs::JobRole& ledger) {
   const base::TimePoint now = m_node.now();
-  const std::uint64_t changes = ledger.workChanges();
+  const std::uint64_t changes = ledger.workRevision();
   if (m_telling || changes == m_told || now - m_toldAt < kTellInterval) {
     return;
   }
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -135,7 +135,7 @@
   Call& call = found->second;
   const edge::HeaderNames& names = m_node.apiAdapter().headers();
   call.answer.status = status;
-  call.answer.notRun = headers.has(names.notExecuted) || status == http::status::kMisdirected;
+  call.answer.notExecuted = headers.has(names.notExecuted) || status == http::status::kMisdirected;
   call.answer.signature = headers.value(names.signature);
   m_guard.onAnswered(call.instance, call.sentAt);
   if (const auto load = m_node.apiAdapter().load(headers.value(names.load))) {
@@ -146,12 +146,12 @@
 
 AttemptOutcome ScoringClient::outcomeOf(const Call& call) {
   if (!call.answer.complete) {
-    return call.answer.notRun ? AttemptOutcome::kUnreached : AttemptOutcome::kFailed;
+    return call.answer.notExecuted ? AttemptOutcome::kUnreached : AttemptOutcome::kFailed;
   }
   if (call.answer.status == http::status::kMisdirected) {
     return AttemptOutcome::kGone;
   }
-  if (call.answer.notRun) {
+  if (call.answer.notExecuted) {
     return AttemptOutcome::kFull;
   }
   // Some texts are never judged: their failures say nothing of the server.
@@ -182,29 +182,29 @@
   call.exchange = {};
   call.answer.complete = end.complete;
   if (!end.complete) {
-    call.answer.notRun = end.verdict == base::Verdict::kNotRun;
-    if (!call.answer.notRun) {
+    call.answer.notExecuted = end.verdict == base::Verdict::kNotRun;
+    if (!call.answer.notExecuted) {
       m_guard.onBroken({fingerprintOf(call), call.service, call.instance}, call.request.id,
                        call.sentAt);
     }
-  } else if (call.fingerprint && !call.answer.notRun) {
+  } else if (call.fingerprint && !call.answer.notExecuted) {
     m_guard.onBorne(*call.fingerprint);
   }
   const AttemptOutcome outcome = outcomeOf(call);
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
   m_window.onEnded(call.crowded || outcome == AttemptOutcome::kFull, now);
   m_node.metrics().count(CounterId::kScoringCallsEnded, toString(outcome));
-  const jobs::ScoringStep step = call.attempts->onResponse(call.answer);
-  if (step != jobs::ScoringStep::kScored) {
+  const jobs::ScoringAction step = call.attempts->onResponse(call.answer);
+  if (step != jobs::ScoringAction::kScored) {
     noteFailure(key, call, outcome, now);
   }
-  if (step == jobs::ScoringStep::kRepeat) {
+  if (step == jobs::ScoringAction::kRetry) {
     call.notBefore = now + call.attempts->delay();
   } else {
     const std::string score = std::move(call.answer.signature);
     const Callback callback = std::move(call.callback);
     m_calls.erase(found);
-    callback(step == jobs::ScoringStep::kScored ? &score : nullptr);
+    callback(step == jobs::ScoringAction::kScored ? &score : nullptr);
   }
   start(now);
 }
--- a/src/node/work_reader.cpp
+++ b/src/node/work_reader.cpp
@@ -27,7 +27,7 @@
               std::function<void(const edge::WorkResponses& answers)> done) {
   const auto read = std::make_shared<WorkRead>();
   read->done = std::move(done);
-  node.member().call(jobs::JobRequest{jobs::ReadWork{}}, deadline, node.now(),
+  node.member().call(jobs::JobRequest{jobs::GetWorkReport{}}, deadline, node.now(),
                      [read](const jobs::JobReply* reply) {
                        if (reply != nullptr) {
                          read->answers.ledgers = reply->work;
--- a/test/cluster/cluster_world_test.cpp
+++ b/test/cluster/cluster_world_test.cpp
@@ -144,7 +144,7 @@
   }
   void runItems(WorldNode& gateway) {
     jobs::LeaseItems lease;
-    lease.wanted.add("", 1, 3);
+    lease.freeSlots.add("", 1, 3);
     gateway.member->call(jobs::JobRequest{lease}, base::seconds(2), world_.now(),
                          [this, &gateway](const jobs::JobReply* reply) {
                            if (reply == nullptr || reply->leased.empty() || !gateway.running) {
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -1,4 +1,4 @@
-/// Which gateways run the items of which engines.
+/// Preferred gateways of engines.
 #include "jobs/engine_affinity.h"
 
 #include <criterion/criterion.h>
@@ -22,19 +22,20 @@
 base::NodeId gateway(std::uint32_t number) { return base::makeNodeId(number, 1); }
 
 std::vector<jobs::ActiveGateway> gateways(std::uint32_t count, std::uint32_t slots = 24) {
-  std::vector<jobs::ActiveGateway> made;
+  std::vector<jobs::ActiveGateway> result;
   for (std::uint32_t i = 1; i <= count; ++i) {
-    made.push_back({gateway(i), slots});
+    result.push_back({gateway(i), slots});
   }
-  return made;
+  return result;
 }
 
-/// Those of the gateways 1 to `count` that may take items of the engine.
-std::set<std::uint32_t> takers(const jobs::EngineAffinity& affinity, const std::string& engine,
-                               std::uint32_t count, base::TimePoint now) {
+/// Returns the gateways among 1 to `count` that are eligible for items of the engine.
+std::set<std::uint32_t> eligibleGateways(const jobs::EngineAffinity& affinity,
+                                         const std::string& engine, std::uint32_t count,
+                                         base::TimePoint now) {
   std::set<std::uint32_t> found;
   for (std::uint32_t i = 1; i <= count; ++i) {
-    if (affinity.mayTake(gateway(i), engine, now)) {
+    if (affinity.isEligible(gateway(i), engine, now)) {
       found.insert(i);
     }
   }
@@ -48,14 +49,14 @@
 constexpr int kJobs = 20;
 constexpr base::Duration kLeaseTime = base::milliseconds(1500);
 
-/// One zone: a job of either of two models each 2 s, gateways that call each 80 ms, items that run
-/// for 1.5 to 3.5 s, and connections that are closed 2 s after their last item.
-class ZoneRun {
+/// Simulates one zone with jobs of two models, gateways that request items at a fixed interval, and
+/// engine connections that close when idle.
+class ZoneSimulation {
  public:
-  ZoneRun(jobs::EngineAffinitySettings settings, std::uint64_t seed)
+  ZoneSimulation(jobs::EngineAffinitySettings settings, std::uint64_t seed)
       : m_random(seed),
         m_leases(kLeaseTime, base::milliseconds(5), jobs::SchedulerPolicy::kAutomatic, settings) {
-    std::vector<jobs::PlacementEngine> engines;
+    std::vector<jobs::EngineInfo> engines;
     for (std::uint32_t i = 0; i < kEngines; ++i) {
       engines.push_back({"e" + std::to_string(i), kSlots, {{"m", 1}, {"n", 1}}, "a"});
     }
@@ -66,7 +67,7 @@
     }
   }
 
-  /// From `at` on the gateway neither asks nor finishes anything.
+  /// Freezes the gateway from `at` on: it neither sends requests nor finishes items.
   void freeze(std::uint32_t number, base::TimePoint at) {
     m_frozen = number;
     m_frozenAt = at;
@@ -86,13 +87,13 @@
     }
   }
 
-  [[nodiscard]] std::size_t pairs() const { return m_pools.size(); }
-  [[nodiscard]] std::uint32_t opened() const { return m_opened; }
+  [[nodiscard]] std::size_t gatewayEnginePairs() const { return m_pools.size(); }
+  [[nodiscard]] std::uint32_t openedConnections() const { return m_openedConnections; }
   [[nodiscard]] std::uint32_t finished() const { return m_finished; }
-  /// From the submission of an item, for which there is a place, to its first lease.
+  /// Returns the maximum time from the submission of an item to its first lease.
   [[nodiscard]] base::Duration maxWait() const { return m_maxWait; }
-  /// From the freeze until the last item of the frozen gateway ran elsewhere.
-  [[nodiscard]] base::Duration maxReturn() const { return m_maxReturn; }
+  /// Returns the time from the freeze until the last item of the frozen gateway was leased again.
+  [[nodiscard]] base::Duration maxReleaseTime() const { return m_maxReleaseTime; }
   [[nodiscard]] base::Duration meanWait() const {
     return m_waits / std::max<std::size_t>(m_seen.size(), 1);
   }
@@ -100,9 +101,9 @@
  private:
   struct Run {
     jobs::GrantedItem item;
-    base::TimePoint until{};
+    base::TimePoint finishesAt{};
   };
-  using Pool = std::multiset<base::TimePoint>;  ///< when idle connections were last used
+  using Pool = std::multiset<base::TimePoint>;  ///< last use of each idle connection
 
   [[nodiscard]] bool isFrozen(std::uint32_t number) const {
     return number == m_frozen && m_now >= m_frozenAt;
@@ -128,7 +129,7 @@
   void finishRuns() {
     for (auto& [number, runs] : m_runs) {
       for (auto run = runs.begin(); run != runs.end();) {
-        if (m_now < run->until || isFrozen(number)) {
+        if (m_now < run->finishesAt || isFrozen(number)) {
           ++run;
           continue;
         }
@@ -150,14 +151,15 @@
     }
     (void)m_leases.renew(gateway(number), held, m_state, m_now);
     m_leases.onLeaseRequest(gateway(number), "a", true, m_now);
-    jobs::FreeSlots room;
+    jobs::FreeSlots freeSlots;
     for (const char* model : {"m", "n"}) {
-      room.add(model, 1, kEngines * kSlots / 3);
+      freeSlots.add(model, 1, kEngines * kSlots / 3);
       for (std::size_t i = 0; i < held.size(); ++i) {
-        room.occupy(model, 1);
+        freeSlots.forceTake(model, 1);
       }
     }
-    for (const jobs::GrantedItem& item : m_leases.lease(gateway(number), room, m_state, m_now)) {
+    for (const jobs::GrantedItem& item :
+         m_leases.lease(gateway(number), freeSlots, m_state, m_now)) {
       begin(number, item);
     }
   }
@@ -167,18 +169,19 @@
     Pool& pool = m_pools[{number, item.engine}];
     pool.erase(pool.begin(), pool.lower_bound(m_now - kIdleTimeout));
     if (pool.empty()) {
-      ++m_opened;
+      ++m_openedConnections;
     } else {
       pool.erase(std::prev(pool.end()));
     }
-    const base::Duration took = base::milliseconds(static_cast<int>(1500 + m_random.below(2000)));
-    m_runs[number].push_back({item, m_now + took});
+    const base::Duration runTime =
+        base::milliseconds(static_cast<int>(1500 + m_random.below(2000)));
+    m_runs[number].push_back({item, m_now + runTime});
     if (m_seen.insert(item.key).second) {
       const base::Duration waited = m_now - m_submittedAt;
       m_maxWait = std::max(m_maxWait, waited);
       m_waits += waited;
     } else {
-      m_maxReturn = std::max(m_maxReturn, m_now - m_frozenAt);
+      m_maxReleaseTime = std::max(m_maxReleaseTime, m_now - m_frozenAt);
     }
   }
 
@@ -193,17 +196,17 @@
   std::uint32_t m_frozen = 0;
   base::TimePoint m_frozenAt{};
   std::set<jobs::ItemKey> m_seen;
-  std::uint32_t m_opened = 0;
+  std::uint32_t m_openedConnections = 0;
   std::uint32_t m_finished = 0;
   int m_submitted = 0;
   base::Duration m_maxWait{0};
-  base::Duration m_maxReturn{0};
+  base::Duration m_maxReleaseTime{0};
   base::Duration m_waits{0};
 };
 
 jobs::EngineAffinitySettings withoutAffinity() {
   jobs::EngineAffinitySettings settings;
-  settings.anyAfter = base::Duration{0};
+  settings.fallbackDelay = base::Duration{0};
   return settings;
 }
 
@@ -211,52 +214,53 @@
 
 Test(engine_affinity, two_gateways_take_an_engines_items_at_once) {
   jobs::EngineAffinity affinity;
-  cr_assert_eq(takers(affinity, "e", 6, kNow).size(), 6U, "nothing is known");
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, kNow).size(), 6U, "no state yet");
   affinity.setGateways("a", gateways(6));
   affinity.onPlanned("a", {{"e", 3}}, kNow);
-  const auto preferred = takers(affinity, "e", 6, kNow);
+  const auto preferred = eligibleGateways(affinity, "e", 6, kNow);
   cr_assert_eq(preferred.size(), 2U);
-  cr_assert_eq(takers(affinity, "e", 6, kNow + base::milliseconds(100)).size(), 6U,
-               "none of the two has asked");
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, kNow + base::milliseconds(100)).size(), 6U,
+               "neither of the two has requested items");
 }
 
-Test(engine_affinity, wait_begins_anew_with_each_item_that_a_preferred_gateway_takes) {
+Test(engine_affinity, delay_restarts_with_each_item_that_a_preferred_gateway_leases) {
   jobs::EngineAffinity affinity;
   affinity.setGateways("a", gateways(6));
   affinity.onPlanned("a", {{"e", 3}}, kNow);
-  const std::uint32_t first = *takers(affinity, "e", 6, kNow).begin();
+  const std::uint32_t first = *eligibleGateways(affinity, "e", 6, kNow).begin();
   const base::TimePoint later = kNow + base::milliseconds(60);
-  affinity.onTaken(gateway(first), "e", later);
+  affinity.onItemLeased(gateway(first), "e", later);
   affinity.onPlanned("a", {{"e", 2}}, later);
-  cr_assert_eq(takers(affinity, "e", 6, later + base::milliseconds(60)).size(), 2U);
-  cr_assert_eq(takers(affinity, "e", 6, later + base::milliseconds(80)).size(), 6U);
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, later + base::milliseconds(60)).size(), 2U);
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, later + base::milliseconds(80)).size(), 6U);
 }
 
-Test(engine_affinity, full_or_silent_gateways_hold_up_nothing) {
+Test(engine_affinity, full_or_unresponsive_gateways_delay_no_item) {
   jobs::EngineAffinity affinity;
   affinity.setGateways("a", gateways(6));
   affinity.onPlanned("a", {{"e", 1}}, kNow);
-  const auto preferred = takers(affinity, "e", 6, kNow);
+  const auto preferred = eligibleGateways(affinity, "e", 6, kNow);
   affinity.onDeclined("e");
-  cr_assert_eq(takers(affinity, "e", 6, kNow).size(), 6U);
-  affinity.onTaken(gateway(*preferred.begin()), "e", kNow);
-  cr_assert(takers(affinity, "e", 6, kNow) == preferred, "it has room again");
-  // Another has taken an item for which the preferred ones did not come: the next need not wait.
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, kNow).size(), 6U);
+  affinity.onItemLeased(gateway(*preferred.begin()), "e", kNow);
+  cr_assert(eligibleGateways(affinity, "e", 6, kNow) == preferred, "it has free slots again");
+  // Another gateway has leased an item that the preferred ones did not request in time: the next
+  // item is open to all.
   std::uint32_t other = 1;
   other += preferred.contains(other) ? 1 : 0;
   other += preferred.contains(other) ? 1 : 0;
-  affinity.onTaken(gateway(other), "e", kNow);
+  affinity.onItemLeased(gateway(other), "e", kNow);
   affinity.onPlanned("a", {{"e", 1}}, kNow);
-  cr_assert_eq(takers(affinity, "e", 6, kNow).size(), 6U);
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, kNow).size(), 6U);
 }
 
-Test(engine_affinity, engine_that_is_gone_is_forgotten) {
+Test(engine_affinity, removed_engine_is_open_to_all) {
   jobs::EngineAffinity affinity;
   affinity.setGateways("a", gateways(6));
   affinity.onPlanned("a", {{"e", 1}, {"f", 1}}, kNow);
-  affinity.forget("e");
-  cr_assert_eq(takers(affinity, "e", 6, kNow).size(), 6U, "nothing is known");
-  cr_assert_eq(takers(affinity, "f", 6, kNow).size(), 2U);
+  affinity.remove("e");
+  cr_assert_eq(eligibleGateways(affinity, "e", 6, kNow).size(), 6U, "no state yet");
+  cr_assert_eq(eligibleGateways(affinity, "f", 6, kNow).size(), 2U);
 }
 
 Test(engine_affinity, few_engines_change_their_gateways_when_one_goes) {
@@ -269,17 +273,17 @@
   affinity.onPlanned("a", items, kNow);
   std::map<std::string, std::set<std::uint32_t>> before;
   for (const auto& [engine, count] : items) {
-    before[engine] = takers(affinity, engine, 6, kNow);
+    before[engine] = eligibleGateways(affinity, engine, 6, kNow);
   }
   affinity.setGateways("a", gateways(5));
   affinity.onPlanned("a", items, kNow);
   for (const auto& [engine, count] : items) {
     const bool had = before[engine].contains(6);
-    cr_assert(had || takers(affinity, engine, 6, kNow) == before[engine]);
+    cr_assert(had || eligibleGateways(affinity, engine, 6, kNow) == before[engine]);
   }
 }
 
-Test(engine_affinity, able_gateways_are_preferred_by_more_engines) {
+Test(engine_affinity, larger_gateways_are_preferred_by_more_engines) {
   jobs::EngineAffinity affinity;
   std::vector<jobs::ActiveGateway> uneven = gateways(4, 12);
   uneven[0].slots = 48;
@@ -291,7 +295,7 @@
   affinity.onPlanned("a", items, kNow);
   std::map<std::uint32_t, int> engines;
   for (const auto& [engine, count] : items) {
-    for (const std::uint32_t number : takers(affinity, engine, 4, kNow)) {
+    for (const std::uint32_t number : eligibleGateways(affinity, engine, 4, kNow)) {
       ++engines[number];
     }
   }
@@ -299,34 +303,33 @@
   cr_assert_lt(engines[2], 220);
 }
 
-// 1,000 items, two models, 15 engines, six gateways.
+// Compares the simulation with and without engine affinity.
 Test(engine_affinity, fewer_connections_and_no_long_wait) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    ZoneRun before(withoutAffinity(), seed);
+    ZoneSimulation before(withoutAffinity(), seed);
     before.run();
-    ZoneRun after({}, seed);
+    ZoneSimulation after({}, seed);
     after.run();
     cr_log_info(
         "pairs %zu -> %zu, connections %u -> %u, mean wait %lld -> %lld us, longest %lld -> %lld "
         "us",
-        before.pairs(), after.pairs(), before.opened(), after.opened(),
-        static_cast<long long>(before.meanWait().count()),
+        before.gatewayEnginePairs(), after.gatewayEnginePairs(), before.openedConnections(),
+        after.openedConnections(), static_cast<long long>(before.meanWait().count()),
         static_cast<long long>(after.meanWait().count()),
         static_cast<long long>(before.maxWait().count()),
         static_cast<long long>(after.maxWait().count()));
     cr_assert_eq(after.finished(), 1000U);
-    cr_assert_lt(after.pairs(), before.pairs());
-    cr_assert_lt(after.opened(), before.opened());
+    cr_assert_lt(after.gatewayEnginePairs(), before.gatewayEnginePairs());
+    cr_assert_lt(after.openedConnections(), before.openedConnections());
   }
 }
 
-// With one gateway for each engine a frozen one would hold up all items of its engines until it is
-// known to be unresponsive.
-Test(engine_affinity, frozen_gateway_holds_up_no_item) {
-  // Right before items come, and as long as it still counts as one that runs items.
+// Guards against a frozen gateway that holds up all items of its engines until it is unresponsive.
+Test(engine_affinity, frozen_gateway_delays_no_item) {
+  // Right before a submission, and before the gateway counts as unresponsive.
   const base::TimePoint at = kNow + base::seconds(10) - base::milliseconds(5);
   for (std::uint32_t frozen = 1; frozen <= kGateways; ++frozen) {
-    ZoneRun run({}, frozen);
+    ZoneSimulation run({}, frozen);
     run.freeze(frozen, at);
     run.run();
     cr_log_info("gateway %u frozen: mean wait %lld us, longest %lld us", frozen,
@@ -334,7 +337,7 @@
                 static_cast<long long>(run.maxWait().count()));
     cr_assert_eq(run.finished(), 1000U);
     cr_assert_leq(run.maxWait(), base::milliseconds(160));
-    // What it ran goes on at others when its leases end, at their next calls.
-    cr_assert_leq(run.maxReturn(), kLeaseTime + base::milliseconds(160));
+    // Its items run at other gateways after its leases expire, at their next requests.
+    cr_assert_leq(run.maxReleaseTime(), kLeaseTime + base::milliseconds(160));
   }
 }
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -1,4 +1,4 @@
-/// Items placed by what they still need and when they are due.
+/// Placement of items by remaining events and due time.
 #include "jobs/engine_placement.h"
 
 #include <criterion/criterion.h>
@@ -14,32 +14,33 @@
 namespace {
 
 constexpr base::TimePoint kNow{base::seconds(100)};
-constexpr base::Duration kDue = base::milliseconds(7500);
+constexpr base::Duration kTimeUntilDue = base::milliseconds(7500);
 constexpr std::uint32_t kSlots = 4;
 
-jobs::PlacementEngine engine(const std::string& id, const std::string& zone = "z") {
+jobs::EngineInfo engine(const std::string& id, const std::string& zone = "z") {
   return {id, kSlots, {{"m", 1}}, zone};
 }
 
-jobs::ItemRequirements need(double remainingEvents, base::Duration timeUntilDue = kDue) {
+jobs::ItemRequirements requirements(double remainingEvents,
+                                    base::Duration timeUntilDue = kTimeUntilDue) {
   return {"m", 1, remainingEvents, timeUntilDue};
 }
 
-/// One slow engine, one of usual speed, and enough others for that to be typical.
+/// One slow engine, one of normal speed, and another one that makes the normal speed the median.
 struct Fixture {
   Fixture() {
     placement.setEngines({engine("slow"), engine("fast"), engine("other")});
-    tell(90);
+    reportIntervals(90);
   }
 
-  void tell(double slowMs, double fastMs = 41) {
+  void reportIntervals(double slowMs, double fastMs = 41) {
     now += base::milliseconds(500);
     placement.recordEventIntervals({{"slow", {slowMs}}, {"fast", {fastMs}}, {"other", {41}}}, now);
     placement.setLoads({{"other", kSlots}}, now);
   }
 
-  /// One place is left at the engines of usual pace.
-  void fillFast() { placement.setLoads({{"other", kSlots}, {"fast", kSlots - 1}}, now); }
+  /// Leaves one free slot at the engines of normal speed.
+  void fillFastEngines() { placement.setLoads({{"other", kSlots}, {"fast", kSlots - 1}}, now); }
 
   jobs::EnginePlacement placement;
   base::TimePoint now = kNow;
@@ -47,59 +48,60 @@
 
 }  // namespace
 
-Test(placement_by_need, long_text_goes_where_it_ends_soonest) {
+Test(placement_by_requirements, long_text_goes_where_it_ends_soonest) {
   Fixture fixture;
-  cr_assert_eq(fixture.placement.place(need(140)), "fast");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "fast");
 }
 
-Test(placement_by_need, short_text_leaves_the_last_fast_places_free) {
+Test(placement_by_requirements, short_text_leaves_the_last_fast_slots_free) {
   Fixture fixture;
-  fixture.fillFast();
+  fixture.fillFastEngines();
   for (std::uint32_t i = 0; i < kSlots; ++i) {
-    cr_assert_eq(fixture.placement.place(need(15)), "slow");
+    cr_assert_eq(fixture.placement.place(requirements(15)), "slow");
   }
-  cr_assert_eq(fixture.placement.place(need(15)), "fast", "the slow one is full");
+  cr_assert_eq(fixture.placement.place(requirements(15)), "fast", "the slow one is full");
 }
 
-Test(placement_by_need, short_text_takes_a_fast_place_while_there_are_many) {
+Test(placement_by_requirements, short_text_uses_a_fast_slot_while_many_are_free) {
   Fixture fixture;
-  cr_assert_eq(fixture.placement.place(need(15)), "fast");
+  cr_assert_eq(fixture.placement.place(requirements(15)), "fast");
 }
 
-Test(placement_by_need, text_that_may_turn_out_long_keeps_a_margin) {
+Test(placement_by_requirements, text_that_may_become_long_needs_a_margin) {
   Fixture fixture;
-  fixture.fillFast();
-  cr_assert_eq(fixture.placement.place(need(40)), "fast", "it may have 140 events");
+  fixture.fillFastEngines();
+  cr_assert_eq(fixture.placement.place(requirements(40)), "fast", "it may grow to 140 events");
 }
 
-Test(placement_by_need, text_that_is_late_goes_where_it_ends_soonest) {
+Test(placement_by_requirements, text_that_is_late_goes_where_it_ends_soonest) {
   for (const base::Duration timeUntilDue : {base::milliseconds(-1000), base::milliseconds(1000)}) {
     Fixture fixture;
-    fixture.fillFast();
-    cr_assert_eq(fixture.placement.place(need(20, timeUntilDue)), "fast");
+    fixture.fillFastEngines();
+    cr_assert_eq(fixture.placement.place(requirements(20, timeUntilDue)), "fast");
   }
 }
 
-Test(placement_by_need, slow_engine_does_not_stand_idle_while_work_waits) {
+Test(placement_by_requirements, slow_engine_is_used_while_items_are_queued) {
   Fixture fixture;
   std::map<std::string, std::uint32_t> placed;
   for (std::uint32_t i = 0; i < 2 * kSlots; ++i) {
-    ++placed[fixture.placement.place(need(140))];
+    ++placed[fixture.placement.place(requirements(140))];
   }
   cr_assert_eq(placed["slow"], kSlots);
   cr_assert_eq(placed["fast"], kSlots);
 }
 
-Test(placement_by_need, without_an_estimate_or_a_due_time_the_cheapest_is_taken) {
+Test(placement_by_requirements, without_an_estimate_or_a_due_time_the_cheapest_is_taken) {
   for (const jobs::ItemRequirements& unknown :
-       {need(0), need(15, base::Duration::max()), jobs::ItemRequirements{"m", 1}}) {
+       {requirements(0), requirements(15, base::Duration::max()), jobs::ItemRequirements{"m", 1}}) {
     Fixture fixture;
-    fixture.fillFast();
+    fixture.fillFastEngines();
     cr_assert_eq(fixture.placement.place(unknown), "fast");
   }
 }
 
-Test(placement_by_need, no_text_is_placed_late_while_another_engine_with_room_ends_it_in_time) {
+Test(placement_by_requirements,
+     no_text_is_placed_late_if_another_free_engine_completes_it_in_time) {
   constexpr int kRounds = 300;
   constexpr std::uint32_t kEngines = 12;
   base::SeededRandom random(7);
@@ -116,10 +118,10 @@
     }
     placement.setLoads(loads, kNow);
     const jobs::ItemRequirements text =
-        need(1 + 150 * random.uniform(), base::milliseconds(random.below(15'000)));
+        requirements(1 + 150 * random.uniform(), base::milliseconds(random.below(15'000)));
     const auto inTime = [&](const std::string& id) {
-      const double occupied = (loads[id] + 1.0) / kSlots;
-      return text.remainingEvents * jobs::engineCost(eventIntervals[id], occupied) <=
+      const double utilization = (loads[id] + 1.0) / kSlots;
+      return text.remainingEvents * jobs::engineCost(eventIntervals[id], utilization) <=
              base::toMilliseconds(text.timeUntilDue);
     };
     const bool possible = std::any_of(loads.begin(), loads.end(), [&](const auto& each) {
@@ -130,86 +132,90 @@
   }
 }
 
-Test(placement_by_need, equal_engines_are_filled_evenly) {
-  jobs::EnginePlacement byNeed;
+Test(placement_by_requirements, equal_engines_are_filled_evenly) {
+  jobs::EnginePlacement byRequirements;
   jobs::EnginePlacement byCost;
-  for (jobs::EnginePlacement* placement : {&byNeed, &byCost}) {
+  for (jobs::EnginePlacement* placement : {&byRequirements, &byCost}) {
     for (const char* id : {"e0", "e1", "e2", "e3", "e4"}) {
       placement->changeEngines({engine(id)}, {});
     }
-    // Prompts that are read meanwhile make equal engines seem so different.
+    // Reading prompts makes equal engines appear this different.
     placement->recordEventIntervals(
         {{"e0", {44}}, {"e1", {46}}, {"e2", {49}}, {"e3", {53}}, {"e4", {58}}}, kNow);
     placement->setLoads({}, kNow);
   }
   for (int i = 0; i < 20; ++i) {
-    cr_assert_eq(byNeed.place(need(30)), byCost.place({"m", 1}));
+    cr_assert_eq(byRequirements.place(requirements(30)), byCost.place({"m", 1}));
   }
 }
 
-Test(placement_by_need, engine_that_slows_gets_no_more_long_texts_and_later_gets_them_again) {
+Test(placement_by_requirements,
+     engine_that_slows_gets_no_more_long_texts_and_later_gets_them_again) {
   Fixture fixture;
   fixture.placement.setLoads({{"other", kSlots}, {"slow", kSlots}}, fixture.now);
-  cr_assert_eq(fixture.placement.place(need(140)), "fast");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "fast");
   for (int report = 0; report < 4; ++report) {
-    fixture.tell(90, 170);
+    fixture.reportIntervals(90, 170);
   }
-  cr_assert_eq(fixture.placement.place(need(140)), "slow");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "slow");
   fixture.placement.setLoads({{"other", kSlots}, {"slow", kSlots - 1}}, fixture.now);
-  cr_assert_eq(fixture.placement.place(need(5)), "fast", "a short one bears it");
-  // Nothing runs there, so that nobody tells of its recovery.
+  cr_assert_eq(fixture.placement.place(requirements(5)), "fast",
+               "a short item still completes in time");
+  // Without items there, no gateway reports its recovery.
   fixture.now += base::seconds(12);
   fixture.placement.recordEventIntervals({{"slow", {90}}, {"other", {41}}}, fixture.now);
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
-  cr_assert_eq(fixture.placement.place(need(140)), "fast");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "fast");
 }
 
-Test(placement_by_need, engine_slow_for_a_moment_gets_no_text_without_slack) {
+Test(placement_by_requirements, engine_with_a_transient_slowdown_gets_no_text_without_slack) {
   Fixture fixture;
-  jobs::EventIntervalReport moment{41};
-  moment.slowdownPercent = 250;
+  jobs::EventIntervalReport slowReport{41};
+  slowReport.slowdownPercent = 250;
   fixture.now += base::milliseconds(500);
   fixture.placement.changeEngines({engine("second")}, {});
-  fixture.placement.recordEventIntervals({{"fast", moment}, {"second", {42}}}, fixture.now);
+  fixture.placement.recordEventIntervals({{"fast", slowReport}, {"second", {42}}}, fixture.now);
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
-  cr_assert_eq(fixture.placement.place(need(140)), "second");
-  cr_assert_eq(fixture.placement.place({"m", 1}), "fast", "without a need only the pace counts");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "second");
+  cr_assert_eq(fixture.placement.place({"m", 1}), "fast",
+               "without requirements only the event interval counts");
 }
 
-Test(placement_by_need, new_leader_without_paces_places_evenly_and_learns_from_one_call) {
+Test(placement_by_requirements,
+     new_leader_without_intervals_places_evenly_and_learns_from_one_request) {
   jobs::EnginePlacement placement;
   placement.setEngines({engine("a"), engine("b"), engine("c")});
   placement.setLoads({}, kNow);
-  cr_assert_eq(placement.place(need(140)), "a");
-  cr_assert_eq(placement.place(need(140)), "b");
+  cr_assert_eq(placement.place(requirements(140)), "a");
+  cr_assert_eq(placement.place(requirements(140)), "b");
   placement.recordEventIntervals({{"a", {140, base::milliseconds(400)}}, {"b", {40}}, {"c", {40}}},
                                  kNow);
   placement.setLoads({}, kNow + base::milliseconds(100));
-  cr_assert_eq(placement.place(need(140)), "b");
-  cr_assert_eq(placement.place(need(140)), "c");
-  cr_assert_eq(placement.place(need(140)), "b");
+  cr_assert_eq(placement.place(requirements(140)), "b");
+  cr_assert_eq(placement.place(requirements(140)), "c");
+  cr_assert_eq(placement.place(requirements(140)), "b");
 }
 
-Test(placement_by_need, engine_that_starts_again_has_its_machines_pace) {
+Test(placement_by_requirements, restarted_engine_has_the_interval_of_its_machine) {
   Fixture fixture;
   const auto incarnation = [](const std::string& id) {
-    jobs::PlacementEngine born = engine(id);
-    born.machine = "fast";
-    return born;
+    jobs::EngineInfo restarted = engine(id);
+    restarted.machine = "fast";
+    return restarted;
   };
   for (int report = 0; report < 4; ++report) {
-    fixture.tell(90, 170);
+    fixture.reportIntervals(90, 170);
   }
   fixture.placement.changeEngines({incarnation("fast#2")}, {"fast"});
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
-  cr_assert_eq(fixture.placement.place(need(140)), "slow");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "slow");
   fixture.placement.recordEventIntervals({{"fast", {170}}}, fixture.now);
   fixture.placement.changeEngines({incarnation("fast#3")}, {});
   fixture.placement.changeEngines({}, {"fast#2"});
-  cr_assert_eq(fixture.placement.place(need(140)), "slow", "two lives overlap");
+  cr_assert_eq(fixture.placement.place(requirements(140)), "slow", "two incarnations overlap");
 }
 
-Test(placement_by_need, sight_tells_paces_their_age_and_items) {
+Test(placement_by_requirements, summaries_contain_intervals_ages_and_items) {
   Fixture fixture;
   fixture.placement.changeEngines({engine("unseen")}, {});
   fixture.placement.setLoads({{"slow", 3}}, fixture.now);
--- a/test/jobs/recording_ledgers.h
+++ b/test/jobs/fake_ledger_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// A stand-in for the ledgers that keeps what it is asked; the test answers.
+/// Fake ledgers that record requests; the test replies.
 #pragma once
 
 #include <utility>
@@ -10,16 +10,16 @@
 
 namespace tackpick::test {
 
-class RecordingLedgers final : public jobs::LedgerClient {
+class FakeLedgerClient final : public jobs::LedgerClient {
  public:
   void call(const jobs::JobRequest& request, base::Duration /*deadline*/, base::TimePoint /*now*/,
             Callback callback) override {
     requests.push_back(std::get<jobs::SaveProgress>(request));
     callbacks.push_back(std::move(callback));
   }
-  void answer(bool known) {
+  void answer(bool acknowledged) {
     const jobs::JobReply reply;
-    std::exchange(callbacks, {}).back()(known ? &reply : nullptr);
+    std::exchange(callbacks, {}).back()(acknowledged ? &reply : nullptr);
   }
 
   std::vector<jobs::SaveProgress> requests;
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -1,4 +1,4 @@
-/// How many slots a gateway takes, and whether it is slow.
+/// Slots of a gateway, and detection of slow gateways.
 #include "jobs/gateway_capacity.h"
 
 #include <criterion/criterion.h>
@@ -26,24 +26,24 @@
 constexpr base::Duration kCall = base::milliseconds(80);
 constexpr base::Duration kLate = base::milliseconds(90);
 
-/// A gateway that calls each 80 ms.
+/// A gateway that sends a request every kCall.
 struct Calls {
-  void run(base::Duration time, base::Duration lateness, base::Duration usual = {}) {
+  void run(base::Duration time, base::Duration lag, base::Duration baseline = {}) {
     for (const base::TimePoint until = now + time; now < until; now += kCall) {
-      const bool before = watch.isSlow();
-      watch.note(lateness, usual, now);
-      changes += before != watch.isSlow() ? 1 : 0;
+      const bool before = detector.isSlow();
+      detector.addSample(lag, baseline, now);
+      changes += before != detector.isSlow() ? 1 : 0;
     }
   }
 
-  jobs::SlownessDetector watch;
+  jobs::SlownessDetector detector;
   base::TimePoint now{base::seconds(1)};
   int changes = 0;
 };
 
 }  // namespace
 
-Test(gateway_capacity, scarcest_of_what_is_known_decides_between_bounds) {
+Test(gateway_capacity, scarcest_known_resource_decides_within_bounds) {
   cr_assert_not(jobs::slotsFor({}).has_value());
   const auto small = jobs::slotsFor(machine(0.09));
   const auto large = jobs::slotsFor(machine(0.2));
@@ -54,13 +54,13 @@
   fast.linkMbps = 10'000;
   cr_assert_eq(jobs::slotsFor(fast), jobs::kMaxGatewaySlots);
   fast.linkMbps = 16;
-  cr_assert_lt(*jobs::slotsFor(fast), 20U, "its link is narrow");
+  cr_assert_lt(*jobs::slotsFor(fast), 20U, "limited by its link");
   fast.linkMbps = 0;
   fast.fileDescriptors = 64;
   cr_assert_eq(jobs::slotsFor(fast), 8U);
 }
 
-Test(gateway_capacity, texts_that_fill_the_memory_leave_the_fewest_places) {
+Test(gateway_capacity, texts_that_fill_the_memory_leave_the_minimum_of_slots) {
   jobs::GatewayCapacity capacity = machine(0.2);
   capacity.bufferedTextBytes = 41U << 20U;
   cr_assert_eq(jobs::slotsFor(capacity), jobs::kMinGatewaySlots);
@@ -78,19 +78,19 @@
   }
 }
 
-Test(slow_watch, slow_within_a_second_and_sound_again_some_seconds_later) {
+Test(slowness_detector, slow_within_a_second_and_recovered_some_seconds_later) {
   Calls calls;
   calls.run(base::seconds(5), base::milliseconds(10));
-  cr_assert_not(calls.watch.isSlow());
+  cr_assert_not(calls.detector.isSlow());
   calls.run(base::seconds(1), kLate);
-  cr_assert(calls.watch.isSlow());
+  cr_assert(calls.detector.isSlow());
   calls.run(base::milliseconds(1800), base::milliseconds(10));
-  cr_assert(calls.watch.isSlow(), "it must be sound for a while");
+  cr_assert(calls.detector.isSlow(), "the recovery time has not passed");
   calls.run(base::milliseconds(500), base::milliseconds(10));
-  cr_assert_not(calls.watch.isSlow());
+  cr_assert_not(calls.detector.isSlow());
 }
 
-Test(slow_watch, one_pause_is_not_slowness) {
+Test(slowness_detector, one_pause_is_not_slowness) {
   Calls calls;
   calls.run(base::milliseconds(640), kLate);
   calls.run(base::seconds(1), base::milliseconds(10));
@@ -98,16 +98,16 @@
   cr_assert_eq(calls.changes, 0);
 }
 
-Test(slow_watch, none_is_slow_when_all_are_late) {
+Test(slowness_detector, none_is_slow_when_all_are_late) {
   Calls calls;
   calls.run(base::seconds(5), kLate, base::milliseconds(80));
   cr_assert_eq(calls.changes, 0);
   calls.run(base::seconds(2), base::milliseconds(300), base::milliseconds(80));
-  cr_assert(calls.watch.isSlow());
+  cr_assert(calls.detector.isSlow());
 }
 
-// By turns slow and sound for 2 to 4 s: without longer and longer recovery it would follow each.
-Test(slow_watch, does_not_flap) {
+// Guards against flapping when slow and normal phases alternate; the recovery time must increase.
+Test(slowness_detector, does_not_flap) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     base::SeededRandom random(seed);
     Calls calls;
@@ -118,6 +118,6 @@
     cr_assert_leq(calls.changes, 7, "seed %llu: %d changes", static_cast<unsigned long long>(seed),
                   calls.changes);
     calls.run(base::seconds(20), {});
-    cr_assert_not(calls.watch.isSlow());
+    cr_assert_not(calls.detector.isSlow());
   }
 }
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -1,4 +1,4 @@
-/// Which gateways run items.
+/// Selection of active gateways.
 #include "jobs/gateway_selector.h"
 
 #include <criterion/criterion.h>
@@ -19,7 +19,7 @@
 
 void askAll(jobs::GatewaySelector& gatewaySelector, std::uint32_t count, base::TimePoint now) {
   for (std::uint32_t i = 1; i <= count; ++i) {
-    gatewaySelector.note(gateway(i), "a", true, now);
+    gatewaySelector.recordRequest(gateway(i), "a", true, now);
   }
 }
 
@@ -32,7 +32,7 @@
   return active;
 }
 
-/// One zone with slots for three gateways, and one to spare.
+/// One zone with slots for three gateways, and one spare gateway.
 jobs::GatewaySelector makeFourGateways() {
   jobs::GatewaySelectorSettings settings;
   settings.slotsPerGateway = 10;
@@ -50,7 +50,7 @@
   cr_assert_eq(activeAmong(gatewaySelector, 10, kNow), 4U);
   cr_assert_eq(gatewaySelector.activeCount(kNow), 4U);
   gatewaySelector.setSlots({{"a", 5}});
-  cr_assert_eq(activeAmong(gatewaySelector, 10, kNow), 4U, "engines that load count still");
+  cr_assert_eq(activeAmong(gatewaySelector, 10, kNow), 4U, "loading engines still count");
 }
 
 Test(gateway_selector, few_gateways_all_run_items) {
@@ -58,22 +58,21 @@
   askAll(gatewaySelector, 3, kNow);
   cr_assert_eq(activeAmong(gatewaySelector, 3, kNow), 3U);
   cr_assert_eq(gatewaySelector.activeCount(kNow), 3U);
-  cr_assert(gatewaySelector.isActive(gateway(9), "elsewhere", kNow),
-            "nothing is known of its zone");
+  cr_assert(gatewaySelector.isActive(gateway(9), "elsewhere", kNow), "its zone is unknown");
 }
 
-Test(gateway_selector, others_step_in_for_those_that_leave_or_fall_silent) {
+Test(gateway_selector, standby_gateways_replace_lost_or_unresponsive_ones) {
   jobs::GatewaySelector gatewaySelector = makeFourGateways();
   askAll(gatewaySelector, 10, kNow);
   cr_assert_not(gatewaySelector.isActive(gateway(5), "a", kNow));
-  gatewaySelector.note(gateway(1), "a", false, kNow);
+  gatewaySelector.recordRequest(gateway(1), "a", false, kNow);
   cr_assert(gatewaySelector.isActive(gateway(5), "a", kNow));
-  gatewaySelector.forget(2);
+  gatewaySelector.remove(2);
   cr_assert(gatewaySelector.isActive(gateway(6), "a", kNow));
-  // Those that run items ask often; those that stand by may be unresponsive for longer.
+  // Active gateways send requests often; standby ones may be silent for longer.
   const base::TimePoint later = kNow + base::milliseconds(700);
-  gatewaySelector.note(gateway(4), "a", true, later);
-  cr_assert(gatewaySelector.isActive(gateway(7), "a", later), "3 is silent");
+  gatewaySelector.recordRequest(gateway(4), "a", true, later);
+  cr_assert(gatewaySelector.isActive(gateway(7), "a", later), "3 is unresponsive");
   cr_assert_not(gatewaySelector.isActive(gateway(9), "a", later));
 }
 
@@ -85,24 +84,26 @@
   return capacity;
 }
 
-/// Slots for the engines of one zone of a real size.
+/// One zone with the slots of a typical deployment.
 jobs::GatewaySelector makeMixedZone() {
   jobs::GatewaySelector gatewaySelector;
   gatewaySelector.setSlots({{"a", 88}});
   return gatewaySelector;
 }
 
-/// The gateways 1 to `count` call each 100 ms; `capacity` is that of a number.
+/// Lets the gateways 1 to `count` send requests every 100 ms; `capacityOf` returns the capacity of
+/// a gateway by number.
 void callFor(jobs::GatewaySelector& gatewaySelector, std::uint32_t count, base::Duration time,
-             base::TimePoint& now, const std::function<jobs::GatewayCapacity(std::uint32_t)>& of) {
+             base::TimePoint& now,
+             const std::function<jobs::GatewayCapacity(std::uint32_t)>& capacityOf) {
   for (const base::TimePoint until = now + time; now < until; now += base::milliseconds(100)) {
     for (std::uint32_t i = 1; i <= count; ++i) {
-      gatewaySelector.note(gateway(i), "a", true, now, of(i));
+      gatewaySelector.recordRequest(gateway(i), "a", true, now, capacityOf(i));
     }
   }
 }
 
-std::set<std::uint32_t> numbers(std::initializer_list<std::uint32_t> list) { return list; }
+std::set<std::uint32_t> numbers(std::initializer_list<std::uint32_t> expected) { return expected; }
 
 std::set<std::uint32_t> active(jobs::GatewaySelector& gatewaySelector, std::uint32_t count,
                                base::TimePoint now) {
@@ -129,19 +130,19 @@
   }
 }
 
-Test(gateway_selector, few_and_able_gateways_go_before_many_small_ones) {
+Test(gateway_selector, few_large_gateways_are_selected_before_many_small_ones) {
   jobs::GatewaySelector gatewaySelector = makeMixedZone();
   base::TimePoint now = kNow;
   const auto size = [](std::uint32_t i) { return cores(i > 15 ? 0.3 : 0.09); };
   callFor(gatewaySelector, 20, base::milliseconds(200), now, size);
   cr_assert(active(gatewaySelector, 20, now) == numbers({16, 17, 18, 19}));
   cr_assert_eq(gatewaySelector.activeCount(now), 4U);
-  // Without the able ones more of the small ones are needed.
+  // Without the large gateways more small ones are needed.
   const std::uint32_t able = *gatewaySelector.maxItems(gateway(16), "a", now);
   for (std::uint32_t i = 16; i <= 20; ++i) {
-    gatewaySelector.forget(i);
+    gatewaySelector.remove(i);
   }
-  gatewaySelector.note(gateway(20), "a", true, now, cores(0.3));
+  gatewaySelector.recordRequest(gateway(20), "a", true, now, cores(0.3));
   cr_assert_gt(active(gatewaySelector, 20, now).size(), 5U);
   cr_assert_lt(*gatewaySelector.maxItems(gateway(1), "a", now), able);
 }
@@ -171,7 +172,7 @@
   cr_assert(active(gatewaySelector, 10, now) == numbers({1, 2, 3, 4, 5, 6}));
 }
 
-Test(gateway_selector, slow_gateway_goes_on_where_no_other_is) {
+Test(gateway_selector, slow_gateway_stays_active_if_all_are_needed) {
   jobs::GatewaySelector gatewaySelector = makeMixedZone();
   base::TimePoint now = kNow;
   const auto size = [](std::uint32_t i) {
@@ -181,7 +182,8 @@
   };
   callFor(gatewaySelector, 3, base::seconds(3), now, size);
   cr_assert(active(gatewaySelector, 3, now) == numbers({1, 2, 3}));
-  cr_assert_not(gatewaySelector.maxItems(gateway(2), "a", now).has_value(), "all are needed");
+  cr_assert_not(gatewaySelector.maxItems(gateway(2), "a", now).has_value(),
+                "all gateways are needed");
 }
 
 Test(gateway_selector, gateway_whose_calls_come_late_is_slow) {
@@ -191,22 +193,22 @@
     now += base::milliseconds(100);
     for (std::uint32_t i = 1; i <= 10; ++i) {
       if (i != 2 || round % 5 == 0) {
-        gatewaySelector.note(gateway(i), "a", true, now, cores(0.12));
+        gatewaySelector.recordRequest(gateway(i), "a", true, now, cores(0.12));
       }
     }
   }
   cr_assert_not(gatewaySelector.isActive(gateway(2), "a", now));
 }
 
-// A new leader knows no capacities, and gateways tell theirs one after the other.
-Test(gateway_selector, new_leader_chooses_by_number_until_it_is_told) {
+// A new leader knows no capacities until the gateways have reported them.
+Test(gateway_selector, new_leader_selects_by_id_until_capacities_arrive) {
   jobs::GatewaySelector gatewaySelector = makeMixedZone();
   base::TimePoint now = kNow;
   const auto size = [](std::uint32_t i) { return cores(i > 15 ? 0.3 : 0.09); };
   callFor(gatewaySelector, 20, base::milliseconds(200), now, size);
   gatewaySelector.clear();
   gatewaySelector.setSlots({{"a", 88}});
-  cr_assert_eq(active(gatewaySelector, 20, now).size(), 20U, "nothing is known");
+  cr_assert_eq(active(gatewaySelector, 20, now).size(), 20U, "no state yet");
   callFor(gatewaySelector, 20, base::milliseconds(200), now,
           {[](std::uint32_t) { return cores(0); }});
   cr_assert(active(gatewaySelector, 20, now) == numbers({1, 2, 3, 4, 5, 6}));
@@ -214,7 +216,7 @@
   cr_assert(active(gatewaySelector, 20, now) == numbers({16, 17, 18, 19}));
 }
 
-Test(gateway_selector, nonsense_counts_as_an_unknown_size) {
+Test(gateway_selector, implausible_capacity_counts_as_unknown) {
   jobs::GatewaySelector gatewaySelector = makeMixedZone();
   base::TimePoint now = kNow;
   const auto size = [](std::uint32_t i) { return cores(i == 9 ? -7 : 0); };
@@ -222,20 +224,20 @@
   cr_assert(active(gatewaySelector, 10, now) == numbers({1, 2, 3, 4, 5, 6}));
 }
 
-// Counting all gateways at each call would grow with their square.
+// Guards against request times that grow with the number of gateways.
 Test(gateway_selector, calls_cost_the_same_with_a_thousand_gateways) {
   jobs::GatewaySelector gatewaySelector = makeFourGateways();
   constexpr std::uint32_t kGateways = 1000;
   constexpr int kRounds = 100;
   base::TimePoint now = kNow;
-  const std::clock_t begun = std::clock();
+  const std::clock_t startedAt = std::clock();
   for (int round = 0; round < kRounds; ++round) {
     for (std::uint32_t i = 1; i <= kGateways; ++i) {
       now += base::microseconds(500);
-      gatewaySelector.note(gateway(i), "a", true, now);
+      gatewaySelector.recordRequest(gateway(i), "a", true, now);
       cr_assert_eq(gatewaySelector.isActive(gateway(i), "a", now), i <= 4);
       cr_assert_eq(gatewaySelector.activeCount(now), round == 0 ? std::min(i, 4U) : 4U);
     }
   }
-  cr_assert_lt(static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC, 0.5);
+  cr_assert_lt(static_cast<double>(std::clock() - startedAt) / CLOCKS_PER_SEC, 0.5);
 }
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -1,4 +1,4 @@
-/// The ledgers' role with a log of its own on a simulated disk: what each tenant gets to see.
+/// The ledger role with a log on a simulated disk.
 #include "jobs/job_role.h"
 
 #include <criterion/criterion.h>
@@ -18,9 +18,9 @@
 constexpr base::NodeId kGateway = base::makeNodeId(2, 1);
 constexpr base::GroupId kGroup{2};
 
-/// A group of one ledger.
-struct LoneLedger {
-  LoneLedger() {
+/// A ledger group with a single member.
+struct SingleLedger {
+  SingleLedger() {
     log = base::recover(
         [&] {
           return storage::SegmentedLog::open(disk, {"cluster", kSelf, kGroup}, {{kSelf}, {}});
@@ -29,7 +29,7 @@
     restart();
   }
 
-  /// The process starts again, on the same disk.
+  /// Restarts the process on the same disk.
   void restart() {
     role.reset();
     role =
@@ -81,18 +81,19 @@
 }
 
 jobs::ReadJob read(const std::string& tenant) {
-  jobs::ReadJob made;
-  made.id = "j";
-  made.tenant = tenant;
-  return made;
+  jobs::ReadJob readRequest;
+  readRequest.id = "j";
+  readRequest.tenant = tenant;
+  return readRequest;
 }
 
 }  // namespace
 
 Test(job_role, job_exists_for_its_tenant_only) {
-  LoneLedger ledger;
+  SingleLedger ledger;
   cr_assert(ledger.ask(submission("a")).status == jobs::JobStatus::kDone);
-  cr_assert(ledger.ask(submission("a")).status == jobs::JobStatus::kDone, "submitted again");
+  cr_assert(ledger.ask(submission("a")).status == jobs::JobStatus::kDone,
+            "submitted a second time");
   cr_assert(ledger.ask(submission("b")).status == jobs::JobStatus::kNotOwner);
   cr_assert(ledger.ask(read("a")).status == jobs::JobStatus::kDone);
   cr_assert(ledger.ask(read("b")).status == jobs::JobStatus::kNotFound);
@@ -102,7 +103,7 @@
 }
 
 Test(job_role, job_is_ended_by_its_tenant_only) {
-  LoneLedger ledger;
+  SingleLedger ledger;
   (void)ledger.ask(submission("a"));
   cr_assert(ledger.ask(jobs::EndJob{"j", "b"}).status == jobs::JobStatus::kDone);
   cr_assert_not(ledger.role->state().find("j")->ended);
@@ -110,14 +111,14 @@
   cr_assert(ledger.role->state().find("j")->ended);
 }
 
-Test(job_role, job_of_nobody_is_open_to_all) {
-  LoneLedger ledger;
+Test(job_role, job_without_tenant_is_visible_to_all) {
+  SingleLedger ledger;
   (void)ledger.ask(submission(""));
   cr_assert(ledger.ask(read("a")).status == jobs::JobStatus::kDone);
 }
 
-Test(job_role, open_work_is_told_by_model) {
-  LoneLedger ledger;
+Test(job_role, open_jobs_are_listed_by_model) {
+  SingleLedger ledger;
   jobs::SubmitJob submit = submission("a");
   submit.job.model = "m";
   submit.job.items.resize(3, submit.job.items[0]);
@@ -125,49 +126,49 @@
     submit.job.items[i].id = "i" + std::to_string(i);
   }
   (void)ledger.ask(submit);
-  const std::uint64_t submitted = ledger.role->workChanges();
+  const std::uint64_t submitted = ledger.role->workRevision();
   const jobs::OpenJobsByModel before = *ledger.role->openJobs(ledger.now);
   cr_assert_eq(before.at("m").front().items, 3U);
   cr_assert_eq(before.at("m").front().waiting, 3U);
-  cr_assert(before.at("m").front().slack == base::Duration::max(), "nothing says when it is due");
+  cr_assert(before.at("m").front().slack == base::Duration::max(), "no due time");
   const base::CompressedText text("t");
   (void)ledger.ask(jobs::CommitResults{{{"j", {{1, jobs::ItemState::kCompleted, text, {1}}}}}});
   cr_assert_eq(ledger.role->openJobs(ledger.now)->at("m").front().items, 2U);
-  cr_assert_eq(ledger.role->workChanges(), submitted);
+  cr_assert_eq(ledger.role->workRevision(), submitted);
   (void)ledger.ask(jobs::EndJob{"j", "a"});
   cr_assert(ledger.role->openJobs(ledger.now)->empty());
-  cr_assert_gt(ledger.role->workChanges(), submitted);
+  cr_assert_gt(ledger.role->workRevision(), submitted);
 }
 
-// A ledger that starts again knows the jobs' ages only from then on.
-Test(job_role, open_work_is_told_in_the_order_of_submission_after_a_restart) {
-  LoneLedger ledger;
+// After a restart the jobs' ages are unknown, so the order must come from the log.
+Test(job_role, open_jobs_are_in_the_order_of_submission_after_a_restart) {
+  SingleLedger ledger;
   for (const char* id : {"z", "a"}) {
     jobs::SubmitJob submit = submission("a");
     submit.job.id = id;
     (void)ledger.ask(submit);
   }
   ledger.restart();
-  const jobs::OpenJobsByModel works = *ledger.role->openJobs(ledger.now);
-  cr_assert_eq(works.at("").size(), 2U);
-  cr_assert_eq(works.at("").front().job, "z");
+  const jobs::OpenJobsByModel jobsByModel = *ledger.role->openJobs(ledger.now);
+  cr_assert_eq(jobsByModel.at("").size(), 2U);
+  cr_assert_eq(jobsByModel.at("").front().job, "z");
 }
 
-Test(job_role, new_leader_asks_for_paces_and_places_by_them) {
-  LoneLedger ledger;
+Test(job_role, new_leader_requests_event_intervals_and_uses_them) {
+  SingleLedger ledger;
   jobs::LeaseItems call;
   call.zone = "z";
   cr_assert(ledger.ask(call).wantsEventIntervals);
   call.eventIntervals = {{"fast", {40}}, {"slow", {140}}};
   cr_assert_not(ledger.ask(call).wantsEventIntervals);
   call.eventIntervals.clear();
-  cr_assert_not(ledger.ask(call).wantsEventIntervals, "it was told in this term");
+  cr_assert_not(ledger.ask(call).wantsEventIntervals, "reported in this term");
   ledger.restart();
   ledger.role->setEngines({{"a-slow", 4, {{"", 1}}, "z"}, {"fast", 4, {{"", 1}}, "z"}});
   cr_assert(ledger.ask(call).wantsEventIntervals);
   (void)ledger.ask(submission("a"));
   call.eventIntervals = {{"fast", {40}}, {"a-slow", {140, base::seconds(1)}}};
-  call.wanted.add("", 1, 4);
+  call.freeSlots.add("", 1, 4);
   const jobs::JobReply reply = ledger.ask(call);
   cr_assert_not(reply.wantsEventIntervals);
   cr_assert_eq(reply.leased.size(), 1U);
@@ -175,11 +176,11 @@
 }
 
 Test(job_role, leased_item_names_its_tenant) {
-  LoneLedger ledger;
+  SingleLedger ledger;
   (void)ledger.ask(submission("a"));
   ledger.role->setEngines({{"e", 4, {{"", 1}}, "z"}});
   jobs::LeaseItems lease;
-  lease.wanted.add("", 1, 4);
+  lease.freeSlots.add("", 1, 4);
   lease.zone = "z";
   for (int tries = 0; tries < 10; ++tries) {
     const jobs::JobReply reply = ledger.ask(lease);
@@ -188,11 +189,11 @@
       return;
     }
   }
-  cr_assert_fail("nothing was leased");
+  cr_assert_fail("no item was leased");
 }
 
 Test(job_role, items_go_by_the_priority_of_their_tenant) {
-  LoneLedger ledger;
+  SingleLedger ledger;
   for (const char* tenant : {"a", "b"}) {
     jobs::SubmitJob submit = submission(tenant);
     submit.job.id = tenant;
@@ -202,7 +203,7 @@
   ledger.role->setTenantPriorities(jobs::TenantPriorities({{"a", {}, 2}, {"b", {}, 1}}));
   ledger.role->setEngines({{"e", 2, {{"", 1}}, "z"}});
   jobs::LeaseItems lease;
-  lease.wanted.add("", 1, 4);
+  lease.freeSlots.add("", 1, 4);
   lease.zone = "z";
   std::vector<jobs::LeasedItem> leased;
   for (int tries = 0; tries < 10 && leased.empty(); ++tries) {
@@ -218,8 +219,8 @@
   cr_assert_eq(summary.jobs[1].running, 2U);
 }
 
-Test(job_role, lengths_and_paces_are_learnt_and_tell_the_slack) {
-  LoneLedger ledger;
+Test(job_role, lengths_and_event_intervals_determine_the_slack) {
+  SingleLedger ledger;
   jobs::SubmitJob submit = submission("a");
   submit.job.resultDeadline = base::seconds(60);
   submit.job.items.resize(40, submit.job.items[0]);
@@ -238,7 +239,7 @@
   (void)ledger.ask(jobs::CommitResults{{results}});
   cr_assert_lt(slack(), before - base::seconds(3));
   cr_assert_gt(ledger.role->forecast().errors().at(""), 0);
-  // An engine that makes an event each 100 ms runs an item.
+  // An engine with an event interval of 100 ms runs an item.
   jobs::LeaseItems lease;
   lease.held = {{{"j", 35}, "e"}};
   ledger.role->setEngines({{"e", 8, {{"", 1}}, "z"}});
@@ -246,14 +247,14 @@
   const base::Duration atDefault = slack();
   (void)ledger.ask(lease);
   cr_assert_lt(slack(), atDefault - base::seconds(10));
-  // A leader that has seen none of the texts learns from the results that are kept.
+  // A new leader learns from the stored results.
   ledger.restart();
   cr_assert_lt(slack(), before - base::seconds(3));
 }
 
 Test(job_role, full_queue_is_the_same_after_a_restart) {
-  LoneLedger ledger;
-  // The names are not in the order of submission.
+  SingleLedger ledger;
+  // The ids are not in the order of submission.
   for (const char* id : {"z", "y", "x"}) {
     jobs::SubmitJob submit = submission("a");
     submit.job.id = id;
@@ -265,7 +266,7 @@
   ledger.restart();
   ledger.role->setEngines({{"e", 20, {{"", 1}}, "z"}});
   jobs::LeaseItems lease;
-  lease.wanted.add("", 1, 100);
+  lease.freeSlots.add("", 1, 100);
   lease.zone = "z";
   std::vector<jobs::LeasedItem> leased;
   for (int tries = 0; tries < 10 && leased.empty(); ++tries) {
@@ -278,9 +279,9 @@
   cr_assert_str_eq(order.c_str(), "zzzyyyyxxxx");
 }
 
-// It was as old as the forgotten one when no other job had come between, and was forgotten at once.
-Test(job_role, job_that_was_forgotten_may_be_submitted_again) {
-  LoneLedger ledger;
+// Guards against a resubmitted job that takes the age of the removed one and is removed at once.
+Test(job_role, removed_job_may_be_submitted_again) {
+  SingleLedger ledger;
   (void)ledger.ask(submission("a"));
   ledger.run(jobs::JobRoleSettings{}.retention + base::seconds(1));
   cr_assert_null(ledger.role->state().find("j"));
@@ -289,8 +290,8 @@
   cr_assert_not_null(ledger.role->state().find("j"));
 }
 
-Test(job_role, groups_that_come_again_are_known_after_a_restart) {
-  LoneLedger ledger;
+Test(job_role, resubmitted_groups_are_known_after_a_restart) {
+  SingleLedger ledger;
   for (const char* id : {"z", "a"}) {
     jobs::SubmitJob submit = submission("t");
     submit.job.id = id;
@@ -305,7 +306,7 @@
   ledger.restart();
   ledger.role->setEngines({{"e", 20, {{"", 1}}, "z"}});
   jobs::LeaseItems lease;
-  lease.wanted.add("", 1, 100);
+  lease.freeSlots.add("", 1, 100);
   lease.zone = "z";
   std::vector<jobs::LeasedItem> leased;
   for (int tries = 0; tries < 10 && leased.empty(); ++tries) {
@@ -313,17 +314,17 @@
   }
   cr_assert_eq(leased.size(), 4U);
   cr_assert_eq(leased[2].key.job, "a");
-  cr_assert_eq(leased[2].item.id, "i", "the earlier job had it too");
+  cr_assert_eq(leased[2].item.id, "i", "resubmitted from the earlier job");
 }
 
 Test(job_role, operators_see_the_version_that_a_job_waits_for) {
-  LoneLedger ledger;
+  SingleLedger ledger;
   ledger.role->setEngines({{"e", 4, {{"m", 6}}}});
   jobs::SubmitJob submit = submission("a");
   submit.job.model = "m";
   submit.job.minimumVersion = 7;
   (void)ledger.ask(submit);
-  const jobs::JobReply waiting = ledger.ask(jobs::ReadWork{});
+  const jobs::JobReply waiting = ledger.ask(jobs::GetWorkReport{});
   cr_assert(waiting.work.has_value());
   cr_assert_eq(waiting.work->totalJobs, 1U);
   cr_assert_eq(waiting.work->jobs[0].waiting, 1U);
@@ -333,5 +334,5 @@
   cr_assert_eq(waiting.work->totalEngines, 1U);
 
   ledger.role->setEngines({{"e", 4, {{"m", 7}}}});
-  cr_assert_eq(ledger.ask(jobs::ReadWork{}).work->jobs[0].readySlots, 4U);
+  cr_assert_eq(ledger.ask(jobs::GetWorkReport{}).work->jobs[0].readySlots, 4U);
 }
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -1,4 +1,4 @@
-/// Jobs: the replicated state, leases of items, and an item's text.
+/// Jobs: replicated state, leases of items, placement, and the text of an item.
 #include <criterion/criterion.h>
 
 #include <ctime>
@@ -14,7 +14,7 @@
 
 constexpr base::TimePoint kNow{base::seconds(1)};
 constexpr base::NodeId kGateway = base::makeNodeId(1, 1);
-constexpr base::NodeId kOther = base::makeNodeId(2, 1);
+constexpr base::NodeId kOtherGateway = base::makeNodeId(2, 1);
 
 jobs::JobSubmission submission(const std::string& id, std::uint32_t items) {
   jobs::JobSubmission job;
@@ -33,13 +33,13 @@
   return {item, jobs::ItemState::kCompleted, base::CompressedText(text), {1}};
 }
 
-/// Slots at engines that hold version 1.
-jobs::FreeSlots room(const std::map<std::string, std::uint32_t>& slots) {
-  jobs::FreeSlots made;
+/// Returns free slots at engines that hold version 1.
+jobs::FreeSlots slotsFor(const std::map<std::string, std::uint32_t>& slots) {
+  jobs::FreeSlots freeSlots;
   for (const auto& [model, count] : slots) {
-    made.add(model, 1, count);
+    freeSlots.add(model, 1, count);
   }
-  return made;
+  return freeSlots;
 }
 
 jobs::LeasedItem leasedItem(std::uint64_t minimumVersion = 2, bool singleVersion = false) {
@@ -88,13 +88,13 @@
   apply(state, jobs::SubmitJob{submission("ended", 3)});
   apply(state, jobs::EndJob{"ended"});
   apply(state, jobs::CommitResults{{{"j", {result(1, "first")}}}});
-  const jobs::CommitResults news =
-      state.withoutKnown({{{"j", {result(1, "second"), result(2, "x")}},
+  const jobs::CommitResults newResults =
+      state.newResultsOf({{{"j", {result(1, "second"), result(2, "x")}},
                            {"ended", {result(0, "x")}},
                            {"unknown", {result(0, "x")}}}});
-  cr_assert_eq(news.jobs.size(), 1U);
-  cr_assert_eq(news.jobs[0].results.size(), 1U);
-  cr_assert_eq(news.jobs[0].results[0].item, 2U);
+  cr_assert_eq(newResults.jobs.size(), 1U);
+  cr_assert_eq(newResults.jobs[0].results.size(), 1U);
+  cr_assert_eq(newResults.jobs[0].results[0].item, 2U);
 }
 
 Test(job_state, requests_are_kept_only_while_their_items_may_run) {
@@ -115,7 +115,7 @@
   apply(state, jobs::CommitResults{{{"j", {result(1, "first")}}}});
   apply(state, jobs::EndJob{"j"});
   apply(state, jobs::SubmitJob{submission("k", 1)});
-  apply(state, jobs::ForgetJobs{{"k"}});
+  apply(state, jobs::RemoveJobs{{"k"}});
   jobs::JobState loaded;
   loaded.loadSnapshot(state.takeSnapshot());
   cr_assert_eq(loaded.takeSnapshot(), state.takeSnapshot());
@@ -148,67 +148,69 @@
 
 Test(item_leases, longest_expected_first_and_each_once) {
   LeaseFixture fixture;
-  auto leased = fixture.leases.lease(kGateway, room({{"", 3}}), fixture.state, fixture.now);
+  auto leased = fixture.leases.lease(kGateway, slotsFor({{"", 3}}), fixture.state, fixture.now);
   cr_assert_eq(leased.size(), 3U);
   cr_assert_eq(leased[0].key.item, 3U);
   cr_assert_eq(leased[2].key.item, 1U);
-  leased = fixture.leases.lease(kOther, room({{"", 3}}), fixture.state, fixture.now);
+  leased = fixture.leases.lease(kOtherGateway, slotsFor({{"", 3}}), fixture.state, fixture.now);
   cr_assert_eq(leased.size(), 1U);
 }
 
-Test(item_leases, each_model_has_its_own_room) {
+Test(item_leases, each_model_has_its_own_slots) {
   LeaseFixture fixture;
   jobs::JobSubmission other = submission("k", 2);
   other.model = "m";
   apply(fixture.state, jobs::SubmitJob{other});
   fixture.leases.addJob("k", *fixture.state.find("k"), fixture.now);
   const auto leased =
-      fixture.leases.lease(kGateway, room({{"", 1}, {"m", 5}}), fixture.state, fixture.now);
+      fixture.leases.lease(kGateway, slotsFor({{"", 1}, {"m", 5}}), fixture.state, fixture.now);
   cr_assert_eq(leased.size(), 3U);
-  cr_assert_eq(fixture.leases.lease(kOther, room({{"m", 5}}), fixture.state, fixture.now).size(),
-               0U);
-  cr_assert_eq(fixture.leases.lease(kOther, room({{"", 5}}), fixture.state, fixture.now).size(),
-               3U);
+  cr_assert_eq(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"m", 5}}), fixture.state, fixture.now).size(),
+      0U);
+  cr_assert_eq(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 5}}), fixture.state, fixture.now).size(),
+      3U);
 }
 
-Test(engine_room, items_share_places_with_those_that_need_newer_weights) {
+Test(free_slots, items_share_slots_with_items_that_need_newer_weights) {
   jobs::FreeSlots engines;
   engines.add("m", 8, 2);
   engines.add("m", 7, 3);
-  cr_assert_not(engines.take("m", 9), "no engine is so new");
+  cr_assert_not(engines.take("m", 9), "no engine holds that version");
   cr_assert(engines.take("m", 8));
   cr_assert(engines.take("m", 8));
   cr_assert_not(engines.take("m", 8));
   for (int i = 0; i < 3; ++i) {
     cr_assert(engines.take("m", 6));
   }
-  cr_assert_not(engines.take("m", 7), "all five are taken");
+  cr_assert_not(engines.take("m", 7), "all five slots are used");
   cr_assert(engines.empty());
   cr_assert_not(engines.take("n", 0));
 }
 
-Test(engine_room, old_work_leaves_no_place_for_new_where_it_runs_at_new_engines) {
+Test(free_slots, old_items_at_new_engines_use_slots_of_new_items) {
   jobs::FreeSlots engines;
   engines.add("m", 7, 1);
   engines.add("m", 8, 2);
   cr_assert(engines.take("m", 7));
   cr_assert(engines.take("m", 7));
   cr_assert(engines.take("m", 8));
-  cr_assert_not(engines.take("m", 8), "three places, three items");
+  cr_assert_not(engines.take("m", 8), "three slots, three items");
 }
 
-Test(engine_room, shares_and_running_items) {
+Test(free_slots, shares_and_running_items) {
   jobs::FreeSlots engines;
   engines.add("m", 1, 10);
   engines.add("m", 2, 10);
-  engines.share(4, 100);
-  engines.occupy("m", 2);
-  engines.occupy("m", 2);
-  engines.occupy("m", 2);
-  engines.occupy("m", 2);
-  cr_assert_not(engines.take("m", 2), "three of ten");
+  engines.divide(4, 100);
+  engines.forceTake("m", 2);
+  engines.forceTake("m", 2);
+  engines.forceTake("m", 2);
+  engines.forceTake("m", 2);
+  cr_assert_not(engines.take("m", 2), "three slots of ten");
   cr_assert(engines.take("m", 1));
-  cr_assert_not(engines.take("m", 1), "five of twenty");
+  cr_assert_not(engines.take("m", 1), "five slots of twenty");
 }
 
 Test(item_leases, work_for_old_weights_does_not_keep_work_for_new_ones_waiting) {
@@ -222,10 +224,10 @@
   engines.add("", 8, 1);
   const auto first = fixture.leases.lease(kGateway, engines, fixture.state, fixture.now);
   cr_assert_eq(first.size(), 3U);
-  cr_assert_eq(first[2].key.job, "j", "three old items fill the three places");
+  cr_assert_eq(first[2].key.job, "j", "three old items fill the three slots");
   jobs::FreeSlots newEngines;
   newEngines.add("", 8, 2);
-  const auto second = fixture.leases.lease(kOther, newEngines, fixture.state, fixture.now);
+  const auto second = fixture.leases.lease(kOtherGateway, newEngines, fixture.state, fixture.now);
   cr_assert_eq(second[1].key.job, "k");
 }
 
@@ -233,16 +235,16 @@
   LeaseFixture fixture;
   fixture.leases.setEngines({{"near", 2, {{"", 1}}, "a"}, {"far", 2, {{"", 1}}, "b"}});
   fixture.leases.onLeaseRequest(kGateway, "a", true, fixture.now);
-  fixture.leases.onLeaseRequest(kOther, "b", true, fixture.now);
-  const auto own = fixture.leases.lease(kGateway, room({{"", 9}}), fixture.state, fixture.now);
+  fixture.leases.onLeaseRequest(kOtherGateway, "b", true, fixture.now);
+  const auto own = fixture.leases.lease(kGateway, slotsFor({{"", 9}}), fixture.state, fixture.now);
   cr_assert_eq(own.size(), 2U);
   for (const jobs::GrantedItem& granted : own) {
     cr_assert_eq(granted.engine, "near");
   }
   const base::TimePoint later = fixture.now + base::milliseconds(300);
   fixture.leases.onLeaseRequest(kGateway, "a", true, later);
-  const auto foreign = fixture.leases.lease(kGateway, room({{"", 9}}), fixture.state, later);
-  cr_assert_eq(foreign.size(), 2U, "no gateway of the other zone asks any more");
+  const auto foreign = fixture.leases.lease(kGateway, slotsFor({{"", 9}}), fixture.state, later);
+  cr_assert_eq(foreign.size(), 2U, "no gateway of the other zone requests items any more");
 }
 
 Test(item_leases, small_gateway_holds_no_more_than_its_size_allows) {
@@ -261,9 +263,9 @@
   for (std::uint32_t number = 2; number < 20; ++number) {
     leases.onLeaseRequest(base::makeNodeId(number, 1), "a", true, now, large);
   }
-  cr_assert_eq(leases.lease(kGateway, room({{"", 200}}), state, now).size(), 20U);
-  cr_assert(leases.lease(kGateway, room({{"", 200}}), state, now).empty());
-  cr_assert_eq(leases.lease(kOther, room({{"", 200}}), state, now).size(), 96U);
+  cr_assert_eq(leases.lease(kGateway, slotsFor({{"", 200}}), state, now).size(), 20U);
+  cr_assert(leases.lease(kGateway, slotsFor({{"", 200}}), state, now).empty());
+  cr_assert_eq(leases.lease(kOtherGateway, slotsFor({{"", 200}}), state, now).size(), 96U);
   for (const jobs::GatewaySummary& summary : leases.gateways()) {
     if (summary.gateway == kGateway) {
       cr_assert_eq(summary.held, 20U);
@@ -276,15 +278,15 @@
 Test(zone_affinity, gateways_that_are_lost_or_take_nothing_do_not_count) {
   jobs::ZoneAffinity affinity;
   const base::TimePoint now{base::seconds(1)};
-  cr_assert(affinity.suits(kGateway, "b", now), "unknown gateways may run anything");
-  affinity.note(kGateway, "a", true, now);
-  affinity.note(kOther, "b", true, now);
-  cr_assert_not(affinity.suits(kGateway, "b", now));
-  affinity.note(kOther, "b", false, now);
-  cr_assert(affinity.suits(kGateway, "b", now));
-  affinity.note(kOther, "b", true, now);
-  affinity.forget(base::nodeNumber(kOther));
-  cr_assert(affinity.suits(kGateway, "b", now));
+  cr_assert(affinity.mayRun(kGateway, "b", now), "unknown gateways may run items of any zone");
+  affinity.recordRequest(kGateway, "a", true, now);
+  affinity.recordRequest(kOtherGateway, "b", true, now);
+  cr_assert_not(affinity.mayRun(kGateway, "b", now));
+  affinity.recordRequest(kOtherGateway, "b", false, now);
+  cr_assert(affinity.mayRun(kGateway, "b", now));
+  affinity.recordRequest(kOtherGateway, "b", true, now);
+  affinity.remove(base::nodeNumber(kOtherGateway));
+  cr_assert(affinity.mayRun(kGateway, "b", now));
 }
 
 Test(engine_placement, fast_engines_fill_before_slow_ones) {
@@ -295,7 +297,7 @@
   for (int i = 0; i < 4; ++i) {
     cr_assert_eq(placement.place({"m", 5}), "fast");
   }
-  cr_assert_eq(placement.place({"m", 5}), "slow", "what waits makes no progress");
+  cr_assert_eq(placement.place({"m", 5}), "slow", "a queued item makes no progress");
 }
 
 Test(engine_placement, least_loaded_of_those_that_are_new_enough) {
@@ -317,15 +319,15 @@
   placement.recordEventIntervals({{"slow", {140}}}, kNow);
   placement.setLoads({}, kNow);
   for (int i = 0; i < 9; ++i) {
-    cr_assert_eq(placement.place({"m", 1}), "fast", "one may wait there");
+    cr_assert_eq(placement.place({"m", 1}), "fast", "one item may queue there");
   }
-  cr_assert_eq(placement.place({"m", 1}), "slow", "better than to wait behind another");
-  placement.takeBack("slow");
-  placement.takeBack("fast");
+  cr_assert_eq(placement.place({"m", 1}), "slow", "better than queuing a second item");
+  placement.undoPlacement("slow");
+  placement.undoPlacement("fast");
   cr_assert_eq(placement.place({"m", 1}), "fast");
 }
 
-Test(engine_placement, pace_outlasts_a_change_of_weights) {
+Test(engine_placement, event_interval_survives_a_change_of_weights) {
   jobs::EnginePlacement placement;
   placement.setEngines({{"slow", 4, {{"m", 1}}}, {"fast", 4, {{"m", 1}}}});
   placement.recordEventIntervals({{"slow", {140}}}, kNow);
@@ -335,7 +337,7 @@
   cr_assert_eq(placement.place({"m", 1}), "fast");
 }
 
-Test(engine_placement, engines_in_reserve_get_items_only_when_the_others_are_full) {
+Test(engine_placement, standby_engines_get_items_only_if_the_others_are_full) {
   jobs::EnginePlacement placement;
   placement.setEngines({{"a", 2, {{"m", 1}}, "z", true, true},
                         {"b", 2, {{"m", 1}}, "z", true, true},
@@ -348,24 +350,24 @@
   placement.setLoads({{"a", 2}}, kNow);
   cr_assert_eq(placement.place({"m", 2}), "used");
   cr_assert_eq(placement.place({"m", 2}), "used");
-  cr_assert_eq(placement.place({"m", 2}), "", "those in reserve hold old weights");
+  cr_assert_eq(placement.place({"m", 2}), "", "standby engines hold old weights");
   cr_assert_eq(placement.place({"m", 1}), "b");
   placement.changeEngines({{"b", 2, {{"m", 5}}, "z"}}, {"used", "unknown"});
   cr_assert_eq(placement.place({"m", 2}), "b");
 }
 
-// A plan that looks at all engines for each model takes too long with many of them.
+// Guards against plans whose time grows with the number of all engines.
 Test(engine_placement, plan_of_a_large_fleet_is_cheap) {
   constexpr int kEngines = 10'000;
-  constexpr int kInUse = 400;
+  constexpr int kPrimary = 400;
   constexpr int kPlans = 200;
-  std::vector<jobs::PlacementEngine> engines;
+  std::vector<jobs::EngineInfo> engines;
   for (int i = 0; i < kEngines; ++i) {
-    engines.push_back({"e" + std::to_string(i), 6, {{"m", 1}, {"n", 1}}, "z", true, i >= kInUse});
+    engines.push_back({"e" + std::to_string(i), 6, {{"m", 1}, {"n", 1}}, "z", true, i >= kPrimary});
   }
   jobs::EnginePlacement placement;
   placement.setEngines(engines);
-  const std::clock_t begun = std::clock();
+  const std::clock_t startedAt = std::clock();
   for (int plan = 0; plan < kPlans; ++plan) {
     placement.setLoads({{"e1", 1}, {"e2", 6}}, kNow);
     for (int item = 0; item < 100; ++item) {
@@ -373,25 +375,28 @@
     }
     placement.changeEngines({engines[static_cast<std::size_t>(plan)]}, {});
   }
-  cr_assert_lt(static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC, 1.0);
+  cr_assert_lt(static_cast<double>(std::clock() - startedAt) / CLOCKS_PER_SEC, 1.0);
 }
 
 Test(item_leases, items_of_all_gateways_count_where_they_run) {
   LeaseFixture fixture;
   fixture.leases.setEngines({{"a", 2, {{"", 1}}}, {"b", 2, {{"", 1}}}});
-  const auto first = fixture.leases.lease(kGateway, room({{"", 2}}), fixture.state, fixture.now);
+  const auto first =
+      fixture.leases.lease(kGateway, slotsFor({{"", 2}}), fixture.state, fixture.now);
   cr_assert_neq(first[0].engine, first[1].engine);
-  // Both went on at the same engine.
+  // Both items run at the same engine now.
   (void)fixture.leases.renew(kGateway, {{first[0].key, "a"}, {first[1].key, "a"}}, fixture.state,
                              fixture.now);
-  const auto second = fixture.leases.lease(kOther, room({{"", 2}}), fixture.state, fixture.now);
+  const auto second =
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 2}}), fixture.state, fixture.now);
   cr_assert_eq(second[0].engine, "b");
   cr_assert_eq(second[1].engine, "b");
-  cr_assert(fixture.leases.lease(kOther, room({{"", 9}}), fixture.state, fixture.now).empty(),
-            "both engines are full");
+  cr_assert(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 9}}), fixture.state, fixture.now).empty(),
+      "both engines are full");
 }
 
-Test(item_leases, what_frees_a_place_is_planned_anew_at_the_next_interval) {
+Test(item_leases, free_slots_are_planned_at_the_next_interval) {
   jobs::JobState state;
   apply(state, jobs::SubmitJob{submission("j", 4)});
   base::TimePoint now{base::seconds(1)};
@@ -399,15 +404,15 @@
   leases.reset(1, now, base::Duration{0});
   leases.addJob("j", *state.find("j"), now);
   leases.setEngines({{"a", 2, {{"", 1}}}});
-  const auto first = leases.lease(kGateway, room({{"", 9}}), state, now);
+  const auto first = leases.lease(kGateway, slotsFor({{"", 9}}), state, now);
   cr_assert_eq(first.size(), 2U);
   apply(state, jobs::CommitResults{{{"j", {result(3, "t"), result(2, "t")}}}});
   leases.refresh(state, now);
   cr_assert(leases.itemsByEngine().empty());
   now += base::milliseconds(4);
-  cr_assert(leases.lease(kGateway, room({{"", 9}}), state, now).empty());
+  cr_assert(leases.lease(kGateway, slotsFor({{"", 9}}), state, now).empty());
   now += base::milliseconds(1);
-  const auto second = leases.lease(kGateway, room({{"", 9}}), state, now);
+  const auto second = leases.lease(kGateway, slotsFor({{"", 9}}), state, now);
   cr_assert_eq(second.size(), 2U);
   cr_assert_eq(second[0].key.item, 1U);
 }
@@ -415,26 +420,28 @@
 Test(item_leases, item_that_came_back_twice_is_leased_once) {
   LeaseFixture fixture;
   for (int i = 0; i < 2; ++i) {
-    const auto leased = fixture.leases.lease(kGateway, room({{"", 4}}), fixture.state, fixture.now);
+    const auto leased =
+        fixture.leases.lease(kGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
     cr_assert_eq(leased.size(), 4U);
-    cr_assert_eq(leased[0].key.item, 3U, "they keep their order");
+    cr_assert_eq(leased[0].key.item, 3U, "items keep their order");
     fixture.now += base::seconds(3);
     fixture.leases.refresh(fixture.state, fixture.now);
   }
-  cr_assert_eq(fixture.leases.lease(kOther, room({{"", 9}}), fixture.state, fixture.now).size(),
-               4U);
+  cr_assert_eq(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 9}}), fixture.state, fixture.now).size(),
+      4U);
 }
 
-Test(lease_order, what_the_caller_waits_for_comes_first) {
+Test(lease_order, required_items_come_first) {
   jobs::JobSubmission job;
   const auto add = [&](const std::string& group, std::uint32_t tokens) {
     job.items.push_back({group + std::to_string(job.items.size()), "/", {}, "", group, tokens});
   };
   add("a", 10);   // 0
-  add("a", 500);  // 1: the longest of all, in a group that the caller can do without
+  add("a", 500);  // 1: longest of all, in an optional group
   add("b", 300);  // 2
   add("c", 20);   // 3
-  add("d", 5);    // 4: comes again
+  add("d", 5);    // 4: resubmitted
   job.requiredGroups = 3;
   const auto order = jobs::leaseOrder(job, {"d"});
   cr_assert(order == (std::vector<std::uint32_t>{4, 2, 3, 1, 0}));
@@ -444,74 +451,87 @@
 
 Test(item_leases, lease_that_is_not_renewed_goes_to_another) {
   LeaseFixture fixture;
-  const auto leased = fixture.leases.lease(kGateway, room({{"", 4}}), fixture.state, fixture.now);
+  const auto leased =
+      fixture.leases.lease(kGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
   fixture.now += base::milliseconds(1500);
   (void)fixture.leases.renew(kGateway, heldOf({leased[0]}), fixture.state, fixture.now);
   fixture.now += base::milliseconds(1500);
   fixture.leases.refresh(fixture.state, fixture.now);
-  const auto again = fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now);
+  const auto again =
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
   cr_assert_eq(again.size(), 3U);
   const auto revoked = fixture.leases.renew(kGateway, heldOf(leased), fixture.state, fixture.now);
-  cr_assert_eq(revoked.size(), 3U, "others run them by now");
+  cr_assert_eq(revoked.size(), 3U, "leased to other gateways");
 }
 
-Test(item_leases, leaving_gateway_gives_back_what_it_does_not_hold) {
+Test(item_leases, draining_gateway_releases_items_it_does_not_hold) {
   LeaseFixture fixture;
-  const auto leased = fixture.leases.lease(kGateway, room({{"", 4}}), fixture.state, fixture.now);
-  fixture.leases.giveBack(kGateway, heldOf({leased[0]}), fixture.state);
-  const auto again = fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now);
+  const auto leased =
+      fixture.leases.lease(kGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
+  fixture.leases.release(kGateway, heldOf({leased[0]}), fixture.state);
+  const auto again =
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
   cr_assert_eq(again.size(), 3U);
 }
 
 Test(item_leases, ended_jobs_revoke_and_lease_nothing) {
   LeaseFixture fixture;
-  const auto leased = fixture.leases.lease(kGateway, room({{"", 2}}), fixture.state, fixture.now);
+  const auto leased =
+      fixture.leases.lease(kGateway, slotsFor({{"", 2}}), fixture.state, fixture.now);
   apply(fixture.state, jobs::EndJob{"j"});
   cr_assert_eq(fixture.leases.renew(kGateway, heldOf(leased), fixture.state, fixture.now).size(),
                2U);
-  cr_assert(fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now).empty());
+  cr_assert(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now).empty());
 }
 
-Test(item_leases, new_leader_first_hears_what_gateways_hold) {
+Test(item_leases, new_leader_waits_for_reports_of_held_items) {
   LeaseFixture fixture;
   fixture.leases.reset(2, fixture.now, base::milliseconds(500));
   fixture.leases.addJob("j", *fixture.state.find("j"), fixture.now);
-  cr_assert(fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now).empty());
+  cr_assert(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now).empty());
   (void)fixture.leases.renew(kGateway, {{{"j", 3}, ""}, {{"j", 2}, ""}}, fixture.state,
                              fixture.now);
   fixture.now += base::milliseconds(600);
-  cr_assert_eq(fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now).size(),
-               2U);
+  cr_assert_eq(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now).size(),
+      2U);
 }
 
-Test(item_leases, restarted_gateway_frees_what_its_former_run_held) {
+Test(item_leases, restarted_gateway_frees_items_of_its_previous_incarnation) {
   LeaseFixture fixture;
-  (void)fixture.leases.lease(kGateway, room({{"", 4}}), fixture.state, fixture.now);
+  (void)fixture.leases.lease(kGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
   const base::NodeId again = base::makeNodeId(1, 2);
   (void)fixture.leases.renew(again, {}, fixture.state, fixture.now);
   fixture.leases.refresh(fixture.state, fixture.now);
-  cr_assert_eq(fixture.leases.lease(again, room({{"", 4}}), fixture.state, fixture.now).size(), 4U);
+  cr_assert_eq(fixture.leases.lease(again, slotsFor({{"", 4}}), fixture.state, fixture.now).size(),
+               4U);
 }
 
 Test(item_leases, broken_connection_ends_leases_that_are_not_renewed_soon) {
   LeaseFixture fixture;
-  const auto leased = fixture.leases.lease(kGateway, room({{"", 4}}), fixture.state, fixture.now);
+  const auto leased =
+      fixture.leases.lease(kGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
   fixture.leases.onGatewayLost(1, base::milliseconds(300), fixture.now);
   fixture.now += base::milliseconds(200);
   (void)fixture.leases.renew(kGateway, heldOf({leased[0]}), fixture.state, fixture.now);
   fixture.now += base::milliseconds(200);
   fixture.leases.refresh(fixture.state, fixture.now);
-  cr_assert_eq(fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now).size(),
-               3U);
+  cr_assert_eq(
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now).size(),
+      3U);
 }
 
-Test(item_leases, numbers_rise_also_across_leaders) {
+Test(item_leases, lease_numbers_increase_across_leaders) {
   LeaseFixture fixture;
-  const auto leased = fixture.leases.lease(kGateway, room({{"", 2}}), fixture.state, fixture.now);
+  const auto leased =
+      fixture.leases.lease(kGateway, slotsFor({{"", 2}}), fixture.state, fixture.now);
   cr_assert_gt(leased[1].lease, leased[0].lease);
   fixture.leases.reset(2, fixture.now, base::Duration{0});
   fixture.leases.addJob("j", *fixture.state.find("j"), fixture.now);
-  const auto later = fixture.leases.lease(kOther, room({{"", 4}}), fixture.state, fixture.now);
+  const auto later =
+      fixture.leases.lease(kOtherGateway, slotsFor({{"", 4}}), fixture.state, fixture.now);
   cr_assert_gt(later[0].lease, leased[1].lease);
 }
 
@@ -536,13 +556,13 @@
   }
 }
 
-Test(item_run, text_goes_on_behind_the_last_event_and_names_every_version) {
+Test(item_run, text_continues_after_the_last_event_with_all_versions) {
   jobs::ItemRun run(leasedItem());
   cr_assert(run.onHead(2));
   cr_assert(run.onEvent({0, "a", std::nullopt}));
   cr_assert(run.onEvent({1, "b", 3}));
   cr_assert_eq(*run.lastEvent(), 1U);
-  cr_assert(run.onHead(4), "another engine goes on");
+  cr_assert(run.onHead(4), "another engine continues");
   cr_assert(run.onEvent({2, "c", std::nullopt}));
   const jobs::ItemResult done = run.completed();
   cr_assert_eq(done.text, "a\nb\nc");
@@ -561,12 +581,12 @@
   cr_assert_eq(run.completed().text, "a");
 }
 
-Test(item_run, text_of_one_version_begins_anew_under_another) {
+Test(item_run, single_version_text_restarts_with_another_version) {
   jobs::ItemRun run(leasedItem(2, true));
   cr_assert(run.onHead(2));
   cr_assert(run.onEvent({0, "a", std::nullopt}));
-  cr_assert_not(run.onEvent({1, "b", 3}), "the weights change under way");
-  cr_assert_not(run.onHead(3), "the text so far is version 2's");
+  cr_assert_not(run.onEvent({1, "b", 3}), "the weights change during the run");
+  cr_assert_not(run.onHead(3), "the text so far was generated by version 2");
   cr_assert_not(run.lastEvent().has_value());
   cr_assert(run.onHead(3));
   cr_assert(run.onEvent({0, "x", std::nullopt}));
--- a/test/jobs/lease_load.h
+++ b/test/jobs/lease_simulation.h
@@ -1,6 +1,5 @@
 /// \file
-/// Trainers, engines and one gateway around ItemLeases, in simulated time: what callers get from an
-/// order of work.
+/// Simulation of trainers, engines and one gateway around ItemLeases.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +17,7 @@
 
 namespace tackpick::test {
 
-/// One trainer: asks for a job each `interval`, with at most two open.
+/// A trainer that submits a job every `interval`, with at most two open jobs.
 struct TrainerLoad {
   std::string tenant;
   std::string model;
@@ -37,9 +36,9 @@
   double eventIntervalMs = 40;
   double maxEvents = 150;
   double estimateSpread = 0.5;
-  base::Duration due = base::milliseconds(7500);
+  base::Duration deadline = base::milliseconds(7500);
   base::Duration time = base::seconds(60);
-  /// So many engines in a hundred take no items for `shortageTime` of each `shortageInterval`.
+  /// Percentage of engines that accept no items for `shortageTime` of each `shortageInterval`.
   std::uint32_t shortagePercent = 0;
   base::Duration shortageTime = base::seconds(2);
   base::Duration shortageInterval = base::seconds(10);
@@ -49,9 +48,9 @@
 };
 
 struct LoadOutcome {
-  std::uint32_t groups = 0;        ///< wanted, of jobs whose time is over
-  std::uint32_t groupsInTime = 0;  ///< of those, whole before they were due
-  std::uint32_t jobs = 0;          ///< whole, also late
+  std::uint32_t groups = 0;        ///< required groups of jobs that completed or were due
+  std::uint32_t groupsInTime = 0;  ///< groups that were complete before the due time
+  std::uint32_t jobs = 0;          ///< completed jobs, including late ones
   std::map<std::string, std::uint32_t> jobsOfTenant;
 
   [[nodiscard]] double inTime() const {
@@ -59,9 +58,9 @@
   }
 };
 
-class LeaseLoad {
+class LeaseSimulation {
  public:
-  explicit LeaseLoad(LoadOptions options)
+  explicit LeaseSimulation(LoadOptions options)
       : m_options(std::move(options)),
         m_random(m_options.seed),
         m_leases(base::milliseconds(1500), base::milliseconds(5), m_options.policy),
@@ -78,7 +77,7 @@
       callGateway();
     }
     for (const auto& [id, open] : m_open) {
-      countGroups(open);
+      tallyGroups(open);
     }
     return m_outcome;
   }
@@ -86,17 +85,17 @@
  private:
   static constexpr base::Duration kStep = base::milliseconds(10);
   static constexpr base::NodeId kGateway = base::makeNodeId(1, 1);
-  /// Callers count other units than events.
+  /// Estimates are in another unit than events.
   static constexpr double kEstimatePerEvent = 60;
 
   struct OpenJob {
     std::size_t trainer = 0;
     base::TimePoint submittedAt{};
     std::vector<std::uint64_t> lengths;
-    std::vector<std::uint32_t> left;  ///< items by group
-    std::uint32_t wanted = 0;
-    std::uint32_t whole = 0;
-    std::uint32_t wholeInTime = 0;
+    std::vector<std::uint32_t> remainingItems;  ///< remaining items by group
+    std::uint32_t required = 0;
+    std::uint32_t completeGroups = 0;
+    std::uint32_t completeInTime = 0;
   };
   struct Trainer {
     base::TimePoint nextAt{};
@@ -122,7 +121,7 @@
       return;
     }
     m_shortage = shortage;
-    std::vector<jobs::PlacementEngine> engines;
+    std::vector<jobs::EngineInfo> engines;
     for (std::uint32_t i = 0; i < m_options.engines; ++i) {
       const bool loads = shortage && i * 37 % 100 < m_options.shortagePercent;
       std::map<std::string, std::uint64_t> versions;
@@ -153,16 +152,16 @@
     submit.job.model = load.model;
     submit.job.priority = load.priority;
     submit.job.minimumVersion = 1;
-    submit.job.resultDeadline = m_options.due;
+    submit.job.resultDeadline = m_options.deadline;
     submit.job.requiredGroups = (load.groups * 9 + 9) / 10;
     OpenJob open;
     open.trainer = index;
     open.submittedAt = m_now;
-    open.wanted = submit.job.requiredGroups;
-    open.left.assign(load.groups, load.groupSize);
+    open.required = submit.job.requiredGroups;
+    open.remainingItems.assign(load.groups, load.groupSize);
     for (std::uint32_t item = 0; item < load.groups * load.groupSize; ++item) {
-      const double drawn = load.medianEvents * std::exp(load.spread * gaussian());
-      const double length = std::clamp(drawn, 1.0, m_options.maxEvents);
+      const double sampledLength = load.medianEvents * std::exp(load.spread * gaussian());
+      const double length = std::clamp(sampledLength, 1.0, m_options.maxEvents);
       const double error = std::exp(m_options.estimateSpread * gaussian());
       const double estimate = kEstimatePerEvent * length * error;
       open.lengths.push_back(static_cast<std::uint64_t>(length));
@@ -187,7 +186,7 @@
   void runEngines() {
     const double events =
         std::chrono::duration<double, std::milli>(kStep).count() / m_options.eventIntervalMs;
-    std::vector<jobs::ItemKey> whole;
+    std::vector<jobs::ItemKey> completed;
     for (auto& [engine, items] : m_running) {
       for (std::size_t i = 0; i < items.size() && i < m_options.slots; ++i) {
         items[i].events += events;
@@ -199,12 +198,12 @@
         }
         const bool done = item.events >= static_cast<double>(open->second.lengths[item.key.item]);
         if (done) {
-          whole.push_back(item.key);
+          completed.push_back(item.key);
         }
         return done;
       });
     }
-    for (const jobs::ItemKey& key : whole) {
+    for (const jobs::ItemKey& key : completed) {
       onTextComplete(key);
     }
   }
@@ -217,18 +216,19 @@
     OpenJob& open = found->second;
     jobs::ItemResult result{key.item, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}};
     result.events = open.lengths[key.item];
-    m_leases.forecast().learn(m_state.find(key.job)->submission, result);
-    m_leases.eventIntervals().note(m_state.find(key.job)->submission.model,
-                                   m_options.eventIntervalMs);
+    m_leases.forecast().train(m_state.find(key.job)->submission, result);
+    m_leases.eventIntervals().addSample(m_state.find(key.job)->submission.model,
+                                        m_options.eventIntervalMs);
     apply(jobs::CommitResults{{{key.job, {result}}}});
     const TrainerLoad& load = m_options.trainers[open.trainer];
-    if (--open.left[key.item / load.groupSize] > 0 || open.whole == open.wanted) {
+    if (--open.remainingItems[key.item / load.groupSize] > 0 ||
+        open.completeGroups == open.required) {
       return;
     }
-    ++open.whole;
-    open.wholeInTime += m_now - open.submittedAt <= m_options.due ? 1 : 0;
-    if (open.whole == open.wanted) {
-      countGroups(open);
+    ++open.completeGroups;
+    open.completeInTime += m_now - open.submittedAt <= m_options.deadline ? 1 : 0;
+    if (open.completeGroups == open.required) {
+      tallyGroups(open);
       ++m_outcome.jobs;
       ++m_outcome.jobsOfTenant[load.tenant];
       --m_trainers[open.trainer].open;
@@ -237,10 +237,10 @@
     }
   }
 
-  void countGroups(const OpenJob& open) {
-    if (open.whole == open.wanted || m_now - open.submittedAt >= m_options.due) {
-      m_outcome.groups += open.wanted;
-      m_outcome.groupsInTime += open.wholeInTime;
+  void tallyGroups(const OpenJob& open) {
+    if (open.completeGroups == open.required || m_now - open.submittedAt >= m_options.deadline) {
+      m_outcome.groups += open.required;
+      m_outcome.groupsInTime += open.completeInTime;
     }
   }
 
@@ -254,11 +254,11 @@
     m_leases.refresh(m_state, m_now);
     (void)m_leases.renew(kGateway, held, m_state, m_now);
     m_leases.onLeaseRequest(kGateway, "z", true, m_now);
-    jobs::FreeSlots room;
+    jobs::FreeSlots freeSlots;
     for (const TrainerLoad& load : m_options.trainers) {
-      room.add(load.model, 1, 100000);
+      freeSlots.add(load.model, 1, 100000);
     }
-    for (const jobs::GrantedItem& granted : m_leases.lease(kGateway, room, m_state, m_now)) {
+    for (const jobs::GrantedItem& granted : m_leases.lease(kGateway, freeSlots, m_state, m_now)) {
       m_running[granted.engine].push_back({granted.key});
     }
   }
