--- a/src/node/open_jobs_sender.h
+++ b/src/node/open_jobs_sender.h
@@ -24,7 +24,7 @@
 
  private:
   Node& m_node;
-  std::uint64_t m_told = 0;  ///< JobRole::workChanges() that the controllers have
+  std::uint64_t m_told = 0;  ///< JobRole::workRevision() that the controllers have
   bool m_telling = false;
   base::TimePoint m_toldAt{};
 };
