--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -194,7 +194,7 @@
     recordJobReply(request, reply, response, node_.now() - startedAt);
   };
   if (const auto* read = std::get_if<jobs::ReadJob>(&request)) {
-    result_reader_.read(*read, kLedgerCallTimeout + read->hold, onReply);
+    result_reader_.read(*read, kLedgerCallTimeout + read->maxWait, onReply);
   } else {
     ledgers_.call(request, kLedgerCallTimeout, startedAt, onReply);
   }
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -94,10 +94,10 @@
     return {};
   }
   jobs::FreeSlots wanted = instances_.freeSlots(engine_models_);
-  wanted.share(m_activeGateways, kOvercommitPercent);
+  wanted.divide(m_activeGateways, kOvercommitPercent);
   for (const auto& [key, item] : m_items) {
     if (needsEngine(*item)) {
-      wanted.occupy(item->run.leased().model, item->run.leased().minimumVersion);
+      wanted.forceTake(item->run.leased().model, item->run.leased().minimumVersion);
     }
   }
   return wanted;
@@ -122,7 +122,7 @@
     return;
   }
   jobs::LeaseItems request;
-  request.wanted = wantedItems();
+  request.freeSlots = wantedItems();
   request.draining = m_leasesReleased;
   request.zone = node_.settings().zone;
   request.capacity = capacity();
@@ -160,7 +160,7 @@
     cancelAttempt(*item);
     m_scoringClient.cancel(key);
   }
-  progress_.saveAll(node_.now(), [this] { returnLeases(); });
+  progress_.flush(node_.now(), [this] { returnLeases(); });
 }
 
 void ItemRunner::returnLeases() {
@@ -294,8 +294,8 @@
   state.expectedLong = isLong(item);
   state.moved = item.moves > 0;
   state.events = item.run.lastEvent().value_or(0);
-  state.begun = item.exchange.valid() && item.intervalStart != base::TimePoint{};
-  state.silence = now - item.lastByteAt;
+  state.started = item.exchange.valid() && item.intervalStart != base::TimePoint{};
+  state.idleTime = now - item.lastByteAt;
   state.moves = item.rebalanceMoves;
   return state;
 }
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -173,11 +173,12 @@
                                   static_cast<double>(item->eventsAtLeaseStart);
     const auto* entry = instances_.find(item->instance);
     jobs::TerminatingRun run;
-    run.untilEnd = termination->second - now;
+    run.timeToShutdown = termination->second - now;
     run.remainingEvents = std::max(0.0, item->run.leased().remainingEvents - eventsProduced);
-    run.pace = entry == nullptr ? base::Duration{0}
-                                : base::Duration(static_cast<base::Duration::rep>(
-                                      entry->eventIntervalMs * base::milliseconds(1).count()));
+    run.eventInterval = entry == nullptr
+                            ? base::Duration{0}
+                            : base::Duration(static_cast<base::Duration::rep>(
+                                  entry->eventIntervalMs * base::milliseconds(1).count()));
     if (!jobs::mustMove(run)) {
       continue;
     }
--- a/src/node/member_ledger_client.h
+++ b/src/node/member_ledger_client.h
@@ -21,7 +21,9 @@
     m_node.scheduleIteration();
   }
 
-  [[nodiscard]] base::NodeId nearby() const override { return m_node.clusterMember().zoneLedger(); }
+  [[nodiscard]] base::NodeId localReplica() const override {
+    return m_node.clusterMember().zoneLedger();
+  }
 
   void fetch(base::NodeId ledger, const jobs::FetchResults& request, base::Duration deadline,
              jobs::LedgerClient::Callback callback) override {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -38,9 +38,9 @@
 /// retried at a second controller.
 constexpr base::Duration kHeartbeatSlack = base::milliseconds(2800);
 
-std::vector<jobs::PlacementEngine> placementEngines(
+std::vector<jobs::EngineInfo> placementEngines(
     const std::vector<directory::InstanceView>& instances) {
-  std::vector<jobs::PlacementEngine> engines;
+  std::vector<jobs::EngineInfo> engines;
   for (const directory::InstanceView& instance : instances) {
     const bool acceptsItems = !instance.record.draining && !instance.loading &&
                               !instance.unresponsive && instance.record.slots > 0 &&
--- a/src/node/open_jobs_sender.cpp
+++ b/src/node/open_jobs_sender.cpp
@@ -14,7 +14,7 @@
 
 void OpenJobsSender::tick(const jobs::JobRole& ledger) {
   const base::TimePoint now = m_node.now();
-  const std::uint64_t revision = ledger.workChanges();
+  const std::uint64_t revision = ledger.workRevision();
   if (m_reporting || revision == m_reportedRevision || now - m_lastReportAt < kReportInterval) {
     return;
   }
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -135,7 +135,8 @@
   Call& call = found->second;
   const edge::HeaderNames& names = m_node.apiAdapter().headers();
   call.response.status = status;
-  call.response.notRun = headers.has(names.notExecuted) || status == http::status::kMisdirected;
+  call.response.notExecuted =
+      headers.has(names.notExecuted) || status == http::status::kMisdirected;
   call.response.signature = headers.value(names.signature);
   m_quarantineClient.onAnswered(call.instance, call.sentAt);
   if (const auto load = m_node.apiAdapter().load(headers.value(names.load))) {
@@ -146,12 +147,12 @@
 
 AttemptOutcome ScoringClient::outcomeOf(const Call& call) {
   if (!call.response.complete) {
-    return call.response.notRun ? AttemptOutcome::kConnectFailed : AttemptOutcome::kFailed;
+    return call.response.notExecuted ? AttemptOutcome::kConnectFailed : AttemptOutcome::kFailed;
   }
   if (call.response.status == http::status::kMisdirected) {
     return AttemptOutcome::kWrongInstance;
   }
-  if (call.response.notRun) {
+  if (call.response.notExecuted) {
     return AttemptOutcome::kRejected;
   }
   // Some texts can never be scored, so a server error is not counted against the server.
@@ -182,29 +183,29 @@
   call.exchange = {};
   call.response.complete = end.complete;
   if (!end.complete) {
-    call.response.notRun = end.verdict == base::Verdict::kNotRun;
-    if (!call.response.notRun) {
+    call.response.notExecuted = end.verdict == base::Verdict::kNotRun;
+    if (!call.response.notExecuted) {
       m_quarantineClient.onConnectionLost({fingerprintOf(call), call.service, call.instance},
                                           call.request.id, call.sentAt);
     }
-  } else if (call.fingerprint && !call.response.notRun) {
+  } else if (call.fingerprint && !call.response.notExecuted) {
     m_quarantineClient.onCompleted(*call.fingerprint);
   }
   const AttemptOutcome outcome = outcomeOf(call);
   m_instances.onEnded(call.instance, outcome, now - call.sentAt, now);
   m_limiter.onEnded(call.overloaded || outcome == AttemptOutcome::kRejected, now);
   m_node.metrics().count(CounterId::kScoringCallsEnded, toString(outcome));
-  const jobs::ScoringStep step = call.attempts->onResponse(call.response);
-  if (step != jobs::ScoringStep::kScored) {
+  const jobs::ScoringAction step = call.attempts->onResponse(call.response);
+  if (step != jobs::ScoringAction::kScored) {
     logFailure(key, call, outcome, now);
   }
-  if (step == jobs::ScoringStep::kRepeat) {
+  if (step == jobs::ScoringAction::kRetry) {
     call.notBefore = now + call.attempts->delay();
   } else {
     const std::string score = std::move(call.response.signature);
     const Callback callback = std::move(call.callback);
     m_calls.erase(found);
-    callback(step == jobs::ScoringStep::kScored ? &score : nullptr);
+    callback(step == jobs::ScoringAction::kScored ? &score : nullptr);
   }
   sendPending(now);
 }
--- a/src/node/work_reader.cpp
+++ b/src/node/work_reader.cpp
@@ -27,7 +27,7 @@
               std::function<void(const edge::WorkResponses& responses)> done) {
   const auto read = std::make_shared<PendingWorkRead>();
   read->done = std::move(done);
-  node.clusterMember().call(jobs::JobRequest{jobs::ReadWork{}}, deadline, node.now(),
+  node.clusterMember().call(jobs::JobRequest{jobs::GetWorkReport{}}, deadline, node.now(),
                             [read](const jobs::JobReply* reply) {
                               if (reply != nullptr) {
                                 read->responses.ledgers = reply->work;
