--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -152,10 +152,10 @@
     const http::RawRequest& request, const directory::Route* route,
     const std::shared_ptr<http::Exchange>& exchange) {
   const bool keyRequired = route == nullptr || !route->open;
-  const tenancy::TenantTable::Verdict verdict =
-      tenants_.judge(node_.apiAdapter().apiKey(request.headers), keyRequired);
-  if (verdict.allowed) {
-    return verdict.tenant;
+  const tenancy::TenantTable::AccessDecision decision =
+      tenants_.authorize(node_.apiAdapter().apiKey(request.headers), keyRequired);
+  if (decision.allowed) {
+    return decision.tenant;
   }
   refuseUnknown(kUnauthorized, exchange);
   return std::nullopt;
--- a/src/tenancy/api_key.h
+++ b/src/tenancy/api_key.h
@@ -1,6 +1,6 @@
 /// \file
-/// API keys of tenants. Plain keys are held only by the document that an operator sent; everything
-/// else works with digests.
+/// Digests of the API keys of tenants. Only the configuration document of the operator contains
+/// plain keys.
 #pragma once
 
 #include <array>
@@ -9,8 +9,8 @@
 
 namespace tackpick::tenancy {
 
-/// SHA-256 of a key. Looking one up takes a time that tells how much of the digest was right, and
-/// from that nothing of a key follows.
+/// SHA-256 digest of a key. The lookup need not take constant time, since a matching prefix of a
+/// digest reveals nothing about the key.
 struct KeyDigest {
   static constexpr std::size_t kBytes = 32;
   std::array<std::uint8_t, kBytes> bytes{};
@@ -25,6 +25,7 @@
   }
 };
 
+/// Returns the digest of a key.
 [[nodiscard]] KeyDigest digestKey(std::string_view key);
 
 }  // namespace tackpick::tenancy
--- a/src/tenancy/tenant.cpp
+++ b/src/tenancy/tenant.cpp
@@ -11,18 +11,17 @@
   std::map<KeyDigest, std::string> owners;
   for (const Tenant& tenant : tenants) {
     if (tenant.name.empty() || !names.insert(tenant.name).second) {
-      return base::fail(base::ErrorCode::kInvalidInput, "a tenant has no name of its own");
+      return base::fail(base::ErrorCode::kInvalidInput, "a tenant has an empty or duplicate name");
     }
     for (const KeyDigest& key : tenant.keys) {
       if (key == emptyKey) {
         return base::fail(base::ErrorCode::kInvalidInput,
-                          "tenant " + tenant.name + ": an empty key");
+                          "tenant " + tenant.name + ": key must not be empty");
       }
       const auto [owner, added] = owners.emplace(key, tenant.name);
       if (!added && owner->second != tenant.name) {
-        return base::fail(
-            base::ErrorCode::kInvalidInput,
-            "tenants " + owner->second + " and " + tenant.name + " have a key in common");
+        return base::fail(base::ErrorCode::kInvalidInput,
+                          "tenants " + owner->second + " and " + tenant.name + " use the same key");
       }
     }
   }
--- a/src/tenancy/tenant.h
+++ b/src/tenancy/tenant.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tenants: who may send requests, and by which keys.
+/// Tenants and the keys with which they may send requests.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,11 @@
 
 namespace tackpick::tenancy {
 
+/// A tenant of a configuration.
 struct Tenant {
   std::string name;
-  std::vector<KeyDigest> keys;                           ///< none: nobody can act for it at present
-  std::optional<std::uint32_t> priority = std::nullopt;  ///< goes before that of a route
+  std::vector<KeyDigest> keys;  ///< empty: no request is accepted for this tenant
+  std::optional<std::uint32_t> priority = std::nullopt;  ///< overrides the priority of a route
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -24,8 +25,8 @@
   }
 };
 
-/// Fails with what is wrong: a tenant without a name of its own, an empty key, a key of two
-/// tenants. The message names tenants, never a key.
+/// Returns an error if a tenant has no name or a name in use, an empty key, or a key of another
+/// tenant. The message contains names of tenants but no keys.
 [[nodiscard]] base::Result<void> validate(const std::vector<Tenant>& tenants);
 
 }  // namespace tackpick::tenancy
--- a/src/tenancy/tenant_table.h
+++ b/src/tenancy/tenant_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells by which tenant a request was sent.
+/// Finds the tenant of a request by its API key.
 #pragma once
 
 #include <map>
@@ -12,29 +12,29 @@
 
 namespace tackpick::tenancy {
 
-/// The tenants of one configuration.
+/// Tenants of one configuration.
 class TenantTable {
  public:
   TenantTable() = default;
   explicit TenantTable(const std::vector<Tenant>& tenants);
 
-  /// Without tenants no request needs a key.
+  /// Whether any tenant is configured. Without tenants no request needs a key.
   [[nodiscard]] bool hasTenants() const { return m_hasTenants; }
-  /// The tenant that holds `key`; nothing when none does.
-  [[nodiscard]] std::optional<std::string> ownerOf(std::string_view key) const;
+  /// Returns the tenant with this key, std::nullopt if none.
+  [[nodiscard]] std::optional<std::string> findTenant(std::string_view key) const;
 
-  /// Whether a request may go on, and for whom.
-  struct Verdict {
+  /// Whether a request is allowed, and its tenant.
+  struct AccessDecision {
     bool allowed = false;
-    std::string tenant = {};  ///< empty: nobody in particular
+    std::string tenant = {};  ///< empty if the request belongs to no tenant
   };
-  /// Judges a request that brings `key`, empty when it brings none; `keyRequired` is false on
-  /// routes that are open to everybody.
-  [[nodiscard]] Verdict judge(std::string_view key, bool keyRequired) const;
+  /// Decides on a request with `key`, which is empty if the request has none. `keyRequired` is
+  /// false on open routes.
+  [[nodiscard]] AccessDecision authorize(std::string_view key, bool keyRequired) const;
 
  private:
   bool m_hasTenants = false;
-  std::map<KeyDigest, std::string> m_owners;
+  std::map<KeyDigest, std::string> m_tenantsByKey;  ///< names of tenants
 };
 
 }  // namespace tackpick::tenancy
