--- a/src/config/cluster_settings.cpp
+++ b/src/config/cluster_settings.cpp
@@ -70,18 +70,18 @@
   const bool given = listed && !settings.dutyPlatform.host.empty();
   const std::string mode = reader.text("capacity", given ? "waiting" : "hold");
   if (mode == "hold") {
-    return duties::CapacityMode::kHold;
+    return duties::CapacityMode::kFixed;
   }
   if (settings.dutyPlatform.host.empty()) {
     reader.problem("capacity", "numbers of instances need a duty_platform");
   }
   if (mode == "waiting") {
-    return duties::CapacityMode::kWaitingWork;
+    return duties::CapacityMode::kReactive;
   }
   if (mode != "expected") {
     reader.problem("capacity", "expected hold, waiting or expected");
   }
-  return duties::CapacityMode::kExpectedSteps;
+  return duties::CapacityMode::kPredictive;
 }
 
 /// Calls to the platform that one machine at a time may make.
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -42,7 +42,7 @@
   transport::Endpoint dutyPlatform;
   double dutyCallsPerSecond = 10;  ///< most calls that the platform takes there
   /// Calls to it set the numbers of instances where a service has bounds on them.
-  duties::CapacityMode capacity = duties::CapacityMode::kHold;
+  duties::CapacityMode capacity = duties::CapacityMode::kFixed;
   base::Duration usageWindow{0};  ///< of usage reports; zero: none are wanted
   base::Duration usageReportDelay =
       base::seconds(10);              ///< a report is due so long after its window
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -116,10 +116,10 @@
 void DirectoryRole::onRequest(const Caller& caller, const Watch& request, base::TimePoint now) {
   nodes_[request.node.node] = {request.node, now, request.recentDemand};
   if (request.clock != base::WallTime{}) {
-    clock_.onTold(request.node.node, request.clock, now);
+    clock_.onClockReport(request.node.node, request.clock, now);
   }
   if (request.node.role == NodeRole::kGateway) {
-    usage_.onTold(request.node.node, request.usage);
+    usage_.onGatewayUsage(request.node.node, request.usage);
   }
   if (request.ledgerMembership) {
     ledger_voters_ = request.ledgerMembership->voters;
@@ -133,7 +133,7 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const ReportUsage& request,
                               base::TimePoint /*now*/) {
-  usage_.onTold(caller.node, request.usage);
+  usage_.onGatewayUsage(caller.node, request.usage);
   reply(caller, DirectoryStatus::kDone);
 }
 
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -110,7 +110,7 @@
   if (state_.configuration().tenants.empty()) {
     return;
   }
-  duties::UsageReporter::Present present;
+  duties::UsageReporter::StepInputs stepInputs;
   std::map<std::uint32_t, const HeardNode*> newest;  // a gateway that started anew tells no more
   for (const auto& [node, heard] : nodes_) {
     const HeardNode*& known = newest[base::nodeNumber(node)];
@@ -121,14 +121,14 @@
   }
   for (const auto& [number, heard] : newest) {
     if (heard != nullptr) {
-      present.gateways.insert(heard->record.node);
+      stepInputs.gateways.insert(heard->record.node);
     }
   }
-  present.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
-  present.fence = replica_.raft().currentTerm();
-  present.wall = clusterTime(now);
-  present.now = now;
-  duties::UsageReporterActions work = usage_.step(state_.usage(), present);
+  stepInputs.warmedUp = now - leader_since_ > settings_.repair.heartbeatTimeout;
+  stepInputs.fence = replica_.raft().currentTerm();
+  stepInputs.wall = clusterTime(now);
+  stepInputs.now = now;
+  duties::UsageReporterActions work = usage_.step(state_.usage(), stepInputs);
   for (auto& command : work.commands) {
     std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
                command);
@@ -151,13 +151,13 @@
   if (!m_capacity.enabled()) {
     return;
   }
-  duties::Autoscaler::Present present;
-  present.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
-  present.fence = replica_.raft().currentTerm();
-  present.now = now;
-  present.services =
+  duties::Autoscaler::StepInputs stepInputs;
+  stepInputs.warmedUp = now - leader_since_ > settings_.repair.heartbeatTimeout;
+  stepInputs.fence = replica_.raft().currentTerm();
+  stepInputs.now = now;
+  stepInputs.services =
       scaledServices(state_, presentInstances(now), m_openJobs, modelDemand(now), now);
-  duties::AutoscalerActions work = m_capacity.step(state_.capacity(), present);
+  duties::AutoscalerActions work = m_capacity.step(state_.capacity(), stepInputs);
   for (auto& command : work.commands) {
     std::visit([&](auto& typed) { proposeQuietly(DirectoryCommand{std::move(typed)}, now); },
                command);
@@ -352,7 +352,7 @@
     usage_.onOutcome(report, duties::UsageReportOutcome::kUnknown, now);
   }
   for (const duties::ScaleCall& call : scaleCalls) {
-    m_capacity.onOutcome(call, duties::ScaleOutcome::kBusy, now);
+    m_capacity.onOutcome(call, duties::ScaleOutcome::kThrottled, now);
   }
 }
 
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -68,7 +68,7 @@
   }
   view.gateways = std::max(view.gateways, 1U);
   view.heldRequests = state_.quarantine().told();
-  view.firstOpenUsageWindow = state_.usage().next().value_or(0);
+  view.firstOpenUsageWindow = state_.usage().nextWindow().value_or(0);
   view.allNodesSeen = now - leader_since_ > settings_.repair.heartbeatTimeout;
   return view;
 }
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -32,7 +32,7 @@
   for (const std::string& model : service.models) {
     const auto open = work.works.find(model);
     if (open != work.works.end() && !open->second.empty()) {
-      demand.works.insert(*open);
+      demand.openJobs.insert(*open);
     }
     const auto recent = recentDemand.find(model);
     demand.recentEvents += recent == recentDemand.end() ? 0 : recent->second;
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -7,18 +7,18 @@
 namespace tackpick::duties {
 namespace {
 
-/// With the open work that it is decided from.
-CapacityDecision decisionFrom(const ScaledService& service) {
+/// Returns a decision with the members that describe the demand of the service.
+CapacityDecision decisionWithDemand(const ScaledService& service) {
   CapacityDecision decision;
   if (!service.demand) {
     return decision;
   }
   decision.demandKnown = true;
   decision.demandAge = service.demand->reportAge;
-  for (const auto& [model, works] : service.demand->works) {
-    for (const jobs::OpenJob& work : works) {
-      decision.items += work.items;
-      decision.waiting += work.waiting;
+  for (const auto& [model, openJobs] : service.demand->openJobs) {
+    for (const jobs::OpenJob& job : openJobs) {
+      decision.items += job.items;
+      decision.waiting += job.waiting;
     }
   }
   return decision;
@@ -27,46 +27,47 @@
 }  // namespace
 
 void Autoscaler::reset(const CapacityState& state, base::TimePoint callsFrom, base::TimePoint now) {
-  m_plans.clear();
-  m_subjects.clear();
-  m_wishes.clear();
+  m_planners.clear();
+  m_pools.clear();
+  m_pendingTargets.clear();
   m_summaries.clear();
-  m_confirm.clear();
-  for (const auto& [subject, desired] : state.desired()) {
-    // What the predecessor asked for last may be starting.
-    m_subjects[subject].askedAt = std::max(now, callsFrom);
+  m_pendingConfirmations.clear();
+  for (const auto& [pool, desired] : state.desired()) {
+    // Instances that the previous leader requested may still be starting.
+    m_pools[pool].requestedAt = std::max(now, callsFrom);
   }
-  m_callAt = callsFrom;
-  m_retry = {};
+  m_nextCallAt = callsFrom;
+  m_retryDelay = {};
 }
 
-PoolCounts Autoscaler::poolCounts(const InstancePool& subject, RegisteredKind registered,
+PoolCounts Autoscaler::poolCounts(const InstancePool& pool, RegisteredCounts registered,
                                   const CapacityState& state, base::Duration startupDuration,
                                   base::TimePoint now) {
-  Subject& known = m_subjects[subject];
-  known.lost = known.lost || registered.there < known.seen.there ||
-               registered.draining < known.seen.draining;
-  known.seen = registered;
-  const DesiredCapacity noted = state.desired(subject).value_or(DesiredCapacity{});
-  if (known.proposed == noted.count) {
-    known.proposed.reset();
+  PoolState& poolState = m_pools[pool];
+  poolState.instancesLost = poolState.instancesLost ||
+                            registered.active < poolState.lastCounts.active ||
+                            registered.draining < poolState.lastCounts.draining;
+  poolState.lastCounts = registered;
+  const DesiredCapacity committed = state.desired(pool).value_or(DesiredCapacity{});
+  if (poolState.proposed == committed.count) {
+    poolState.proposed.reset();
   }
   PoolCounts counts;
-  counts.there = registered.there;
-  counts.desired = known.proposed.value_or(noted.count);
-  counts.asked = known.proposed || state.desired(subject);
-  counts.unavailable = now < known.availableFrom;
-  const bool toBeAsked = known.unanswered || !noted.taken;
-  const bool starting =
-      known.askedAt && now - *known.askedAt <= startupDuration + m_settings.startMargin;
-  if ((toBeAsked || starting) && !counts.unavailable) {
-    counts.starting = counts.desired - std::min(counts.desired, registered.there);
+  counts.active = registered.active;
+  counts.desired = poolState.proposed.value_or(committed.count);
+  counts.requested = poolState.proposed || state.desired(pool);
+  counts.unavailable = now < poolState.availableFrom;
+  const bool requestPending = poolState.unanswered || !committed.accepted;
+  const bool starting = poolState.requestedAt &&
+                        now - *poolState.requestedAt <= startupDuration + m_settings.startupGrace;
+  if ((requestPending || starting) && !counts.unavailable) {
+    counts.starting = counts.desired - std::min(counts.desired, registered.active);
   }
   return counts;
 }
 
-std::vector<ZoneCounts> Autoscaler::zonesOf(const ScaledService& service,
-                                            const CapacityState& state, base::TimePoint now) {
+std::vector<ZoneCounts> Autoscaler::countZones(const ScaledService& service,
+                                               const CapacityState& state, base::TimePoint now) {
   std::map<std::string, RegisteredInstances> zones = service.zones;
   for (const std::string& zone : state.zones(service.name)) {
     zones.try_emplace(zone);
@@ -76,238 +77,249 @@
     const InstancePool onDemand{service.name, zone, InstanceKind::kOnDemand};
     const InstancePool preemptible{service.name, zone, InstanceKind::kPreemptible};
     if (registered.preemptibleDraining > 0) {
-      Subject& withdrawn = m_subjects[preemptible];
-      withdrawn.availableFrom = std::max(withdrawn.availableFrom, now + m_settings.firstPause);
+      PoolState& preemptiblePool = m_pools[preemptible];
+      preemptiblePool.availableFrom =
+          std::max(preemptiblePool.availableFrom, now + m_settings.initialBackoff);
     }
-    const base::Duration start = service.scaling.startupDuration;
+    const base::Duration startup = service.scaling.startupDuration;
     ZoneCounts counts;
     counts.zone = zone;
-    counts.onDemand =
-        poolCounts(onDemand, {registered.onDemand, registered.onDemandDraining}, state, start, now);
+    counts.onDemand = poolCounts(onDemand, {registered.onDemand, registered.onDemandDraining},
+                                 state, startup, now);
     counts.preemptible = poolCounts(
-        preemptible, {registered.preemptible, registered.preemptibleDraining}, state, start, now);
+        preemptible, {registered.preemptible, registered.preemptibleDraining}, state, startup, now);
     counts.unresponsive = registered.unresponsive;
     counts.draining = registered.onDemandDraining + registered.preemptibleDraining;
     counts.baseline = state.baseline(onDemand);
     counts.preemptibleBaseline = state.baseline(preemptible);
     zoneCounts.push_back(counts);
-    for (const auto& [subject, kind, draining] :
+    for (const auto& [pool, kindCounts, draining] :
          {std::tuple(onDemand, counts.onDemand, registered.onDemandDraining),
           std::tuple(preemptible, counts.preemptible, registered.preemptibleDraining)}) {
-      const bool taken = state.desired(subject).value_or(DesiredCapacity{}).taken;
-      m_summaries.push_back({subject, kind.desired, taken, kind.there, kind.starting, draining,
-                             m_subjects[subject].refusals});
+      const bool accepted = state.desired(pool).value_or(DesiredCapacity{}).accepted;
+      m_summaries.push_back({pool, kindCounts.desired, accepted, kindCounts.active,
+                             kindCounts.starting, draining, m_pools[pool].consecutiveFailures});
     }
   }
   return zoneCounts;
 }
 
-void Autoscaler::noteBaselines(const ScaledService& service, const CapacityState& state,
-                               AutoscalerActions& work) {
-  const auto note = [&](const InstancePool& subject, std::uint32_t there) {
-    if (!state.desired(subject) && there > state.baseline(subject)) {
-      work.commands.emplace_back(RecordBaseline{subject, there});
+void Autoscaler::recordBaselines(const ScaledService& service, const CapacityState& state,
+                                 AutoscalerActions& actions) {
+  const auto record = [&](const InstancePool& pool, std::uint32_t active) {
+    if (!state.desired(pool) && active > state.baseline(pool)) {
+      actions.commands.emplace_back(RecordBaseline{pool, active});
     }
   };
   for (const auto& [zone, registered] : service.zones) {
-    note({service.name, zone, InstanceKind::kOnDemand}, registered.onDemand);
-    note({service.name, zone, InstanceKind::kPreemptible}, registered.preemptible);
+    record({service.name, zone, InstanceKind::kOnDemand}, registered.onDemand);
+    record({service.name, zone, InstanceKind::kPreemptible}, registered.preemptible);
   }
 }
 
-bool Autoscaler::propose(const InstancePool& subject, std::uint32_t count, base::TimePoint now,
-                         AutoscalerActions& work) {
-  Subject& known = m_subjects[subject];
-  if (known.proposed == count && now - known.proposedAt < m_settings.noteTime) {
+bool Autoscaler::propose(const InstancePool& pool, std::uint32_t count, base::TimePoint now,
+                         AutoscalerActions& actions) {
+  PoolState& poolState = m_pools[pool];
+  if (poolState.proposed == count && now - poolState.proposedAt < m_settings.proposalTimeout) {
     return false;
   }
-  known.proposed = count;
-  known.proposedAt = now;
-  work.commands.emplace_back(SetCapacity{subject, count});
+  poolState.proposed = count;
+  poolState.proposedAt = now;
+  actions.commands.emplace_back(SetCapacity{pool, count});
   return true;
 }
 
-void Autoscaler::noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
-                               base::TimePoint now, AutoscalerActions& work) {
+void Autoscaler::dropUnavailableTargets(const ScaledService& service,
+                                        const std::vector<ZoneCounts>& zones, base::TimePoint now,
+                                        AutoscalerActions& actions) {
   for (const ZoneCounts& zone : zones) {
-    const PoolCounts& kind = zone.preemptible;
-    if (kind.unavailable && kind.desired > kind.there) {
-      (void)propose({service.name, zone.zone, InstanceKind::kPreemptible}, kind.there, now, work);
+    const PoolCounts& counts = zone.preemptible;
+    if (counts.unavailable && counts.desired > counts.active) {
+      (void)propose({service.name, zone.zone, InstanceKind::kPreemptible}, counts.active, now,
+                    actions);
     }
   }
 }
 
-void Autoscaler::decide(CapacityDecision decision, const CapacityState& state, base::TimePoint now,
-                        AutoscalerActions& work) {
-  const auto noted = state.desired(decision.subject);
-  if (noted && noted->count == decision.count) {
+void Autoscaler::proposeDecision(CapacityDecision decision, const CapacityState& state,
+                                 base::TimePoint now, AutoscalerActions& actions) {
+  const auto committed = state.desired(decision.subject);
+  if (committed && committed->count == decision.count) {
     return;
   }
-  if (propose(decision.subject, decision.count, now, work)) {
-    Subject& known = m_subjects[decision.subject];
-    known.taken.reset();
-    known.repeat = {};
-    decision.before = noted.value_or(DesiredCapacity{}).count;
-    work.decisions.push_back(std::move(decision));
+  if (propose(decision.subject, decision.count, now, actions)) {
+    PoolState& poolState = m_pools[decision.subject];
+    poolState.acceptedCount.reset();
+    poolState.repeatInterval = {};
+    decision.previousCount = committed.value_or(DesiredCapacity{}).count;
+    actions.decisions.push_back(std::move(decision));
   }
 }
 
-void Autoscaler::plan(const ScaledService& service, const CapacityState& state,
-                      const Present& present, AutoscalerActions& work) {
-  noteBaselines(service, state, work);
+void Autoscaler::planService(const ScaledService& service, const CapacityState& state,
+                             const StepInputs& stepInputs, AutoscalerActions& actions) {
+  recordBaselines(service, state, actions);
   CapacityInputs inputs;
   inputs.scaling = service.scaling;
   inputs.slots = service.slots;
-  inputs.zones = zonesOf(service, state, present.now);
+  inputs.zones = countZones(service, state, stepInputs.now);
   inputs.demand = service.demand;
-  inputs.settled = present.settled;
-  inputs.now = present.now;
-  noteWithdrawn(service, inputs.zones, present.now, work);
-  CapacityPlanner& plan = m_plans.try_emplace(service.name, m_settings.plan).first->second;
-  const CapacityDecision common = decisionFrom(service);
-  for (const CapacityTarget& target : plan.step(inputs)) {
+  inputs.warmedUp = stepInputs.warmedUp;
+  inputs.now = stepInputs.now;
+  dropUnavailableTargets(service, inputs.zones, stepInputs.now, actions);
+  CapacityPlanner& planner = m_planners.try_emplace(service.name, m_settings.plan).first->second;
+  const CapacityDecision common = decisionWithDemand(service);
+  for (const CapacityTarget& target : planner.step(inputs)) {
     CapacityDecision decision = common;
     decision.subject = {service.name, target.zone, target.kind};
-    const RegisteredKind seen = m_subjects[decision.subject].seen;
-    m_wishes.insert_or_assign(decision.subject, Wish{target, service.scaling.startupDuration});
+    const RegisteredCounts registered = m_pools[decision.subject].lastCounts;
+    m_pendingTargets.insert_or_assign(decision.subject,
+                                      PendingTarget{target, service.scaling.startupDuration});
     decision.count = target.count;
-    decision.there = seen.there;
-    decision.draining = seen.draining;
-    decision.wanted = plan.wanted();
-    decide(std::move(decision), state, present.now, work);
+    decision.active = registered.active;
+    decision.draining = registered.draining;
+    decision.targetTotal = planner.targetCount();
+    proposeDecision(std::move(decision), state, stepInputs.now, actions);
   }
 }
 
-bool Autoscaler::isDue(const InstancePool& subject, const Wish& wish, const CapacityState& state,
-                       base::TimePoint now) {
-  const Subject& known = m_subjects[subject];
-  const auto noted = state.desired(subject);
-  if (!noted || noted->count != wish.target.count || now < known.availableFrom) {
+bool Autoscaler::isCallDue(const InstancePool& pool, const PendingTarget& pendingTarget,
+                           const CapacityState& state, base::TimePoint now) {
+  const PoolState& poolState = m_pools[pool];
+  const auto committed = state.desired(pool);
+  if (!committed || committed->count != pendingTarget.target.count ||
+      now < poolState.availableFrom) {
     return false;
   }
-  const bool taken = (noted->taken || known.taken == noted->count) && !known.unanswered;
-  if (!taken || known.lost || !known.askedAt) {
+  const bool accepted =
+      (committed->accepted || poolState.acceptedCount == committed->count) && !poolState.unanswered;
+  if (!accepted || poolState.instancesLost || !poolState.requestedAt) {
     return true;
   }
-  const base::Duration patience =
-      std::max(wish.startupDuration + m_settings.startMargin, known.repeat);
-  return now - *known.askedAt > patience;
+  const base::Duration repeatAfter =
+      std::max(pendingTarget.startupDuration + m_settings.startupGrace, poolState.repeatInterval);
+  return now - *poolState.requestedAt > repeatAfter;
 }
 
-/// A call without an answer may have been carried out after a newer one.
-std::optional<ScaleCall> Autoscaler::assertedCall(const CapacityState& state,
-                                                  const Present& present) {
-  for (auto& [subject, known] : m_subjects) {
-    if (!known.uncertain || present.now < known.uncertainUntil) {
+std::optional<ScaleCall> Autoscaler::reassertionCall(const CapacityState& state,
+                                                     const StepInputs& stepInputs) {
+  for (auto& [pool, poolState] : m_pools) {
+    if (!poolState.minUncertainCount || stepInputs.now < poolState.uncertainUntil) {
       continue;
     }
-    const std::uint32_t lowest = *std::exchange(known.uncertain, std::nullopt);
-    const auto noted = state.desired(subject);
-    const bool superseded = noted && lowest < noted->count;
-    if (superseded && noted->count >= known.seen.there) {
-      return ScaleCall{subject, noted->count, present.fence};
+    const std::uint32_t lowest = *std::exchange(poolState.minUncertainCount, std::nullopt);
+    const auto committed = state.desired(pool);
+    const bool superseded = committed && lowest < committed->count;
+    if (superseded && committed->count >= poolState.lastCounts.active) {
+      return ScaleCall{pool, committed->count, stepInputs.fence};
     }
   }
   return std::nullopt;
 }
 
-std::optional<ScaleCall> Autoscaler::nextCall(const CapacityState& state, const Present& present) {
-  const bool calling = m_calling && present.now - m_calling->since < m_settings.callLimit;
-  if (calling || present.now < m_callAt || present.fence == m_refusedFence) {
+std::optional<ScaleCall> Autoscaler::nextCall(const CapacityState& state,
+                                              const StepInputs& stepInputs) {
+  const bool callInFlight =
+      m_inFlightCall && stepInputs.now - m_inFlightCall->since < m_settings.callTimeout;
+  if (callInFlight || stepInputs.now < m_nextCallAt || stepInputs.fence == m_staleFence) {
     return std::nullopt;
   }
   std::optional<ScaleCall> next;
   std::tuple<bool, base::TimePoint> nextRank;
-  for (const auto& [subject, wish] : m_wishes) {
-    if (!isDue(subject, wish, state, present.now)) {
+  for (const auto& [pool, pendingTarget] : m_pendingTargets) {
+    if (!isCallDue(pool, pendingTarget, state, stepInputs.now)) {
       continue;
     }
-    // More before less, and of these what waits longest.
+    // Calls that add instances come first, then the call that was sent the longest time ago.
     const std::tuple<bool, base::TimePoint> rank{
-        wish.target.givesBack, m_subjects[subject].askedAt.value_or(base::TimePoint{})};
+        pendingTarget.target.isScaleIn, m_pools[pool].requestedAt.value_or(base::TimePoint{})};
     if (!next || rank < nextRank) {
-      next = ScaleCall{subject, wish.target.count, present.fence};
+      next = ScaleCall{pool, pendingTarget.target.count, stepInputs.fence};
       nextRank = rank;
     }
   }
-  return next ? next : assertedCall(state, present);
+  return next ? next : reassertionCall(state, stepInputs);
 }
 
 void Autoscaler::onSent(const ScaleCall& call, base::TimePoint now) {
-  m_calling = CallUnderWay{call.fence, now};
-  Subject& known = m_subjects[call.subject];
-  known.askedAt = now;
-  known.unanswered = true;
-  known.lost = false;
-  known.repeat = std::clamp(known.repeat * 2, m_settings.firstRepeat, m_settings.maxRepeat);
+  m_inFlightCall = InFlightCall{call.fence, now};
+  PoolState& poolState = m_pools[call.subject];
+  poolState.requestedAt = now;
+  poolState.unanswered = true;
+  poolState.instancesLost = false;
+  poolState.repeatInterval = std::clamp(
+      poolState.repeatInterval * 2, m_settings.initialRepeatInterval, m_settings.maxRepeatInterval);
 }
 
-AutoscalerActions Autoscaler::step(const CapacityState& state, const Present& present) {
-  AutoscalerActions work;
+AutoscalerActions Autoscaler::step(const CapacityState& state, const StepInputs& stepInputs) {
+  AutoscalerActions actions;
   if (!enabled()) {
-    return work;
+    return actions;
   }
-  m_wishes.clear();
+  m_pendingTargets.clear();
   m_summaries.clear();
-  for (const ScaledService& service : present.services) {
-    plan(service, state, present, work);
+  for (const ScaledService& service : stepInputs.services) {
+    planService(service, state, stepInputs, actions);
   }
-  for (const ConfirmCapacity& confirm : std::exchange(m_confirm, {})) {
-    work.commands.emplace_back(confirm);
+  for (const ConfirmCapacity& confirm : std::exchange(m_pendingConfirmations, {})) {
+    actions.commands.emplace_back(confirm);
   }
-  work.call = nextCall(state, present);
-  if (work.call) {
-    onSent(*work.call, present.now);
+  actions.call = nextCall(state, stepInputs);
+  if (actions.call) {
+    onSent(*actions.call, stepInputs.now);
   }
-  return work;
+  return actions;
 }
 
-void Autoscaler::noteUnavailable(Subject& subject, base::TimePoint now) const {
-  subject.pause = std::clamp(subject.pause * 2, m_settings.firstPause, m_settings.maxPause);
-  subject.availableFrom = now + subject.pause;
-  subject.askedAt.reset();
-  subject.unanswered = false;
-  ++subject.refusals;
+void Autoscaler::backOffPool(PoolState& poolState, base::TimePoint now) const {
+  poolState.backoff =
+      std::clamp(poolState.backoff * 2, m_settings.initialBackoff, m_settings.maxBackoff);
+  poolState.availableFrom = now + poolState.backoff;
+  poolState.requestedAt.reset();
+  poolState.unanswered = false;
+  ++poolState.consecutiveFailures;
 }
 
-void Autoscaler::pauseCalls(base::TimePoint now) {
-  m_retry = std::clamp(m_retry * 2, m_settings.firstRetry, m_settings.maxRetry);
-  // Half of the pause is drawn, so that calls do not meet others in step.
-  const auto half = m_retry.count() / 2;
-  m_callAt = now + base::Duration(half + static_cast<base::Duration::rep>(
-                                             m_random.below(static_cast<std::uint64_t>(half) + 1)));
+void Autoscaler::backOffCalls(base::TimePoint now) {
+  m_retryDelay =
+      std::clamp(m_retryDelay * 2, m_settings.initialRetryDelay, m_settings.maxRetryDelay);
+  // Random jitter of up to half of the delay keeps callers from synchronizing.
+  const auto half = m_retryDelay.count() / 2;
+  m_nextCallAt = now + base::Duration(half + static_cast<base::Duration::rep>(m_random.below(
+                                                 static_cast<std::uint64_t>(half) + 1)));
 }
 
 void Autoscaler::onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now) {
-  if (!m_calling || call.fence != m_calling->fence) {
-    return;  // of a former term: what it asked for is asked for anew
+  if (!m_inFlightCall || call.fence != m_inFlightCall->fence) {
+    return;  // The call is from an earlier term; its count is requested again.
   }
-  m_calling.reset();
-  m_callAt = now + m_settings.minCallInterval;
-  Subject& known = m_subjects[call.subject];
+  m_inFlightCall.reset();
+  m_nextCallAt = now + m_settings.minCallInterval;
+  PoolState& poolState = m_pools[call.subject];
   switch (outcome) {
     case ScaleOutcome::kAccepted:
-      m_retry = {};
-      known.taken = call.count;
-      known.unanswered = false;
-      known.pause = {};
-      known.refusals = 0;
-      m_confirm.push_back({call.subject, call.count});
+      m_retryDelay = {};
+      poolState.acceptedCount = call.count;
+      poolState.unanswered = false;
+      poolState.backoff = {};
+      poolState.consecutiveFailures = 0;
+      m_pendingConfirmations.push_back({call.subject, call.count});
       return;
-    case ScaleOutcome::kRefused:
-      m_refusedFence = call.fence;
+    case ScaleOutcome::kStaleFence:
+      m_staleFence = call.fence;
       return;
-    case ScaleOutcome::kNoneAvailable:
-      m_retry = {};
-      noteUnavailable(known, now);
+    case ScaleOutcome::kNoCapacity:
+      m_retryDelay = {};
+      backOffPool(poolState, now);
       return;
     case ScaleOutcome::kUnknown:
-      known.uncertain = std::min(call.count, known.uncertain.value_or(call.count));
-      known.uncertainUntil = now + m_settings.latestEffect;
-      pauseCalls(now);
+      poolState.minUncertainCount =
+          std::min(call.count, poolState.minUncertainCount.value_or(call.count));
+      poolState.uncertainUntil = now + m_settings.maxEffectDelay;
+      backOffCalls(now);
       return;
-    case ScaleOutcome::kBusy:
-      pauseCalls(now);
+    case ScaleOutcome::kThrottled:
+      backOffCalls(now);
       return;
   }
 }
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -1,5 +1,5 @@
 /// \file
-/// The duty to set the numbers of instances, as the controllers' leader does it.
+/// Sets the instance counts of services at the platform. Runs on the leader of the controllers.
 #pragma once
 
 #include <cstdint>
@@ -16,36 +16,38 @@
 
 namespace tackpick::duties {
 
-/// Knobs of an Autoscaler.
+/// Settings of an Autoscaler.
 struct AutoscalerSettings {
   CapacityPlannerSettings plan;
-  /// Between two calls at least; the platform limits the rate of all of them.
+  /// Minimum time between two calls; the platform limits the rate of all calls.
   base::Duration minCallInterval = base::milliseconds(100);
-  /// A call without an answer is repeated after this time, and then after twice as long each time.
-  base::Duration firstRetry = base::milliseconds(300);
-  base::Duration maxRetry = base::milliseconds(2400);
-  /// A new instance has registered so long after its start time, or the call is repeated.
-  base::Duration startMargin = base::seconds(2);
-  /// ... and then after twice as long each time.
-  base::Duration firstRepeat = base::seconds(4);
-  base::Duration maxRepeat = base::seconds(60);
-  /// A call has ended by then, or was never sent.
-  base::Duration callLimit = base::seconds(3);
-  /// An entry of the log that was not applied in this time is proposed again.
-  base::Duration noteTime = base::seconds(1);
-  /// A call without an answer may be carried out so late.
-  base::Duration latestEffect = base::seconds(15);
-  /// No preemptible instances are asked for in a zone that has none for this time, and then twice
-  /// as long each time.
-  base::Duration firstPause = base::seconds(3);
-  base::Duration maxPause = base::seconds(60);
+  /// Time after which an unanswered call is repeated. Doubles with each repetition up to
+  /// maxRetryDelay.
+  base::Duration initialRetryDelay = base::milliseconds(300);
+  base::Duration maxRetryDelay = base::milliseconds(2400);
+  /// Time added to the startup duration of a new instance before its call is repeated.
+  base::Duration startupGrace = base::seconds(2);
+  /// Time after which an accepted call is repeated while its instances do not register. Doubles
+  /// with each repetition up to maxRepeatInterval.
+  base::Duration initialRepeatInterval = base::seconds(4);
+  base::Duration maxRepeatInterval = base::seconds(60);
+  /// Time after which a call counts as ended even without an outcome.
+  base::Duration callTimeout = base::seconds(3);
+  /// Time after which a log entry that has not been applied is proposed again.
+  base::Duration proposalTimeout = base::seconds(1);
+  /// Maximum time after which the platform may still execute an unanswered call.
+  base::Duration maxEffectDelay = base::seconds(15);
+  /// Time for which no preemptible instances are requested from a zone that has none available.
+  /// Doubles with each failure up to maxBackoff.
+  base::Duration initialBackoff = base::seconds(3);
+  base::Duration maxBackoff = base::seconds(60);
 };
 
-/// Instances of a service in a zone, as they are registered.
+/// Registered instances of a service in a zone.
 struct RegisteredInstances {
-  std::uint32_t onDemand = 0;  ///< not draining
-  std::uint32_t preemptible = 0;
-  std::uint32_t unresponsive = 0;  ///< of both
+  std::uint32_t onDemand = 0;      ///< not draining
+  std::uint32_t preemptible = 0;   ///< not draining
+  std::uint32_t unresponsive = 0;  ///< of both kinds, not draining
   std::uint32_t onDemandDraining = 0;
   std::uint32_t preemptibleDraining = 0;
 };
@@ -54,127 +56,138 @@
 struct ScaledService {
   std::string name;
   Scaling scaling;
-  std::uint32_t slots = 1;
-  std::map<std::string, RegisteredInstances> zones;
-  std::optional<CapacityDemand> demand;  ///< nothing: it is not known, or too old
+  std::uint32_t slots = 1;                           ///< per instance
+  std::map<std::string, RegisteredInstances> zones;  ///< by zone
+  std::optional<CapacityDemand> demand;              ///< std::nullopt if unknown or outdated
 };
 
-/// A new number of instances, and what it was decided from.
+/// A new instance count of a pool and the inputs of the decision.
 struct CapacityDecision {
   InstancePool subject;
   std::uint32_t count = 0;
-  std::uint32_t before = 0;  ///< the count that was asked for until now
-  std::uint32_t there = 0;
+  std::uint32_t previousCount = 0;  ///< count requested until now
+  std::uint32_t active = 0;
   std::uint32_t draining = 0;
-  std::uint32_t wanted = 0;  ///< in all zones, of both kinds
-  bool demandKnown = false;  ///< the open work below decided too
-  std::uint32_t items = 0;   ///< open ones
-  std::uint32_t waiting = 0;
-  base::Duration demandAge{0};  ///< since the open work was told
+  std::uint32_t targetTotal = 0;  ///< planned instances in all zones, of both kinds
+  bool demandKnown = false;       ///< whether the members below are valid
+  std::uint32_t items = 0;        ///< items of open jobs
+  std::uint32_t waiting = 0;      ///< items that wait for a slot
+  base::Duration demandAge{0};    ///< age of the report of open jobs
 };
 
-/// What the leader is to do now.
+/// Actions that the leader has to carry out after a step.
 struct AutoscalerActions {
-  /// To be written to the log.
+  /// Commands to be written to the log.
   std::vector<std::variant<RecordBaseline, SetCapacity, ConfirmCapacity>> commands;
-  std::optional<ScaleCall> call;  ///< to be sent
-  std::vector<CapacityDecision> decisions;
+  std::optional<ScaleCall> call;            ///< call to be sent to the platform
+  std::vector<CapacityDecision> decisions;  ///< decisions to be logged as events
 };
 
-/// Deterministic; owned by one thread. A count stands in the log before the platform is first asked
-/// for it. One call is under way at a time; a fence that was refused is not used again.
+/// Decides the instance counts of all scaled services and sends them to the platform. A count is
+/// committed to the log before the platform is first called with it. At most one call is in flight,
+/// and a fence that the platform rejected is not used again. Deterministic; owned by one thread.
 class Autoscaler {
  public:
   Autoscaler(AutoscalerSettings settings, base::Random& random)
       : m_settings(settings), m_random(random) {}
 
-  /// Call when this controller becomes leader. It makes no call before `callsFrom`, nor before the
-  /// end of one that it made when it led before.
+  /// Must be called when this controller becomes leader. No call is made before `callsFrom`, nor
+  /// before the end of a call from an earlier term of this controller.
   void reset(const CapacityState& state, base::TimePoint callsFrom, base::TimePoint now);
-  struct Present {
+  /// Inputs of one step.
+  struct StepInputs {
     std::vector<ScaledService> services;
-    /// The leader has led long enough to have heard of every instance.
-    bool settled = false;
+    /// Whether the leader has led long enough to have received a heartbeat from every instance.
+    bool warmedUp = false;
     std::uint64_t fence = 0;
     base::TimePoint now;
   };
-  [[nodiscard]] AutoscalerActions step(const CapacityState& state, const Present& present);
+  /// Makes the decisions that are due and returns the resulting actions.
+  [[nodiscard]] AutoscalerActions step(const CapacityState& state, const StepInputs& stepInputs);
+  /// Records the outcome of a call that step() returned.
   void onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now);
 
+  /// Returns the pools as of the last step.
   [[nodiscard]] const std::vector<PoolSummary>& summaries() const { return m_summaries; }
-  [[nodiscard]] bool enabled() const { return m_settings.plan.mode != CapacityMode::kHold; }
+  [[nodiscard]] bool enabled() const { return m_settings.plan.mode != CapacityMode::kFixed; }
 
  private:
-  /// Instances of one kind in a zone.
-  struct RegisteredKind {
-    std::uint32_t there = 0;
+  /// Registered instances of a pool.
+  struct RegisteredCounts {
+    std::uint32_t active = 0;
     std::uint32_t draining = 0;
   };
-  /// What this leader knows of a subject.
-  struct Subject {
-    std::optional<base::TimePoint> askedAt;  ///< the platform, for the present count
-    base::Duration repeat{0};                ///< until it is asked again
-    std::optional<std::uint32_t> proposed;   ///< its entry is on its way to the log ...
-    base::TimePoint proposedAt{};            ///< ... since then
-    std::optional<std::uint32_t> taken;      ///< the confirmation may be on its way
-    bool unanswered = false;                 ///< the last call
-    bool lost = false;  ///< instances left since the last call: it is due again at once
-    RegisteredKind seen;
-    /// The lowest count of calls without an answer, which may still be carried out ...
-    std::optional<std::uint32_t> uncertain;
-    base::TimePoint uncertainUntil{};  ///< ... until then
-    base::TimePoint availableFrom{};
-    base::Duration pause{0};
-    std::uint32_t refusals = 0;
+  /// State of a pool that only this leader holds; it is not replicated.
+  struct PoolState {
+    std::optional<base::TimePoint> requestedAt;  ///< time of the last call
+    base::Duration repeatInterval{0};            ///< time until an accepted call is repeated
+    std::optional<std::uint32_t> proposed;       ///< count whose log entry is not applied yet
+    base::TimePoint proposedAt{};                ///< when `proposed` was proposed
+    std::optional<std::uint32_t> acceptedCount;  ///< accepted, perhaps not confirmed in the log
+    bool unanswered = false;                     ///< whether the last call has no answer
+    bool instancesLost = false;   ///< instances have left since the last call, which is due again
+    RegisteredCounts lastCounts;  ///< as of the last step
+    /// Lowest count of the unanswered calls that the platform may still execute.
+    std::optional<std::uint32_t> minUncertainCount;
+    base::TimePoint uncertainUntil{};  ///< end of the time in which it may do so
+    base::TimePoint availableFrom{};   ///< no call is made before
+    base::Duration backoff{0};         ///< current backoff of the pool
+    std::uint32_t consecutiveFailures = 0;
   };
-  struct Wish {
+  /// A target of the current step.
+  struct PendingTarget {
     CapacityTarget target;
     base::Duration startupDuration{0};
   };
 
-  [[nodiscard]] std::vector<ZoneCounts> zonesOf(const ScaledService& service,
-                                                const CapacityState& state, base::TimePoint now);
-  [[nodiscard]] PoolCounts poolCounts(const InstancePool& subject, RegisteredKind registered,
+  [[nodiscard]] std::vector<ZoneCounts> countZones(const ScaledService& service,
+                                                   const CapacityState& state, base::TimePoint now);
+  [[nodiscard]] PoolCounts poolCounts(const InstancePool& pool, RegisteredCounts registered,
                                       const CapacityState& state, base::Duration startupDuration,
                                       base::TimePoint now);
-  static void noteBaselines(const ScaledService& service, const CapacityState& state,
-                            AutoscalerActions& work);
-  /// What was withdrawn or refused is not counted on.
-  void noteWithdrawn(const ScaledService& service, const std::vector<ZoneCounts>& zones,
-                     base::TimePoint now, AutoscalerActions& work);
-  /// Writes a count to the log; false when that is under way.
-  [[nodiscard]] bool propose(const InstancePool& subject, std::uint32_t count, base::TimePoint now,
-                             AutoscalerActions& work);
-  void plan(const ScaledService& service, const CapacityState& state, const Present& present,
-            AutoscalerActions& work);
-  /// `decision.before` is not known yet.
-  void decide(CapacityDecision decision, const CapacityState& state, base::TimePoint now,
-              AutoscalerActions& work);
-  [[nodiscard]] bool isDue(const InstancePool& subject, const Wish& wish,
-                           const CapacityState& state, base::TimePoint now);
+  static void recordBaselines(const ScaledService& service, const CapacityState& state,
+                              AutoscalerActions& actions);
+  /// Lowers the targets of preemptible pools without available capacity to their active instances.
+  void dropUnavailableTargets(const ScaledService& service, const std::vector<ZoneCounts>& zones,
+                              base::TimePoint now, AutoscalerActions& actions);
+  /// Proposes a log entry with the count. Returns false if the same entry is already proposed.
+  [[nodiscard]] bool propose(const InstancePool& pool, std::uint32_t count, base::TimePoint now,
+                             AutoscalerActions& actions);
+  void planService(const ScaledService& service, const CapacityState& state,
+                   const StepInputs& stepInputs, AutoscalerActions& actions);
+  /// Proposes the decided count if it is new; sets `decision.previousCount`.
+  void proposeDecision(CapacityDecision decision, const CapacityState& state, base::TimePoint now,
+                       AutoscalerActions& actions);
+  [[nodiscard]] bool isCallDue(const InstancePool& pool, const PendingTarget& pendingTarget,
+                               const CapacityState& state, base::TimePoint now);
+  /// Returns the next call to be sent, std::nullopt if none is due.
   [[nodiscard]] std::optional<ScaleCall> nextCall(const CapacityState& state,
-                                                  const Present& present);
-  [[nodiscard]] std::optional<ScaleCall> assertedCall(const CapacityState& state,
-                                                      const Present& present);
+                                                  const StepInputs& stepInputs);
+  /// Returns a call that repeats the current count of a pool after an older unanswered call may
+  /// have been executed late.
+  [[nodiscard]] std::optional<ScaleCall> reassertionCall(const CapacityState& state,
+                                                         const StepInputs& stepInputs);
   void onSent(const ScaleCall& call, base::TimePoint now);
-  void noteUnavailable(Subject& subject, base::TimePoint now) const;
-  void pauseCalls(base::TimePoint now);
+  /// Starts an exponential backoff of a pool without available capacity.
+  void backOffPool(PoolState& poolState, base::TimePoint now) const;
+  /// Starts an exponential backoff of all calls, with jitter.
+  void backOffCalls(base::TimePoint now);
 
   const AutoscalerSettings m_settings;
   base::Random& m_random;
-  std::map<std::string, CapacityPlanner> m_plans;  ///< by service
-  std::map<InstancePool, Subject> m_subjects;
-  std::map<InstancePool, Wish> m_wishes;  ///< of the present step
+  std::map<std::string, CapacityPlanner> m_planners;  ///< by service
+  std::map<InstancePool, PoolState> m_pools;
+  std::map<InstancePool, PendingTarget> m_pendingTargets;  ///< targets of the current step
   std::vector<PoolSummary> m_summaries;
-  std::vector<ConfirmCapacity> m_confirm;  ///< to be written to the log
-  struct CallUnderWay {
+  std::vector<ConfirmCapacity> m_pendingConfirmations;  ///< not written to the log yet
+  struct InFlightCall {
     std::uint64_t fence = 0;
     base::TimePoint since{};
   };
-  std::optional<CallUnderWay> m_calling;
-  std::uint64_t m_refusedFence = 0;
-  base::TimePoint m_callAt{};  ///< not before
-  base::Duration m_retry{0};
+  std::optional<InFlightCall> m_inFlightCall;
+  std::uint64_t m_staleFence = 0;  ///< fence that the platform rejected; zero: none
+  base::TimePoint m_nextCallAt{};  ///< no call is made before
+  base::Duration m_retryDelay{0};
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/capacity_messages.cpp
+++ b/src/duties/capacity_messages.cpp
@@ -10,11 +10,11 @@
   switch (outcome) {
     case ScaleOutcome::kAccepted:
       return "taken";
-    case ScaleOutcome::kRefused:
+    case ScaleOutcome::kStaleFence:
       return "refused";
-    case ScaleOutcome::kNoneAvailable:
+    case ScaleOutcome::kNoCapacity:
       return "none_available";
-    case ScaleOutcome::kBusy:
+    case ScaleOutcome::kThrottled:
       return "busy";
     case ScaleOutcome::kUnknown:
       return "uncertain";
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// Capacity: how many instances of a service the platform is asked to run. What goes through the
-/// controllers' log, and what the platform is told.
+/// Messages about capacity, the number of instances of a service: commands in the log of the
+/// controllers, calls to the platform, and summaries for operators.
 #pragma once
 
 #include <compare>
@@ -12,15 +12,16 @@
 
 namespace tackpick::duties {
 
-/// How an instance may end.
+/// Whether the platform may preempt an instance.
 enum class InstanceKind : std::uint8_t {
-  kOnDemand,     ///< runs until it is given back
-  kPreemptible,  ///< cheaper; the platform may take all of a zone away at short notice
+  kOnDemand,     ///< runs until it is released
+  kPreemptible,  ///< cheaper; the platform may terminate all of a zone at short notice
 };
 
 [[nodiscard]] std::string_view toString(InstanceKind kind);
 
-/// What one call sets: the platform counts each kind of a service's instances in a zone.
+/// Instances of a service of one kind in one zone. The platform sets the count of each pool
+/// separately.
 struct InstancePool {
   std::string service;
   std::string zone;
@@ -34,8 +35,9 @@
   }
 };
 
-// From operators, and to them.
+// Exchanged with operators.
 
+/// Request for the summaries of all pools.
 struct ReadCapacity {
   std::uint8_t reserved = 0;
   template <class Archive>
@@ -44,25 +46,25 @@
   }
 };
 
-/// What an operator is shown of one kind of a service's instances in a zone.
+/// State of a pool as shown to operators.
 struct PoolSummary {
   InstancePool subject;
-  std::uint32_t desired = 0;  ///< asked for; zero: nothing was
-  bool taken = false;         ///< by the platform
-  std::uint32_t there = 0;
+  std::uint32_t desired = 0;  ///< requested count; zero if none was requested
+  bool accepted = false;      ///< whether the platform accepted the requested count
+  std::uint32_t active = 0;
   std::uint32_t starting = 0;
   std::uint32_t draining = 0;
-  std::uint32_t refusals = 0;  ///< in a row: none could be had
+  std::uint32_t consecutiveFailures = 0;  ///< consecutive calls for which no capacity was available
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(subject, desired, taken, there, starting, draining, refusals);
+    archive(subject, desired, accepted, active, starting, draining, consecutiveFailures);
   }
 };
 
-// Through the controllers' log.
+// Commands in the log of the controllers.
 
-/// So many instances run without any call of the duty.
+/// Records how many instances of a pool ran before the first call for it.
 struct RecordBaseline {
   InstancePool subject;
   std::uint32_t count = 0;
@@ -72,7 +74,7 @@
   }
 };
 
-/// The platform is going to be asked for so many. Written before the first such call.
+/// Sets the desired count of a pool. Written before the platform is called with it.
 struct SetCapacity {
   InstancePool subject;
   std::uint32_t count = 0;
@@ -82,7 +84,7 @@
   }
 };
 
-/// The platform has taken the call for that count.
+/// Records that the platform accepted a call with this count.
 struct ConfirmCapacity {
   InstancePool subject;
   std::uint32_t count = 0;
@@ -92,22 +94,22 @@
   }
 };
 
-// To the platform.
+// Calls to the platform.
 
-/// A call that only the present holder of the duty may make.
+/// Call that sets the count of a pool. Only the current leader may make it.
 struct ScaleCall {
   InstancePool subject;
   std::uint32_t count = 0;
-  std::uint64_t fence = 0;  ///< rises with each holder
+  std::uint64_t fence = 0;  ///< increases with each leader
 };
 
-/// What the platform answered to a ScaleCall.
+/// Outcome of a ScaleCall.
 enum class ScaleOutcome : std::uint8_t {
   kAccepted,
-  kRefused,        ///< a higher fence was seen: another holds the duty
-  kNoneAvailable,  ///< no preemptible instances can be had in that zone now
-  kBusy,           ///< too many calls
-  kUnknown,        ///< no answer, or none that says more; it may be carried out later
+  kStaleFence,  ///< the platform has seen a higher fence, of a newer leader
+  kNoCapacity,  ///< no preemptible instances are available in the zone
+  kThrottled,   ///< rejected by the rate limit of the platform
+  kUnknown,     ///< no conclusive answer; the call may still be executed
 };
 
 [[nodiscard]] std::string_view toString(ScaleOutcome outcome);
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many instances of a service each zone should have.
+/// Plans how many instances of a service each zone should have.
 #pragma once
 
 #include <cstdint>
@@ -14,105 +14,122 @@
 
 namespace tackpick::duties {
 
-/// Instances of one kind in a zone.
+/// Instances of a pool.
 struct PoolCounts {
-  std::uint32_t there = 0;     ///< registered and not draining
-  std::uint32_t starting = 0;  ///< asked for lately and not registered yet
-  std::uint32_t desired = 0;   ///< what the platform was last asked for
-  bool asked = false;          ///< ... if it ever was
-  bool unavailable = false;    ///< none can be had now
-
-  [[nodiscard]] std::uint32_t coming() const { return there + starting; }
+  std::uint32_t active = 0;    ///< registered and not draining
+  std::uint32_t starting = 0;  ///< requested recently and not registered yet
+  std::uint32_t desired = 0;   ///< count last requested from the platform
+  bool requested = false;      ///< whether a count was ever requested
+  bool unavailable = false;    ///< no capacity is available at present
+
+  /// Returns the active and starting instances.
+  [[nodiscard]] std::uint32_t provisioned() const { return active + starting; }
 };
 
-/// A zone as the leader sees it.
+/// Instances of a service in a zone.
 struct ZoneCounts {
   std::string zone;
   PoolCounts onDemand;
   PoolCounts preemptible;
-  std::uint32_t unresponsive = 0;  ///< of those there: their heartbeats are overdue
-  std::uint32_t draining = 0;      ///< registered, get no new work
-  std::uint32_t baseline = 0;      ///< on-demand instances before the first call
-  std::uint32_t preemptibleBaseline = 0;
-
-  [[nodiscard]] std::uint32_t coming() const { return onDemand.coming() + preemptible.coming(); }
+  std::uint32_t unresponsive = 0;  ///< active instances whose heartbeats are overdue
+  std::uint32_t draining = 0;      ///< of both kinds
+  std::uint32_t baseline = 0;      ///< on-demand instances before the first call to the platform
+  std::uint32_t preemptibleBaseline = 0;  ///< preemptible instances before the first call
+
+  /// Returns the active and starting instances of both kinds.
+  [[nodiscard]] std::uint32_t provisioned() const {
+    return onDemand.provisioned() + preemptible.provisioned();
+  }
 };
 
-/// All that a decision is made from.
+/// Inputs of a decision.
 struct CapacityInputs {
   Scaling scaling;
-  std::uint32_t slots = 1;  ///< slots of an instance
+  std::uint32_t slots = 1;  ///< per instance
   std::vector<ZoneCounts> zones;
-  /// Nothing: it is not known, or too old.
+  /// Demand of the service; std::nullopt if unknown or outdated.
   std::optional<CapacityDemand> demand;
-  bool settled =
-      false;  ///< the leader has led long enough to know which instances are unresponsive
+  /// Whether the leader has led long enough to have received a heartbeat from every instance.
+  bool warmedUp = false;
   base::TimePoint now{};
 };
 
-/// Instances that a zone should have of one kind.
+/// Target count of a pool.
 struct CapacityTarget {
   std::string zone;
   InstanceKind kind = InstanceKind::kOnDemand;
   std::uint32_t count = 0;
-  bool givesBack = false;  ///< one fewer than there are
+  bool isScaleIn = false;  ///< whether the count is one below the active instances
 
   bool operator==(const CapacityTarget&) const = default;
 };
 
-/// Knobs of a CapacityPlanner.
+/// Settings of a CapacityPlanner.
 struct CapacityPlannerSettings {
-  CapacityMode mode = CapacityMode::kHold;
-  /// Ordered beyond the baseline at most, which bounds what a misjudged demand can cost.
+  CapacityMode mode = CapacityMode::kFixed;
+  /// Maximum number of instances beyond the baseline, in percent of the baseline. Bounds the cost
+  /// of a wrong estimate of the demand.
   std::uint32_t maxExtraPercent = 50;
-  /// Of what is ordered beyond the baseline: preemptible, as they cost less. The rest stays when
-  /// a zone's are withdrawn.
+  /// Share of preemptible instances, which cost less, in those beyond the baseline. The on-demand
+  /// rest remains when a zone's preemptible instances are terminated.
   std::uint32_t preemptiblePercent = 50;
-  /// More than is wanted is kept so long after the last that left; then one is given back.
-  base::Duration keepUnused = base::seconds(30);
-  /// Without any open work for so long, the baseline is given back too, down to the minimum.
-  base::Duration longIdle = base::seconds(600);
+  /// Time for which surplus instances are kept. Each scale-in step restarts it.
+  base::Duration scaleInCooldown = base::seconds(30);
+  /// Time without open work after which the baseline is released too, down to the minimum.
+  base::Duration idleTimeout = base::seconds(600);
 };
 
-/// Deterministic; one for each service. Never names fewer than there are, but to give one back.
+/// Plans the instances of one service. A target is never below the active instances of its pool,
+/// except for a scale-in step, which releases one instance. Deterministic.
 class CapacityPlanner {
  public:
   explicit CapacityPlanner(CapacityPlannerSettings settings)
       : m_settings(settings), m_policy(CapacityPolicy::make(settings.mode)) {}
 
-  /// Targets that differ from what is there or coming.
+  /// Returns the targets of pools that need a call to the platform.
   [[nodiscard]] std::vector<CapacityTarget> step(const CapacityInputs& inputs);
-  /// Instances that were last wanted, in all zones.
-  [[nodiscard]] std::uint32_t wanted() const { return m_wanted; }
+  /// Returns the number of instances in all zones that the last step planned for.
+  [[nodiscard]] std::uint32_t targetCount() const { return m_targetCount; }
 
  private:
   struct ZonePlan;
 
-  [[nodiscard]] bool longIdle(const CapacityInputs& inputs) const;
-  /// Nothing shows that there is work, and a long idle service gave instances of its baseline back:
-  /// they stay away.
-  [[nodiscard]] static bool isResting(const CapacityInputs& inputs);
-  /// Of `baseline` instances, those that are kept.
-  [[nodiscard]] std::uint32_t keptOf(std::uint32_t baseline, const PoolCounts& kind,
-                                     const CapacityInputs& inputs) const;
-  /// Ordinary instances that a zone keeps.
-  [[nodiscard]] std::uint32_t floorOf(const ZoneCounts& zone, const CapacityInputs& inputs) const;
-  /// Instances of both kinds that a service keeps, in whatever zones.
-  [[nodiscard]] std::uint32_t keptOf(const CapacityInputs& inputs) const;
-  [[nodiscard]] std::vector<ZonePlan> hold(const CapacityInputs& inputs) const;
-  void noteDemand(const CapacityInputs& inputs);
-  [[nodiscard]] std::uint32_t wantedNow(const CapacityInputs& inputs);
-  void add(std::vector<ZonePlan>& plans, std::uint32_t missing, const CapacityInputs& inputs) const;
-  [[nodiscard]] static std::optional<CapacityTarget> dearest(const std::vector<ZonePlan>& plans);
-  [[nodiscard]] std::optional<CapacityTarget> giveBack(const std::vector<ZonePlan>& plans,
-                                                       const CapacityInputs& inputs);
+  [[nodiscard]] bool isIdleTimeoutExpired(const CapacityInputs& inputs) const;
+  /// Whether there is no sign of work and part of the baseline was released after the idle timeout.
+  /// The released instances are not requested again until there is work.
+  [[nodiscard]] static bool isScaledBelowBaseline(const CapacityInputs& inputs);
+  /// Returns how many of the `baseline` instances of a pool are retained.
+  [[nodiscard]] std::uint32_t retainedCount(std::uint32_t baseline, const PoolCounts& counts,
+                                            const CapacityInputs& inputs) const;
+  /// Returns the minimum number of on-demand instances of a zone.
+  [[nodiscard]] std::uint32_t minOnDemandOf(const ZoneCounts& zone,
+                                            const CapacityInputs& inputs) const;
+  /// Returns how many instances of both kinds are retained in all zones.
+  [[nodiscard]] std::uint32_t retainedTotal(const CapacityInputs& inputs) const;
+  /// Returns plans with the provisioned instances, the retained baseline, and replacements of
+  /// unresponsive instances, ordered by price.
+  [[nodiscard]] std::vector<ZonePlan> currentPlans(const CapacityInputs& inputs) const;
+  void updateIdleSince(const CapacityInputs& inputs);
+  /// Returns the number of instances in all zones that the demand requires.
+  [[nodiscard]] std::uint32_t computeTargetCount(const CapacityInputs& inputs);
+  /// Adds the missing instances to the plans one by one, cheapest zone first, spread over the zones
+  /// so that the loss of one zone takes only a part of them.
+  void addInstances(std::vector<ZonePlan>& plans, std::uint32_t missing,
+                    const CapacityInputs& inputs) const;
+  /// Returns a target that releases one instance of the most expensive zone, on-demand ones first;
+  /// std::nullopt if none may be released.
+  [[nodiscard]] static std::optional<CapacityTarget> selectScaleInTarget(
+      const std::vector<ZonePlan>& plans);
+  /// Returns the scale-in target while a surplus has lasted for the cooldown.
+  [[nodiscard]] std::optional<CapacityTarget> scaleIn(const std::vector<ZonePlan>& plans,
+                                                      const CapacityInputs& inputs);
 
   const CapacityPlannerSettings m_settings;
   const std::unique_ptr<CapacityPolicy> m_policy;
-  std::uint32_t m_wanted = 0;
-  std::optional<base::TimePoint> m_idleSince;    ///< there is no open work since then
-  std::optional<base::TimePoint> m_unusedSince;  ///< there is more than is wanted since then
-  std::optional<CapacityTarget> m_givingBack;    ///< until it has left
+  std::uint32_t m_targetCount = 0;
+  std::optional<base::TimePoint> m_idleSince;     ///< start of the time without open work
+  std::optional<base::TimePoint> m_surplusSince;  ///< start of the surplus or last scale-in step
+  std::optional<CapacityTarget> m_scaleInTarget;  ///< kept until the instance has left
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -6,15 +6,15 @@
 namespace tackpick::duties {
 namespace {
 
-/// Waiting items beyond the free slots. Items that wait although slots are free wait for weights:
-/// more engines would share the same loads.
-std::uint32_t shortageOf(const CapacityDemand& demand) {
+/// Returns the number of waiting items beyond the free slots. Items that wait while slots are free
+/// wait for weights to be loaded, which more engines would not speed up.
+std::uint32_t slotShortage(const CapacityDemand& demand) {
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
-  for (const auto& [model, works] : demand.works) {
-    for (const jobs::OpenJob& work : works) {
-      waiting += work.waiting;
-      running += work.items - std::min(work.items, work.waiting);
+  for (const auto& [model, openJobs] : demand.openJobs) {
+    for (const jobs::OpenJob& job : openJobs) {
+      waiting += job.waiting;
+      running += job.items - std::min(job.items, job.waiting);
     }
   }
   const std::uint32_t free = demand.activeSlots - std::min(demand.activeSlots, running);
@@ -25,68 +25,69 @@
 
 std::unique_ptr<CapacityPolicy> CapacityPolicy::make(CapacityMode mode) {
   switch (mode) {
-    case CapacityMode::kHold:
+    case CapacityMode::kFixed:
       return nullptr;
-    case CapacityMode::kWaitingWork:
-      return std::make_unique<FollowWaitingWork>();
-    case CapacityMode::kExpectedSteps:
-      return std::make_unique<FollowExpectedSteps>();
+    case CapacityMode::kReactive:
+      return std::make_unique<ReactivePolicy>();
+    case CapacityMode::kPredictive:
+      return std::make_unique<PredictivePolicy>();
   }
   return nullptr;
 }
 
-std::uint32_t FollowWaitingWork::lastingShortage(const CapacityDemand& demand,
-                                                 base::TimePoint now) {
-  // The same figures, seen again, are no news.
+std::uint32_t ReactivePolicy::sustainedShortage(const CapacityDemand& demand, base::TimePoint now) {
+  // A report that is evaluated again does not prolong the shortage.
   const base::TimePoint reportedAt = now - demand.reportAge;
-  const std::uint32_t shortage = shortageOf(demand);
+  const std::uint32_t shortage = slotShortage(demand);
   if (shortage == 0) {
-    m_shortSince.reset();
+    m_shortageSince.reset();
     return 0;
   }
-  if (!m_shortSince) {
-    m_shortSince = reportedAt;
+  if (!m_shortageSince) {
+    m_shortageSince = reportedAt;
     m_minShortage = shortage;
   }
   m_minShortage = std::min(m_minShortage, shortage);
-  if (reportedAt - *m_shortSince < m_settings.patience) {
+  if (reportedAt - *m_shortageSince < m_settings.stabilizationWindow) {
     return 0;
   }
-  m_shortSince = reportedAt;
+  m_shortageSince = reportedAt;
   return std::exchange(m_minShortage, shortage);
 }
 
-std::uint32_t FollowWaitingWork::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
-  const std::uint32_t shortage = lastingShortage(demand, now);
-  const std::uint32_t wanted = shortage == 0 ? 0 : demand.activeSlots + shortage;
-  if (wanted >= m_peak || now - m_peakAt > m_settings.memory) {
-    m_peak = wanted;
+std::uint32_t ReactivePolicy::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
+  const std::uint32_t shortage = sustainedShortage(demand, now);
+  const std::uint32_t target = shortage == 0 ? 0 : demand.activeSlots + shortage;
+  if (target >= m_peak || now - m_peakAt > m_settings.peakRetention) {
+    m_peak = target;
     m_peakAt = now;
   }
   return m_peak;
 }
 
-void FollowExpectedSteps::note(const jobs::OpenJobsByModel& works, base::TimePoint now) {
-  for (const auto& [model, open] : works) {
-    for (const jobs::OpenJob& work : open) {
-      Step& largest = m_largest[model];
-      const bool old = now - largest.seenAt > m_settings.memory;
-      if (work.items >= largest.items || old) {
-        largest = {work.items, now};
+void PredictivePolicy::recordLargestSteps(const jobs::OpenJobsByModel& openJobs,
+                                          base::TimePoint now) {
+  for (const auto& [model, modelJobs] : openJobs) {
+    for (const jobs::OpenJob& job : modelJobs) {
+      StepSize& largest = m_largestSteps[model];
+      const bool expired = now - largest.seenAt > m_settings.stepRetention;
+      if (job.items >= largest.items || expired) {
+        largest = {job.items, now};
       }
     }
   }
-  std::erase_if(m_largest,
-                [&](const auto& entry) { return now - entry.second.seenAt > m_settings.memory; });
+  std::erase_if(m_largestSteps, [&](const auto& entry) {
+    return now - entry.second.seenAt > m_settings.stepRetention;
+  });
 }
 
-std::uint32_t FollowExpectedSteps::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
-  note(demand.works, now);
+std::uint32_t PredictivePolicy::targetSlots(const CapacityDemand& demand, base::TimePoint now) {
+  recordLargestSteps(demand.openJobs, now);
   std::uint32_t expected = 0;
-  for (const auto& [model, step] : m_largest) {
+  for (const auto& [model, step] : m_largestSteps) {
     expected += step.items;
   }
-  return std::max(expected, m_waiting.targetSlots(demand, now));
+  return std::max(expected, m_reactivePolicy.targetSlots(demand, now));
 }
 
 }  // namespace tackpick::duties
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many slots of a service the open work calls for.
+/// Policies that derive the number of slots of a service from its open jobs.
 #pragma once
 
 #include <cstdint>
@@ -13,91 +13,96 @@
 
 namespace tackpick::duties {
 
-/// Which rule decides how many instances are ordered.
+/// Policy that decides how many instances are requested.
 enum class CapacityMode : std::uint8_t {
-  kHold,           ///< what is there is left as it is; no call is made
-  kWaitingWork,    ///< slots for what waits
-  kExpectedSteps,  ///< slots for whole steps, as large as the last ones, before they come
+  kFixed,       ///< counts are left as they are; no call is made
+  kReactive,    ///< slots for waiting items
+  kPredictive,  ///< slots for the next steps, expected to be as large as recent ones
 };
 
-/// The open work of a service.
+/// Demand for a service.
 struct CapacityDemand {
-  jobs::OpenJobsByModel works;    ///< of the models of that service only
-  std::uint32_t activeSlots = 0;  ///< of the instances that serve
-  base::Duration reportAge{0};    ///< age of these figures
-  double recentEvents = 0;        ///< of streams of those models, jobs or not; older count less
+  jobs::OpenJobsByModel openJobs;  ///< open jobs of the models of the service
+  std::uint32_t activeSlots = 0;   ///< slots of the active instances
+  base::Duration reportAge{0};     ///< age of the report of open jobs
+  /// Recent events of streams of these models, of jobs and single requests; decays with time.
+  double recentEvents = 0;
 
+  /// Whether there are neither open jobs nor recent events.
   [[nodiscard]] bool idle() const {
     constexpr double kNoEvents = 0.5;
-    return works.empty() && recentEvents < kNoEvents;
+    return openJobs.empty() && recentEvents < kNoEvents;
   }
 };
 
-/// Deterministic; one for each service.
+/// Decides the number of slots of one service. Deterministic.
 class CapacityPolicy {
  public:
   virtual ~CapacityPolicy() = default;
-  /// Slots that should be there, or be starting.
+  /// Returns the number of slots that should be active or starting.
   [[nodiscard]] virtual std::uint32_t targetSlots(const CapacityDemand& demand,
                                                   base::TimePoint now) = 0;
 
-  /// Nothing for CapacityMode::kHold.
+  /// Returns the policy of a mode, nullptr for CapacityMode::kFixed.
   [[nodiscard]] static std::unique_ptr<CapacityPolicy> make(CapacityMode mode);
 };
 
-/// Knobs of FollowWaitingWork.
-struct WaitingWorkSettings {
-  /// A burst that the engines there work off in this time calls for none that start later.
-  base::Duration patience = base::milliseconds(500);
-  /// What was wanted is remembered so long: a trainer's next step needs it again.
-  base::Duration memory = base::seconds(30);
+/// Settings of a ReactivePolicy.
+struct ReactivePolicySettings {
+  /// Time for which a shortage of slots must last. Shorter bursts are left to the active engines.
+  base::Duration stabilizationWindow = base::milliseconds(500);
+  /// Time for which the highest target is kept, as the next step of a trainer needs it again.
+  base::Duration peakRetention = base::seconds(30);
 };
 
-/// Wants a place for each item that keeps waiting while none is free.
-class FollowWaitingWork final : public CapacityPolicy {
+/// Requires a slot for each item that waits while no slot is free.
+class ReactivePolicy final : public CapacityPolicy {
  public:
-  explicit FollowWaitingWork(WaitingWorkSettings settings = {}) : m_settings(settings) {}
+  explicit ReactivePolicy(ReactivePolicySettings settings = {}) : m_settings(settings) {}
   [[nodiscard]] std::uint32_t targetSlots(const CapacityDemand& demand,
                                           base::TimePoint now) override;
 
  private:
-  /// The least over the last while; zero until it has lasted.
-  [[nodiscard]] std::uint32_t lastingShortage(const CapacityDemand& demand, base::TimePoint now);
-
-  const WaitingWorkSettings m_settings;
-  std::optional<base::TimePoint> m_shortSince;
-  std::uint32_t m_minShortage = 0;
-  std::uint32_t m_peak = 0;
+  /// Returns the minimum shortage over the stabilization window, zero until it has lasted that
+  /// long.
+  [[nodiscard]] std::uint32_t sustainedShortage(const CapacityDemand& demand, base::TimePoint now);
+
+  const ReactivePolicySettings m_settings;
+  std::optional<base::TimePoint> m_shortageSince;
+  std::uint32_t m_minShortage = 0;  ///< since m_shortageSince
+  std::uint32_t m_peak = 0;         ///< highest recent target, in slots
   base::TimePoint m_peakAt{};
 };
 
-/// Knobs of FollowExpectedSteps.
-struct ExpectedStepsSettings {
-  WaitingWorkSettings waiting;
-  /// A model whose last job came before that is expected to send none.
-  base::Duration memory = base::seconds(30);
+/// Settings of a PredictivePolicy.
+struct PredictivePolicySettings {
+  ReactivePolicySettings reactive;
+  /// Time after which the largest step of a model is dropped.
+  base::Duration stepRetention = base::seconds(30);
 };
 
-/// Wants a place for each item of the largest recent job of each model, so that a whole step can
-/// begin at once; where that misjudges, for what waits. It pays where new engines have the weights
-/// that steps need: where loads of weights are the limit, more engines are each loaded more seldom.
-class FollowExpectedSteps final : public CapacityPolicy {
+/// Requires a slot for each item of the largest recent job of each model, so that all items of a
+/// training step can start at once, but never fewer slots than ReactivePolicy. Suited to services
+/// whose new engines already have the required weights; where loading of weights is the bottleneck,
+/// additional engines do not help.
+class PredictivePolicy final : public CapacityPolicy {
  public:
-  explicit FollowExpectedSteps(ExpectedStepsSettings settings = {})
-      : m_settings(settings), m_waiting(settings.waiting) {}
+  explicit PredictivePolicy(PredictivePolicySettings settings = {})
+      : m_settings(settings), m_reactivePolicy(settings.reactive) {}
   [[nodiscard]] std::uint32_t targetSlots(const CapacityDemand& demand,
                                           base::TimePoint now) override;
 
  private:
-  struct Step {
+  /// Size of the largest recent job of a model.
+  struct StepSize {
     std::uint32_t items = 0;
     base::TimePoint seenAt{};
   };
-  void note(const jobs::OpenJobsByModel& works, base::TimePoint now);
+  void recordLargestSteps(const jobs::OpenJobsByModel& openJobs, base::TimePoint now);
 
-  const ExpectedStepsSettings m_settings;
-  FollowWaitingWork m_waiting;
-  std::map<std::string, Step> m_largest;  ///< by model
+  const PredictivePolicySettings m_settings;
+  ReactivePolicy m_reactivePolicy;
+  std::map<std::string, StepSize> m_largestSteps;  ///< by model
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/capacity_state.cpp
+++ b/src/duties/capacity_state.cpp
@@ -14,27 +14,27 @@
 }
 
 void CapacityState::apply(const ConfirmCapacity& command) {
-  const auto known = m_desired.find(command.subject);
-  if (known != m_desired.end() && known->second.count == command.count) {
-    known->second.taken = true;
+  const auto found = m_desired.find(command.subject);
+  if (found != m_desired.end() && found->second.count == command.count) {
+    found->second.accepted = true;
   }
 }
 
-std::optional<DesiredCapacity> CapacityState::desired(const InstancePool& subject) const {
-  const auto known = m_desired.find(subject);
-  return known == m_desired.end() ? std::nullopt : std::optional(known->second);
+std::optional<DesiredCapacity> CapacityState::desired(const InstancePool& pool) const {
+  const auto found = m_desired.find(pool);
+  return found == m_desired.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::uint32_t CapacityState::baseline(const InstancePool& subject) const {
-  const auto known = m_baselines.find(subject);
-  return known == m_baselines.end() ? 0 : known->second;
+std::uint32_t CapacityState::baseline(const InstancePool& pool) const {
+  const auto found = m_baselines.find(pool);
+  return found == m_baselines.end() ? 0 : found->second;
 }
 
 std::set<std::string> CapacityState::zones(const std::string& service) const {
   std::set<std::string> zones;
-  for (const auto& [subject, count] : m_baselines) {
-    if (subject.service == service) {
-      zones.insert(subject.zone);
+  for (const auto& [pool, count] : m_baselines) {
+    if (pool.service == service) {
+      zones.insert(pool.zone);
     }
   }
   return zones;
--- a/src/duties/capacity_state.h
+++ b/src/duties/capacity_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The part of the controllers' replicated state that concerns capacity.
+/// Capacity in the replicated state of the controllers.
 #pragma once
 
 #include <map>
@@ -11,18 +11,18 @@
 
 namespace tackpick::duties {
 
-/// What the platform is asked for.
+/// Count requested from the platform.
 struct DesiredCapacity {
   std::uint32_t count = 0;
-  bool taken = false;  ///< by the platform
+  bool accepted = false;  ///< whether the platform accepted it
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(count, taken);
+    archive(count, accepted);
   }
 };
 
-/// Deterministic.
+/// Baselines and desired counts of all pools. Deterministic.
 class CapacityState {
  public:
   void apply(const RecordBaseline& command);
@@ -30,10 +30,10 @@
   void apply(const ConfirmCapacity& command);
 
   [[nodiscard]] const std::map<InstancePool, DesiredCapacity>& desired() const { return m_desired; }
-  [[nodiscard]] std::optional<DesiredCapacity> desired(const InstancePool& subject) const;
-  /// Instances that ran before the first call about them; zero when none were seen.
-  [[nodiscard]] std::uint32_t baseline(const InstancePool& subject) const;
-  /// Zones of `service` in which instances ran before the first call.
+  [[nodiscard]] std::optional<DesiredCapacity> desired(const InstancePool& pool) const;
+  /// Returns the instances of a pool that ran before the first call for it.
+  [[nodiscard]] std::uint32_t baseline(const InstancePool& pool) const;
+  /// Returns the zones in which instances of `service` ran before the first call.
   [[nodiscard]] std::set<std::string> zones(const std::string& service) const;
 
   template <class Archive>
--- a/src/duties/cluster_time.h
+++ b/src/duties/cluster_time.h
@@ -1,5 +1,5 @@
 /// \file
-/// True time of a cluster, from clocks of which some may be wrong.
+/// Estimates of the true time in a cluster in which some clocks may be wrong.
 #pragma once
 
 #include <map>
@@ -11,35 +11,36 @@
 
 namespace tackpick::duties {
 
-/// Held by the controllers' leader: the median of what its nodes' clocks show. A step of the clocks
-/// of fewer than half of the machines moves it by as much as sound clocks differ. A message's way
-/// makes a clock seem late, by a millisecond or so. Deterministic; owned by one thread.
+/// Median of the clocks of all nodes, kept by the leader of the controllers. If fewer than half of
+/// the clocks are wrong, the error is at most the difference between correct clocks. The latency of
+/// messages makes the other clocks appear slightly late. Deterministic; owned by one thread.
 class ClusterClock {
  public:
-  /// A message told what its sender's clock showed.
-  void onTold(base::NodeId node, base::WallTime shown, base::TimePoint now);
+  /// Records the time that a node's clock showed when it sent a message.
+  void onClockReport(base::NodeId node, base::WallTime wallTime, base::TimePoint now);
   void reset() { m_offsets.clear(); }
-  /// `own`: what this machine's clock shows.
-  [[nodiscard]] base::WallTime at(base::TimePoint now, base::WallTime own) const;
+  /// Returns the estimated true time. `localTime` is the time of this machine's clock.
+  [[nodiscard]] base::WallTime at(base::TimePoint now, base::WallTime localTime) const;
 
  private:
   struct Offset {
-    base::Duration offset{0};  ///< from this process's monotonic clock
+    base::Duration offset{0};  ///< wall time minus monotonic time of this process
     base::TimePoint reportedAt{};
   };
   std::map<base::NodeId, Offset> m_offsets;
 };
 
-/// Held by every other node: the leader's time, as it was told. Deterministic; owned by one thread.
+/// Estimate of the leader's time, kept by every other node. Deterministic; owned by one thread.
 class ClusterTimeEstimate {
  public:
-  void onTold(base::WallTime leaderTime, base::TimePoint now);
-  /// `own` until something was told.
-  [[nodiscard]] base::WallTime at(base::TimePoint now, base::WallTime own) const;
+  /// Records the leader's time from a message.
+  void onLeaderTime(base::WallTime leaderTime, base::TimePoint now);
+  /// Returns the estimated leader's time, `localTime` until the first message.
+  [[nodiscard]] base::WallTime at(base::TimePoint now, base::WallTime localTime) const;
 
  private:
-  std::vector<base::Duration> m_offsets;  ///< the latest, from this process's monotonic clock
-  std::size_t m_nextOffset = 0;
+  std::vector<base::Duration> m_offsets;  ///< latest samples: leader's time minus monotonic time
+  std::size_t m_nextOffset = 0;           ///< next sample to be overwritten
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/scaling.cpp
+++ b/src/duties/scaling.cpp
@@ -5,33 +5,34 @@
 namespace tackpick::duties {
 namespace {
 
-/// Beyond any zone: a larger number is a damaged one.
+/// Larger values are treated as corrupt.
 constexpr std::uint32_t kMaxInstances = 100'000;
-constexpr base::Duration kMaxStart = base::seconds(3600);
+constexpr base::Duration kMaxStartupDuration = base::seconds(3600);
 
 bool isPrice(double price) { return std::isfinite(price) && price >= 0; }
 
 }  // namespace
 
 base::Result<void> validate(const Scaling& scaling) {
-  const auto invalid = [](const std::string& why) {
-    return base::fail(base::ErrorCode::kInvalidInput, "scaling: " + why);
+  const auto invalid = [](const std::string& reason) {
+    return base::fail(base::ErrorCode::kInvalidInput, "scaling: " + reason);
   };
-  if (scaling.maximum == 0 || scaling.maximum > kMaxInstances) {
-    return invalid("its maximum is no number of instances");
+  if (scaling.maxInstances == 0 || scaling.maxInstances > kMaxInstances) {
+    return invalid("maximum must be 1 to 100000 instances");
   }
-  if (scaling.minimum > scaling.maximum) {
-    return invalid("its minimum is above its maximum");
+  if (scaling.minInstances > scaling.maxInstances) {
+    return invalid("minimum exceeds maximum");
   }
-  if (scaling.startupDuration < base::Duration{0} || scaling.startupDuration > kMaxStart) {
-    return invalid("its start time is out of range");
+  if (scaling.startupDuration < base::Duration{0} ||
+      scaling.startupDuration > kMaxStartupDuration) {
+    return invalid("startup duration is out of range");
   }
   if (!isPrice(scaling.preemptiblePrice)) {
-    return invalid("the price of withdrawable instances is no price");
+    return invalid("price of preemptible instances must be a finite number of at least 0");
   }
   for (const auto& [zone, price] : scaling.zonePrices) {
     if (zone.empty() || !isPrice(price)) {
-      return invalid("the price of zone '" + zone + "' is no price of a zone");
+      return invalid("zone '" + zone + "' needs a name and a finite price of at least 0");
     }
   }
   return {};
--- a/src/duties/scaling.h
+++ b/src/duties/scaling.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an operator allows the platform to start and stop of a service's instances.
+/// Bounds of automatic scaling, configured by operators.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,24 @@
 
 namespace tackpick::duties {
 
-/// Bounds and prices of a service's instances.
+/// Bounds and prices of the instances of a service.
 struct Scaling {
-  std::uint32_t minimum = 0;  ///< instances in a zone, of both kinds together
-  std::uint32_t maximum = 0;
-  base::Duration startupDuration{0};  ///< from a call until a new instance serves
-  double preemptiblePrice = 1;        ///< of a preemptible instance, relative to an on-demand one
-  std::map<std::string, double> zonePrices;  ///< of an on-demand instance for a second, by zone
+  std::uint32_t minInstances = 0;            ///< per zone, of both kinds together
+  std::uint32_t maxInstances = 0;            ///< per zone, of both kinds together
+  base::Duration startupDuration{0};         ///< time from a call until a new instance is ready
+  double preemptiblePrice = 1;               ///< relative to an on-demand instance
+  std::map<std::string, double> zonePrices;  ///< per second of an on-demand instance, by zone
 
   bool operator==(const Scaling&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(minimum, maximum, startupDuration, preemptiblePrice, zonePrices);
+    archive(minInstances, maxInstances, startupDuration, preemptiblePrice, zonePrices);
   }
 };
 
-/// Fails with what is wrong: no instance is allowed, the bounds contradict each other, a price is
-/// no price, a zone has no name, the start takes too long to plan for.
+/// Returns an error if the bounds contradict each other, a value is out of range, or a zone has no
+/// name.
 [[nodiscard]] base::Result<void> validate(const Scaling& scaling);
 
 }  // namespace tackpick::duties
--- a/src/duties/usage_counter.cpp
+++ b/src/duties/usage_counter.cpp
@@ -3,7 +3,7 @@
 namespace tackpick::duties {
 namespace {
 
-/// A gateway that hears no decision for long keeps no more windows than this.
+/// Maximum number of windows kept while no window is finalized.
 constexpr std::size_t kMaxWindows = 64;
 
 }  // namespace
@@ -25,12 +25,12 @@
   m_windows.erase(m_windows.begin(), m_windows.upper_bound(window));
 }
 
-GatewayUsage UsageCounter::present(base::WallTime now) const {
+GatewayUsage UsageCounter::snapshot(base::WallTime now) const {
   GatewayUsage usage;
   if (m_windowLength == base::Duration{0}) {
     return usage;
   }
-  usage.present = windowOf(now, m_windowLength);
+  usage.currentWindow = windowOf(now, m_windowLength);
   for (const auto& [window, counted] : m_windows) {
     usage.windows.push_back(counted);
   }
--- a/src/duties/usage_counter.h
+++ b/src/duties/usage_counter.h
@@ -1,23 +1,24 @@
 /// \file
-/// A gateway's count of the requests that began to run.
+/// Counts the requests that a gateway started, by tenant and window.
 #pragma once
 
 #include "duties/usage_messages.h"
 
 namespace tackpick::duties {
 
-/// Deterministic; owned by one thread. Windows of true time are those of the controllers' leader.
+/// Counts started requests. Windows refer to the cluster time. Deterministic; owned by one thread.
 class UsageCounter {
  public:
-  /// `windowLength` zero: nothing is counted.
+  /// A `windowLength` of zero disables counting.
   explicit UsageCounter(base::Duration windowLength) : m_windowLength(windowLength) {}
 
-  /// A request of `tenant` began to run; an empty name is nobody's.
+  /// Counts a request of `tenant`, unless the name is empty.
   void onRequestStarted(const std::string& tenant, base::WallTime at);
-  /// Windows up to this one are decided: what they hold is of no use any more.
+  /// Discards the counts of finalized windows, up to and including `window`.
   void discardThrough(WindowNumber window);
-  [[nodiscard]] GatewayUsage present(base::WallTime now) const;
-  /// Rises with each request counted.
+  /// Returns all counts that are not discarded.
+  [[nodiscard]] GatewayUsage snapshot(base::WallTime now) const;
+  /// Returns a number that increases with each counted request.
   [[nodiscard]] std::uint64_t revision() const { return m_revision; }
 
  private:
--- a/src/duties/usage_messages.h
+++ b/src/duties/usage_messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// Usage: requests that began to run, by tenant and window of true time. What gateways tell, what
-/// goes through the controllers' log, and what the platform is told.
+/// Messages about usage, the number of started requests by tenant and window of cluster time:
+/// reports of gateways, commands in the log of the controllers, and reports to the platform.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,20 @@
 
 namespace tackpick::duties {
 
-/// Window k begins k times the windows' length after the start of 1970.
+/// Number of a window. Window k starts k window lengths after the Unix epoch.
 using WindowNumber = std::uint64_t;
 
-/// The window in which `at` lies.
+/// Returns the window that contains `at`.
 [[nodiscard]] inline WindowNumber windowOf(base::WallTime at, base::Duration length) {
   return static_cast<WindowNumber>(at.time_since_epoch() / length);
 }
 
-/// When a window is over.
-[[nodiscard]] inline base::WallTime endOf(WindowNumber window, base::Duration length) {
+/// Returns the end of a window.
+[[nodiscard]] inline base::WallTime windowEnd(WindowNumber window, base::Duration length) {
   return base::WallTime{length * static_cast<base::Duration::rep>(window + 1)};
 }
 
-/// Requests that began to run within one window.
+/// Number of requests that were started within a window.
 struct WindowUsage {
   WindowNumber window = 0;
   std::map<std::string, std::uint64_t> counts;  ///< by tenant
@@ -40,21 +40,21 @@
   }
 };
 
-/// All that a gateway has counted in the windows that are not decided. Counts only rise, so that a
-/// report which comes twice or late changes nothing.
+/// All counts of a gateway in windows that are not finalized. Counts only increase, so duplicate
+/// and delayed reports are harmless.
 struct GatewayUsage {
-  WindowNumber present = 0;  ///< the window in which it was told; all earlier ones are complete
+  WindowNumber currentWindow = 0;  ///< window at the time of the report; earlier ones are complete
   std::vector<WindowUsage> windows;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(present, windows);
+    archive(currentWindow, windows);
   }
 };
 
-// Through the log.
+// Commands in the log of the controllers.
 
-/// From this window on usage is reported. Counts only once.
+/// Starts the reporting of usage with this window. Only the first such command has an effect.
 struct StartUsageReporting {
   WindowNumber window = 0;
   template <class Archive>
@@ -63,7 +63,7 @@
   }
 };
 
-/// What a gateway has told, so that it outlives the gateway and the leader.
+/// Records the counts of a gateway, so that they survive the loss of the gateway and the leader.
 struct RecordUsage {
   base::NodeId gateway;
   std::vector<WindowUsage> windows;
@@ -73,7 +73,7 @@
   }
 };
 
-/// The counts of a window from now on, whoever leads. Windows are decided in turn.
+/// Finalizes the counts of a window. Windows are finalized in order.
 struct FinalizeUsage {
   WindowUsage usage;
   template <class Archive>
@@ -82,7 +82,7 @@
   }
 };
 
-/// The platform has taken a window's report.
+/// Records that the platform accepted the report of a window.
 struct ConfirmUsage {
   WindowNumber window = 0;
   template <class Archive>
@@ -91,12 +91,12 @@
   }
 };
 
-// To the platform.
+// Calls to the platform.
 
-/// A call that only the present holder of the duty may make.
+/// Report of a window. Only the current leader may send it.
 struct UsageReport {
   WindowUsage usage;
-  std::uint64_t fence = 0;  ///< rises with each holder
+  std::uint64_t fence = 0;  ///< increases with each leader
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -1,5 +1,5 @@
 /// \file
-/// The duty to report usage, as the controllers' leader does it.
+/// Reports usage to the platform. Runs on the leader of the controllers.
 #pragma once
 
 #include <cstdint>
@@ -15,89 +15,98 @@
 
 namespace tackpick::duties {
 
-/// Knobs of a UsageReporter.
+/// Settings of a UsageReporter.
 struct UsageReporterSettings {
-  base::Duration window{0};  ///< length; zero: there is no such duty
-  /// A window's report is due so long after its end.
-  base::Duration delay = base::seconds(10);
-  /// Requests that began at the very end of a window are answered, and told, by then.
-  base::Duration settling = base::milliseconds(500);
-  /// A gateway that is cut off or frozen may still tell what it counted until this share of the
-  /// delay is over; the rest is for calls that have to be repeated.
-  int patiencePercent = 65;
-  /// What gateways told is noted in the log this often, so that a loss of all machines costs at
-  /// most this much of a window's counts.
-  base::Duration noteInterval = base::milliseconds(100);
-  /// ... and less often where much is told, to bound what is written.
-  base::Duration noteIntervalPerCount = base::microseconds(100);
-  /// Between two calls at least; the platform limits the rate of all of them.
+  base::Duration windowLength{0};  ///< zero disables reporting
+  /// Time after the end of a window by which its report is due.
+  base::Duration reportDelay = base::seconds(10);
+  /// Time after the end of a window for gateways to report requests started at its very end.
+  base::Duration gracePeriod = base::milliseconds(500);
+  /// Maximum share of reportDelay to wait for an unreachable gateway; the rest is left for repeated
+  /// calls.
+  int maxWaitPercent = 65;
+  /// Minimum interval between log entries with the counts of gateways. Bounds how much of a window
+  /// is lost with all machines.
+  base::Duration recordInterval = base::milliseconds(100);
+  /// Interval per count; extends recordInterval when there are many counts, to bound the writes.
+  base::Duration recordIntervalPerCount = base::microseconds(100);
+  /// Minimum time between two calls; the platform limits the rate of all calls.
   base::Duration minCallInterval = base::milliseconds(100);
-  /// A call without an answer is repeated after this time, and then after twice as long each time.
-  base::Duration firstRetry = base::milliseconds(300);
-  base::Duration maxRetry = base::milliseconds(2400);
+  /// Time after which a failed call is repeated. Doubles with each failure up to maxRetryDelay.
+  base::Duration initialRetryDelay = base::milliseconds(300);
+  base::Duration maxRetryDelay = base::milliseconds(2400);
 };
 
-/// What the platform answered to a call.
+/// Outcome of a report to the platform.
 enum class UsageReportOutcome : std::uint8_t {
   kAccepted,
-  kRefused,  ///< a higher fence was seen: another holds the duty
-  kBusy,     ///< too many calls
-  kUnknown,  ///< no answer, or none that says more
+  kStaleFence,  ///< the platform has seen a higher fence, of a newer leader
+  kThrottled,   ///< rejected by the rate limit of the platform
+  kUnknown,     ///< no conclusive answer
 };
 
 [[nodiscard]] std::string_view toString(UsageReportOutcome outcome);
 
-/// What the leader is to do now.
+/// Actions that the leader has to carry out after a step.
 struct UsageReporterActions {
-  /// To be written to the log.
+  /// Commands to be written to the log.
   std::vector<std::variant<StartUsageReporting, RecordUsage, FinalizeUsage, ConfirmUsage>> commands;
-  std::optional<UsageReport> report;  ///< to be sent
+  std::optional<UsageReport> report;  ///< report to be sent to the platform
 };
 
-/// Deterministic; owned by one thread. Counts are decided in the log before they are first sent,
-/// and sent unchanged ever after, whoever leads. One call is under way at a time. A fence that was
-/// refused is not used again.
+/// Collects the counts of gateways and reports each window to the platform. A window is finalized
+/// in the log before its report is first sent, so that every leader sends the same counts. At most
+/// one call is in flight, and a fence that the platform rejected is not used again. Deterministic;
+/// owned by one thread.
 class UsageReporter {
  public:
   UsageReporter(UsageReporterSettings settings, base::Random& random)
       : m_settings(settings), m_random(random) {}
 
-  /// Call when this controller becomes leader. It makes no call before `callsFrom`.
+  /// Must be called when this controller becomes leader. No call is made before `callsFrom`.
   void reset(const UsageState& state, base::TimePoint callsFrom);
-  /// A gateway told what it has counted.
-  void onTold(base::NodeId gateway, const GatewayUsage& usage);
-  /// `gateways` heard of, and whether that are all there are.
-  struct Present {
-    std::set<base::NodeId> gateways;
-    bool settled = false;
+  /// Merges the counts that a gateway reported.
+  void onGatewayUsage(base::NodeId gateway, const GatewayUsage& usage);
+  /// Inputs of one step.
+  struct StepInputs {
+    std::set<base::NodeId> gateways;  ///< gateways in contact with this leader
+    /// Whether the leader has led long enough to have received a heartbeat from every gateway.
+    bool warmedUp = false;
     std::uint64_t fence = 0;
-    base::WallTime wall;  ///< true time
+    base::WallTime wall;  ///< cluster time
     base::TimePoint now;
   };
-  [[nodiscard]] UsageReporterActions step(const UsageState& state, const Present& present);
+  /// Finalizes the next window if it is due and returns the resulting actions.
+  [[nodiscard]] UsageReporterActions step(const UsageState& state, const StepInputs& stepInputs);
+  /// Records the outcome of a report that step() returned.
   void onOutcome(const UsageReport& report, UsageReportOutcome outcome, base::TimePoint now);
 
  private:
-  [[nodiscard]] std::optional<FinalizeUsage> decide(const UsageState& state,
-                                                    const Present& present) const;
-  [[nodiscard]] bool isComplete(WindowNumber window, const Present& present) const;
-  void note(const UsageState& state, const Present& present, UsageReporterActions& work);
+  /// Returns the command that finalizes the next window, std::nullopt if it is not due.
+  [[nodiscard]] std::optional<FinalizeUsage> finalizeWindow(const UsageState& state,
+                                                            const StepInputs& stepInputs) const;
+  /// Whether all gateways have reported a later window.
+  [[nodiscard]] bool isComplete(WindowNumber window, const StepInputs& stepInputs) const;
+  /// Adds commands that record new counts of gateways in the log.
+  void recordUsage(const UsageState& state, const StepInputs& stepInputs,
+                   UsageReporterActions& actions);
   [[nodiscard]] std::optional<UsageReport> nextReport(const UsageState& state,
-                                                      const Present& present);
+                                                      const StepInputs& stepInputs);
 
   const UsageReporterSettings m_settings;
   base::Random& m_random;
-  std::map<WindowNumber, UsageState::ByGateway> m_told;  ///< of windows that are not decided
-  std::map<base::NodeId, WindowNumber> m_presentAt;      ///< by gateway: the window it was in
-  std::set<base::NodeId> m_unnoted;                      ///< gateways that told something new
-  base::TimePoint m_notedAt{};
-  std::optional<WindowNumber> m_proposed;  ///< window whose decision is on its way
-  std::set<WindowNumber> m_taken;          ///< by the platform; the confirmation may be on its way
-  std::optional<WindowNumber> m_confirm;   ///< to be written to the log
-  bool m_calling = false;
-  std::uint64_t m_refusedFence = 0;
-  base::TimePoint m_callAt{};  ///< not before
-  base::Duration m_retry{0};
+  std::map<WindowNumber, UsageState::UsageByGateway>
+      m_usageByWindow;                                    ///< windows that are not finalized
+  std::map<base::NodeId, WindowNumber> m_currentWindows;  ///< by gateway, at its last report
+  std::set<base::NodeId> m_unrecorded;  ///< gateways with counts not yet in the log
+  base::TimePoint m_recordedAt{};
+  std::optional<WindowNumber> m_proposedWindow;  ///< window whose FinalizeUsage is not applied yet
+  std::set<WindowNumber> m_acceptedWindows;      ///< perhaps not confirmed in the log yet
+  std::optional<WindowNumber> m_pendingConfirmation;  ///< window to be confirmed in the log
+  bool m_callInFlight = false;
+  std::uint64_t m_staleFence = 0;  ///< fence that the platform rejected; zero: none
+  base::TimePoint m_nextCallAt{};  ///< no call is made before
+  base::Duration m_retryDelay{0};
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/usage_state.h
+++ b/src/duties/usage_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The part of the controllers' replicated state that concerns usage.
+/// Usage in the replicated state of the controllers.
 #pragma once
 
 #include <map>
@@ -9,38 +9,40 @@
 
 namespace tackpick::duties {
 
-/// Deterministic. A window is decided once, after the one before it, and keeps its counts until
-/// the platform has taken them.
+/// Usage of all windows that are not reported yet. Windows are finalized once and in order, and
+/// kept until the platform has accepted their report. Deterministic.
 class UsageState {
  public:
-  using ByGateway = std::map<base::NodeId, WindowUsage>;
+  using UsageByGateway = std::map<base::NodeId, WindowUsage>;
 
   void apply(const StartUsageReporting& command);
   void apply(const RecordUsage& command);
   void apply(const FinalizeUsage& command);
   void apply(const ConfirmUsage& command);
 
-  /// The next window to be decided; nothing before usage began.
-  [[nodiscard]] std::optional<WindowNumber> next() const { return m_next; }
-  /// What gateways told of windows that are not decided, as far as it was noted.
-  [[nodiscard]] const std::map<WindowNumber, ByGateway>& noted() const { return m_noted; }
-  /// Decided windows that the platform has not taken, by number.
+  /// Returns the next window to be finalized, std::nullopt before usage reporting has started.
+  [[nodiscard]] std::optional<WindowNumber> nextWindow() const { return m_nextWindow; }
+  /// Returns the recorded counts of windows that are not finalized.
+  [[nodiscard]] const std::map<WindowNumber, UsageByGateway>& recorded() const {
+    return m_recorded;
+  }
+  /// Returns the finalized windows whose report the platform has not accepted, by number.
   [[nodiscard]] const std::map<WindowNumber, WindowUsage>& unreported() const {
     return m_unreported;
   }
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(m_next, m_noted, m_unreported);
+    archive(m_nextWindow, m_recorded, m_unreported);
   }
 
  private:
-  std::optional<WindowNumber> m_next;
-  std::map<WindowNumber, ByGateway> m_noted;
+  std::optional<WindowNumber> m_nextWindow;
+  std::map<WindowNumber, UsageByGateway> m_recorded;
   std::map<WindowNumber, WindowUsage> m_unreported;
 };
 
-/// Takes over the higher count of each tenant.
+/// Sets each tenant's count in `into` to the higher of both counts.
 void mergeUsage(WindowUsage& into, const WindowUsage& from);
 
 }  // namespace tackpick::duties
--- a/src/edge/capacity_call.cpp
+++ b/src/edge/capacity_call.cpp
@@ -14,11 +14,11 @@
           {"zone", summary.subject.zone},
           {"kind", duties::toString(summary.subject.kind)},
           {"desired", summary.desired},
-          {"taken", summary.taken},
-          {"there", summary.there},
+          {"taken", summary.accepted},
+          {"there", summary.active},
           {"starting", summary.starting},
           {"leaving", summary.draining},
-          {"refusals", summary.refusals}};
+          {"refusals", summary.consecutiveFailures}};
 }
 
 }  // namespace
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -204,8 +204,8 @@
   // Both duties share the rate, with others.
   constexpr double kShareOfRate = 0.5;
   constexpr double kCapacityShareOfRate = 0.25;
-  settings.usage.window = settings_.usageWindow;
-  settings.usage.delay = settings_.usageReportDelay;
+  settings.usage.windowLength = settings_.usageWindow;
+  settings.usage.reportDelay = settings_.usageReportDelay;
   settings.usage.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
       kMicrosPerSecond / (settings_.dutyCallsPerSecond * kShareOfRate)));
   settings.capacity.plan.mode = settings_.capacity;
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -109,10 +109,10 @@
                                             .add("zone", decision.subject.zone)
                                             .add("kind", duties::toString(decision.subject.kind))
                                             .add("count", decision.count)
-                                            .add("before", decision.before)
-                                            .add("there", decision.there)
+                                            .add("before", decision.previousCount)
+                                            .add("there", decision.active)
                                             .add("leaving", decision.draining)
-                                            .add("wanted", decision.wanted)
+                                            .add("wanted", decision.targetTotal)
                                             .add("work_known", decision.demandKnown)
                                             .add("items", decision.items)
                                             .add("waiting", decision.waiting)
@@ -128,10 +128,10 @@
     const std::string pool = summary.subject.service + "/" + summary.subject.zone + "/" +
                              std::string(duties::toString(summary.subject.kind));
     metrics_.set(GaugeId::kInstancesDesired, pool, told(summary.desired));
-    metrics_.set(GaugeId::kInstancesThere, pool, told(summary.there));
+    metrics_.set(GaugeId::kInstancesThere, pool, told(summary.active));
     metrics_.set(GaugeId::kInstancesStarting, pool, told(summary.starting));
     metrics_.set(GaugeId::kInstancesLeaving, pool, told(summary.draining));
-    metrics_.set(GaugeId::kInstancesRefused, pool, told(summary.refusals));
+    metrics_.set(GaugeId::kInstancesRefused, pool, told(summary.consecutiveFailures));
   }
 }
 
--- a/src/node/usage_sender.cpp
+++ b/src/node/usage_sender.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 UsageSender::UsageSender(Node& node) : m_node(node), m_counter(node.settings().usageWindow) {
-  m_node.member().setUsageSource([this] { return m_counter.present(clusterTime(m_node.now())); });
+  m_node.member().setUsageSource([this] { return m_counter.snapshot(clusterTime(m_node.now())); });
 }
 
 base::WallTime UsageSender::clusterTime(base::TimePoint at) const {
@@ -30,7 +30,7 @@
 
 void UsageSender::onView(const directory::DirectoryView& view) {
   if (view.clusterTime != base::WallTime{}) {
-    m_clusterTime.onTold(view.clusterTime, m_node.now());
+    m_clusterTime.onLeaderTime(view.clusterTime, m_node.now());
   }
   if (view.firstOpenUsageWindow > 0) {
     m_counter.discardThrough(view.firstOpenUsageWindow - 1);
@@ -50,7 +50,7 @@
   m_telling = true;
   m_toldAt = now;
   const std::uint64_t revision = m_counter.revision();
-  const directory::ReportUsage told{m_counter.present(clusterTime(now))};
+  const directory::ReportUsage told{m_counter.snapshot(clusterTime(now))};
   m_node.member().call(directory::DirectoryRequest{told}, kTellDeadline, now,
                        [this, revision](const directory::DirectoryReply* reply) {
                          m_telling = false;
--- a/src/quarantine/request_gate.cpp
+++ b/src/quarantine/request_gate.cpp
@@ -9,7 +9,7 @@
 HoldChanges RequestGate::onTold(const std::vector<HeldRequest>& held, base::WallTime clusterTime,
                                 base::TimePoint now) {
   if (clusterTime != base::WallTime{}) {
-    m_clusterTime.onTold(clusterTime, now);
+    m_clusterTime.onLeaderTime(clusterTime, now);
   }
   HoldChanges changes;
   std::map<RequestFingerprint, base::WallTime> told;
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "duties/manual_wall.h"
+#include "duties/manual_wall_clock.h"
 #include "simulation/simulated_disk.h"
 #include "storage/segmented_log.h"
 
@@ -80,7 +80,7 @@
   std::vector<directory::LoadCommand> orders;
   std::vector<tackpick::duties::UsageReport> reports;
   std::vector<tackpick::duties::ScaleCall> scaleCalls;
-  tackpick::test::ManualWall wall;
+  tackpick::test::ManualWallClock wall;
   const base::WallTime wallBegin{base::seconds(1'000'000)};
   directory::DirectorySettings settings;
   std::uint64_t calls = 0;
@@ -191,7 +191,7 @@
 
 Test(directory_role, usage_report_outlives_a_restart_unchanged) {
   LoneController controller;
-  controller.settings.usage.window = base::seconds(5);
+  controller.settings.usage.windowLength = base::seconds(5);
   controller.start();
   controller.run(base::seconds(3));
   directory::Configuration tenants = configuration();
@@ -200,7 +200,7 @@
   tenants.tenants = {tenant};
   controller.ask(directory::ReplaceConfiguration{tenants});
   controller.run(base::milliseconds(200));
-  const auto window = controller.role->state().usage().next();
+  const auto window = controller.role->state().usage().nextWindow();
   cr_assert(window.has_value());
   controller.ask(directory::ReportUsage{{*window, {{*window, {{"a", 3}}}}}});
   controller.run(base::seconds(13));
@@ -216,7 +216,7 @@
 
 Test(directory_role, without_tenants_no_usage_is_reported) {
   LoneController controller;
-  controller.settings.usage.window = base::seconds(5);
+  controller.settings.usage.windowLength = base::seconds(5);
   controller.start();
   controller.run(base::seconds(3));
   controller.ask(directory::ReplaceConfiguration{configuration()});
@@ -253,7 +253,7 @@
 
 Test(directory_role, successor_of_a_leaving_engine_is_asked_for_under_the_leaders_term) {
   LoneController controller;
-  controller.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kExpectedSteps;
+  controller.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kPredictive;
   controller.start();
   controller.run(base::seconds(3));
   controller.ask(directory::ReplaceConfiguration{scaledConfiguration(1, 1, 10)});
@@ -296,7 +296,7 @@
 
 Test(directory_role, without_bounds_or_by_setting_no_engine_is_asked_for) {
   LoneController unbounded;
-  unbounded.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kExpectedSteps;
+  unbounded.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kPredictive;
   unbounded.start();
   unbounded.run(base::seconds(3));
   unbounded.ask(directory::ReplaceConfiguration{configuration()});
@@ -320,7 +320,7 @@
   const auto reply = base::decode<directory::DirectoryReply>(controller.answers[0].payload);
   cr_assert(reply->status == directory::DirectoryStatus::kInvalid);
   cr_assert_eq(controller.role->state().configuration().version, 1U);
-  cr_assert_eq(controller.role->state().configuration().services[0].scaling->maximum, 10U);
+  cr_assert_eq(controller.role->state().configuration().services[0].scaling->maxInstances, 10U);
 }
 
 Test(directory_role, late_heartbeat_of_a_displaced_instance_does_not_bring_it_back) {
--- a/test/directory/unsent_calls_test.cpp
+++ b/test/directory/unsent_calls_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "directory/directory_role.h"
-#include "duties/manual_wall.h"
+#include "duties/manual_wall_clock.h"
 #include "simulation/simulated_disk.h"
 #include "storage/segmented_log.h"
 
@@ -36,9 +36,9 @@
   explicit TwoControllers(std::optional<base::TimePoint> when = std::nullopt) : handOverAt(when) {
     const std::set<base::NodeId> voters{base::makeNodeId(1, 0), base::makeNodeId(2, 0)};
     directory::DirectorySettings settings;
-    settings.capacity.plan.mode = duties::CapacityMode::kWaitingWork;
-    settings.usage.window = base::seconds(1);
-    settings.usage.delay = base::seconds(1);
+    settings.capacity.plan.mode = duties::CapacityMode::kReactive;
+    settings.usage.windowLength = base::seconds(1);
+    settings.usage.reportDelay = base::seconds(1);
     auto voter = voters.begin();
     for (Controller& controller : controllers) {
       controller.self = *voter++;
@@ -130,7 +130,7 @@
 
   std::array<Controller, 2> controllers;
   base::SeededRandom random{1};
-  tackpick::test::ManualWall wall;
+  tackpick::test::ManualWallClock wall;
   base::TimePoint now{base::seconds(100)};
   std::optional<base::TimePoint> handOverAt;
   std::vector<duties::ScaleCall> scaleCalls;
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -1,492 +1,494 @@
-/// Capacity: numbers of instances that the leader decides, calls to the platform, and failures.
+/// Tests the decisions of the autoscaler, its calls to the platform, and failures.
 #include <criterion/criterion.h>
 
 #include <algorithm>
 
-#include "duties/capacity_world.h"
+#include "duties/autoscaler_fixture.h"
 
 namespace base = tackpick::base;
 namespace duties = tackpick::duties;
 using duties::InstanceKind;
 using duties::ScaleOutcome;
-using tackpick::test::CapacityWorld;
+using tackpick::test::AutoscalerFixture;
 
 namespace {
 
 constexpr auto kOnDemand = InstanceKind::kOnDemand;
 constexpr auto kPreemptible = InstanceKind::kPreemptible;
 
-/// Counts about one subject that came after a higher one.
-bool fell(const std::vector<std::uint32_t>& counts) {
+/// Whether some count is lower than its predecessor.
+bool hasDecrease(const std::vector<std::uint32_t>& counts) {
   return !std::is_sorted(counts.begin(), counts.end());
 }
 
 }  // namespace
 
-Test(capacity_plan, mode_hold_makes_no_call) {
-  CapacityWorld world(duties::CapacityMode::kHold);
-  world.offer(2000);
-  world.platform.withdraw("a", kOnDemand, 5);
-  world.run(base::seconds(60));
-  cr_assert(world.sent.empty());
-  cr_assert_eq(world.platform.total(), 40U);
+Test(capacity_plan, fixed_mode_makes_no_call) {
+  AutoscalerFixture fixture(duties::CapacityMode::kFixed);
+  fixture.setDemand(2000);
+  fixture.platform.preempt("a", kOnDemand, 5);
+  fixture.run(base::seconds(60));
+  cr_assert(fixture.sent.empty());
+  cr_assert_eq(fixture.platform.total(), 40U);
 }
 
-Test(capacity_plan, what_is_there_is_left_while_work_fits) {
-  CapacityWorld world;
-  world.offer(300, base::milliseconds(50));
-  world.demand->works["m"][0].waiting = 0;
-  world.run(base::seconds(60));
-  cr_assert(world.sent.empty());
-  cr_assert_eq((world.state.baseline({"e", "b", kOnDemand})), 15U);
+Test(capacity_plan, no_call_is_made_while_work_fits) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(300, base::milliseconds(50));
+  fixture.demand->openJobs["m"][0].waiting = 0;
+  fixture.run(base::seconds(60));
+  cr_assert(fixture.sent.empty());
+  cr_assert_eq((fixture.state.baseline({"e", "b", kOnDemand})), 15U);
 }
 
-Test(capacity_plan, a_step_larger_than_the_places_is_ordered_for) {
-  CapacityWorld world;
-  world.offer(480, base::milliseconds(10));
-  world.run(base::seconds(1));
-  cr_assert_eq(world.platform.total(), 45U);
-  world.run(base::seconds(5));
-  cr_assert_eq(world.platform.total(), 60U, "there are %u", world.platform.total());
-  const auto& preemptible = world.platform.zones[{"b", kPreemptible}];
-  cr_assert_gt(preemptible.there, 0U);
-  cr_assert_eq(world.platform.emptied, 0U);
+Test(capacity_plan, a_step_larger_than_the_slots_adds_instances) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(480, base::milliseconds(10));
+  fixture.run(base::seconds(1));
+  cr_assert_eq(fixture.platform.total(), 45U);
+  fixture.run(base::seconds(5));
+  cr_assert_eq(fixture.platform.total(), 60U, "%u instances are active", fixture.platform.total());
+  const auto& preemptible = fixture.platform.zones[{"b", kPreemptible}];
+  cr_assert_gt(preemptible.active, 0U);
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
 }
 
-Test(capacity_plan, what_is_ordered_is_bounded_by_the_baseline_and_by_the_maximum) {
-  CapacityWorld world;
-  world.offer(100'000);
-  world.run(base::seconds(60));
-  cr_assert_eq(world.platform.total(), 67U);
-  CapacityWorld narrow;
-  narrow.scaling.maximum = 17;
-  narrow.offer(100'000);
+Test(capacity_plan, requested_instances_are_bounded_by_the_baseline_and_by_the_maximum) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(100'000);
+  fixture.run(base::seconds(60));
+  cr_assert_eq(fixture.platform.total(), 67U);
+  AutoscalerFixture narrow;
+  narrow.scaling.maxInstances = 17;
+  narrow.setDemand(100'000);
   narrow.run(base::seconds(60));
   cr_assert_eq(narrow.platform.total(), 51U);
-  cr_assert_eq(narrow.platform.emptied, 0U);
+  cr_assert_eq(narrow.platform.scaledInCount, 0U);
 }
 
 Test(capacity_plan, leaving_instances_are_replaced_at_once) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.run(base::milliseconds(200));
-  cr_assert_eq(world.sentCounts("a", kOnDemand).size(), 1U);
-  cr_assert_eq(world.sent[0].count, 15U);
-  world.run(base::seconds(5));
-  cr_assert_eq(world.platform.total(), 45U);
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.run(base::milliseconds(200));
+  cr_assert_eq(fixture.sentPoolCounts("a", kOnDemand).size(), 1U);
+  cr_assert_eq(fixture.sent[0].count, 15U);
+  fixture.run(base::seconds(5));
+  cr_assert_eq(fixture.platform.total(), 45U);
 }
 
-Test(capacity_plan, minimum_above_what_is_there_is_ordered) {
-  CapacityWorld world;
-  world.scaling.minimum = 16;
-  world.run(base::seconds(6));
-  cr_assert_eq(world.platform.total(), 48U);
+Test(capacity_plan, minimum_above_the_active_instances_is_requested) {
+  AutoscalerFixture fixture;
+  fixture.scaling.minInstances = 16;
+  fixture.run(base::seconds(6));
+  cr_assert_eq(fixture.platform.total(), 48U);
 }
 
 Test(capacity_plan, equal_bounds_pin_the_count) {
-  CapacityWorld world;
-  world.scaling.minimum = 15;
-  world.scaling.maximum = 15;
-  world.offer(100'000);
-  world.run(base::seconds(60));
-  world.demand.emplace();
-  world.run(base::seconds(2000));
-  cr_assert(world.sent.empty());
+  AutoscalerFixture fixture;
+  fixture.scaling.minInstances = 15;
+  fixture.scaling.maxInstances = 15;
+  fixture.setDemand(100'000);
+  fixture.run(base::seconds(60));
+  fixture.demand.emplace();
+  fixture.run(base::seconds(2000));
+  cr_assert(fixture.sent.empty());
 }
 
-Test(capacity_plan, silent_instances_are_replaced_unless_they_are_many) {
-  CapacityWorld world;
-  world.unresponsive["a"] = 3;
-  world.run(base::seconds(6));
-  cr_assert_eq(world.platform.total(), 48U);
-  CapacityWorld cut;
-  cut.unresponsive = {{"a", 15}, {"b", 1}};
-  cut.run(base::seconds(20));
-  cr_assert(cut.sent.empty(), "so many are cut off rather than lost");
-  CapacityWorld young;
-  young.settled = false;
-  young.unresponsive["a"] = 3;
-  young.run(base::seconds(20));
-  cr_assert(young.sent.empty(), "a new leader has not heard of all");
+Test(capacity_plan, unresponsive_instances_are_replaced_unless_they_are_many) {
+  AutoscalerFixture fixture;
+  fixture.unresponsive["a"] = 3;
+  fixture.run(base::seconds(6));
+  cr_assert_eq(fixture.platform.total(), 48U);
+  AutoscalerFixture partitioned;
+  partitioned.unresponsive = {{"a", 15}, {"b", 1}};
+  partitioned.run(base::seconds(20));
+  cr_assert(partitioned.sent.empty(),
+            "many unresponsive instances are partitioned rather than lost");
+  AutoscalerFixture newLeader;
+  newLeader.warmedUp = false;
+  newLeader.unresponsive["a"] = 3;
+  newLeader.run(base::seconds(20));
+  cr_assert(newLeader.sent.empty(), "a new leader has not received all heartbeats");
 }
 
-Test(capacity_plan, more_than_is_wanted_is_given_back_late_and_one_at_a_time) {
-  CapacityWorld world;
-  world.offer(480);
-  world.run(base::seconds(10));
-  const std::uint32_t most = world.platform.total();
-  world.demand.emplace();
-  world.run(base::seconds(50));
-  cr_assert_eq(world.platform.total(), most, "kept while it may be needed again");
-  world.offer(8, base::milliseconds(10));
-  world.demand->works["m"][0].waiting = 0;
-  for (int round = 0; round < 200 && world.platform.total() > 45; ++round) {
-    const std::uint32_t before = world.platform.total();
-    world.run(base::seconds(5));
-    world.platform.removeDraining();
-    cr_assert_leq(before - world.platform.total(), 1U);
+Test(capacity_plan, surplus_is_released_after_the_cooldown_and_one_at_a_time) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(480);
+  fixture.run(base::seconds(10));
+  const std::uint32_t peak = fixture.platform.total();
+  fixture.demand.emplace();
+  fixture.run(base::seconds(50));
+  cr_assert_eq(fixture.platform.total(), peak, "surplus is kept during the cooldown");
+  fixture.setDemand(8, base::milliseconds(10));
+  fixture.demand->openJobs["m"][0].waiting = 0;
+  for (int round = 0; round < 200 && fixture.platform.total() > 45; ++round) {
+    const std::uint32_t before = fixture.platform.total();
+    fixture.run(base::seconds(5));
+    fixture.platform.removeDraining();
+    cr_assert_leq(before - fixture.platform.total(), 1U);
   }
-  cr_assert_eq(world.platform.total(), 45U);
-  world.run(base::seconds(300));
-  cr_assert_eq(world.platform.total(), 45U, "what was there at the start is kept");
+  cr_assert_eq(fixture.platform.total(), 45U);
+  fixture.run(base::seconds(300));
+  cr_assert_eq(fixture.platform.total(), 45U, "the baseline is kept");
 }
 
-Test(capacity_plan, nothing_is_given_back_on_missing_figures_or_under_load) {
-  CapacityWorld world;
-  world.offer(480);
-  world.run(base::seconds(10));
-  const std::uint32_t most = world.platform.total();
-  world.demand.reset();
-  world.run(base::seconds(900));
-  cr_assert_eq(world.platform.total(), most);
-  cr_assert_eq(world.platform.emptied, 0U);
-  world.offer(480);
-  world.run(base::seconds(900));
-  cr_assert_eq(world.platform.emptied, 0U);
+Test(capacity_plan, nothing_is_released_without_reports_or_under_load) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(480);
+  fixture.run(base::seconds(10));
+  const std::uint32_t peak = fixture.platform.total();
+  fixture.demand.reset();
+  fixture.run(base::seconds(900));
+  cr_assert_eq(fixture.platform.total(), peak);
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
+  fixture.setDemand(480);
+  fixture.run(base::seconds(900));
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
 }
 
-Test(capacity_plan, long_idle_service_falls_to_its_minimum_and_returns_at_once) {
-  CapacityWorld world;
+Test(capacity_plan, idle_service_shrinks_to_its_minimum_and_returns_at_once) {
+  AutoscalerFixture fixture;
   for (int round = 0; round < 600; ++round) {
-    world.run(base::seconds(5));
-    world.platform.removeDraining();
+    fixture.run(base::seconds(5));
+    fixture.platform.removeDraining();
   }
-  cr_assert_eq(world.platform.total(), 3U);
-  world.offer(8);
-  world.run(base::seconds(6));
-  cr_assert_eq(world.platform.total(), 45U);
+  cr_assert_eq(fixture.platform.total(), 3U);
+  fixture.setDemand(8);
+  fixture.run(base::seconds(6));
+  cr_assert_eq(fixture.platform.total(), 45U);
 }
 
-Test(capacity_plan, what_a_long_idle_service_gave_back_stays_away_until_there_is_work) {
-  CapacityWorld world;
+Test(capacity_plan, released_baseline_is_not_requested_until_there_is_work) {
+  AutoscalerFixture fixture;
   for (int round = 0; round < 600; ++round) {
-    world.run(base::seconds(5));
-    world.platform.removeDraining();
+    fixture.run(base::seconds(5));
+    fixture.platform.removeDraining();
   }
-  cr_assert_eq(world.platform.total(), 3U);
-  world.elect();
-  world.run(base::seconds(30));
-  cr_assert_eq(world.platform.total(), 3U, "another leader is no work");
-  world.demand.reset();
-  world.run(base::seconds(30));
-  cr_assert_eq(world.platform.total(), 3U, "nor is it work that no figures come");
-  world.offer(8);
-  world.run(base::seconds(6));
-  cr_assert_eq(world.platform.total(), 45U);
+  cr_assert_eq(fixture.platform.total(), 3U);
+  fixture.changeLeader();
+  fixture.run(base::seconds(30));
+  cr_assert_eq(fixture.platform.total(), 3U, "a change of leader is not a sign of work");
+  fixture.demand.reset();
+  fixture.run(base::seconds(30));
+  cr_assert_eq(fixture.platform.total(), 3U, "a missing report is not a sign of work");
+  fixture.setDemand(8);
+  fixture.run(base::seconds(6));
+  cr_assert_eq(fixture.platform.total(), 45U);
 }
 
-Test(capacity_plan, one_is_given_back_also_when_others_came_before_the_call) {
-  CapacityWorld world;
-  world.offer(480);
-  world.run(base::seconds(10));
-  world.demand.emplace();
-  world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kBusy; };
-  world.run(base::seconds(100));
-  const duties::InstancePool subject = world.sent.back().subject;
-  world.platform.zones[{subject.zone, subject.kind}].there += 3;
-  world.answer = nullptr;
-  world.run(base::seconds(10));
-  cr_assert_eq(world.platform.emptied, 1U, "%u were emptied", world.platform.emptied);
+Test(capacity_plan, one_instance_is_released_even_if_others_start_before_the_call) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(480);
+  fixture.run(base::seconds(10));
+  fixture.demand.emplace();
+  fixture.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kThrottled; };
+  fixture.run(base::seconds(100));
+  const duties::InstancePool pool = fixture.sent.back().subject;
+  fixture.platform.zones[{pool.zone, pool.kind}].active += 3;
+  fixture.answer = nullptr;
+  fixture.run(base::seconds(10));
+  cr_assert_eq(fixture.platform.scaledInCount, 1U, "%u were drained",
+               fixture.platform.scaledInCount);
 }
 
-Test(capacity_plan, zone_without_withdrawable_instances_is_passed_over_with_growing_pauses) {
-  CapacityWorld world;
-  world.answer = [](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
+Test(capacity_plan, zone_without_preemptible_capacity_is_skipped_with_backoff) {
+  AutoscalerFixture fixture;
+  fixture.answer = [](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
     const bool none = call.subject.kind == kPreemptible && call.subject.zone == "b";
-    return none ? ScaleOutcome::kNoneAvailable : ScaleOutcome::kAccepted;
+    return none ? ScaleOutcome::kNoCapacity : ScaleOutcome::kAccepted;
   };
-  world.offer(480, base::milliseconds(10));
-  world.run(base::seconds(8));
-  cr_assert_eq(world.platform.total(), 60U, "the other zones carry what is missing");
-  cr_assert_eq((world.platform.zones[{"b", kPreemptible}].there), 0U);
-  world.run(base::seconds(120));
-  const auto refused = world.sentCounts("b", kPreemptible);
-  cr_assert_leq(refused.size(), 6U, "%zu calls", refused.size());
-  cr_assert_eq(world.platform.emptied, 0U);
+  fixture.setDemand(480, base::milliseconds(10));
+  fixture.run(base::seconds(8));
+  cr_assert_eq(fixture.platform.total(), 60U, "the other zones start the missing instances");
+  cr_assert_eq((fixture.platform.zones[{"b", kPreemptible}].active), 0U);
+  fixture.run(base::seconds(120));
+  const auto calls = fixture.sentPoolCounts("b", kPreemptible);
+  cr_assert_leq(calls.size(), 6U, "%zu calls", calls.size());
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
 }
 
-Test(capacity_plan, figures_that_were_told_once_do_not_last) {
-  CapacityWorld world(duties::CapacityMode::kWaitingWork);
-  world.offer(480);
+Test(capacity_plan, an_old_report_does_not_prolong_a_shortage) {
+  AutoscalerFixture fixture(duties::CapacityMode::kReactive);
+  fixture.setDemand(480);
   for (int step = 0; step < 36; ++step) {
-    world.step();
-    world.now += base::milliseconds(50);
-    world.demand->reportAge += base::milliseconds(50);
+    fixture.step();
+    fixture.now += base::milliseconds(50);
+    fixture.demand->reportAge += base::milliseconds(50);
   }
-  cr_assert(world.sent.empty());
-  world.demand->reportAge = {};
-  world.run(base::milliseconds(300));
-  cr_assert_eq(world.sent.size(), 3U, "told again: it has lasted");
+  cr_assert(fixture.sent.empty());
+  fixture.demand->reportAge = {};
+  fixture.run(base::milliseconds(300));
+  cr_assert_eq(fixture.sent.size(), 3U, "a new report shows that the shortage lasted");
 }
 
-Test(capacity_plan, withdrawable_instances_that_were_there_are_kept) {
-  CapacityWorld world;
+Test(capacity_plan, preemptible_baseline_is_kept) {
+  AutoscalerFixture fixture;
   for (const char* zone : {"a", "b", "c"}) {
-    world.platform.zones[{zone, kPreemptible}].there = 3;
+    fixture.platform.zones[{zone, kPreemptible}].active = 3;
   }
-  world.offer(8, base::milliseconds(10));
-  world.demand->works["m"][0].waiting = 0;
-  world.run(base::seconds(300));
-  cr_assert(world.sent.empty());
-  world.platform.withdraw("b", kPreemptible, 3);
-  world.run(base::seconds(6));
-  cr_assert_eq(world.platform.total(), 54U);
+  fixture.setDemand(8, base::milliseconds(10));
+  fixture.demand->openJobs["m"][0].waiting = 0;
+  fixture.run(base::seconds(300));
+  cr_assert(fixture.sent.empty());
+  fixture.platform.preempt("b", kPreemptible, 3);
+  fixture.run(base::seconds(6));
+  cr_assert_eq(fixture.platform.total(), 54U);
 }
 
-Test(capacity_plan, withdrawn_zone_is_replaced_in_others) {
-  CapacityWorld world;
-  world.offer(480);
-  world.run(base::seconds(10));
-  const std::uint32_t before = world.platform.total();
-  const std::uint32_t lost = world.platform.zones[{"b", kPreemptible}].there;
+Test(capacity_plan, preempted_zone_is_replaced_in_others) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(480);
+  fixture.run(base::seconds(10));
+  const std::uint32_t before = fixture.platform.total();
+  const std::uint32_t lost = fixture.platform.zones[{"b", kPreemptible}].active;
   cr_assert_gt(lost, 0U);
-  world.platform.withdraw("b", kPreemptible, lost);
-  world.run(base::seconds(2));
-  world.platform.removeDraining();
-  world.run(base::seconds(4));
-  cr_assert_eq(world.platform.total(), before);
+  fixture.platform.preempt("b", kPreemptible, lost);
+  fixture.run(base::seconds(2));
+  fixture.platform.removeDraining();
+  fixture.run(base::seconds(4));
+  cr_assert_eq(fixture.platform.total(), before);
 }
 
-// Failures.
+// Failures of leaders, calls and the platform.
 
-Test(capacity_duty, holder_lost_between_decision_and_call) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.platform.withdraw("a", kOnDemand, 6);
-  while (!world.state.desired({"e", "a", kOnDemand})) {
-    world.step();
+Test(capacity_duty, leader_lost_between_decision_and_call) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.platform.preempt("a", kOnDemand, 6);
+  while (!fixture.state.desired({"e", "a", kOnDemand})) {
+    fixture.step();
   }
-  cr_assert(world.sent.empty(), "the count stands in the log before it is sent");
-  world.elect();
-  world.run(base::milliseconds(200));
-  cr_assert_eq(world.sent.size(), 1U);
-  cr_assert_eq(world.sent[0].count, 15U);
-  cr_assert_eq(world.sent[0].fence, 2U);
+  cr_assert(fixture.sent.empty(), "the count is committed before it is sent");
+  fixture.changeLeader();
+  fixture.run(base::milliseconds(200));
+  cr_assert_eq(fixture.sent.size(), 1U);
+  cr_assert_eq(fixture.sent[0].count, 15U);
+  cr_assert_eq(fixture.sent[0].fence, 2U);
 }
 
-Test(capacity_duty, holder_lost_between_call_and_answer) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
-    world.platform.set(call, world.now);
+Test(capacity_duty, leader_lost_between_call_and_answer) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
+    fixture.platform.set(call, fixture.now);
     return std::nullopt;
   };
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.run(base::milliseconds(200));
-  cr_assert_eq(world.sent.size(), 1U);
-  world.answer = nullptr;
-  world.elect();
-  world.run(base::seconds(8));
-  const auto counts = world.sentCounts("a", kOnDemand);
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.run(base::milliseconds(200));
+  cr_assert_eq(fixture.sent.size(), 1U);
+  fixture.answer = nullptr;
+  fixture.changeLeader();
+  fixture.run(base::seconds(8));
+  const auto counts = fixture.sentPoolCounts("a", kOnDemand);
   cr_assert_eq(counts.size(), 2U);
-  cr_assert_eq(counts[1], 15U, "the same again");
-  cr_assert_eq(world.platform.total(), 45U);
-  cr_assert_eq(world.platform.emptied, 0U);
+  cr_assert_eq(counts[1], 15U, "the same count is sent again");
+  cr_assert_eq(fixture.platform.total(), 45U);
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
 }
 
 Test(capacity_duty, new_leader_waits_for_its_predecessors_lease) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.elect(base::seconds(3));
-  world.run(base::milliseconds(2900));
-  cr_assert(world.sent.empty());
-  world.run(base::milliseconds(500));
-  cr_assert_eq(world.sent.size(), 1U);
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.changeLeader(base::seconds(3));
+  fixture.run(base::milliseconds(2900));
+  cr_assert(fixture.sent.empty());
+  fixture.run(base::milliseconds(500));
+  cr_assert_eq(fixture.sent.size(), 1U);
 }
 
-Test(capacity_duty, leader_that_leads_again_waits_for_the_end_of_its_call) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.answer = [](const duties::ScaleCall&) { return std::nullopt; };
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.run(base::milliseconds(200));
-  cr_assert_eq(world.sent.size(), 1U);
-  world.duty->reset(world.state, world.now, world.now);
-  ++world.fence;
-  world.run(base::milliseconds(500));
-  cr_assert_eq(world.sent.size(), 1U, "two calls about one subject never run at once");
-  world.duty->onOutcome(world.sent[0], ScaleOutcome::kUnknown, world.now);
-  world.run(base::milliseconds(500));
-  cr_assert_eq(world.sent.size(), 2U);
-  cr_assert_gt(world.sent[1].fence, world.sent[0].fence);
+Test(capacity_duty, reelected_leader_waits_for_the_end_of_its_call) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.answer = [](const duties::ScaleCall&) { return std::nullopt; };
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.run(base::milliseconds(200));
+  cr_assert_eq(fixture.sent.size(), 1U);
+  fixture.autoscaler->reset(fixture.state, fixture.now, fixture.now);
+  ++fixture.fence;
+  fixture.run(base::milliseconds(500));
+  cr_assert_eq(fixture.sent.size(), 1U, "at most one call is in flight");
+  fixture.autoscaler->onOutcome(fixture.sent[0], ScaleOutcome::kUnknown, fixture.now);
+  fixture.run(base::milliseconds(500));
+  cr_assert_eq(fixture.sent.size(), 2U);
+  cr_assert_gt(fixture.sent[1].fence, fixture.sent[0].fence);
 }
 
-Test(capacity_duty, holder_frozen_past_its_lease_stops_when_its_fence_is_refused) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.platform.withdraw("b", kOnDemand, 2);
-  world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kRefused; };
-  world.run(base::seconds(60));
-  cr_assert_eq(world.sent.size(), 1U);
-  world.answer = nullptr;
-  world.elect();
-  world.run(base::seconds(1));
-  cr_assert_eq(world.sent.size(), 3U);
+Test(capacity_duty, leader_frozen_past_its_lease_stops_when_its_fence_is_rejected) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.platform.preempt("b", kOnDemand, 2);
+  fixture.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kStaleFence; };
+  fixture.run(base::seconds(60));
+  cr_assert_eq(fixture.sent.size(), 1U);
+  fixture.answer = nullptr;
+  fixture.changeLeader();
+  fixture.run(base::seconds(1));
+  cr_assert_eq(fixture.sent.size(), 3U);
 }
 
-Test(capacity_duty, outcome_of_a_call_of_a_former_term_is_no_answer_to_the_present_one) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.platform.withdraw("b", kOnDemand, 2);
-  world.answer = [](const duties::ScaleCall&) { return std::nullopt; };
-  world.run(base::milliseconds(200));
-  cr_assert_eq(world.sent.size(), 1U);
-  const duties::ScaleCall former = world.sent[0];
-  world.duty->reset(world.state, world.now, world.now);
-  ++world.fence;
-  world.run(base::milliseconds(3200));
-  cr_assert_eq(world.sent.size(), 2U, "the former call counts as ended after its limit");
-  world.duty->onOutcome(former, ScaleOutcome::kAccepted, world.now);
-  world.run(base::seconds(1));
-  cr_assert_eq(world.sent.size(), 2U, "the present call has no answer yet");
+Test(capacity_duty, outcome_of_a_call_of_an_earlier_term_does_not_answer_the_current_one) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.platform.preempt("b", kOnDemand, 2);
+  fixture.answer = [](const duties::ScaleCall&) { return std::nullopt; };
+  fixture.run(base::milliseconds(200));
+  cr_assert_eq(fixture.sent.size(), 1U);
+  const duties::ScaleCall former = fixture.sent[0];
+  fixture.autoscaler->reset(fixture.state, fixture.now, fixture.now);
+  ++fixture.fence;
+  fixture.run(base::milliseconds(3200));
+  cr_assert_eq(fixture.sent.size(), 2U, "the earlier call counts as ended after its timeout");
+  fixture.autoscaler->onOutcome(former, ScaleOutcome::kAccepted, fixture.now);
+  fixture.run(base::seconds(1));
+  cr_assert_eq(fixture.sent.size(), 2U, "the current call has no answer yet");
 }
 
-Test(capacity_duty, platform_silent_while_a_zone_is_withdrawn) {
-  CapacityWorld world;
-  world.offer(480);
-  world.run(base::seconds(10));
-  const std::uint32_t before = world.platform.total();
-  const std::size_t calls = world.sent.size();
-  world.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kUnknown; };
-  world.platform.withdraw("b", kPreemptible, 30);
-  world.platform.withdraw("b", kOnDemand, 4);
-  world.run(base::seconds(4));
-  cr_assert_leq(world.sent.size() - calls, 8U, "calls are repeated with growing pauses");
-  world.answer = nullptr;
-  world.platform.removeDraining();
-  world.run(base::seconds(8));
-  cr_assert_geq(world.platform.total(), before);
-  cr_assert_eq(world.platform.emptied, 0U);
+Test(capacity_duty, platform_unresponsive_while_a_zone_is_preempted) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(480);
+  fixture.run(base::seconds(10));
+  const std::uint32_t before = fixture.platform.total();
+  const std::size_t calls = fixture.sent.size();
+  fixture.answer = [](const duties::ScaleCall&) { return ScaleOutcome::kUnknown; };
+  fixture.platform.preempt("b", kPreemptible, 30);
+  fixture.platform.preempt("b", kOnDemand, 4);
+  fixture.run(base::seconds(4));
+  cr_assert_leq(fixture.sent.size() - calls, 8U, "calls are repeated with increasing delays");
+  fixture.answer = nullptr;
+  fixture.platform.removeDraining();
+  fixture.run(base::seconds(8));
+  cr_assert_geq(fixture.platform.total(), before);
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
 }
 
-Test(capacity_duty, call_carried_out_late_is_put_right) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
+Test(capacity_duty, call_executed_late_is_corrected) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
   std::optional<duties::ScaleCall> late;
-  world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
+  fixture.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
     if (!late) {
       late = call;
       return ScaleOutcome::kUnknown;
     }
     return ScaleOutcome::kAccepted;
   };
-  world.platform.withdraw("b", kOnDemand, 6);
-  world.run(base::milliseconds(200));
+  fixture.platform.preempt("b", kOnDemand, 6);
+  fixture.run(base::milliseconds(200));
   cr_assert(late.has_value());
-  world.offer(540);
-  world.run(base::seconds(10));
-  const std::uint32_t wanted = world.platform.total();
-  cr_assert_gt(wanted, 60U);
-  world.platform.set(*late, world.now);
-  cr_assert_lt(world.platform.total(), wanted, "it took instances away that run");
-  world.run(base::seconds(8));
-  cr_assert_geq(world.platform.total(), wanted);
+  fixture.setDemand(540);
+  fixture.run(base::seconds(10));
+  const std::uint32_t targetTotal = fixture.platform.total();
+  cr_assert_gt(targetTotal, 60U);
+  fixture.platform.set(*late, fixture.now);
+  cr_assert_lt(fixture.platform.total(), targetTotal, "the late call drained active instances");
+  fixture.run(base::seconds(8));
+  cr_assert_geq(fixture.platform.total(), targetTotal);
 }
 
-Test(capacity_duty, call_carried_out_late_while_instances_start_is_put_right) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
+Test(capacity_duty, call_executed_late_while_instances_start_is_corrected) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
   std::optional<duties::ScaleCall> late;
-  world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
+  fixture.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
     if (!late) {
       late = call;
       return ScaleOutcome::kUnknown;
     }
     return ScaleOutcome::kAccepted;
   };
-  world.platform.withdraw("b", kOnDemand, 6);
-  world.run(base::milliseconds(200));
-  world.offer(540);
-  world.run(base::seconds(2));
-  world.platform.set(*late, world.now);
-  world.run(base::seconds(20));
-  cr_assert_geq(world.platform.total(), 67U);
+  fixture.platform.preempt("b", kOnDemand, 6);
+  fixture.run(base::milliseconds(200));
+  fixture.setDemand(540);
+  fixture.run(base::seconds(2));
+  fixture.platform.set(*late, fixture.now);
+  fixture.run(base::seconds(20));
+  cr_assert_geq(fixture.platform.total(), 67U);
 }
 
-Test(capacity_duty, burst_that_ends_before_the_instances_serve) {
-  CapacityWorld world;
-  world.offer(500);
-  world.run(base::seconds(1));
-  const std::size_t calls = world.sent.size();
-  world.demand.emplace();
-  world.run(base::seconds(40));
-  cr_assert_eq(world.sent.size(), calls, "nothing is taken back while it starts");
-  cr_assert_eq(world.platform.emptied, 0U);
+Test(capacity_duty, burst_that_ends_before_the_instances_are_ready) {
+  AutoscalerFixture fixture;
+  fixture.setDemand(500);
+  fixture.run(base::seconds(1));
+  const std::size_t calls = fixture.sent.size();
+  fixture.demand.emplace();
+  fixture.run(base::seconds(40));
+  cr_assert_eq(fixture.sent.size(), calls, "starting instances are not cancelled");
+  cr_assert_eq(fixture.platform.scaledInCount, 0U);
 }
 
-Test(capacity_duty, maximum_below_what_runs_empties_one_at_a_time_and_only_without_load) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.scaling.maximum = 13;
-  world.offer(500);
-  world.run(base::seconds(60));
-  cr_assert_eq(world.platform.total(), 45U, "not under load");
-  world.demand.emplace();
+Test(capacity_duty, maximum_below_the_active_instances_drains_one_at_a_time_and_only_without_load) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.scaling.maxInstances = 13;
+  fixture.setDemand(500);
+  fixture.run(base::seconds(60));
+  cr_assert_eq(fixture.platform.total(), 45U, "nothing is drained under load");
+  fixture.demand.emplace();
   for (int round = 0; round < 100; ++round) {
-    const std::uint32_t before = world.platform.total();
-    world.run(base::seconds(5));
-    world.platform.removeDraining();
-    cr_assert_leq(before - world.platform.total(), 1U);
+    const std::uint32_t before = fixture.platform.total();
+    fixture.run(base::seconds(5));
+    fixture.platform.removeDraining();
+    cr_assert_leq(before - fixture.platform.total(), 1U);
   }
-  cr_assert_eq(world.platform.total(), 39U);
-  for (const duties::ScaleCall& call : world.sent) {
+  cr_assert_eq(fixture.platform.total(), 39U);
+  for (const duties::ScaleCall& call : fixture.sent) {
     cr_assert_leq(call.count, 15U);
   }
 }
 
-Test(capacity_duty, call_is_repeated_while_instances_do_not_come) {
-  CapacityWorld world;
-  world.run(base::seconds(1));
-  world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
-    world.duty->onOutcome(call, ScaleOutcome::kAccepted, world.now);
-    return std::nullopt;  // taken, and nothing starts
+Test(capacity_duty, call_is_repeated_while_instances_do_not_start) {
+  AutoscalerFixture fixture;
+  fixture.run(base::seconds(1));
+  fixture.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
+    fixture.autoscaler->onOutcome(call, ScaleOutcome::kAccepted, fixture.now);
+    return std::nullopt;  // The call is accepted, but no instance starts.
   };
-  world.platform.withdraw("a", kOnDemand, 6);
-  world.platform.removeDraining();
-  world.run(base::seconds(120));
-  const auto counts = world.sentCounts("a", kOnDemand);
+  fixture.platform.preempt("a", kOnDemand, 6);
+  fixture.platform.removeDraining();
+  fixture.run(base::seconds(120));
+  const auto counts = fixture.sentPoolCounts("a", kOnDemand);
   cr_assert_geq(counts.size(), 4U);
   cr_assert_leq(counts.size(), 7U);
-  cr_assert_not(fell(counts));
+  cr_assert_not(hasDecrease(counts));
 }
 
-Test(capacity_duty, random_failures_never_empty_an_instance_under_load) {
+Test(capacity_duty, random_failures_never_drain_an_instance_under_load) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    CapacityWorld world;
+    AutoscalerFixture fixture;
     base::SeededRandom random(seed);
-    world.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
+    fixture.answer = [&](const duties::ScaleCall& call) -> std::optional<ScaleOutcome> {
       switch (random.below(5)) {
         case 0:
-          return ScaleOutcome::kBusy;
+          return ScaleOutcome::kThrottled;
         case 1:
-          return ScaleOutcome::kUnknown;  // and it is never carried out
+          return ScaleOutcome::kUnknown;  // The call is never executed.
         case 2:
-          return call.subject.kind == kPreemptible ? ScaleOutcome::kNoneAvailable
+          return call.subject.kind == kPreemptible ? ScaleOutcome::kNoCapacity
                                                    : ScaleOutcome::kAccepted;
         default:
           return ScaleOutcome::kAccepted;
       }
     };
     for (int round = 0; round < 60; ++round) {
-      world.offer(static_cast<std::uint32_t>(200 + random.below(400)));
+      fixture.setDemand(static_cast<std::uint32_t>(200 + random.below(400)));
       if (random.below(6) == 0) {
-        world.elect(
+        fixture.changeLeader(
             base::Duration(base::milliseconds(static_cast<std::int64_t>(random.below(3000)))));
       }
       if (random.below(5) == 0) {
         const char* zone = random.below(2) == 0 ? "a" : "b";
-        world.platform.withdraw(zone, random.below(2) == 0 ? kOnDemand : kPreemptible, 4);
+        fixture.platform.preempt(zone, random.below(2) == 0 ? kOnDemand : kPreemptible, 4);
       }
-      world.run(base::seconds(2));
-      world.platform.removeDraining();
+      fixture.run(base::seconds(2));
+      fixture.platform.removeDraining();
     }
-    cr_assert_eq(world.platform.emptied, 0U, "seed %lu", static_cast<unsigned long>(seed));
-    world.answer = nullptr;
-    world.run(base::seconds(70));
-    cr_assert_geq(world.platform.total(), 45U, "seed %lu", static_cast<unsigned long>(seed));
+    cr_assert_eq(fixture.platform.scaledInCount, 0U, "seed %lu", static_cast<unsigned long>(seed));
+    fixture.answer = nullptr;
+    fixture.run(base::seconds(70));
+    cr_assert_geq(fixture.platform.total(), 45U, "seed %lu", static_cast<unsigned long>(seed));
   }
 }
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -117,8 +117,8 @@
       "zonePrices":{"a":1.0,"b":0.8}})");
   cr_assert(whole.has_value() && whole->services[0].scaling.has_value());
   const tackpick::duties::Scaling& scaling = *whole->services[0].scaling;
-  cr_assert_eq(scaling.minimum, 1U);
-  cr_assert_eq(scaling.maximum, 30U);
+  cr_assert_eq(scaling.minInstances, 1U);
+  cr_assert_eq(scaling.maxInstances, 30U);
   cr_assert_eq(scaling.startupDuration.count(), base::Duration(base::milliseconds(4500)).count());
   cr_assert_float_eq(scaling.preemptiblePrice, 0.18, 1e-9);
   cr_assert_float_eq(scaling.zonePrices.at("b"), 0.8, 1e-9);
@@ -338,9 +338,9 @@
   const duties::ScaleCall preemptible{{"e", "z", duties::InstanceKind::kPreemptible}, 2, 12};
   cr_assert(Json::parse(apiAdapter.scaleRequest(preemptible, "core-1").body).at("spot") == true);
   cr_assert(apiAdapter.scaleOutcome(onDemand, 200) == duties::ScaleOutcome::kAccepted);
-  cr_assert(apiAdapter.scaleOutcome(onDemand, 409) == duties::ScaleOutcome::kRefused);
-  cr_assert(apiAdapter.scaleOutcome(preemptible, 409) == duties::ScaleOutcome::kNoneAvailable);
-  cr_assert(apiAdapter.scaleOutcome(onDemand, 429) == duties::ScaleOutcome::kBusy);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 409) == duties::ScaleOutcome::kStaleFence);
+  cr_assert(apiAdapter.scaleOutcome(preemptible, 409) == duties::ScaleOutcome::kNoCapacity);
+  cr_assert(apiAdapter.scaleOutcome(onDemand, 429) == duties::ScaleOutcome::kThrottled);
   cr_assert(apiAdapter.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUnknown);
 }
 
@@ -356,8 +356,8 @@
   cr_assert_eq(Json::parse(idle.body), Json::parse(R"({"windowNumber":8,"counts":{}})"));
   using tackpick::duties::UsageReportOutcome;
   cr_assert(apiAdapter.usageReportOutcome(200) == UsageReportOutcome::kAccepted);
-  cr_assert(apiAdapter.usageReportOutcome(409) == UsageReportOutcome::kRefused);
-  cr_assert(apiAdapter.usageReportOutcome(429) == UsageReportOutcome::kBusy);
+  cr_assert(apiAdapter.usageReportOutcome(409) == UsageReportOutcome::kStaleFence);
+  cr_assert(apiAdapter.usageReportOutcome(429) == UsageReportOutcome::kThrottled);
   cr_assert(apiAdapter.usageReportOutcome(503) == UsageReportOutcome::kUnknown);
 }
 
