--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -5,18 +5,18 @@
 namespace tackpick::cluster {
 namespace {
 
-constexpr base::Duration kCallResend = base::milliseconds(300);
-/// Sets the calls to a near ledger apart from those to the ledgers' leader.
-constexpr std::uint64_t kNearbyCalls = std::uint64_t{1} << 62U;
-/// Ledgers unresponsive for longer are not asked.
-constexpr base::Duration kLedgerSilence = base::milliseconds(2500);
+constexpr base::Duration kCallResendInterval = base::milliseconds(300);
+/// Bit that distinguishes the ids of calls to one given ledger from those to the leader.
+constexpr std::uint64_t kReplicaCallFlag = std::uint64_t{1} << 62U;
+/// Time after which an unresponsive ledger is not called.
+constexpr base::Duration kLedgerTimeout = base::milliseconds(2500);
 
 consensus::GroupClientSettings clientSettings(base::GroupId group,
                                               std::vector<base::NodeId> replicas) {
   consensus::GroupClientSettings settings;
   settings.group = group;
   settings.replicas = std::move(replicas);
-  settings.resendInterval = kCallResend;
+  settings.resendInterval = kCallResendInterval;
   return settings;
 }
 
@@ -28,52 +28,52 @@
       settings_(std::move(settings)),
       directory_(clientSettings(settings_.directoryGroup, settings_.seeds), firstCall),
       ledgers_(clientSettings(settings_.ledgerGroup, {}), firstCall),
-      nearby_ledger_(clientSettings(settings_.ledgerGroup, {}),
-                     base::CallId{firstCall.value ^ kNearbyCalls}) {}
+      m_replicaClient(clientSettings(settings_.ledgerGroup, {}),
+                      base::CallId{firstCall.value ^ kReplicaCallFlag}) {}
 
 void ClusterMember::onResponse(const transport::CommandResponse& response, base::TimePoint now) {
   if (response.group == settings_.directoryGroup) {
     directory_.onResponse(response, now, outbox_);
   } else if (response.group == settings_.ledgerGroup) {
     ledgers_.onResponse(response, now, outbox_);
-    nearby_ledger_.onResponse(response, now, outbox_);
+    m_replicaClient.onResponse(response, now, outbox_);
   }
 }
 
 void ClusterMember::onPeerLost(std::uint32_t number) {
   directory_.onPeerLost(number);
   ledgers_.onPeerLost(number);
-  nearby_ledger_.onPeerLost(number);
+  m_replicaClient.onPeerLost(number);
 }
 
 void ClusterMember::tick(base::TimePoint now) {
   directory_.tick(now, outbox_);
   ledgers_.tick(now, outbox_);
-  nearby_ledger_.tick(now, outbox_);
-  if (!watching_) {
+  m_replicaClient.tick(now, outbox_);
+  if (!m_watchInFlight) {
     watch(now);
   }
 }
 
 void ClusterMember::watch(base::TimePoint now) {
-  watching_ = true;
-  const base::TimePoint asked = now;
+  m_watchInFlight = true;
+  const base::TimePoint sentAt = now;
   directory::Watch request;
   request.node = self_;
   request.configurationVersion = configuration_.version;
   request.revision = view_.revision;
-  request.hold = settings_.watchHold;
-  if (ledger_membership_) {
-    request.ledgerMembership = ledger_membership_();
+  request.hold = settings_.watchMaxWait;
+  if (m_ledgerMembershipSource) {
+    request.ledgerMembership = m_ledgerMembershipSource();
   }
-  if (work_) {
-    request.recentDemand = work_();
+  if (m_recentWorkSource) {
+    request.recentDemand = m_recentWorkSource();
   }
-  if (m_openJobs) {
-    request.openJobs = m_openJobs();
+  if (m_openJobsSource) {
+    request.openJobs = m_openJobsSource();
   }
-  if (usage_) {
-    request.usage = usage_();
+  if (m_usageSource) {
+    request.usage = m_usageSource();
   }
   if (clock_ != nullptr) {
     request.clock = clock_->wallNow();
@@ -81,80 +81,80 @@
   directory_.call(
       transport::CommandKind::kService, base::encode(directory::DirectoryRequest{request}), now,
       outbox_,
-      [this, asked](const base::Bytes* result, base::TimePoint at) {
-        watching_ = false;
+      [this, sentAt](const base::Bytes* result, base::TimePoint at) {
+        m_watchInFlight = false;
         const auto reply =
             result == nullptr ? std::nullopt : base::decode<directory::DirectoryReply>(*result);
-        auto news = reply ? directory::decodeView(*reply) : std::nullopt;
-        if (news) {
-          m_confirmedAt = asked;
-          accept(std::move(*news), at);
+        auto update = reply ? directory::decodeView(*reply) : std::nullopt;
+        if (update) {
+          m_configurationConfirmedAt = sentAt;
+          applyUpdate(std::move(*update), at);
           watch(at);
         }
       },
-      consensus::CallTimes{settings_.watchResend, settings_.watchDeadline});
+      consensus::CallTimeouts{settings_.watchResendInterval, settings_.watchTimeout});
 }
 
-void ClusterMember::accept(directory::DirectoryView news, base::TimePoint now) {
+void ClusterMember::applyUpdate(directory::DirectoryView update, base::TimePoint now) {
   m_lastContactAt = now;
-  // Views may come from an earlier leader over a slow path; a configuration never goes back.
-  if (news.configuration && news.configuration->version > configuration_.version) {
-    configuration_ = *news.configuration;
-    // At once, whether or not the changes of instances below fit: the controllers are told with the
-    // next watch that this configuration is here, and do not send it again.
+  // A delayed view of an earlier leader must not restore an older configuration.
+  if (update.configuration && update.configuration->version > configuration_.version) {
+    configuration_ = *update.configuration;
+    // The handler is called even if the incremental view does not apply: the next watch reports
+    // this version, so the controllers do not send the configuration again.
     if (m_onConfiguration) {
       m_onConfiguration(configuration_);
     }
   }
-  if (!news.isFull && news.since != view_.revision) {
-    requestFullView();  // these are changes to another view
+  if (!update.isFull && update.since != view_.revision) {
+    requestFullView();  // The changes are relative to another view.
     return;
   }
-  keep(news);
+  storeView(update);
   std::vector<base::NodeId> seeds;
   for (const base::NodeId seed : settings_.seeds) {
     bool known = false;
-    for (const base::NodeId controller : news.controllers) {
+    for (const base::NodeId controller : update.controllers) {
       known = known || base::nodeNumber(controller) == base::nodeNumber(seed);
     }
     if (!known) {
       seeds.push_back(seed);
     }
   }
-  directory_.setReplicas(news.controllers, std::move(seeds));
-  ledgers_.setReplicas(ledgersToAsk());
+  directory_.setReplicas(update.controllers, std::move(seeds));
+  ledgers_.setReplicas(ledgerTargets());
   if (on_view_) {
-    on_view_(news);
+    on_view_(update);
   }
 }
 
-std::vector<base::NodeId> ClusterMember::ledgersToAsk() {
+std::vector<base::NodeId> ClusterMember::ledgerTargets() {
   if (!view_.ledgerVoters.empty()) {
-    ledger_voters_ = view_.ledgerVoters;  // a new leader of the controllers knows none for a moment
+    ledger_voters_ = view_.ledgerVoters;  // A new leader of the controllers reports none at first.
   } else if (ledger_voters_.empty()) {
     ledger_voters_ = view_.initialLedgerVoters;
   }
   std::vector<base::NodeId> voters;
-  std::vector<base::NodeId> heard;
+  std::vector<base::NodeId> responsive;
   for (const directory::LedgerSummary& summary : view_.ledgers) {
-    if (summary.silence >= kLedgerSilence) {
+    if (summary.silence >= kLedgerTimeout) {
       continue;
     }
-    heard.push_back(summary.node);
+    responsive.push_back(summary.node);
     if (ledger_voters_.contains(summary.node)) {
       voters.push_back(summary.node);
     }
   }
-  return voters.empty() ? heard : voters;
+  return voters.empty() ? responsive : voters;
 }
 
-void ClusterMember::keep(directory::DirectoryView& news) {
-  std::vector<directory::InstanceView> instances = std::exchange(news.instances, {});
-  std::vector<std::string> removed = std::exchange(news.removed, {});
-  news.configuration.reset();
-  view_ = news;
-  news.instances = std::move(instances);
-  news.removed = std::move(removed);
+void ClusterMember::storeView(directory::DirectoryView& update) {
+  std::vector<directory::InstanceView> instances = std::exchange(update.instances, {});
+  std::vector<std::string> removed = std::exchange(update.removed, {});
+  update.configuration.reset();
+  view_ = update;
+  update.instances = std::move(instances);
+  update.removed = std::move(removed);
 }
 
 base::NodeId ClusterMember::zoneLedger() const {
@@ -162,7 +162,7 @@
   for (const directory::LedgerSummary& summary : view_.ledgers) {
     const bool member = ledger_voters_.empty() || ledger_voters_.contains(summary.node);
     const bool usable = member && summary.zone == self_.zone && !summary.retiring &&
-                        summary.silence < kLedgerSilence;
+                        summary.silence < kLedgerTimeout;
     if (usable && (nearest == nullptr || summary.silence < nearest->silence)) {
       nearest = &summary;
     }
@@ -179,25 +179,26 @@
             result == nullptr ? std::nullopt : base::decode<directory::DirectoryReply>(*result);
         callback(reply ? &*reply : nullptr);
       },
-      consensus::CallTimes{kCallResend, deadline});
+      consensus::CallTimeouts{kCallResendInterval, deadline});
 }
 
 void ClusterMember::call(const jobs::JobRequest& request, base::Duration deadline,
                          base::TimePoint now, JobCallback callback) {
   const auto* read = std::get_if<jobs::ReadJob>(&request);
-  const base::Duration resend = kCallResend + (read == nullptr ? base::Duration{0} : read->hold);
+  const base::Duration resend =
+      kCallResendInterval + (read == nullptr ? base::Duration{0} : read->hold);
   callLedgers(ledgers_, request, {resend, deadline}, now, std::move(callback));
 }
 
 void ClusterMember::callReplica(base::NodeId ledger, const jobs::JobRequest& request,
                                 base::Duration deadline, base::TimePoint now,
                                 JobCallback callback) {
-  nearby_ledger_.setReplicas({ledger});
-  callLedgers(nearby_ledger_, request, {deadline, deadline}, now, std::move(callback));
+  m_replicaClient.setReplicas({ledger});
+  callLedgers(m_replicaClient, request, {deadline, deadline}, now, std::move(callback));
 }
 
 void ClusterMember::callLedgers(consensus::GroupClient& client, const jobs::JobRequest& request,
-                                consensus::CallTimes times, base::TimePoint now,
+                                consensus::CallTimeouts timeouts, base::TimePoint now,
                                 JobCallback callback) {
   client.call(
       transport::CommandKind::kService, base::encode(request), now, outbox_,
@@ -205,7 +206,7 @@
         const auto reply = result == nullptr ? std::nullopt : base::decode<jobs::JobReply>(*result);
         callback(reply ? &*reply : nullptr);
       },
-      times);
+      timeouts);
 }
 
 }  // namespace tackpick::cluster
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -1,6 +1,6 @@
 /// \file
-/// The part of every process that keeps in touch with the controllers: reports itself, learns what
-/// changed, and carries calls to the controllers and ledgers.
+/// Connection of a process to the cluster: registers it with the controllers, receives views and
+/// configurations, and sends calls to the controllers and ledgers.
 #pragma once
 
 #include <functional>
@@ -16,113 +16,119 @@
 
 namespace tackpick::cluster {
 
-/// Knobs of a ClusterMember.
+/// Settings of a ClusterMember.
 struct ClusterMemberSettings {
   base::GroupId directoryGroup;
   base::GroupId ledgerGroup;
-  std::vector<base::NodeId> seeds;
-  /// The controllers hold a watch back so long when nothing changed.
-  base::Duration watchHold = base::milliseconds(500);
-  base::Duration watchResend = base::milliseconds(800);
-  base::Duration watchDeadline = base::milliseconds(5000);
+  std::vector<base::NodeId> seeds;  ///< controllers to contact first
+  /// Maximum time for which the controllers delay the answer to a watch while nothing changes.
+  base::Duration watchMaxWait = base::milliseconds(500);
+  /// Time after which an unanswered watch is sent again.
+  base::Duration watchResendInterval = base::milliseconds(800);
+  /// Time after which an unanswered watch ends.
+  base::Duration watchTimeout = base::milliseconds(5000);
 };
 
-/// Deterministic; owned by one thread.
+/// Watches the controllers for changes, reports the state of this process with each watch, and
+/// sends its calls to the replication groups. Deterministic; owned by one thread.
 class ClusterMember {
  public:
   ClusterMember(directory::NodeRecord self, ClusterMemberSettings settings, base::CallId firstCall);
 
-  using ViewHandler = std::function<void(const directory::DirectoryView& news)>;
-  /// Called with each view that arrives, whole or changes to the one before. Whoever needs the
-  /// instances keeps those that it needs: joining the changes of 10,000 anew for each news took 20
-  /// ms of a core, of which a small gateway has an eighth.
+  using ViewHandler = std::function<void(const directory::DirectoryView& update)>;
+  /// Sets the handler of received views, full or incremental. Instances are not kept here, since
+  /// merging large incremental views for each update is expensive: handlers keep those they need.
   void onView(ViewHandler handler) { on_view_ = std::move(handler); }
   using ConfigurationHandler = std::function<void(const directory::Configuration& newest)>;
-  /// Called with each configuration that is newer than the one before, before the view's handler.
+  /// Sets the handler of newer configurations. It is called before the handler of the view.
   void onConfiguration(ConfigurationHandler handler) { m_onConfiguration = std::move(handler); }
-  /// What the ledgers' leader reports of its group; nothing elsewhere.
+  /// Returns the membership of the ledgers' group on its leader, std::nullopt elsewhere.
   using MembershipSource = std::function<std::optional<consensus::Membership>()>;
   void setLedgerMembershipSource(MembershipSource source) {
-    ledger_membership_ = std::move(source);
+    m_ledgerMembershipSource = std::move(source);
   }
 
-  /// This gateway's recent work by model.
-  using WorkSource = std::function<std::map<std::string, double>()>;
-  void setRecentWorkSource(WorkSource source) { work_ = std::move(source); }
+  /// Returns the recent demand at this gateway by model.
+  using RecentWorkSource = std::function<std::map<std::string, double>()>;
+  void setRecentWorkSource(RecentWorkSource source) { m_recentWorkSource = std::move(source); }
 
-  /// What is open, where this is the ledgers' leader; nothing elsewhere.
-  using OpenWorkSource = std::function<std::optional<jobs::OpenJobsByModel>()>;
-  void setOpenJobsSource(OpenWorkSource source) { m_openJobs = std::move(source); }
+  /// Returns the open jobs on the leader of the ledgers, std::nullopt elsewhere.
+  using OpenJobsSource = std::function<std::optional<jobs::OpenJobsByModel>()>;
+  void setOpenJobsSource(OpenJobsSource source) { m_openJobsSource = std::move(source); }
 
-  /// What this gateway has counted.
+  /// Returns the usage that this gateway counted.
   using UsageSource = std::function<duties::GatewayUsage()>;
-  void setUsageSource(UsageSource source) { usage_ = std::move(source); }
-  /// What this machine's clock shows.
+  void setUsageSource(UsageSource source) { m_usageSource = std::move(source); }
+  /// Sets the clock whose time is reported to the controllers.
   void setClock(const base::WallTimeSource& clock) { clock_ = &clock; }
 
   void onResponse(const transport::CommandResponse& response, base::TimePoint now);
-  /// The connection to a node broke: calls sent there are sent again soon, to another.
+  /// Must be called when the connection to a node is lost. Its calls are sent again soon to another
+  /// node.
   void onPeerLost(std::uint32_t number);
   void tick(base::TimePoint now);
 
-  /// Gets the reply, or null when there was none by the deadline; it may then still take effect.
+  /// Receives the reply, or nullptr if there was none by the deadline. The request may still take
+  /// effect then.
   using DirectoryCallback = std::function<void(const directory::DirectoryReply* reply)>;
   void call(const directory::DirectoryRequest& request, base::Duration deadline,
             base::TimePoint now, DirectoryCallback callback);
   using JobCallback = std::function<void(const jobs::JobReply* reply)>;
   void call(const jobs::JobRequest& request, base::Duration deadline, base::TimePoint now,
             JobCallback callback);
-  /// Asks one ledger, whether it leads or not.
+  /// Calls one given ledger, leader or not.
   void callReplica(base::NodeId ledger, const jobs::JobRequest& request, base::Duration deadline,
                    base::TimePoint now, JobCallback callback);
 
-  /// Messages to send.
+  /// Returns the messages to be sent.
   [[nodiscard]] transport::Outbox takeMessages() { return std::exchange(outbox_, {}); }
-  /// The newest view, without instances.
+  /// Returns the latest view, without instances.
   [[nodiscard]] const directory::DirectoryView& view() const { return view_; }
-  /// The next news are whole: somebody has missed the instances so far.
+  /// Requests a full view with the next watch, for handlers that have not received the instances.
   void requestFullView() { view_.revision = 0; }
-  /// A ledger in this node's zone that keeps batches; invalid when none is heard there. Of 80
-  /// ledgers five do, and reads that go to another one are answered twice.
+  /// Returns the most recently seen voter of the ledgers' group in this node's zone, an invalid id
+  /// if none is reachable. Reads must go to a voter, since other ledgers hold no batches.
   [[nodiscard]] base::NodeId zoneLedger() const;
-  /// The newest configuration known; version 0 before the first.
+  /// Returns the latest configuration, with version 0 before the first.
   [[nodiscard]] const directory::Configuration& configuration() const { return configuration_; }
-  /// Up to when configuration() is known to have been the newest: a leader of the controllers
-  /// answered a watch that was sent then. The answer's arrival would say less, since it may have
-  /// been long on its way, or waited for a process that stood still.
-  [[nodiscard]] std::optional<base::TimePoint> confirmedAt() const { return m_confirmedAt; }
-  /// When the controllers were last heard.
+  /// Returns when the last answered watch was sent: configuration() is known to have been the
+  /// latest at that time. The time of the answer is no such proof, as the answer may have been
+  /// delayed.
+  [[nodiscard]] std::optional<base::TimePoint> configurationConfirmedAt() const {
+    return m_configurationConfirmedAt;
+  }
+  /// Returns when the last view was received from the controllers.
   [[nodiscard]] std::optional<base::TimePoint> lastContactAt() const { return m_lastContactAt; }
 
  private:
   void watch(base::TimePoint now);
   void callLedgers(consensus::GroupClient& client, const jobs::JobRequest& request,
-                   consensus::CallTimes times, base::TimePoint now, JobCallback callback);
-  void accept(directory::DirectoryView news, base::TimePoint now);
-  /// The voters of the ledgers' group that are heard: the others know no leader, and to ask one
-  /// after the other takes seconds where there are many. All that are heard while no voter is.
-  [[nodiscard]] std::vector<base::NodeId> ledgersToAsk();
-  /// Takes in all but the instances.
-  void keep(directory::DirectoryView& news);
+                   consensus::CallTimeouts timeouts, base::TimePoint now, JobCallback callback);
+  void applyUpdate(directory::DirectoryView update, base::TimePoint now);
+  /// Returns the responsive voters of the ledgers' group, which can name the leader; all responsive
+  /// ledgers if no voter is responsive.
+  [[nodiscard]] std::vector<base::NodeId> ledgerTargets();
+  /// Stores the view without its instances and configuration.
+  void storeView(directory::DirectoryView& update);
 
   const directory::NodeRecord self_;
   const ClusterMemberSettings settings_;
   consensus::GroupClient directory_;
   consensus::GroupClient ledgers_;
-  consensus::GroupClient nearby_ledger_;  ///< calls that any replica may answer
-  bool watching_ = false;
+  consensus::GroupClient m_replicaClient;  ///< calls to one given ledger
+  bool m_watchInFlight = false;
   directory::DirectoryView view_;
-  std::set<base::NodeId> ledger_voters_;  ///< the last that were told
+  std::set<base::NodeId> ledger_voters_;  ///< last known voters
   directory::Configuration configuration_;
   std::optional<base::TimePoint> m_lastContactAt;
-  std::optional<base::TimePoint> m_confirmedAt;
+  std::optional<base::TimePoint> m_configurationConfirmedAt;
   ViewHandler on_view_;
   ConfigurationHandler m_onConfiguration;
-  MembershipSource ledger_membership_;
-  WorkSource work_;
-  OpenWorkSource m_openJobs;
-  UsageSource usage_;
-  const base::WallTimeSource* clock_ = nullptr;  ///< null: it is not told
+  MembershipSource m_ledgerMembershipSource;
+  RecentWorkSource m_recentWorkSource;
+  OpenJobsSource m_openJobsSource;
+  UsageSource m_usageSource;
+  const base::WallTimeSource* clock_ = nullptr;  ///< nullptr: no time is reported
   transport::Outbox outbox_;
 };
 
--- a/src/cluster/group_repair.h
+++ b/src/cluster/group_repair.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides the next change of a replication group's membership, so that a group repairs itself.
+/// Decides the membership changes with which a replication group replaces lost members.
 #pragma once
 
 #include <cstddef>
@@ -13,35 +13,37 @@
 
 namespace tackpick::cluster {
 
-/// A node that could belong to the group, as its leader hears it.
+/// A node that is or could become a member, as seen by the leader of the group.
 struct GroupNode {
   base::NodeId node;
-  base::Duration silence{0};
-  bool retiring = false;  ///< to be emptied
+  base::Duration sinceHeartbeat{0};  ///< time since the last heartbeat
+  bool retiring = false;             ///< must leave the group
 };
 
-/// Knobs of nextMembershipChange().
+/// Settings of nextMembershipChange().
 struct GroupRepairSettings {
-  std::size_t targetSize = 3;  ///< voters wanted
-  /// A member unresponsive for longer is replaced when another node can take its place.
+  std::size_t targetSize = 3;  ///< target number of voters
+  /// Time without heartbeats after which a member is replaced if another node is available.
   base::Duration heartbeatTimeout = base::milliseconds(2500);
 };
 
-/// How much of a group stands against what it must bear.
+/// Voters of a group compared with the number that the tolerated losses require.
 struct GroupHealth {
-  std::size_t voters = 0;
-  std::size_t heard = 0;   ///< voters that are sound
-  std::size_t wanted = 0;  ///< sound voters that the losses to be borne need
+  std::size_t totalVoters = 0;
+  std::size_t healthyVoters = 0;  ///< responsive and not retiring
+  std::size_t targetVoters = 0;   ///< healthy voters required by the tolerated losses
 
   bool operator==(const GroupHealth&) const = default;
-  [[nodiscard]] bool isAtTargetSize() const { return heard >= wanted; }
+  /// Whether the group has enough healthy voters.
+  [[nodiscard]] bool isAtTargetSize() const { return healthyVoters >= targetVoters; }
 };
 
-/// As judged by what is known of the nodes.
-[[nodiscard]] GroupHealth judgeGroup(const consensus::Membership& membership,
-                                     const std::vector<GroupNode>& nodes,
-                                     const GroupRepairSettings& settings);
+/// Returns the health of a group, given the state of all nodes.
+[[nodiscard]] GroupHealth assessGroup(const consensus::Membership& membership,
+                                      const std::vector<GroupNode>& nodes,
+                                      const GroupRepairSettings& settings);
 
+/// Adds `node` as a learner, or removes it.
 struct MembershipChange {
   base::NodeId node;
   bool remove = false;
@@ -49,22 +51,21 @@
   bool operator==(const MembershipChange&) const = default;
 };
 
-/// The next change, one at a time; nothing when the group is as it should be. In this order:
-/// 1. A member whose address another instance uses has lost its disk and can never return: it is
-///    removed. Since it will never vote again this cannot make a quorum harder to reach.
-/// 2. An unresponsive voter of an even number is removed, whatever size is wanted: as many losses
-/// are
-///    borne without it, by a smaller quorum. A group on fewer machines than `targetSize` would
-///    otherwise keep each lost voter, until fewer live than the quorum.
-/// 3. When fewer than `targetSize` members are sound, a node that is heard is added as a learner.
-/// 4. Members that are retiring or unresponsive are removed once enough sound voters remain.
-/// 5. A voter too many, left when an unresponsive member came back after another took its place, is
-///    removed; never the leader `self`.
+/// Returns the next change, std::nullopt if none is needed. The first rule that applies decides:
+/// 1. A member whose address is used by another instance has lost its disk and cannot return. It is
+///    removed; as it never votes again, this cannot make a quorum harder to reach.
+/// 2. An unresponsive voter of an even number of voters is removed regardless of `targetSize`: the
+///    group tolerates as many losses without it, with a smaller quorum. Otherwise a group on fewer
+///    machines than `targetSize` would keep each lost voter until no quorum is left.
+/// 3. If fewer than `targetSize` members are healthy, a responsive node is added as a learner.
+/// 4. Retiring or unresponsive members are removed once enough healthy voters remain.
+/// 5. A surplus voter, left when an unresponsive member returned after its replacement, is removed;
+///    never the leader `self`.
 [[nodiscard]] std::optional<MembershipChange> nextMembershipChange(
     base::NodeId self, const consensus::Membership& membership, const std::vector<GroupNode>& nodes,
     const GroupRepairSettings& settings);
 
-/// True when a node that is heard could still join, and is wanted.
+/// Whether the group needs another member and a responsive node is available.
 [[nodiscard]] bool canAddMember(const consensus::Membership& membership,
                                 const std::vector<GroupNode>& nodes,
                                 const GroupRepairSettings& settings);
--- a/src/cluster/group_service.cpp
+++ b/src/cluster/group_service.cpp
@@ -28,13 +28,13 @@
 
 void GroupService::proposeFor(const ServiceCaller& caller, base::Bytes command,
                               const base::Bytes& payload, base::TimePoint now) {
-  if (!under_way_.insert(caller).second) {
+  if (!m_inFlight.insert(caller).second) {
     return;
   }
   const bool proposed =
       replica_.propose(std::move(command), now,
                        [this, caller, payload](const base::Bytes* result, consensus::LogIndex) {
-                         under_way_.erase(caller);
+                         m_inFlight.erase(caller);
                          if (result == nullptr) {
                            refuse(caller, CommandStatus::kUnavailable);
                          } else {
@@ -42,7 +42,7 @@
                          }
                        });
   if (!proposed) {
-    under_way_.erase(caller);
+    m_inFlight.erase(caller);
     refuse(caller, CommandStatus::kNotLeader);
   }
 }
@@ -51,8 +51,8 @@
   replica_.propose(std::move(command), now, [](const base::Bytes*, consensus::LogIndex) {});
 }
 
-void GroupService::repair(const std::vector<GroupNode>& nodes, const GroupRepairSettings& settings,
-                          base::TimePoint now) {
+void GroupService::repairMembership(const std::vector<GroupNode>& nodes,
+                                    const GroupRepairSettings& settings, base::TimePoint now) {
   consensus::RaftConsensus& raft = replica_.raft();
   if (raft.membershipChangePending()) {
     return;
@@ -60,7 +60,7 @@
   const bool known = std::any_of(nodes.begin(), nodes.end(),
                                  [&](const GroupNode& node) { return node.node == self_; });
   if (known) {
-    m_health = judgeGroup(raft.membership(), nodes, settings);
+    m_health = assessGroup(raft.membership(), nodes, settings);
   }
   const auto change = nextMembershipChange(self_, raft.membership(), nodes, settings);
   if (!change) {
--- a/src/cluster/group_service.h
+++ b/src/cluster/group_service.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the leaders of both replication groups have in common: answers to calls, commands proposed
-/// on behalf of callers, repair of the group's membership.
+/// Functions shared by the services of both replication groups: responses to calls, commands
+/// proposed for callers, repair of the membership.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace tackpick::cluster {
 
-/// Who made a call, so that it can be answered.
+/// Sender and id of a call.
 struct ServiceCaller {
   base::NodeId node;
   base::CallId call;
@@ -25,30 +25,32 @@
  public:
   GroupService(base::NodeId self, consensus::Replica& replica) : self_(self), replica_(replica) {}
 
+  /// Sends a successful response.
   void reply(const ServiceCaller& caller, base::Bytes payload);
-  /// Refuses a call and names the leader where it is another.
+  /// Rejects a call with `status`. The response names the leader if it is another node.
   void refuse(const ServiceCaller& caller, transport::CommandStatus status);
-  /// Answers `payload` once the command is applied, or refuses when it cannot be. A call that is
-  /// repeated while its command is under way is not proposed again.
+  /// Proposes a command and replies with `payload` once it is applied, or rejects the call if it
+  /// cannot be. A repeated call is not proposed again while its command is pending.
   void proposeFor(const ServiceCaller& caller, base::Bytes command, const base::Bytes& payload,
                   base::TimePoint now);
-  /// Proposes a command that nobody waits for.
+  /// Proposes a command without a response.
   void propose(base::Bytes command, base::TimePoint now);
-  /// Begins the next change of membership, when one is due and none is under way.
-  void repair(const std::vector<GroupNode>& nodes, const GroupRepairSettings& settings,
-              base::TimePoint now);
-  /// As this leader last judged its group; nothing before the first time.
+  /// Starts the next membership change, if one is needed and none is pending.
+  void repairMembership(const std::vector<GroupNode>& nodes, const GroupRepairSettings& settings,
+                        base::TimePoint now);
+  /// Returns the health of the group at the last repair in this term, std::nullopt before the
+  /// first.
   [[nodiscard]] const std::optional<GroupHealth>& health() const { return m_health; }
-  /// Forgets what belongs to a term that is over.
+  /// Must be called when this replica stops to lead.
   void endTerm() { m_health.reset(); }
-  /// Answers to send.
+  /// Responses to be sent.
   [[nodiscard]] transport::Outbox& outbox() { return outbox_; }
 
  private:
   const base::NodeId self_;
   consensus::Replica& replica_;
   transport::Outbox outbox_;
-  std::set<ServiceCaller> under_way_;
+  std::set<ServiceCaller> m_inFlight;  ///< calls whose command is pending
   std::optional<GroupHealth> m_health;
 };
 
--- a/src/consensus/group_client.cpp
+++ b/src/consensus/group_client.cpp
@@ -8,14 +8,14 @@
 
 void GroupClient::call(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
                        transport::Outbox& outbox, Callback callback,
-                       std::optional<CallTimes> times) {
+                       std::optional<CallTimeouts> timeouts) {
   Call call;
   call.request.group = settings_.group;
   call.request.call = next_call_;
   call.request.kind = kind;
   call.request.payload = std::move(payload);
-  call.deadline = now + (times ? times->deadline : settings_.deadline);
-  call.resendInterval = times ? times->resendInterval : settings_.resendInterval;
+  call.deadline = now + (timeouts ? timeouts->deadline : settings_.deadline);
+  call.resendInterval = timeouts ? timeouts->resendInterval : settings_.resendInterval;
   call.callback = std::move(callback);
   ++next_call_.value;
   send(call, now, outbox);
@@ -29,21 +29,21 @@
     return;
   }
   if (response.status == CommandStatus::kOk) {
-    m_triesInVain = 0;
+    m_failedAttempts = 0;
     const Callback callback = std::move(found->second.callback);
     calls_.erase(found);
     callback(&response.payload, now);
     return;
   }
-  const bool knewBetter = leader_.valid() && response.leader == leader_;
+  const bool sameLeader = leader_.valid() && response.leader == leader_;
   leader_ = response.leader;
-  if (leader_.valid() && !knewBetter) {
+  if (leader_.valid() && !sameLeader) {
     send(found->second, now, outbox);
     return;
   }
-  // No leader is known there: the next replica is tried after a short pause.
+  // The replica names no other leader, so the next replica is tried after kRetryDelay.
   tryNextReplica();
-  found->second.hurried = true;
+  found->second.resendSoon = true;
 }
 
 void GroupClient::tick(base::TimePoint now, transport::Outbox& outbox) {
@@ -56,8 +56,8 @@
       it = calls_.erase(it);
       continue;
     }
-    constexpr base::Duration kShortPause = base::milliseconds(50);
-    if (now - call.sentAt >= (call.hurried ? kShortPause : call.resendInterval)) {
+    constexpr base::Duration kRetryDelay = base::milliseconds(50);
+    if (now - call.sentAt >= (call.resendSoon ? kRetryDelay : call.resendInterval)) {
       if (!moved && call.sentTo == target()) {
         tryNextReplica();
         moved = true;
@@ -76,15 +76,15 @@
     tryNextReplica();
   }
   for (auto& [id, call] : calls_) {
-    call.hurried = call.hurried || base::nodeNumber(call.sentTo) == number;
+    call.resendSoon = call.resendSoon || base::nodeNumber(call.sentTo) == number;
   }
 }
 
 void GroupClient::setReplicas(std::vector<base::NodeId> replicas,
-                              std::vector<base::NodeId> others) {
+                              std::vector<base::NodeId> fallbackReplicas) {
   if (!replicas.empty()) {
     settings_.replicas = std::move(replicas);
-    m_others = std::move(others);
+    m_fallbackReplicas = std::move(fallbackReplicas);
   }
 }
 
@@ -92,21 +92,23 @@
   if (leader_.valid() || settings_.replicas.empty()) {
     return leader_;
   }
-  const std::size_t step = m_triesInVain % (settings_.replicas.size() + m_others.size());
-  return step < settings_.replicas.size() ? settings_.replicas[turn_ % settings_.replicas.size()]
-                                          : m_others[step - settings_.replicas.size()];
+  const std::size_t step =
+      m_failedAttempts % (settings_.replicas.size() + m_fallbackReplicas.size());
+  return step < settings_.replicas.size()
+             ? settings_.replicas[m_replicaIndex % settings_.replicas.size()]
+             : m_fallbackReplicas[step - settings_.replicas.size()];
 }
 
 void GroupClient::tryNextReplica() {
   leader_ = {};
-  ++turn_;
-  ++m_triesInVain;
+  ++m_replicaIndex;
+  ++m_failedAttempts;
 }
 
 void GroupClient::send(Call& call, base::TimePoint now, transport::Outbox& outbox) const {
   call.sentAt = now;
   call.sentTo = target();
-  call.hurried = false;
+  call.resendSoon = false;
   outbox.push_back({call.sentTo, call.request});
 }
 
--- a/src/consensus/group_client.h
+++ b/src/consensus/group_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to a replication group: finds the leader, resends, gives up at a deadline.
+/// Client of a replication group: finds the leader and resends calls until their deadline.
 #pragma once
 
 #include <functional>
@@ -12,45 +12,49 @@
 
 namespace tackpick::consensus {
 
-/// Knobs of GroupClient.
+/// Settings of a GroupClient.
 struct GroupClientSettings {
   base::GroupId group;
   std::vector<base::NodeId> replicas;
+  /// Time after which an unanswered call is sent again.
   base::Duration resendInterval = base::milliseconds(700);
-  /// Must exceed the longest wait for a change to be in force.
+  /// Time after which a call ends without a result. Must exceed the maximum time until a change is
+  /// in force.
   base::Duration deadline = base::seconds(12);
 };
 
-/// Times of one call that differ from the client's settings.
-struct CallTimes {
+/// Timeouts of one call, in place of those of the settings.
+struct CallTimeouts {
   base::Duration resendInterval{0};
   base::Duration deadline{0};
 };
 
-/// Every command must be safe to resend: the client repeats it until a replica answers. Owned by
-/// one thread.
+/// Sends calls to the leader of a replication group. Commands must be idempotent, as the client
+/// repeats them until a replica answers. Owned by one thread.
 class GroupClient {
  public:
-  /// Gets the result, or nothing when the outcome is unknown at the deadline.
+  /// Receives the result, or nullptr if the outcome is unknown at the deadline.
   using Callback = std::function<void(const base::Bytes* result, base::TimePoint now)>;
 
-  /// `firstCall` must differ between runs of the process, so that late answers are not confused.
+  /// `firstCall` must differ between runs of the process, so that late responses are not mistaken
+  /// for those of other calls.
   GroupClient(GroupClientSettings settings, base::CallId firstCall)
       : settings_(std::move(settings)), next_call_(firstCall) {}
 
   void call(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
             transport::Outbox& outbox, Callback callback,
-            std::optional<CallTimes> times = std::nullopt);
+            std::optional<CallTimeouts> timeouts = std::nullopt);
   void onResponse(const transport::CommandResponse& response, base::TimePoint now,
                   transport::Outbox& outbox);
   void tick(base::TimePoint now, transport::Outbox& outbox);
-  /// The connection to a node broke: calls sent there are sent again at the next tick.
+  /// Must be called when the connection to a node is lost. Its calls are sent again soon.
   void onPeerLost(std::uint32_t number);
-  /// Replaces the replicas to ask; an empty list is ignored. `others` may know the group, and are
-  /// asked only once no replica has answered: a machine that is gone for good costs a resend
-  /// interval each time that it is asked.
-  void setReplicas(std::vector<base::NodeId> replicas, std::vector<base::NodeId> others = {});
+  /// Replaces the replicas to call; an empty list is ignored. `fallbackReplicas` are called only
+  /// after no replica has answered, since each call to a lost machine costs a resend interval.
+  void setReplicas(std::vector<base::NodeId> replicas,
+                   std::vector<base::NodeId> fallbackReplicas = {});
   [[nodiscard]] base::GroupId group() const { return settings_.group; }
+  /// Returns the number of calls without a result.
   [[nodiscard]] std::size_t outstanding() const { return calls_.size(); }
 
  private:
@@ -58,12 +62,13 @@
     transport::CommandRequest request;
     base::TimePoint sentAt{};
     base::NodeId sentTo;
-    bool hurried = false;  ///< to be sent again after a short pause
+    bool resendSoon = false;  ///< to be sent again after kRetryDelay
     base::TimePoint deadline{};
     base::Duration resendInterval{0};
     Callback callback;
   };
 
+  /// Returns the node to which calls are sent: the leader if known, otherwise the next replica.
   [[nodiscard]] base::NodeId target() const;
   void tryNextReplica();
   void send(Call& call, base::TimePoint now, transport::Outbox& outbox) const;
@@ -71,9 +76,9 @@
   GroupClientSettings settings_;
   base::CallId next_call_;
   base::NodeId leader_;
-  std::size_t turn_ = 0;
-  std::size_t m_triesInVain = 0;  ///< since the last answer
-  std::vector<base::NodeId> m_others;
+  std::size_t m_replicaIndex = 0;    ///< next replica while no leader is known
+  std::size_t m_failedAttempts = 0;  ///< attempts since the last successful response
+  std::vector<base::NodeId> m_fallbackReplicas;
   std::map<base::CallId, Call> calls_;
 };
 
--- a/src/consensus/raft_consensus.cpp
+++ b/src/consensus/raft_consensus.cpp
@@ -13,15 +13,15 @@
       random_(random),
       commit_index_(log.snapshot().lastIndex),
       delivered_index_(log.snapshot().lastIndex),
-      synced_index_(log.lastIndex()),
-      last_heard_from_leader_(now) {
-  // last_heard_from_leader_ starts at now: a restarted server has forgotten which leader it
-  // promised a lease to, so it must not vote before that lease can have run out.
+      m_durableIndex(log.lastIndex()),
+      m_lastLeaderContactAt(now) {
+  // m_lastLeaderContactAt starts at now: the server may have granted a lease before it restarted,
+  // so it must not vote before that lease has expired.
   reloadMembership();
   resetElectionTimer(now);
-  constexpr std::size_t kMinPercent = 75;
-  constexpr std::size_t kPercentSpread = 50;
-  compaction_percent_ = kMinPercent + random.below(kPercentSpread);
+  constexpr std::size_t kMinCompactionPercent = 75;
+  constexpr std::size_t kCompactionPercentSpread = 50;
+  compaction_percent_ = kMinCompactionPercent + random.below(kCompactionPercentSpread);
 }
 
 void RaftConsensus::handle(base::NodeId from, const RaftMessage& message, base::TimePoint now) {
@@ -58,7 +58,7 @@
     return std::nullopt;
   }
   appendLocally(EntryKind::kCommand, std::move(command));
-  news_ = true;
+  m_replicationPending = true;
   return log_.lastIndex();
 }
 
@@ -67,10 +67,10 @@
     outbox_.clear();
     return {};
   }
-  if (news_ && state_ == RaftState::kLeader) {
-    tellNews(now);
+  if (m_replicationPending && state_ == RaftState::kLeader) {
+    replicatePending(now);
   }
-  news_ = false;
+  m_replicationPending = false;
   advanceSync();
   if (failed_) {
     outbox_.clear();
@@ -80,50 +80,50 @@
     confirmRounds();
     advanceCommit();
   }
-  return takeSendable();
+  return takeReadyMessages();
 }
 
 void RaftConsensus::advanceSync() {
   if (failed_) {
     return;
   }
-  noteSyncEnd();
-  if (sync_ || failed_ || writes_ == durable_writes_) {
+  completeSync();
+  if (sync_ || failed_ || m_writeCount == m_durableWriteCount) {
     return;
   }
-  sync_ = Sync{writes_, log_.lastIndex()};
+  sync_ = Sync{m_writeCount, log_.lastIndex()};
   if (!settings_.mutants.acknowledgeBeforeSync) {
     check(log_.beginSync());
   }
-  noteSyncEnd();
+  completeSync();
 }
 
-void RaftConsensus::noteSyncEnd() {
+void RaftConsensus::completeSync() {
   if (failed_ || (!sync_ && !log_.compacting())) {
     return;
   }
-  const auto result = log_.syncEnded();
+  const auto result = log_.pollSync();
   failed_ = !result;
   const bool ended = settings_.mutants.acknowledgeBeforeSync || (result && *result);
   if (ended && sync_) {
-    durable_writes_ = sync_->writes;
-    synced_index_ = sync_->index;
+    m_durableWriteCount = sync_->writeCount;
+    m_durableIndex = sync_->index;
     sync_.reset();
   }
 }
 
-std::vector<OutgoingRaftMessage> RaftConsensus::takeSendable() {
-  std::vector<OutgoingRaftMessage> sendable;
-  std::vector<HeldMessage> held;
-  for (HeldMessage& message : outbox_) {
-    if (message.writes <= durable_writes_) {
-      sendable.push_back(std::move(message.outgoing));
+std::vector<OutgoingRaftMessage> RaftConsensus::takeReadyMessages() {
+  std::vector<OutgoingRaftMessage> ready;
+  std::vector<DeferredMessage> deferred;
+  for (DeferredMessage& message : outbox_) {
+    if (message.writeCount <= m_durableWriteCount) {
+      ready.push_back(std::move(message.outgoing));
     } else {
-      held.push_back(std::move(message));
+      deferred.push_back(std::move(message));
     }
   }
-  outbox_ = std::move(held);
-  return sendable;
+  outbox_ = std::move(deferred);
+  return ready;
 }
 
 std::optional<Snapshot> RaftConsensus::takeReceivedSnapshot() {
@@ -158,27 +158,27 @@
 }
 
 bool RaftConsensus::needsCompaction(LogIndex applied, LogIndex entries, std::size_t bytes) const {
-  // Entries that are not applied stay. After a start without a leader the whole log may be such:
-  // to encode the state at each turn, for nothing, took all the time that an election needs.
-  constexpr LogIndex kMinPart = 2;
+  // Entries that are not applied cannot be dropped. Without a leader this may be the complete log,
+  // and repeated snapshots that drop nothing would delay the election.
+  constexpr LogIndex kMinDroppableFraction = 2;
   const LogIndex droppable = applied - log_.snapshot().lastIndex;
-  if (log_.compacting() || droppable * kMinPart < logLength()) {
+  if (log_.compacting() || droppable * kMinDroppableFraction < logLength()) {
     return false;
   }
-  const std::size_t most = std::max(bytes, log_.snapshotBytes() / 2);
-  constexpr std::size_t kWholePercent = 100;
-  return logLength() * kWholePercent > entries * compaction_percent_ ||
-         log_.logBytes() * kWholePercent > most * compaction_percent_;
+  const std::size_t maxBytes = std::max(bytes, log_.snapshotBytes() / 2);
+  constexpr std::size_t kHundredPercent = 100;
+  return logLength() * kHundredPercent > entries * compaction_percent_ ||
+         log_.logBytes() * kHundredPercent > maxBytes * compaction_percent_;
 }
 
 bool RaftConsensus::hasLease(base::TimePoint now) const {
   if (state_ != RaftState::kLeader || transferring_) {
     return false;
   }
-  constexpr int kWholePercent = 100;
-  const auto safe = settings_.electionTimeoutMinimum *
-                    (kWholePercent - settings_.clockDriftPercent) / kWholePercent;
-  return now < quorum_confirmed_at_ + safe;
+  constexpr int kHundredPercent = 100;
+  const auto leaseDuration = settings_.minElectionTimeout *
+                             (kHundredPercent - settings_.clockDriftPercent) / kHundredPercent;
+  return now < quorum_confirmed_at_ + leaseDuration;
 }
 
 bool RaftConsensus::hasCommittedInTerm() const {
@@ -192,19 +192,20 @@
   entry.kind = kind;
   entry.payload = std::move(payload);
   check(log_.append(entry));
-  ++writes_;
+  ++m_writeCount;
   if (kind == EntryKind::kMembership) {
     reloadMembership();
   }
 }
 
 void RaftConsensus::send(base::NodeId to, RaftMessage message) {
-  // Answers and requests for votes speak of this server's own log. A leader's entries may travel
-  // while its own disk writes them (section 10.2.1): it counts itself only once they are durable.
-  const bool leaders = std::holds_alternative<AppendRequest>(message) ||
-                       std::holds_alternative<InstallSnapshotRequest>(message) ||
-                       std::holds_alternative<TimeoutNowRequest>(message);
-  outbox_.push_back({leaders ? hard_state_write_ : writes_, {to, std::move(message)}});
+  // Responses and vote requests depend on this server's log. A leader may send entries while they
+  // are written to its own disk (section 10.2.1); it counts itself only once they are durable.
+  const bool isLeaderMessage = std::holds_alternative<AppendRequest>(message) ||
+                               std::holds_alternative<InstallSnapshotRequest>(message) ||
+                               std::holds_alternative<TimeoutNowRequest>(message);
+  outbox_.push_back(
+      {isLeaderMessage ? m_lastHardStateWrite : m_writeCount, {to, std::move(message)}});
 }
 
 void RaftConsensus::check(base::Result<void> result) {
@@ -218,7 +219,7 @@
     return;
   }
   check(log_.saveHardState(state));
-  hard_state_write_ = ++writes_;
+  m_lastHardStateWrite = ++m_writeCount;
 }
 
 }  // namespace tackpick::consensus
--- a/src/consensus/raft_consensus.h
+++ b/src/consensus/raft_consensus.h
@@ -1,5 +1,5 @@
 /// \file
-/// One server of a Raft group as a deterministic state machine, without I/O of its own.
+/// Server of a Raft group as a deterministic state machine without I/O of its own.
 #pragma once
 
 #include <cstddef>
@@ -16,26 +16,27 @@
 
 namespace tackpick::consensus {
 
-/// Knobs of RaftConsensus.
+/// Settings of RaftConsensus.
 struct RaftSettings {
-  base::Duration electionTimeoutMinimum = base::milliseconds(400);
-  base::Duration electionTimeoutMaximum = base::milliseconds(800);
-  /// A pre-vote without a majority is repeated after this time, and up to as much more.
-  base::Duration preVoteRetry = base::milliseconds(120);
+  base::Duration minElectionTimeout = base::milliseconds(400);
+  base::Duration maxElectionTimeout = base::milliseconds(800);
+  /// Minimum time after which a pre-vote without a majority is repeated. Random jitter of up to the
+  /// same time is added.
+  base::Duration preVoteRetryInterval = base::milliseconds(120);
   base::Duration heartbeatInterval = base::milliseconds(80);
-  /// The clocks of two servers may differ in rate by at most this many percent.
+  /// Maximum difference between the clock rates of two servers, in percent.
   int clockDriftPercent = 2;
-  std::size_t maximumEntriesPerMessage = 512;
-  /// A message carries no further entry once it holds this many bytes.
-  std::size_t maximumBytesPerMessage = 256U << 10U;
-  /// A part of a snapshot without an answer is sent again after this time.
-  base::Duration snapshotResend = base::milliseconds(800);
-  /// A snapshot travels in parts of this many bytes.
-  std::size_t snapshotPartBytes = 256U << 10U;
-  /// A learner is promoted when it lags by at most this many entries.
-  LogIndex promotionLag = 16;
-
-  /// Deliberate faults, used only by the simulator to show that its checkers bite.
+  std::size_t maxEntriesPerMessage = 512;
+  /// Size of a message from which no further entry is added to it.
+  std::size_t maxBytesPerMessage = 256U << 10U;
+  /// Time after which an unacknowledged chunk of a snapshot is sent again.
+  base::Duration snapshotResendInterval = base::milliseconds(800);
+  /// Size of the chunks in which a snapshot is sent.
+  std::size_t snapshotChunkBytes = 256U << 10U;
+  /// Maximum number of entries by which a learner may lag to be promoted.
+  LogIndex maxPromotionLag = 16;
+
+  /// Deliberate faults for tests of the simulator's checkers.
   struct Mutants {
     bool voteTwicePerTerm = false;
     bool acknowledgeBeforeSync = false;
@@ -48,11 +49,11 @@
 /// Raft as in the dissertation: pre-vote (9.6), check-quorum (6.2), leader lease (6.4.1),
 /// single-server membership change with learners (4), snapshots (5), leadership transfer (3.10).
 ///
-/// Use: feed messages, ticks and proposals; then call flush(), which begins to sync the log, and
-/// send what it returns; then apply takeCommitted(). A message that depends on a write is held back
-/// until that is durable: call flush() again when a sync has ended. To the others that looks like a
-/// slower network; after a crash what was held back was never sent. Owned by one thread. After a
-/// storage failure failed() is true and the server neither sends nor accepts anything.
+/// Usage: pass in messages, ticks and proposals; call flush(), which starts to sync the log, and
+/// send the messages that it returns; then apply the entries of takeCommitted(). A message that
+/// depends on a write is deferred until the write is durable; flush() must be called again when a
+/// sync has completed. Deferred messages are lost in a crash. After a storage failure failed() is
+/// true, and the server neither sends nor accepts messages. Owned by one thread.
 class RaftConsensus {
  public:
   RaftConsensus(base::NodeId self, RaftSettings settings, LogStore& log, base::Random& random,
@@ -60,26 +61,28 @@
 
   /// Handles a message from another server of the group.
   void handle(base::NodeId from, const RaftMessage& message, base::TimePoint now);
-  /// Fires timeouts. Call at least every heartbeat interval, and after any stall.
+  /// Handles timeouts. Must be called at least every heartbeat interval, and after any stall.
   void tick(base::TimePoint now);
-  /// Appends a command when this server leads; its index, or nothing when it does not lead.
+  /// Appends a command and returns its index, std::nullopt if this server is not the leader.
   std::optional<LogIndex> propose(base::Bytes command, base::TimePoint now);
 
-  /// Adds a server as a learner; it is promoted once it has caught up. False when this server
-  /// does not lead or another membership change is under way.
+  /// Adds a server as a learner, which is promoted once it has caught up. Returns false if this
+  /// server is not the leader or another membership change is pending.
   bool addMember(base::NodeId node, base::TimePoint now);
   bool removeMember(base::NodeId node, base::TimePoint now);
-  /// Hands leadership to the most up-to-date voter (section 3.10). False when there is none.
+  /// Transfers leadership to a voter with a complete log (section 3.10). Returns false if there is
+  /// none.
   bool transferLeadership(base::TimePoint now);
 
-  /// Begins to sync what was written, unless a sync is under way, and returns the messages that may
-  /// now be sent.
+  /// Starts to sync the writes so far, unless a sync is in progress, and returns the messages that
+  /// may be sent now.
   [[nodiscard]] std::vector<OutgoingRaftMessage> flush(base::TimePoint now);
-  /// A snapshot received from the leader that the state machine must load first, if any.
+  /// Returns a snapshot received from the leader, which the state machine must load before it
+  /// applies entries; std::nullopt if none.
   [[nodiscard]] std::optional<Snapshot> takeReceivedSnapshot();
-  /// Entries committed since the last call, in order, for the state machine.
+  /// Returns the entries committed since the last call, in order.
   [[nodiscard]] std::vector<LogEntry> takeCommitted();
-  /// Stores a snapshot of the state machine after `lastApplied` and drops the log before it.
+  /// Stores a snapshot of the state machine after `lastApplied` and drops the entries it covers.
   void compact(LogIndex lastApplied, base::Bytes state);
 
   [[nodiscard]] bool isLeader() const { return state_ == RaftState::kLeader; }
@@ -88,41 +91,43 @@
   [[nodiscard]] base::NodeId leader() const { return leader_; }
   [[nodiscard]] LogIndex commitIndex() const { return commit_index_; }
   [[nodiscard]] const Membership& membership() const { return membership_; }
-  /// True while the latest membership is not yet committed.
+  /// Whether the latest membership is not committed yet.
   [[nodiscard]] bool membershipChangePending() const { return membership_index_ > commit_index_; }
   [[nodiscard]] bool failed() const { return failed_; }
-  /// Stops this server for good: what it depends on cannot be read.
+  /// Stops this server permanently, after a failed read of its storage.
   void fail() { failed_ = true; }
-  /// While this holds no other server can have become leader (section 6.4.1).
+  /// Whether this leader holds a lease, so that no other server can have become leader
+  /// (section 6.4.1).
   [[nodiscard]] bool hasLease(base::TimePoint now) const;
-  /// The latest own time at which a quorum is known to have followed this leader.
+  /// Returns the latest time, by this server's clock, at which a quorum followed this leader.
   [[nodiscard]] base::TimePoint quorumConfirmedAt() const { return quorum_confirmed_at_; }
-  /// When this server became leader.
+  /// Returns when this server became leader.
   [[nodiscard]] base::TimePoint leaderSince() const { return leader_since_; }
-  /// True once an entry of the current term is committed, so that reads see all earlier commits.
+  /// Whether an entry of the current term is committed, so that reads see all earlier commits.
   [[nodiscard]] bool hasCommittedInTerm() const;
-  /// Bytes of the newest snapshot's state.
+  /// Returns the size of the latest snapshot's state.
   [[nodiscard]] std::size_t snapshotBytes() const { return log_.snapshotBytes(); }
-  /// True when the log should give way to a new snapshot of what is applied: it has grown beyond
-  /// `entries`, or beyond `bytes` and half of the last snapshot, and most of it can go.
+  /// Whether the log should be replaced by a snapshot: it exceeds `entries`, or `bytes` and half of
+  /// the last snapshot, and at least half of its entries are applied.
   [[nodiscard]] bool needsCompaction(LogIndex applied, LogIndex entries, std::size_t bytes) const;
-  /// Entries in the log that a snapshot does not cover.
+  /// Returns the number of entries in the log.
   [[nodiscard]] LogIndex logLength() const { return log_.lastIndex() + 1 - log_.firstIndex(); }
 
  private:
-  /// What a leader knows of another server.
+  /// Replication state of another server, kept by the leader.
   struct Progress {
     LogIndex nextIndex = 1;
     LogIndex matchIndex = 0;
     std::uint64_t acknowledgedRound = 0;
-    base::TimePoint probedAt{};       ///< when entries were last sent
-    bool awaitingSnapshot = false;    ///< a snapshot is under way; only heartbeats are sent
-    bool outstanding = false;         ///< entries were sent and not yet answered
-    LogIndex sentIndex = 0;           ///< the last of them
-    LogIndex snapshotIndex = 0;       ///< of the snapshot under way
-    std::uint64_t snapshotBytes = 0;  ///< of its state that have arrived
+    base::TimePoint lastSentAt{};     ///< when entries or a chunk were last sent
+    bool awaitingSnapshot = false;    ///< a snapshot is being sent; entries are not
+    bool inFlight = false;            ///< entries were sent and not acknowledged yet
+    LogIndex sentIndex = 0;           ///< last index of the entries in flight
+    LogIndex snapshotIndex = 0;       ///< last index of the snapshot being sent
+    std::uint64_t snapshotBytes = 0;  ///< acknowledged bytes of its state
   };
-  struct Round {
+  /// A broadcast to all members, which confirms the lease when a quorum has answered.
+  struct HeartbeatRound {
     std::uint64_t number = 0;
     base::TimePoint sentAt{};
   };
@@ -137,7 +142,9 @@
   void becomeLeader(base::TimePoint now);
   void stepDown(Term term, base::TimePoint now);
   void resetElectionTimer(base::TimePoint now);
-  [[nodiscard]] bool heardFromLeader(base::TimePoint now) const;
+  /// Whether this server leads or may be within the lease of another leader.
+  [[nodiscard]] bool hasRecentLeaderContact(base::TimePoint now) const;
+  /// Whether a log that ends with the given entry is at least as up-to-date as this one.
   [[nodiscard]] bool isUpToDate(LogIndex lastIndex, Term lastTerm) const;
   [[nodiscard]] bool hasQuorum(const std::set<base::NodeId>& nodes) const;
 
@@ -145,42 +152,48 @@
   void onMessage(base::NodeId from, const AppendRequest& request, base::TimePoint now);
   void onMessage(base::NodeId from, const AppendResponse& response, base::TimePoint now);
   void onMessage(base::NodeId from, const InstallSnapshotRequest& request, base::TimePoint now);
-  void refuseStaleLeader(base::NodeId from);
+  void rejectStaleLeader(base::NodeId from);
   void acceptLeader(base::NodeId from, Term term, base::TimePoint now);
-  bool appendFollowing(const AppendRequest& request);
-  /// Entries from `firstRemoved` on are no longer what a sync made or makes durable.
-  void noteTruncated(LogIndex firstRemoved);
-  /// Sends to all: begins a round that confirms the lease.
+  /// Appends the request's entries, after removal of conflicting ones. Returns false on a failure.
+  bool appendEntries(const AppendRequest& request);
+  /// Excludes the entries starting with `firstRemoved` from those that a sync makes durable.
+  void onTruncated(LogIndex firstRemoved);
+  /// Sends a request to all other members and starts a heartbeat round.
   void broadcast(base::TimePoint now);
-  /// Sends entries and the commit index to those that have answered the last. The others get them
-  /// when they answer: under load many entries travel together, and no message is empty.
-  void tellNews(base::TimePoint now);
-  /// The other members.
+  /// Sends new entries and the commit index to the members without entries in flight. The others
+  /// receive them after their next response, which batches entries under load.
+  void replicatePending(base::TimePoint now);
+  /// Returns the other members.
   [[nodiscard]] std::vector<base::NodeId> peers() const;
   [[nodiscard]] Progress& progressOf(base::NodeId node);
   void sendAppend(base::NodeId to, Progress& progress, base::TimePoint now);
-  /// Sends the next part of the newest snapshot.
+  /// Sends the next chunk of the latest snapshot.
   void sendSnapshot(base::NodeId to, Progress& progress);
-  void onSnapshotPart(base::NodeId from, const AppendResponse& response, base::TimePoint now);
-  /// Adds a part to the snapshot that arrives; what is not the next part is passed over.
-  void takeSnapshotPart(const InstallSnapshotRequest& request);
+  void onSnapshotChunkAck(base::NodeId from, const AppendResponse& response, base::TimePoint now);
+  /// Appends a chunk to the incoming snapshot; ignores it if it is not the next one.
+  void appendSnapshotChunk(const InstallSnapshotRequest& request);
   void install(Snapshot snapshot);
+  /// Updates the time at which a quorum followed this leader, from the answered rounds.
   void confirmRounds();
   void advanceCommit();
+  /// Makes a leader step down that has lost contact to its quorum (section 6.2).
   void checkQuorum(base::TimePoint now);
+  /// Returns the term of an entry, zero if it is not in the log.
   [[nodiscard]] Term termAt(LogIndex index) const;
 
   // Membership: raft_membership.cpp.
   bool proposeMembership(const Membership& next, base::TimePoint now);
   void promoteCaughtUpLearner(base::TimePoint now);
+  /// Sets the membership to the latest one in the log or snapshot.
   void reloadMembership();
 
   void appendLocally(EntryKind kind, base::Bytes payload);
   void send(base::NodeId to, RaftMessage message);
-  /// Notes the end of a sync and begins the next one when something was written since.
+  /// Handles a completed sync and starts the next one if there are further writes.
   void advanceSync();
-  void noteSyncEnd();
-  [[nodiscard]] std::vector<OutgoingRaftMessage> takeSendable();
+  void completeSync();
+  /// Returns the messages whose writes are durable.
+  [[nodiscard]] std::vector<OutgoingRaftMessage> takeReadyMessages();
   void check(base::Result<void> result);
   void saveHardState(const HardState& state);
 
@@ -193,39 +206,39 @@
   bool failed_ = false;
   base::NodeId leader_;
   LogIndex commit_index_ = 0;
-  LogIndex delivered_index_ = 0;  ///< last entry handed out by takeCommitted()
+  LogIndex delivered_index_ = 0;  ///< last entry returned by takeCommitted()
   std::optional<Snapshot> received_snapshot_;
-  std::optional<Snapshot> arriving_snapshot_;  ///< its state as far as it has arrived
-  /// A sync under way.
+  std::optional<Snapshot> m_incomingSnapshot;  ///< its state holds the chunks received so far
+  /// A sync in progress.
   struct Sync {
-    std::uint64_t writes = 0;  ///< it makes these durable
-    LogIndex index = 0;        ///< ... and with them the entries up to here
+    std::uint64_t writeCount = 0;  ///< number of writes that it makes durable
+    LogIndex index = 0;            ///< last entry that it makes durable
   };
-  /// A message that may be sent once so many writes are durable.
-  struct HeldMessage {
-    std::uint64_t writes = 0;
+  /// A message that is sent once `writeCount` writes are durable.
+  struct DeferredMessage {
+    std::uint64_t writeCount = 0;
     OutgoingRaftMessage outgoing;
   };
-  std::uint64_t writes_ = 0;            ///< to the log, so far
-  std::uint64_t durable_writes_ = 0;    ///< of them
-  std::uint64_t hard_state_write_ = 0;  ///< the last of the hard state
+  std::uint64_t m_writeCount = 0;          ///< writes to the log
+  std::uint64_t m_durableWriteCount = 0;   ///< durable writes
+  std::uint64_t m_lastHardStateWrite = 0;  ///< number of the last write of the hard state
   std::optional<Sync> sync_;
-  LogIndex synced_index_ = 0;  ///< own entries up to here are durable
-  std::vector<HeldMessage> outbox_;
+  LogIndex m_durableIndex = 0;  ///< last durable entry of this server
+  std::vector<DeferredMessage> outbox_;
 
-  Membership membership_;  ///< the latest in the log, committed or not (section 4.1)
+  Membership membership_;  ///< latest in the log, committed or not (section 4.1)
   LogIndex membership_index_ = 0;
 
   base::TimePoint election_deadline_{};
-  /// Of the limits at which the log is compacted: drawn, so that the replicas of a group, which get
-  /// the same entries, are not all held up at once.
+  /// Random factor on the limits at which the log is compacted, in percent. Keeps the replicas of a
+  /// group from compacting simultaneously.
   std::size_t compaction_percent_ = 100;
-  base::TimePoint last_heard_from_leader_{};
-  std::set<base::NodeId> votes_;
+  base::TimePoint m_lastLeaderContactAt{};
+  std::set<base::NodeId> votes_;  ///< servers that granted their vote or pre-vote
 
   // Valid while leader.
   std::map<base::NodeId, Progress> progress_;
-  std::deque<Round> rounds_;  ///< broadcasts not yet confirmed by a quorum, oldest first
+  std::deque<HeartbeatRound> rounds_;  ///< rounds not confirmed by a quorum, oldest first
   std::uint64_t last_round_ = 0;
   base::TimePoint last_broadcast_at_{};
   base::TimePoint quorum_confirmed_at_{};
@@ -233,7 +246,7 @@
   LogIndex term_start_index_ = 0;
   base::TimePoint transfer_deadline_{};
   bool transferring_ = false;
-  bool news_ = false;  ///< entries or a commit that the others have not been sent
+  bool m_replicationPending = false;  ///< entries or a commit index not sent to the others yet
 };
 
 }  // namespace tackpick::consensus
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -7,9 +7,9 @@
 namespace tackpick::consensus {
 
 void RaftConsensus::onMessage(base::NodeId from, const VoteRequest& request, base::TimePoint now) {
-  // A server that a leader still reaches, or may have promised a lease to, does not help to
-  // replace that leader (section 6.2), unless the leader itself asked for the election.
-  const bool leaderIsAlive = heardFromLeader(now) && !settings_.mutants.ignoreLeaderLease;
+  // A server in contact with a leader, or within a lease that it may have granted, does not vote
+  // for another one (section 6.2), unless the leader itself requested the election.
+  const bool leaderIsAlive = hasRecentLeaderContact(now) && !settings_.mutants.ignoreLeaderLease;
   if ((leaderIsAlive && !request.leadershipTransfer) || membership_.empty()) {
     return;
   }
@@ -23,8 +23,8 @@
     stepDown(request.term, now);
   }
   const base::NodeId votedFor = log_.hardState().votedFor;
-  const bool free = !votedFor.valid() || votedFor == from || settings_.mutants.voteTwicePerTerm;
-  const bool granted = request.term == currentTerm() && free && state_ == RaftState::kFollower &&
+  const bool canVote = !votedFor.valid() || votedFor == from || settings_.mutants.voteTwicePerTerm;
+  const bool granted = request.term == currentTerm() && canVote && state_ == RaftState::kFollower &&
                        isUpToDate(request.lastLogIndex, request.lastLogTerm);
   if (granted) {
     saveHardState({currentTerm(), from});
@@ -68,11 +68,12 @@
 void RaftConsensus::startPreVote(base::TimePoint now) {
   state_ = RaftState::kPreCandidate;
   leader_ = {};
-  // Asking again soon disturbs nobody: a pre-vote changes no term and no vote. After a restart of
-  // all servers the first to ask is refused by those that started last.
-  const auto extra = random_.below(static_cast<std::uint64_t>(settings_.preVoteRetry.count()) + 1);
-  election_deadline_ =
-      now + settings_.preVoteRetry + base::Duration(static_cast<base::Duration::rep>(extra));
+  // The pre-vote can be repeated soon, as it changes neither terms nor votes. After a restart of
+  // all servers the first pre-votes are rejected by the servers that started last.
+  const auto jitter =
+      random_.below(static_cast<std::uint64_t>(settings_.preVoteRetryInterval.count()) + 1);
+  election_deadline_ = now + settings_.preVoteRetryInterval +
+                       base::Duration(static_cast<base::Duration::rep>(jitter));
   votes_ = {self_};
   if (hasQuorum(votes_)) {
     startElection(false, now);
@@ -112,12 +113,12 @@
   state_ = RaftState::kLeader;
   leader_ = self_;
   leader_since_ = now;
-  // The votes confirm a quorum no later than the election began; the first round will renew it.
+  // The votes of a quorum were received; the first round confirms it again.
   quorum_confirmed_at_ = now;
   transferring_ = false;
   rounds_.clear();
   progress_.clear();
-  appendLocally(EntryKind::kNoOperation, {});
+  appendLocally(EntryKind::kNoOp, {});
   term_start_index_ = log_.lastIndex();
   broadcast(now);
 }
@@ -135,17 +136,17 @@
 }
 
 void RaftConsensus::resetElectionTimer(base::TimePoint now) {
-  const auto spread = settings_.electionTimeoutMaximum - settings_.electionTimeoutMinimum;
-  const auto extra = random_.below(static_cast<std::uint64_t>(spread.count()) + 1);
-  election_deadline_ = now + settings_.electionTimeoutMinimum +
-                       base::Duration(static_cast<base::Duration::rep>(extra));
+  const auto spread = settings_.maxElectionTimeout - settings_.minElectionTimeout;
+  const auto jitter = random_.below(static_cast<std::uint64_t>(spread.count()) + 1);
+  election_deadline_ =
+      now + settings_.minElectionTimeout + base::Duration(static_cast<base::Duration::rep>(jitter));
 }
 
-bool RaftConsensus::heardFromLeader(base::TimePoint now) const {
+bool RaftConsensus::hasRecentLeaderContact(base::TimePoint now) const {
   if (state_ == RaftState::kLeader) {
     return true;
   }
-  return now < last_heard_from_leader_ + settings_.electionTimeoutMinimum;
+  return now < m_lastLeaderContactAt + settings_.minElectionTimeout;
 }
 
 bool RaftConsensus::isUpToDate(LogIndex lastIndex, Term lastTerm) const {
--- a/src/consensus/raft_membership.cpp
+++ b/src/consensus/raft_membership.cpp
@@ -25,13 +25,13 @@
 
 bool RaftConsensus::proposeMembership(const Membership& next, base::TimePoint now) {
   checkQuorum(now);
-  // A change may begin only once an entry of this term is committed (correction of 2015 to
-  // section 4.1), and never while another is uncommitted.
+  // A change requires a committed entry of this term (correction of 2015 to section 4.1) and no
+  // other uncommitted change.
   if (failed_ || !hasCommittedInTerm() || transferring_ || membershipChangePending()) {
     return false;
   }
   appendLocally(EntryKind::kMembership, base::encode(next));
-  news_ = true;
+  m_replicationPending = true;
   return true;
 }
 
@@ -44,7 +44,7 @@
     if (found == progress_.end() || found->second.matchIndex < commit_index_) {
       continue;
     }
-    if (found->second.matchIndex + settings_.promotionLag < log_.lastIndex()) {
+    if (found->second.matchIndex + settings_.maxPromotionLag < log_.lastIndex()) {
       continue;
     }
     Membership next = membership_;
@@ -85,7 +85,7 @@
     return false;
   }
   transferring_ = true;
-  transfer_deadline_ = now + settings_.electionTimeoutMaximum;
+  transfer_deadline_ = now + settings_.maxElectionTimeout;
   send(target, TimeoutNowRequest{currentTerm()});
   return true;
 }
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -9,7 +9,7 @@
 void RaftConsensus::onMessage(base::NodeId from, const AppendRequest& request,
                               base::TimePoint now) {
   if (request.term < currentTerm()) {
-    refuseStaleLeader(from);
+    rejectStaleLeader(from);
     return;
   }
   acceptLeader(from, request.term, now);
@@ -27,7 +27,7 @@
     send(from, response);
     return;
   }
-  if (!appendFollowing(request)) {
+  if (!appendEntries(request)) {
     return;
   }
   const LogIndex matched = request.previousIndex + request.entries.size();
@@ -37,8 +37,8 @@
   send(from, response);
 }
 
-bool RaftConsensus::appendFollowing(const AppendRequest& request) {
-  bool membershipTouched = false;
+bool RaftConsensus::appendEntries(const AppendRequest& request) {
+  bool membershipChanged = false;
   for (const LogEntry& entry : request.entries) {
     if (entry.index <= log_.snapshot().lastIndex) {
       continue;
@@ -48,26 +48,26 @@
         continue;
       }
       if (entry.index <= commit_index_) {
-        failed_ = true;  // Leader Completeness is broken (section 3.6.3): never go on.
+        failed_ = true;  // Leader Completeness is violated (section 3.6.3): stop permanently.
         return false;
       }
       check(log_.truncateSuffix(entry.index));
-      ++writes_;
-      noteTruncated(entry.index);
-      membershipTouched = true;
+      ++m_writeCount;
+      onTruncated(entry.index);
+      membershipChanged = true;
     }
     check(log_.append(entry));
-    ++writes_;
-    membershipTouched = membershipTouched || entry.kind == EntryKind::kMembership;
+    ++m_writeCount;
+    membershipChanged = membershipChanged || entry.kind == EntryKind::kMembership;
   }
-  if (membershipTouched) {
+  if (membershipChanged) {
     reloadMembership();
   }
   return !failed_;
 }
 
-void RaftConsensus::noteTruncated(LogIndex firstRemoved) {
-  synced_index_ = std::min(synced_index_, firstRemoved - 1);
+void RaftConsensus::onTruncated(LogIndex firstRemoved) {
+  m_durableIndex = std::min(m_durableIndex, firstRemoved - 1);
   if (sync_) {
     sync_->index = std::min(sync_->index, firstRemoved - 1);
   }
@@ -85,15 +85,15 @@
   }
   Progress& progress = found->second;
   progress.acknowledgedRound = std::max(progress.acknowledgedRound, response.round);
-  if (response.snapshotPart) {
-    onSnapshotPart(from, response, now);
+  if (response.isSnapshotChunk) {
+    onSnapshotChunkAck(from, response, now);
     return;
   }
-  // Heartbeats are answered while entries or a snapshot are still on their way: only the answer to
-  // those ends the wait. Else each heartbeat would send them once more.
-  const bool movesBack = !response.success && response.lastIndex + 1 < progress.nextIndex;
-  if (movesBack || (response.success && response.lastIndex >= progress.sentIndex)) {
-    progress.outstanding = false;
+  // Responses to heartbeats arrive while entries or a snapshot are in flight. Only the response to
+  // the entries ends the wait; otherwise each heartbeat would cause them to be sent again.
+  const bool isBackoff = !response.success && response.lastIndex + 1 < progress.nextIndex;
+  if (isBackoff || (response.success && response.lastIndex >= progress.sentIndex)) {
+    progress.inFlight = false;
   }
   if (response.success && response.lastIndex + 1 >= log_.firstIndex()) {
     progress.awaitingSnapshot = false;
@@ -104,10 +104,10 @@
     progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
     confirmRounds();
     advanceCommit();
-  } else if (movesBack) {
+  } else if (isBackoff) {
     progress.nextIndex = std::max(response.lastIndex, progress.matchIndex) + 1;
   }
-  // While a snapshot travels, heartbeats keep the follower; answering each answer would not help.
+  // While a snapshot is being sent, heartbeats alone keep the follower from starting an election.
   if (progress.nextIndex <= log_.lastIndex() && !progress.awaitingSnapshot) {
     sendAppend(from, progress, now);
   }
@@ -116,42 +116,42 @@
 void RaftConsensus::onMessage(base::NodeId from, const InstallSnapshotRequest& request,
                               base::TimePoint now) {
   if (request.term < currentTerm()) {
-    refuseStaleLeader(from);
+    rejectStaleLeader(from);
     return;
   }
   acceptLeader(from, request.term, now);
   const LogIndex index = request.snapshot.lastIndex;
   AppendResponse response{currentTerm(), true, index, request.round};
   if (index > commit_index_) {
-    takeSnapshotPart(request);
-    if (arriving_snapshot_->state.size() < request.totalBytes) {
+    appendSnapshotChunk(request);
+    if (m_incomingSnapshot->state.size() < request.totalBytes) {
       response.success = false;
       response.lastIndex = log_.lastIndex();
-      response.snapshotPart = true;
-      response.snapshotBytes = arriving_snapshot_->state.size();
+      response.isSnapshotChunk = true;
+      response.snapshotBytes = m_incomingSnapshot->state.size();
     } else {
-      install(std::move(*arriving_snapshot_));
-      arriving_snapshot_.reset();
+      install(std::move(*m_incomingSnapshot));
+      m_incomingSnapshot.reset();
     }
   }
   send(from, response);
 }
 
-void RaftConsensus::takeSnapshotPart(const InstallSnapshotRequest& request) {
-  const Snapshot& part = request.snapshot;
-  const bool same = arriving_snapshot_ && arriving_snapshot_->lastIndex == part.lastIndex &&
-                    arriving_snapshot_->lastTerm == part.lastTerm;
+void RaftConsensus::appendSnapshotChunk(const InstallSnapshotRequest& request) {
+  const Snapshot& chunk = request.snapshot;
+  const bool same = m_incomingSnapshot && m_incomingSnapshot->lastIndex == chunk.lastIndex &&
+                    m_incomingSnapshot->lastTerm == chunk.lastTerm;
   if (!same || request.offset == 0) {
-    arriving_snapshot_ = Snapshot{part.lastIndex, part.lastTerm, part.membership, {}};
+    m_incomingSnapshot = Snapshot{chunk.lastIndex, chunk.lastTerm, chunk.membership, {}};
   }
-  if (request.offset == arriving_snapshot_->state.size()) {
-    arriving_snapshot_->state += part.state;
+  if (request.offset == m_incomingSnapshot->state.size()) {
+    m_incomingSnapshot->state += chunk.state;
   }
 }
 
 void RaftConsensus::install(Snapshot snapshot) {
   check(log_.saveSnapshot(snapshot));
-  noteTruncated(log_.lastIndex() + 1);
+  onTruncated(log_.lastIndex() + 1);
   commit_index_ = snapshot.lastIndex;
   delivered_index_ = snapshot.lastIndex;
   received_snapshot_ = std::move(snapshot);
@@ -163,7 +163,7 @@
     stepDown(term, now);
   }
   leader_ = from;
-  last_heard_from_leader_ = now;
+  m_lastLeaderContactAt = now;
   resetElectionTimer(now);
 }
 
@@ -171,8 +171,8 @@
   last_broadcast_at_ = now;
   ++last_round_;
   rounds_.push_back({last_round_, now});
-  constexpr std::size_t kMaximumUnconfirmedRounds = 256;
-  if (rounds_.size() > kMaximumUnconfirmedRounds) {
+  constexpr std::size_t kMaxUnconfirmedRounds = 256;
+  if (rounds_.size() > kMaxUnconfirmedRounds) {
     rounds_.pop_front();
   }
   for (const base::NodeId node : peers()) {
@@ -180,11 +180,11 @@
   }
 }
 
-void RaftConsensus::tellNews(base::TimePoint now) {
+void RaftConsensus::replicatePending(base::TimePoint now) {
   for (const base::NodeId node : peers()) {
     Progress& progress = progressOf(node);
-    const bool underWay = progress.outstanding || progress.awaitingSnapshot;
-    if (!underWay) {
+    const bool busy = progress.inFlight || progress.awaitingSnapshot;
+    if (!busy) {
       sendAppend(node, progress, now);
     }
   }
@@ -206,16 +206,16 @@
 }
 
 void RaftConsensus::sendAppend(base::NodeId to, Progress& progress, base::TimePoint now) {
-  const base::Duration waited = now - progress.probedAt;
-  const bool resend = waited >= settings_.electionTimeoutMinimum;
+  const base::Duration sinceLastSend = now - progress.lastSentAt;
+  const bool resend = sinceLastSend >= settings_.minElectionTimeout;
   if (progress.nextIndex < log_.firstIndex()) {
-    if (!progress.awaitingSnapshot || waited >= settings_.snapshotResend) {
+    if (!progress.awaitingSnapshot || sinceLastSend >= settings_.snapshotResendInterval) {
       progress.awaitingSnapshot = true;
-      progress.probedAt = now;
+      progress.lastSentAt = now;
       sendSnapshot(to, progress);
       return;
     }
-    // A heartbeat that cannot match only keeps the follower from starting an election.
+    // This heartbeat cannot match; it only keeps the follower from starting an election.
     send(to, AppendRequest{currentTerm(), log_.lastIndex(), currentTerm(), 0, last_round_, {}});
     return;
   }
@@ -225,33 +225,33 @@
   request.previousTerm = termAt(request.previousIndex);
   request.commitIndex = commit_index_;
   request.round = last_round_;
-  if (!progress.outstanding || resend) {
+  if (!progress.inFlight || resend) {
     const LogIndex last =
-        std::min(log_.lastIndex(), progress.nextIndex + settings_.maximumEntriesPerMessage - 1);
+        std::min(log_.lastIndex(), progress.nextIndex + settings_.maxEntriesPerMessage - 1);
     std::size_t bytes = 0;
-    for (LogIndex index = progress.nextIndex;
-         index <= last && bytes < settings_.maximumBytesPerMessage; ++index) {
+    for (LogIndex index = progress.nextIndex; index <= last && bytes < settings_.maxBytesPerMessage;
+         ++index) {
       request.entries.push_back(log_.entry(index));
       bytes += request.entries.back().payload.size();
     }
     if (!request.entries.empty()) {
       progress.sentIndex = request.entries.back().index;
-      progress.outstanding = true;
-      progress.probedAt = now;
+      progress.inFlight = true;
+      progress.lastSentAt = now;
     }
   }
   send(to, std::move(request));
 }
 
-void RaftConsensus::refuseStaleLeader(base::NodeId from) {
-  // The request's round must not be echoed: when its sender leads again by now, the answer bears
-  // the new term, and an old round with a high number would confirm a lease nobody gave.
+void RaftConsensus::rejectStaleLeader(base::NodeId from) {
+  // The request's round must not be echoed: if its sender has become leader again, the response
+  // with the new term and a high old round would confirm a lease that was not granted.
   send(from, AppendResponse{currentTerm(), false, log_.lastIndex(), 0});
 }
 
 void RaftConsensus::sendSnapshot(base::NodeId to, Progress& progress) {
   if (log_.compacting()) {
-    return;  // a newer one is about to take its place; heartbeats come back to it
+    return;  // A newer snapshot is about to replace this one; a later heartbeat sends it.
   }
   if (progress.snapshotIndex != log_.snapshot().lastIndex) {
     progress.snapshotIndex = log_.snapshot().lastIndex;
@@ -259,27 +259,27 @@
   }
   InstallSnapshotRequest request{currentTerm(), last_round_, log_.snapshot(),
                                  progress.snapshotBytes, log_.snapshotBytes()};
-  auto part = log_.readSnapshotPart(progress.snapshotBytes, settings_.snapshotPartBytes);
-  if (!part) {
+  auto chunk = log_.readSnapshotChunk(progress.snapshotBytes, settings_.snapshotChunkBytes);
+  if (!chunk) {
     failed_ = true;
     return;
   }
-  request.snapshot.state = std::move(*part);
+  request.snapshot.state = std::move(*chunk);
   send(to, std::move(request));
 }
 
-void RaftConsensus::onSnapshotPart(base::NodeId from, const AppendResponse& response,
-                                   base::TimePoint now) {
+void RaftConsensus::onSnapshotChunkAck(base::NodeId from, const AppendResponse& response,
+                                       base::TimePoint now) {
   confirmRounds();
   Progress& progress = progress_.at(from);
   const bool same = progress.snapshotIndex == log_.snapshot().lastIndex;
   if (!progress.awaitingSnapshot || (same && response.snapshotBytes == progress.snapshotBytes)) {
-    return;  // it came twice
+    return;  // duplicate
   }
   if (same) {
     progress.snapshotBytes = response.snapshotBytes;
   }
-  progress.probedAt = now;
+  progress.lastSentAt = now;
   sendSnapshot(from, progress);
 }
 
@@ -303,7 +303,7 @@
   std::vector<LogIndex> matched;
   for (const base::NodeId voter : membership_.voters) {
     if (voter == self_) {
-      matched.push_back(synced_index_);
+      matched.push_back(m_durableIndex);
       continue;
     }
     const auto found = progress_.find(voter);
@@ -313,13 +313,13 @@
     return;
   }
   std::sort(matched.begin(), matched.end());
-  const LogIndex agreed = matched[(matched.size() - 1) / 2];
+  const LogIndex quorumIndex = matched[(matched.size() - 1) / 2];
   // Only entries of the current term are committed by counting (section 3.6.2).
-  if (agreed <= commit_index_ || termAt(agreed) != currentTerm()) {
+  if (quorumIndex <= commit_index_ || termAt(quorumIndex) != currentTerm()) {
     return;
   }
-  commit_index_ = agreed;
-  news_ = true;
+  commit_index_ = quorumIndex;
+  m_replicationPending = true;
   if (membership_index_ <= commit_index_ && !membership_.contains(self_)) {
     stepDown(currentTerm(), last_broadcast_at_);
   }
@@ -333,7 +333,7 @@
     quorum_confirmed_at_ = now;
     return;
   }
-  if (now - quorum_confirmed_at_ > settings_.electionTimeoutMaximum) {
+  if (now - quorum_confirmed_at_ > settings_.maxElectionTimeout) {
     stepDown(currentTerm(), now);
   }
 }
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -16,7 +16,7 @@
 using Term = std::uint64_t;
 using LogIndex = std::uint64_t;
 
-/// The servers of a group (section 4). Learners receive the log and do not vote (section 4.2.1).
+/// Servers of a group (section 4). Learners receive the log but do not vote (section 4.2.1).
 struct Membership {
   std::set<base::NodeId> voters;
   std::set<base::NodeId> learners;
@@ -35,15 +35,15 @@
 };
 
 enum class EntryKind : std::uint8_t {
-  kNoOperation,  ///< appended by a new leader to commit entries of earlier terms (section 3.6.2)
-  kCommand,      ///< a command of the state machine
-  kMembership,   ///< a new Membership, in force as soon as it is appended (section 4.1)
+  kNoOp,        ///< appended by a new leader to commit entries of earlier terms (section 3.6.2)
+  kCommand,     ///< command of the state machine
+  kMembership,  ///< new Membership, in force as soon as it is appended (section 4.1)
 };
 
 struct LogEntry {
   Term term = 0;
   LogIndex index = 0;
-  EntryKind kind = EntryKind::kNoOperation;
+  EntryKind kind = EntryKind::kNoOp;
   base::Bytes payload;
 
   bool operator==(const LogEntry&) const = default;
@@ -54,7 +54,7 @@
   }
 };
 
-/// What must be durable before a server answers a vote (section 3.8).
+/// State that must be durable before a server answers a vote request (section 3.8).
 struct HardState {
   Term term = 0;
   base::NodeId votedFor;
@@ -67,7 +67,7 @@
   }
 };
 
-/// Replaces all entries up to `lastIndex` (chapter 5).
+/// State of the state machine after `lastIndex`; replaces all entries up to it (chapter 5).
 struct Snapshot {
   LogIndex lastIndex = 0;
   Term lastTerm = 0;
@@ -84,8 +84,8 @@
   Term term = 0;
   LogIndex lastLogIndex = 0;
   Term lastLogTerm = 0;
-  bool preVote = false;             ///< section 9.6: would you vote for me?
-  bool leadershipTransfer = false;  ///< section 3.10: the leader asked for this election
+  bool preVote = false;             ///< request of a pre-vote (section 9.6)
+  bool leadershipTransfer = false;  ///< the leader requested this election (section 3.10)
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -104,8 +104,8 @@
   }
 };
 
-/// Replication and heartbeat. `round` numbers the leader's broadcasts; its echo tells the leader
-/// at which of its own times a quorum still followed it.
+/// Replication and heartbeat. `round` is the number of the leader's latest broadcast; from the
+/// echoed round the leader derives when a quorum still followed it.
 struct AppendRequest {
   Term term = 0;
   LogIndex previousIndex = 0;
@@ -123,24 +123,24 @@
 struct AppendResponse {
   Term term = 0;
   bool success = false;
-  LogIndex lastIndex = 0;  ///< matched index on success, else where the leader should try next
+  LogIndex lastIndex = 0;  ///< matched index on success, otherwise the index to retry from
   std::uint64_t round = 0;
-  bool snapshotPart = false;        ///< answers a part of a snapshot that is not whole yet
-  std::uint64_t snapshotBytes = 0;  ///< ... of whose state so many bytes have arrived
+  bool isSnapshotChunk = false;     ///< acknowledges a chunk of an incomplete snapshot
+  std::uint64_t snapshotBytes = 0;  ///< received bytes of that snapshot's state
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(term, success, lastIndex, round, snapshotPart, snapshotBytes);
+    archive(term, success, lastIndex, round, isSnapshotChunk, snapshotBytes);
   }
 };
 
-/// A part of a snapshot. The next follows when this one is answered.
+/// Chunk of a snapshot. The next chunk is sent when this one is acknowledged.
 struct InstallSnapshotRequest {
   Term term = 0;
   std::uint64_t round = 0;
-  Snapshot snapshot;             ///< its state is the part
-  std::uint64_t offset = 0;      ///< of the part
-  std::uint64_t totalBytes = 0;  ///< of the whole state
+  Snapshot snapshot;             ///< its state holds only the chunk
+  std::uint64_t offset = 0;      ///< of the chunk in the state
+  std::uint64_t totalBytes = 0;  ///< size of the complete state
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -148,7 +148,7 @@
   }
 };
 
-/// Asks the receiver to start an election at once (section 3.10).
+/// Requests the receiver to start an election immediately (section 3.10).
 struct TimeoutNowRequest {
   Term term = 0;
 
@@ -161,7 +161,7 @@
 using RaftMessage = std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse,
                                  InstallSnapshotRequest, TimeoutNowRequest>;
 
-/// A message with the server it goes to.
+/// A message and its destination.
 struct OutgoingRaftMessage {
   base::NodeId to;
   RaftMessage message;
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -89,19 +89,20 @@
   outbox_.clear();
 }
 
-void Replica::compactWhenDue(base::TimePoint now) {
+void Replica::compactIfNeeded(base::TimePoint now) {
   if (!raft_.needsCompaction(applied_index_, settings_.compactionThreshold,
                              settings_.compactionBytes)) {
     return;
   }
-  // To encode a snapshot holds a replica up for longer than an election takes when its state is
-  // large. A leader hands over first, as long as its log can still grow.
-  constexpr std::size_t kPatience = 2;
-  const bool large = raft_.snapshotBytes() >= settings_.handOverBytes;
-  const bool pressing = raft_.needsCompaction(
-      applied_index_, settings_.compactionThreshold * kPatience,
-      std::max(settings_.compactionBytes, raft_.snapshotBytes() / 2) * kPatience);
-  if (raft_.isLeader() && large && !pressing) {
+  // Encoding a large snapshot blocks a replica for longer than an election takes, so a leader
+  // transfers leadership first, unless its log has already grown to kDeferralFactor times the
+  // limit.
+  constexpr std::size_t kDeferralFactor = 2;
+  const bool large = raft_.snapshotBytes() >= settings_.leadershipTransferBytes;
+  const bool overdue = raft_.needsCompaction(
+      applied_index_, settings_.compactionThreshold * kDeferralFactor,
+      std::max(settings_.compactionBytes, raft_.snapshotBytes() / 2) * kDeferralFactor);
+  if (raft_.isLeader() && large && !overdue) {
     raft_.transferLeadership(now);
     return;
   }
@@ -119,12 +120,12 @@
       result = machine_.apply(entry.index, entry.payload);
     }
     applied_index_ = entry.index;
-    completeApplied(entry, result);
+    completeCommand(entry, result);
   }
-  compactWhenDue(now);
+  compactIfNeeded(now);
 }
 
-void Replica::completeApplied(const LogEntry& entry, const base::Bytes& result) {
+void Replica::completeCommand(const LogEntry& entry, const base::Bytes& result) {
   const auto found = pending_commands_.find(entry.index);
   if (found == pending_commands_.end()) {
     return;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -1,5 +1,5 @@
 /// \file
-/// A replica of one group: RaftConsensus, the state machine behind it, and its clients' calls.
+/// Replica of a group: RaftConsensus, its state machine, and the calls of clients.
 #pragma once
 
 #include <functional>
@@ -12,26 +12,28 @@
 
 namespace tackpick::consensus {
 
-/// Knobs of a Replica.
+/// Settings of a Replica.
 struct ReplicaSettings {
   RaftSettings raft;
-  /// A snapshot replaces the log when it has grown to this many entries.
+  /// Number of entries at which the log is replaced by a snapshot.
   LogIndex compactionThreshold = 8192;
-  /// ... or to this many bytes, and to half of the last snapshot. The log is also held in memory,
-  /// beside the state that it leads to.
+  /// Size of the log at which it is replaced by a snapshot, if it also exceeds half of the size of
+  /// the last snapshot. The log is also kept in memory.
   std::size_t compactionBytes = 12U << 20U;
-  /// A leader hands over before it compacts when its last snapshot was this large: to encode it
-  /// holds a replica up for about 2 ms a megabyte of a whole core's time.
-  std::size_t handOverBytes = 64U << 20U;
+  /// Size of the last snapshot from which a leader transfers leadership before it compacts, because
+  /// encoding a large snapshot blocks the replica.
+  std::size_t leadershipTransferBytes = 64U << 20U;
 
+  /// Deliberate faults for tests.
   struct Mutants {
     bool answerBeforeCommit = false;  ///< acknowledge a command once appended
-    bool readWithoutLease = false;    ///< answer queries in the belief of leading
+    bool readWithoutLease = false;    ///< answer queries without a valid lease
   } mutants;
 };
 
-/// Deterministic; owned by one thread. The driver calls handle(), tick() and the like, then
-/// finish() once per turn, which syncs the log, applies what is committed and returns messages.
+/// Replica of one group. In each turn its owner calls handle(), tick() or propose() any number of
+/// times and then finish() once, which syncs the log, applies committed entries and returns
+/// messages. Deterministic; owned by one thread.
 class Replica {
  public:
   Replica(base::NodeId self, base::GroupId group, ReplicaSettings settings, LogStore& log,
@@ -42,18 +44,18 @@
   void handle(base::NodeId from, const transport::MembershipRequest& request, base::TimePoint now);
   void tick(base::TimePoint now) { raft_.tick(now); }
 
-  /// Called with the result of a command once it is applied, or with nothing when this replica
-  /// lost leadership before that and the outcome is unknown.
+  /// Receives the result of a command once it is applied, or nullptr if this replica lost
+  /// leadership before, so that the outcome is unknown.
   using Completion = std::function<void(const base::Bytes* result, LogIndex index)>;
-  /// Proposes a command from within this process. False when this replica does not lead.
+  /// Proposes a command. Returns false if this replica is not the leader.
   bool propose(base::Bytes command, base::TimePoint now, Completion completion);
 
-  /// Ends a turn. Messages to clients and peers are appended to `outbox`.
+  /// Ends a turn and appends messages to clients and peers to `outbox`.
   void finish(base::TimePoint now, transport::Outbox& outbox);
 
-  /// True when reads of the state machine see every acknowledged command.
+  /// Whether reads of the state machine see every acknowledged command.
   [[nodiscard]] bool canRead(base::TimePoint now) const;
-  /// Applied up to here.
+  /// Returns the index of the last applied entry.
   [[nodiscard]] LogIndex appliedIndex() const { return applied_index_; }
   [[nodiscard]] const RaftConsensus& raft() const { return raft_; }
   [[nodiscard]] RaftConsensus& raft() { return raft_; }
@@ -73,8 +75,10 @@
   void respond(base::NodeId to, base::CallId call, transport::CommandStatus status,
                base::Bytes payload);
   void applyCommitted(base::TimePoint now);
-  void compactWhenDue(base::TimePoint now);
-  void completeApplied(const LogEntry& entry, const base::Bytes& result);
+  /// Starts a compaction, or first a leadership transfer, if the log is long enough.
+  void compactIfNeeded(base::TimePoint now);
+  /// Completes the pending command of an applied entry, if any.
+  void completeCommand(const LogEntry& entry, const base::Bytes& result);
   void answerQueries(base::TimePoint now);
   void failPendingUnlessLeading();
 
--- a/src/consensus/state_machine.h
+++ b/src/consensus/state_machine.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a replication group replicates.
+/// Interface of a replicated state machine.
 #pragma once
 
 #include "base/serialization.h"
@@ -7,14 +7,14 @@
 
 namespace tackpick::consensus {
 
-/// A deterministic state machine. Every replica applies the same commands in the same order, so
-/// apply() may depend on nothing but the state, the command and its index.
+/// Deterministic state machine. Every replica applies the same commands in the same order, so
+/// apply() must depend only on the state, the command and its index.
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
-  /// Applies a committed command and returns the encoded result for whoever proposed it.
+  /// Applies a committed command and returns the encoded result for the proposer.
   virtual base::Bytes apply(LogIndex index, const base::Bytes& command) = 0;
-  /// Answers a read without changing the state.
+  /// Returns the encoded result of a read, which does not change the state.
   [[nodiscard]] virtual base::Bytes query(const base::Bytes& query) const = 0;
   [[nodiscard]] virtual base::Bytes takeSnapshot() const = 0;
   virtual void loadSnapshot(const base::Bytes& snapshot) = 0;
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -214,7 +214,7 @@
   }
   std::set<base::NodeId> initialVoters;
   for (const cluster::GroupNode& node : nodesOf(NodeRole::kLedger, now)) {
-    if (node.silence < settings_.repair.heartbeatTimeout &&
+    if (node.sinceHeartbeat < settings_.repair.heartbeatTimeout &&
         initialVoters.size() < settings_.initialLedgerVoters) {
       initialVoters.insert(node.node);
     }
@@ -228,7 +228,7 @@
 void DirectoryRole::repairOwnGroup(base::TimePoint now) {
   // Until every node had the time to report, silence means nothing.
   if (now - leader_since_ >= settings_.repair.heartbeatTimeout) {
-    service_.repair(nodesOf(NodeRole::kController, now), settings_.repair, now);
+    service_.repairMembership(nodesOf(NodeRole::kController, now), settings_.repair, now);
   }
 }
 
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -250,7 +250,7 @@
   slow_work_at_ = now;
   leases_.refresh(state_, now);
   expireJobs(now);
-  service_.repair(nodes_, settings_.repair, now);
+  service_.repairMembership(nodes_, settings_.repair, now);
 }
 
 void JobRole::expireJobs(base::TimePoint now) {
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -134,7 +134,7 @@
 }
 
 void GatewayServer::refuseUnknown(int status, const std::shared_ptr<http::Exchange>& exchange) {
-  const std::optional<base::TimePoint> confirmedAt = node_.member().confirmedAt();
+  const std::optional<base::TimePoint> confirmedAt = node_.member().configurationConfirmedAt();
   const bool final =
       m_refusalPolicy.judge(confirmedAt, node_.now()) == directory::RejectionKind::kFinal;
   const int answered = final ? status : kUnavailable;
--- a/src/node/metrics_server.cpp
+++ b/src/node/metrics_server.cpp
@@ -53,7 +53,7 @@
   if (const auto lastContactAt = member.lastContactAt()) {
     metrics.set(GaugeId::kControllersHeardAge, base::toSeconds(m_node.now() - *lastContactAt));
   }
-  if (const auto confirmedAt = member.confirmedAt()) {
+  if (const auto confirmedAt = member.configurationConfirmedAt()) {
     metrics.set(GaugeId::kConfigurationAge, base::toSeconds(m_node.now() - *confirmedAt));
   }
   for (const auto& [model, version] : member.view().publishedVersions) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -179,7 +179,7 @@
   if (initialVoters.contains(self_)) {
     initial.voters = initialVoters;
   }
-  const storage::FolderIdentity identity{settings_.cluster, self_, group};
+  const storage::DataDirectoryIdentity identity{settings_.cluster, self_, group};
   disk_thread_ =
       std::make_unique<storage::DiskThread>([this] { asio::post(context_, [this] { wake(); }); });
   BOOST_LEAF_ASSIGN(
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -80,9 +80,9 @@
   logEvent(health->isAtTargetSize() ? EventId::kGroupOfSize : EventId::kGroupBelowSize,
            EventFields()
                .add("group", replica.group().value)
-               .add("voters", health->voters)
-               .add("heard", health->heard)
-               .add("wanted", health->wanted)
+               .add("voters", health->totalVoters)
+               .add("heard", health->healthyVoters)
+               .add("wanted", health->targetVoters)
                .text());
 }
 
@@ -143,8 +143,8 @@
     metrics_.set(GaugeId::kCommitIndex, static_cast<double>(raft.commitIndex()));
     metrics_.set(GaugeId::kVoters, static_cast<double>(raft.membership().voters.size()));
     if (const auto health = groupHealth()) {
-      metrics_.set(GaugeId::kVotersHeard, static_cast<double>(health->heard));
-      metrics_.set(GaugeId::kVotersWanted, static_cast<double>(health->wanted));
+      metrics_.set(GaugeId::kVotersHeard, static_cast<double>(health->healthyVoters));
+      metrics_.set(GaugeId::kVotersWanted, static_cast<double>(health->targetVoters));
     }
     metrics_.set(GaugeId::kLogBytes, static_cast<double>(log_->logBytes()));
     metrics_.set(GaugeId::kSnapshotBytes, static_cast<double>(log_->snapshotBytes()));
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -87,7 +87,7 @@
       initial.voters.insert(node);
     }
   }
-  const storage::FolderIdentity identity{settings_.cluster, self_, group.group};
+  const storage::DataDirectoryIdentity identity{settings_.cluster, self_, group.group};
   BOOST_LEAF_AUTO(log, storage::SegmentedLog::open(*folders_.back(), identity, initial));
   logs_.push_back(std::move(log));
   return logs_.back().get();
--- a/src/storage/disk_executor.h
+++ b/src/storage/disk_executor.h
@@ -1,5 +1,5 @@
 /// \file
-/// Runs blocking disk work apart from its owner's thread.
+/// Interface to run blocking disk operations outside of the owner's thread.
 #pragma once
 
 #include <functional>
@@ -8,20 +8,20 @@
 
 namespace tackpick::storage {
 
-/// One piece of work at a time. All calls come from the owner's thread; only the work itself runs
-/// elsewhere, and its owner must not touch what it uses until running() is false.
+/// Runs one task at a time. All functions are called on the owner's thread; only the task may run
+/// on another one. The owner must not access the data of a task until running() is false.
 class DiskExecutor {
  public:
-  using Work = std::function<base::Result<void>()>;
+  using Task = std::function<base::Result<void>()>;
 
   virtual ~DiskExecutor() = default;
-  /// Begins `work`. Nothing else may be running.
-  virtual void start(Work work) = 0;
+  /// Starts `task`. No other task may be running.
+  virtual void start(Task task) = 0;
   [[nodiscard]] virtual bool running() const = 0;
-  /// Blocks until nothing is running.
+  /// Blocks until no task is running.
   virtual void wait() = 0;
-  /// How the last work ended; kStorage when it failed.
-  [[nodiscard]] virtual base::Result<void> outcome() = 0;
+  /// Returns the result of the last task, kStorage if it failed.
+  [[nodiscard]] virtual base::Result<void> result() = 0;
 };
 
 }  // namespace tackpick::storage
--- a/src/storage/disk_thread.cpp
+++ b/src/storage/disk_thread.cpp
@@ -5,11 +5,11 @@
 namespace tackpick::storage {
 namespace {
 
-/// The error's message; nothing when the work succeeded.
-std::optional<std::string> errorOf(const DiskExecutor::Work& work) {
+/// Runs the task and returns the error message, std::nullopt on success.
+std::optional<std::string> runTask(const DiskExecutor::Task& task) {
   return base::recover(
       [&]() -> base::Result<std::optional<std::string>> {
-        BOOST_LEAF_CHECK(work());
+        BOOST_LEAF_CHECK(task());
         return std::optional<std::string>();
       },
       [](const base::Error& error) { return std::optional(error.message); });
@@ -17,37 +17,37 @@
 
 }  // namespace
 
-DiskThread::DiskThread(std::function<void()> onEnded)
-    : m_onEnded(std::move(onEnded)), m_thread([this] { run(); }) {}
+DiskThread::DiskThread(std::function<void()> onTaskDone)
+    : m_onTaskDone(std::move(onTaskDone)), m_thread([this] { run(); }) {}
 
 DiskThread::~DiskThread() {
   {
     const std::scoped_lock lock(m_mutex);
     m_stopping = true;
   }
-  m_changed.notify_all();
+  m_condition.notify_all();
   m_thread.join();
 }
 
-void DiskThread::start(Work work) {
+void DiskThread::start(Task task) {
   {
     const std::scoped_lock lock(m_mutex);
-    m_work = std::move(work);
+    m_task = std::move(task);
   }
-  m_changed.notify_all();
+  m_condition.notify_all();
 }
 
 bool DiskThread::running() const {
   const std::scoped_lock lock(m_mutex);
-  return static_cast<bool>(m_work);
+  return static_cast<bool>(m_task);
 }
 
 void DiskThread::wait() {
   std::unique_lock lock(m_mutex);
-  m_changed.wait(lock, [this] { return !m_work; });
+  m_condition.wait(lock, [this] { return !m_task; });
 }
 
-base::Result<void> DiskThread::outcome() {
+base::Result<void> DiskThread::result() {
   const std::scoped_lock lock(m_mutex);
   if (m_error) {
     return base::fail(base::ErrorCode::kStorage, *m_error);
@@ -58,19 +58,19 @@
 void DiskThread::run() {
   std::unique_lock lock(m_mutex);
   while (true) {
-    m_changed.wait(lock, [this] { return m_stopping || m_work; });
-    if (!m_work) {
+    m_condition.wait(lock, [this] { return m_stopping || m_task; });
+    if (!m_task) {
       return;
     }
-    const Work& work = m_work;  // start() is not called before it ended
+    const Task& task = m_task;  // start() is not called before the task has ended.
     lock.unlock();
-    std::optional<std::string> error = errorOf(work);
+    std::optional<std::string> error = runTask(task);
     lock.lock();
     m_error = std::move(error);
-    m_work = nullptr;
+    m_task = nullptr;
     lock.unlock();
-    m_changed.notify_all();
-    m_onEnded();
+    m_condition.notify_all();
+    m_onTaskDone();
     lock.lock();
   }
 }
--- a/src/storage/disk_thread.h
+++ b/src/storage/disk_thread.h
@@ -1,5 +1,5 @@
 /// \file
-/// DiskExecutor with a thread of its own.
+/// DiskExecutor with its own thread.
 #pragma once
 
 #include <condition_variable>
@@ -13,30 +13,31 @@
 
 namespace tackpick::storage {
 
+/// Runs tasks on its own thread.
 class DiskThread final : public DiskExecutor {
  public:
-  /// `onEnded` is called on the disk's thread after each work.
-  explicit DiskThread(std::function<void()> onEnded);
+  /// `onTaskDone` is called on the thread of this executor after each task.
+  explicit DiskThread(std::function<void()> onTaskDone);
   DiskThread(const DiskThread&) = delete;
   DiskThread& operator=(const DiskThread&) = delete;
-  /// Waits for the running work.
+  /// Waits for the running task to end.
   ~DiskThread() override;
 
-  void start(Work work) override;
+  void start(Task task) override;
   [[nodiscard]] bool running() const override;
   void wait() override;
-  [[nodiscard]] base::Result<void> outcome() override;
+  [[nodiscard]] base::Result<void> result() override;
 
  private:
   void run();
 
-  const std::function<void()> m_onEnded;
+  const std::function<void()> m_onTaskDone;
   mutable std::mutex m_mutex;
-  std::condition_variable m_changed;
-  Work m_work;  ///< empty: nothing is running
-  std::optional<std::string> m_error;
+  std::condition_variable m_condition;
+  Task m_task;                         ///< empty if no task is running
+  std::optional<std::string> m_error;  ///< of the last task
   bool m_stopping = false;
-  std::thread m_thread;  ///< last: it uses the members above
+  std::thread m_thread;  ///< declared last, as it uses the other members
 };
 
 }  // namespace tackpick::storage
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -1,6 +1,6 @@
 /// \file
-/// The few file operations that durable state needs, so that the simulator can stand in for a disk
-/// that loses unsynced writes, tears the last record, fills up or vanishes.
+/// Interface of the file operations for durable state, so that the simulator can replace the disk
+/// by one that loses unsynced writes, tears the last record, fills up or disappears.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace tackpick::storage {
 
-/// A file open for appending.
+/// A file opened for appending.
 class AppendFile {
  public:
   virtual ~AppendFile() = default;
@@ -22,18 +22,19 @@
   [[nodiscard]] virtual base::Result<void> sync() = 0;
 };
 
-/// Paths are relative to the data folder. Names become durable at syncDirectory().
+/// File operations in the data directory. Created, renamed and removed names become durable with
+/// syncDirectory().
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  /// Names of the files, sorted.
+  /// Returns the names of all files, sorted.
   [[nodiscard]] virtual base::Result<std::vector<std::string>> list() = 0;
   [[nodiscard]] virtual base::Result<base::Bytes> read(const std::string& name) = 0;
-  /// Up to `size` bytes from `offset` on; fewer at the end of the file.
+  /// Returns `size` bytes starting at `offset`, fewer at the end of the file.
   [[nodiscard]] virtual base::Result<base::Bytes> readRange(const std::string& name,
                                                             std::size_t offset,
                                                             std::size_t size) = 0;
-  /// Opens for appending, creating the file when absent.
+  /// Opens a file for appending and creates it if it does not exist.
   [[nodiscard]] virtual base::Result<std::unique_ptr<AppendFile>> open(const std::string& name) = 0;
   [[nodiscard]] virtual base::Result<void> truncate(const std::string& name, std::size_t size) = 0;
   [[nodiscard]] virtual base::Result<void> rename(const std::string& from,
@@ -42,10 +43,10 @@
   [[nodiscard]] virtual base::Result<void> syncDirectory() = 0;
 };
 
-/// Writes `bytes` under `name` so that after a crash the file holds either the old or the new
-/// content: temporary file, sync, rename, directory sync. `rest`, if any, follows `bytes`.
+/// Replaces the content of `name` by `bytes` and `suffix`. After a crash the file has either the
+/// old or the new content: temporary file, sync, rename, directory sync.
 [[nodiscard]] base::Result<void> writeFileAtomically(FileSystem& files, const std::string& name,
                                                      std::string_view bytes,
-                                                     std::string_view rest = {});
+                                                     std::string_view suffix = {});
 
 }  // namespace tackpick::storage
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -14,10 +14,10 @@
 namespace tackpick::storage {
 namespace {
 
-/// Logs and snapshots hold the keys of tenants, as operators sent them.
+/// Restricted to the owner, as logs and snapshots contain the API keys of tenants.
 constexpr int kFileMode = 0600;
 
-std::string describe(const std::string& operation, const std::string& path) {
+std::string errnoMessage(const std::string& operation, const std::string& path) {
   return operation + " " + path + ": " + std::generic_category().message(errno);
 }
 
@@ -36,7 +36,7 @@
         continue;
       }
       if (written < 0) {
-        return base::fail(base::ErrorCode::kStorage, describe("write", path_));
+        return base::fail(base::ErrorCode::kStorage, errnoMessage("write", path_));
       }
       bytes.remove_prefix(static_cast<std::size_t>(written));
     }
@@ -45,7 +45,7 @@
 
   base::Result<void> sync() override {
     if (::fdatasync(descriptor_) != 0) {
-      return base::fail(base::ErrorCode::kStorage, describe("sync", path_));
+      return base::fail(base::ErrorCode::kStorage, errnoMessage("sync", path_));
     }
     return {};
   }
@@ -58,37 +58,37 @@
 }  // namespace
 
 base::Result<void> writeFileAtomically(FileSystem& files, const std::string& name,
-                                       std::string_view bytes, std::string_view rest) {
+                                       std::string_view bytes, std::string_view suffix) {
   const std::string temporary = name + ".tmp";
   BOOST_LEAF_CHECK(files.remove(temporary));
   BOOST_LEAF_AUTO(file, files.open(temporary));
   BOOST_LEAF_CHECK(file->append(bytes));
-  BOOST_LEAF_CHECK(file->append(rest));
+  BOOST_LEAF_CHECK(file->append(suffix));
   BOOST_LEAF_CHECK(file->sync());
   file.reset();
   BOOST_LEAF_CHECK(files.rename(temporary, name));
   return files.syncDirectory();
 }
 
-base::Result<std::unique_ptr<PosixFileSystem>> PosixFileSystem::create(std::string folder) {
+base::Result<std::unique_ptr<PosixFileSystem>> PosixFileSystem::create(std::string directory) {
   std::error_code error;
-  std::filesystem::create_directories(folder, error);
+  std::filesystem::create_directories(directory, error);
   if (error) {
-    return base::fail(base::ErrorCode::kStorage, "create " + folder + ": " + error.message());
+    return base::fail(base::ErrorCode::kStorage, "create " + directory + ": " + error.message());
   }
-  return std::unique_ptr<PosixFileSystem>(new PosixFileSystem(std::move(folder)));
+  return std::unique_ptr<PosixFileSystem>(new PosixFileSystem(std::move(directory)));
 }
 
 base::Result<std::vector<std::string>> PosixFileSystem::list() {
   std::vector<std::string> names;
   std::error_code error;
-  for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
+  for (const auto& entry : std::filesystem::directory_iterator(m_directory, error)) {
     if (entry.is_regular_file()) {
       names.push_back(entry.path().filename().string());
     }
   }
   if (error) {
-    return base::fail(base::ErrorCode::kStorage, "list " + folder_ + ": " + error.message());
+    return base::fail(base::ErrorCode::kStorage, "list " + m_directory + ": " + error.message());
   }
   std::sort(names.begin(), names.end());
   return names;
@@ -100,7 +100,7 @@
   if (error) {
     return base::fail(base::ErrorCode::kNotFound, "open " + path(name) + ": " + error.message());
   }
-  return readRange(name, 0, size);  // never held twice: a log's files are large
+  return readRange(name, 0, size);  // Avoids a second copy in memory, as log files are large.
 }
 
 base::Result<base::Bytes> PosixFileSystem::readRange(const std::string& name, std::size_t offset,
@@ -108,53 +108,53 @@
   std::ifstream stream(path(name), std::ios::binary);
   stream.seekg(static_cast<std::streamoff>(offset));
   if (!stream) {
-    return base::fail(base::ErrorCode::kNotFound, describe("read", path(name)));
+    return base::fail(base::ErrorCode::kNotFound, errnoMessage("read", path(name)));
   }
-  base::Bytes part(size, '\0');
-  stream.read(part.data(), static_cast<std::streamsize>(size));
-  part.resize(static_cast<std::size_t>(stream.gcount()));
-  return part;
+  base::Bytes bytes(size, '\0');
+  stream.read(bytes.data(), static_cast<std::streamsize>(size));
+  bytes.resize(static_cast<std::size_t>(stream.gcount()));
+  return bytes;
 }
 
 base::Result<std::unique_ptr<AppendFile>> PosixFileSystem::open(const std::string& name) {
   const int descriptor =
       ::open(path(name).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kFileMode);
   if (descriptor < 0) {
-    return base::fail(base::ErrorCode::kStorage, describe("open", path(name)));
+    return base::fail(base::ErrorCode::kStorage, errnoMessage("open", path(name)));
   }
   return std::unique_ptr<AppendFile>(std::make_unique<PosixAppendFile>(descriptor, path(name)));
 }
 
 base::Result<void> PosixFileSystem::truncate(const std::string& name, std::size_t size) {
   if (::truncate(path(name).c_str(), static_cast<off_t>(size)) != 0) {
-    return base::fail(base::ErrorCode::kStorage, describe("truncate", path(name)));
+    return base::fail(base::ErrorCode::kStorage, errnoMessage("truncate", path(name)));
   }
   return {};
 }
 
 base::Result<void> PosixFileSystem::rename(const std::string& from, const std::string& to) {
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) {
-    return base::fail(base::ErrorCode::kStorage, describe("rename", path(from)));
+    return base::fail(base::ErrorCode::kStorage, errnoMessage("rename", path(from)));
   }
   return {};
 }
 
 base::Result<void> PosixFileSystem::remove(const std::string& name) {
   if (::unlink(path(name).c_str()) != 0 && errno != ENOENT) {
-    return base::fail(base::ErrorCode::kStorage, describe("remove", path(name)));
+    return base::fail(base::ErrorCode::kStorage, errnoMessage("remove", path(name)));
   }
   return {};
 }
 
 base::Result<void> PosixFileSystem::syncDirectory() {
-  const int descriptor = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  const int descriptor = ::open(m_directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (descriptor < 0) {
-    return base::fail(base::ErrorCode::kStorage, describe("open", folder_));
+    return base::fail(base::ErrorCode::kStorage, errnoMessage("open", m_directory));
   }
   const bool synced = ::fsync(descriptor) == 0;
   ::close(descriptor);
   if (!synced) {
-    return base::fail(base::ErrorCode::kStorage, describe("sync", folder_));
+    return base::fail(base::ErrorCode::kStorage, errnoMessage("sync", m_directory));
   }
   return {};
 }
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -8,10 +8,11 @@
 
 namespace tackpick::storage {
 
-/// The data folder of one role. Created, with its parents, when absent.
+/// Data directory of one role.
 class PosixFileSystem final : public FileSystem {
  public:
-  [[nodiscard]] static base::Result<std::unique_ptr<PosixFileSystem>> create(std::string folder);
+  /// Opens the directory and creates it, with its parents, if it does not exist.
+  [[nodiscard]] static base::Result<std::unique_ptr<PosixFileSystem>> create(std::string directory);
 
   [[nodiscard]] base::Result<std::vector<std::string>> list() override;
   [[nodiscard]] base::Result<base::Bytes> read(const std::string& name) override;
@@ -24,10 +25,10 @@
   [[nodiscard]] base::Result<void> syncDirectory() override;
 
  private:
-  explicit PosixFileSystem(std::string folder) : folder_(std::move(folder)) {}
-  [[nodiscard]] std::string path(const std::string& name) const { return folder_ + "/" + name; }
+  explicit PosixFileSystem(std::string directory) : m_directory(std::move(directory)) {}
+  [[nodiscard]] std::string path(const std::string& name) const { return m_directory + "/" + name; }
 
-  std::string folder_;
+  std::string m_directory;
 };
 
 }  // namespace tackpick::storage
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -15,13 +15,13 @@
 
 constexpr std::uint32_t kRecordMagic = 0x74705231;  // "tpR1"
 constexpr std::size_t kHeaderSize = 16;
-constexpr std::uint32_t kMaximumRecordSize = 256U << 20U;
+constexpr std::uint32_t kMaxRecordSize = 256U << 20U;
 constexpr std::string_view kSegmentPrefix = "segment-";
 constexpr std::size_t kSegmentDigits = 10;
 const std::string kIdentityFile = kIdentityFileName;
 const std::string kSnapshotFile = "snapshot";
 
-/// Removes the entries from `firstRemoved` on, when replayed.
+/// Record that removes all entries starting with `firstRemoved` when replayed.
 struct TruncateRecord {
   consensus::LogIndex firstRemoved = 0;
 
@@ -31,7 +31,7 @@
   }
 };
 
-/// What stands before a snapshot's state in its file.
+/// Record that precedes the state in the snapshot file.
 struct SnapshotRecord {
   consensus::Snapshot snapshot;  ///< without its state
   std::uint64_t stateBytes = 0;
@@ -65,23 +65,23 @@
 }
 
 base::Bytes frameRecord(const base::Bytes& payload) {
-  base::Bytes framed;
-  framed.reserve(kHeaderSize + payload.size());
-  putInteger(framed, kRecordMagic);
-  putInteger(framed, static_cast<std::uint32_t>(payload.size()));
-  putInteger(framed, base::hashBytes(payload));
-  framed += payload;
-  return framed;
+  base::Bytes encodedRecord;
+  encodedRecord.reserve(kHeaderSize + payload.size());
+  putInteger(encodedRecord, kRecordMagic);
+  putInteger(encodedRecord, static_cast<std::uint32_t>(payload.size()));
+  putInteger(encodedRecord, base::hashBytes(payload));
+  encodedRecord += payload;
+  return encodedRecord;
 }
 
-/// The payload of the record at `offset`, when one stands there undamaged.
+/// Returns the payload of the record at `offset`, std::nullopt if there is no valid record.
 std::optional<std::string_view> recordAt(std::string_view content, std::size_t offset) {
   if (offset + kHeaderSize > content.size() ||
       getInteger<std::uint32_t>(content, offset) != kRecordMagic) {
     return std::nullopt;
   }
   const auto length = getInteger<std::uint32_t>(content, offset + 4);
-  if (length > kMaximumRecordSize || offset + kHeaderSize + length > content.size()) {
+  if (length > kMaxRecordSize || offset + kHeaderSize + length > content.size()) {
     return std::nullopt;
   }
   const std::string_view payload = content.substr(offset + kHeaderSize, length);
@@ -101,12 +101,12 @@
 }
 
 template <typename T>
-base::Result<T> readChecked(FileSystem& files, const std::string& name) {
+base::Result<T> readRecordFile(FileSystem& files, const std::string& name) {
   BOOST_LEAF_AUTO(content, files.read(name));
   const auto payload = recordAt(content, 0);
   auto value = payload ? base::decode<T>(base::Bytes(*payload)) : std::nullopt;
   if (!value) {
-    return base::fail(base::ErrorCode::kCorrupt, name + ": damaged");
+    return base::fail(base::ErrorCode::kCorrupt, name + ": invalid record");
   }
   return *value;
 }
@@ -117,7 +117,7 @@
   return std::string(kSegmentPrefix) + digits;
 }
 
-SnapshotRecord describe(const consensus::Snapshot& snapshot) {
+SnapshotRecord makeSnapshotRecord(const consensus::Snapshot& snapshot) {
   SnapshotRecord record;
   record.snapshot = {snapshot.lastIndex, snapshot.lastTerm, snapshot.membership, {}};
   record.stateBytes = snapshot.state.size();
@@ -125,8 +125,9 @@
   return record;
 }
 
-/// Removes all segments but `name`, which holds all that counts, and opens that one.
-base::Result<std::unique_ptr<AppendFile>> openAlone(FileSystem& files, const std::string& name) {
+/// Removes all segments except `name` and opens this one.
+base::Result<std::unique_ptr<AppendFile>> removeOtherSegments(FileSystem& files,
+                                                              const std::string& name) {
   BOOST_LEAF_AUTO(names, files.list());
   for (const std::string& other : names) {
     if (other.starts_with(kSegmentPrefix) && other != name) {
@@ -138,31 +139,30 @@
 
 }  // namespace
 
-/// Shared with the executor, which writes `segment` only.
+/// State of a compaction. Shared with the executor, which modifies only `segment`.
 struct SegmentedLog::Compaction {
   consensus::Snapshot snapshot;
   SnapshotRecord record;
-  base::Bytes framed;   ///< the record, as it stands in the file
-  base::Bytes content;  ///< of the new segment
+  base::Bytes encodedRecord;  ///< `record` as stored in the snapshot file
+  base::Bytes segmentBytes;   ///< content of the new segment
   std::uint64_t segmentNumber = 0;
   std::unique_ptr<AppendFile> segment;
 };
 
-base::Result<FolderIdentity> readIdentity(FileSystem& files) {
-  return readChecked<FolderIdentity>(files, kIdentityFile);
+base::Result<DataDirectoryIdentity> readIdentity(FileSystem& files) {
+  return readRecordFile<DataDirectoryIdentity>(files, kIdentityFile);
 }
 
-base::Result<std::unique_ptr<SegmentedLog>> SegmentedLog::open(FileSystem& files,
-                                                               const FolderIdentity& identity,
-                                                               const consensus::Membership& initial,
-                                                               DiskExecutor* executor) {
+base::Result<std::unique_ptr<SegmentedLog>> SegmentedLog::open(
+    FileSystem& files, const DataDirectoryIdentity& identity, const consensus::Membership& initial,
+    DiskExecutor* executor) {
   std::unique_ptr<SegmentedLog> log(new SegmentedLog(files, executor));
   BOOST_LEAF_AUTO(names, files.list());
-  bool initialised = false;
+  bool initialized = false;
   for (const std::string& name : names) {
-    initialised = initialised || name == kIdentityFile;
+    initialized = initialized || name == kIdentityFile;
   }
-  if (!initialised) {
+  if (!initialized) {
     consensus::Snapshot first;
     first.membership = initial;
     BOOST_LEAF_CHECK(log->writeSnapshot(first));
@@ -172,7 +172,7 @@
     BOOST_LEAF_AUTO(found, readIdentity(files));
     if (!(found == identity)) {
       return base::fail(base::ErrorCode::kWrongIdentity,
-                        "the data folder belongs to another node, cluster or format version");
+                        "the data directory belongs to another node, cluster or format version");
     }
   }
   BOOST_LEAF_CHECK(log->load());
@@ -195,17 +195,17 @@
     }
   }
   if (!segments.empty()) {
-    // Each segment begins with all that came before it, and its name appears only once that is
-    // durable: older segments are leftovers of a crash and may end in a torn record.
+    // A segment starts with all earlier state and gets its name only once that is durable. Older
+    // segments are left over from a crash and may end with a torn record.
     BOOST_LEAF_CHECK(replaySegment(segments.back()));
     segment_number_ = std::stoull(segments.back().substr(kSegmentPrefix.size()));
   }
   dropEntriesCoveredBySnapshot();
-  countLogBytes();
-  return rewrite();
+  recomputeLogBytes();
+  return rollSegment();
 }
 
-void SegmentedLog::countLogBytes() {
+void SegmentedLog::recomputeLogBytes() {
   log_bytes_ = 0;
   for (const consensus::LogEntry& entry : entries_) {
     log_bytes_ += entry.payload.size();
@@ -215,46 +215,47 @@
 base::Result<void> SegmentedLog::loadSnapshot() {
   BOOST_LEAF_AUTO(head, files_.readRange(kSnapshotFile, 0, kHeaderSize));
   const std::size_t length = head.size() < kHeaderSize ? 0 : getInteger<std::uint32_t>(head, 4);
-  if (length == 0 || length > kMaximumRecordSize) {
-    return base::fail(base::ErrorCode::kCorrupt, kSnapshotFile + ": damaged");
+  if (length == 0 || length > kMaxRecordSize) {
+    return base::fail(base::ErrorCode::kCorrupt, kSnapshotFile + ": invalid snapshot record");
   }
-  BOOST_LEAF_AUTO(framed, files_.readRange(kSnapshotFile, 0, kHeaderSize + length));
-  const auto payload = recordAt(framed, 0);
+  BOOST_LEAF_AUTO(encodedRecord, files_.readRange(kSnapshotFile, 0, kHeaderSize + length));
+  const auto payload = recordAt(encodedRecord, 0);
   auto record = payload ? base::decode<SnapshotRecord>(base::Bytes(*payload)) : std::nullopt;
   if (!record) {
-    return base::fail(base::ErrorCode::kCorrupt, kSnapshotFile + ": damaged");
+    return base::fail(base::ErrorCode::kCorrupt, kSnapshotFile + ": invalid snapshot record");
   }
   snapshot_ = std::move(record->snapshot);
   snapshot_bytes_ = record->stateBytes;
-  snapshot_offset_ = framed.size();
+  snapshot_offset_ = encodedRecord.size();
   BOOST_LEAF_AUTO(state, readSnapshotState());
   if (state.size() != record->stateBytes || base::hashBytes(state) != record->stateHash) {
-    return base::fail(base::ErrorCode::kCorrupt, kSnapshotFile + ": its state is damaged");
+    return base::fail(base::ErrorCode::kCorrupt,
+                      kSnapshotFile + ": size or checksum of the snapshot state does not match");
   }
   return {};
 }
 
 base::Result<void> SegmentedLog::writeSnapshot(const consensus::Snapshot& snapshot) {
-  const SnapshotRecord record = describe(snapshot);
-  const base::Bytes framed = frameRecord(base::encode(record));
-  BOOST_LEAF_CHECK(writeFileAtomically(files_, kSnapshotFile, framed, snapshot.state));
+  const SnapshotRecord record = makeSnapshotRecord(snapshot);
+  const base::Bytes encodedRecord = frameRecord(base::encode(record));
+  BOOST_LEAF_CHECK(writeFileAtomically(files_, kSnapshotFile, encodedRecord, snapshot.state));
   snapshot_ = record.snapshot;
   snapshot_bytes_ = record.stateBytes;
-  snapshot_offset_ = framed.size();
+  snapshot_offset_ = encodedRecord.size();
   return {};
 }
 
 base::Result<base::Bytes> SegmentedLog::readSnapshotState() const {
-  return readSnapshotPart(0, snapshot_bytes_);
+  return readSnapshotChunk(0, snapshot_bytes_);
 }
 
-base::Result<base::Bytes> SegmentedLog::readSnapshotPart(std::size_t offset,
-                                                         std::size_t size) const {
-  const std::size_t left = snapshot_bytes_ - std::min(offset, snapshot_bytes_);
-  if (left == 0 || size == 0) {
+base::Result<base::Bytes> SegmentedLog::readSnapshotChunk(std::size_t offset,
+                                                          std::size_t size) const {
+  const std::size_t remaining = snapshot_bytes_ - std::min(offset, snapshot_bytes_);
+  if (remaining == 0 || size == 0) {
     return base::Bytes();
   }
-  return files_.readRange(kSnapshotFile, snapshot_offset_ + offset, std::min(size, left));
+  return files_.readRange(kSnapshotFile, snapshot_offset_ + offset, std::min(size, remaining));
 }
 
 void SegmentedLog::dropEntriesCoveredBySnapshot() {
@@ -280,13 +281,13 @@
     if (!payload) {
       if (hasRecordAfter(content, offset)) {
         return base::fail(base::ErrorCode::kCorrupt,
-                          name + ": damaged at byte " + std::to_string(offset));
+                          name + ": invalid record at byte " + std::to_string(offset));
       }
       return {};
     }
     if (!applyRecord(base::Bytes(*payload))) {
       return base::fail(base::ErrorCode::kCorrupt,
-                        name + ": unreadable record at byte " + std::to_string(offset));
+                        name + ": record cannot be applied at byte " + std::to_string(offset));
     }
     offset += kHeaderSize + payload->size();
   }
@@ -320,7 +321,7 @@
   if (executor_ == nullptr) {
     return segment_->append(frameRecord(payload));
   }
-  gathered_ += frameRecord(payload);
+  m_pendingRecords += frameRecord(payload);
   return {};
 }
 
@@ -347,7 +348,7 @@
 }
 
 base::Result<void> SegmentedLog::saveSnapshot(const consensus::Snapshot& snapshot) {
-  BOOST_LEAF_CHECK(settle());
+  BOOST_LEAF_CHECK(waitForExecutor());
   const bool continues = snapshot.lastIndex >= firstIndex() && snapshot.lastIndex <= lastIndex() &&
                          entry(snapshot.lastIndex).term == snapshot.lastTerm;
   if (continues) {
@@ -357,27 +358,30 @@
     entries_.clear();
   }
   BOOST_LEAF_CHECK(writeSnapshot(snapshot));
-  countLogBytes();
-  return rewrite();
+  recomputeLogBytes();
+  return rollSegment();
 }
 
 base::Result<void> SegmentedLog::beginCompaction(consensus::Snapshot snapshot) {
   if (executor_ == nullptr) {
     return saveSnapshot(snapshot);
   }
-  BOOST_LEAF_CHECK(settle());
-  sync_ended_ = std::exchange(sync_begun_, false);
+  BOOST_LEAF_CHECK(waitForExecutor());
+  m_syncCompleted = std::exchange(m_syncInFlight, false);
   compaction_ = std::make_shared<Compaction>();
-  compaction_->record = describe(snapshot);
-  compaction_->framed = frameRecord(base::encode(compaction_->record));
-  compaction_->content = contentAfter(snapshot.lastIndex);
+  compaction_->record = makeSnapshotRecord(snapshot);
+  compaction_->encodedRecord = frameRecord(base::encode(compaction_->record));
+  compaction_->segmentBytes = encodeTail(snapshot.lastIndex);
   compaction_->segmentNumber = segment_number_ + 1;
   compaction_->snapshot = std::move(snapshot);
-  gathered_.clear();  // the new segment holds these records
-  executor_->start([&files = files_, work = compaction_]() -> base::Result<void> {
-    BOOST_LEAF_CHECK(writeFileAtomically(files, kSnapshotFile, work->framed, work->snapshot.state));
-    BOOST_LEAF_CHECK(writeFileAtomically(files, segmentName(work->segmentNumber), work->content));
-    BOOST_LEAF_ASSIGN(work->segment, openAlone(files, segmentName(work->segmentNumber)));
+  m_pendingRecords.clear();  // The new segment contains these records.
+  executor_->start([&files = files_, compaction = compaction_]() -> base::Result<void> {
+    BOOST_LEAF_CHECK(writeFileAtomically(files, kSnapshotFile, compaction->encodedRecord,
+                                         compaction->snapshot.state));
+    BOOST_LEAF_CHECK(writeFileAtomically(files, segmentName(compaction->segmentNumber),
+                                         compaction->segmentBytes));
+    BOOST_LEAF_ASSIGN(compaction->segment,
+                      removeOtherSegments(files, segmentName(compaction->segmentNumber)));
     return {};
   });
   return {};
@@ -390,23 +394,23 @@
   }
   snapshot_ = done->record.snapshot;
   snapshot_bytes_ = done->record.stateBytes;
-  snapshot_offset_ = done->framed.size();
+  snapshot_offset_ = done->encodedRecord.size();
   segment_number_ = done->segmentNumber;
   segment_ = std::move(done->segment);
-  countLogBytes();
+  recomputeLogBytes();
   return {};
 }
 
-base::Result<void> SegmentedLog::settle() {
+base::Result<void> SegmentedLog::waitForExecutor() {
   if (executor_ == nullptr) {
     return {};
   }
   executor_->wait();
-  BOOST_LEAF_CHECK(executor_->outcome());
+  BOOST_LEAF_CHECK(executor_->result());
   return compaction_ == nullptr ? base::Result<void>() : finishCompaction();
 }
 
-base::Bytes SegmentedLog::contentAfter(consensus::LogIndex index) const {
+base::Bytes SegmentedLog::encodeTail(consensus::LogIndex index) const {
   base::Bytes content = frameRecord(base::encode(Record{hard_state_}));
   for (const consensus::LogEntry& entry : entries_) {
     if (entry.index > index) {
@@ -416,36 +420,36 @@
   return content;
 }
 
-base::Result<void> SegmentedLog::rewrite() {
-  gathered_.clear();  // the new segment holds all entries
+base::Result<void> SegmentedLog::rollSegment() {
+  m_pendingRecords.clear();  // The new segment contains all entries.
   const std::uint64_t number = segment_number_ + 1;
   segment_.reset();
-  BOOST_LEAF_CHECK(writeAllEntries(segmentName(number) + ".tmp"));
+  BOOST_LEAF_CHECK(writeSegment(segmentName(number) + ".tmp"));
   BOOST_LEAF_CHECK(files_.rename(segmentName(number) + ".tmp", segmentName(number)));
   BOOST_LEAF_CHECK(files_.syncDirectory());
-  BOOST_LEAF_ASSIGN(segment_, openAlone(files_, segmentName(number)));
+  BOOST_LEAF_ASSIGN(segment_, removeOtherSegments(files_, segmentName(number)));
   segment_number_ = number;
   return {};
 }
 
-base::Result<void> SegmentedLog::writeAllEntries(const std::string& name) {
-  constexpr std::size_t kPartBytes = 256U << 10U;  // the whole may be too large to be held twice
+base::Result<void> SegmentedLog::writeSegment(const std::string& name) {
+  constexpr std::size_t kChunkBytes = 256U << 10U;  // The log may be too large for a second copy.
   BOOST_LEAF_CHECK(files_.remove(name));
   BOOST_LEAF_AUTO(file, files_.open(name));
-  base::Bytes part = frameRecord(base::encode(Record{hard_state_}));
+  base::Bytes chunk = frameRecord(base::encode(Record{hard_state_}));
   for (const consensus::LogEntry& entry : entries_) {
-    part += frameRecord(base::encode(Record{entry}));
-    if (part.size() >= kPartBytes) {
-      BOOST_LEAF_CHECK(file->append(std::exchange(part, {})));
+    chunk += frameRecord(base::encode(Record{entry}));
+    if (chunk.size() >= kChunkBytes) {
+      BOOST_LEAF_CHECK(file->append(std::exchange(chunk, {})));
     }
   }
-  BOOST_LEAF_CHECK(file->append(part));
+  BOOST_LEAF_CHECK(file->append(chunk));
   return file->sync();
 }
 
 base::Result<void> SegmentedLog::sync() {
-  BOOST_LEAF_CHECK(settle());
-  BOOST_LEAF_CHECK(segment_->append(std::exchange(gathered_, {})));
+  BOOST_LEAF_CHECK(waitForExecutor());
+  BOOST_LEAF_CHECK(segment_->append(std::exchange(m_pendingRecords, {})));
   return segment_->sync();
 }
 
@@ -453,37 +457,37 @@
   if (executor_ == nullptr) {
     return sync();
   }
-  sync_waits_ = compaction_ != nullptr;
-  if (!sync_waits_) {
+  m_syncQueued = compaction_ != nullptr;
+  if (!m_syncQueued) {
     startSync();
   }
   return {};
 }
 
 void SegmentedLog::startSync() {
-  sync_begun_ = true;
-  executor_->start([this, bytes = std::exchange(gathered_, {})]() -> base::Result<void> {
+  m_syncInFlight = true;
+  executor_->start([this, bytes = std::exchange(m_pendingRecords, {})]() -> base::Result<void> {
     BOOST_LEAF_CHECK(segment_->append(bytes));
     return segment_->sync();
   });
 }
 
-base::Result<bool> SegmentedLog::syncEnded() {
-  if (executor_ == nullptr || std::exchange(sync_ended_, false)) {
+base::Result<bool> SegmentedLog::pollSync() {
+  if (executor_ == nullptr || std::exchange(m_syncCompleted, false)) {
     return true;
   }
   if (executor_->running()) {
     return false;
   }
-  BOOST_LEAF_CHECK(executor_->outcome());
+  BOOST_LEAF_CHECK(executor_->result());
   if (compaction_ != nullptr) {
     BOOST_LEAF_CHECK(finishCompaction());
   }
-  if (std::exchange(sync_waits_, false)) {
+  if (std::exchange(m_syncQueued, false)) {
     startSync();
     return false;
   }
-  sync_begun_ = false;
+  m_syncInFlight = false;
   return true;
 }
 
--- a/src/storage/segmented_log.h
+++ b/src/storage/segmented_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// LogStore in checksummed segment files.
+/// LogStore in segment files with checksums.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,15 @@
 
 namespace tackpick::storage {
 
-/// Whose data folder this is. A folder of another cluster, node or format version is refused.
-struct FolderIdentity {
+/// Identity of a data directory. A directory of another cluster, node or format version is
+/// rejected.
+struct DataDirectoryIdentity {
   std::string cluster;
   base::NodeId node;
   base::GroupId group;
   std::uint32_t formatVersion = 2;
 
-  bool operator==(const FolderIdentity&) const = default;
+  bool operator==(const DataDirectoryIdentity&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -28,44 +29,42 @@
   }
 };
 
-/// The file of an initialised folder that holds its identity.
+/// File that holds the identity of an initialized directory.
 inline constexpr const char* kIdentityFileName = "identity";
 
-/// Reads the identity of a folder; kNotFound when the folder is empty.
-[[nodiscard]] base::Result<FolderIdentity> readIdentity(FileSystem& files);
+/// Returns the identity of a directory, kNotFound if it is empty.
+[[nodiscard]] base::Result<DataDirectoryIdentity> readIdentity(FileSystem& files);
 
-/// Write-ahead log of entries and hard states, with the newest snapshot beside it.
+/// Write-ahead log of entries and hard states, with the latest snapshot.
 ///
 /// Files: `identity`, `snapshot`, and segments `segment-NNNNNNNNNN` of records
-/// `[magic u32][length u32][checksum u64][payload]`, little endian. A new segment begins with the
-/// whole state, so only the newest one counts. The log after the snapshot is
-/// also kept in memory, the snapshot's state is not; compaction keeps the log short. The snapshot's
-/// file holds a record that describes it, and then its state, which may be long and is copied as
-/// seldom as possible. A torn record
-/// at the very end of the last segment is cut off on opening, because it was never synced and so
-/// never acknowledged. Damage anywhere before a readable record is reported as kCorrupt and the
-/// folder is refused. Owned by one thread.
+/// `[magic u32][length u32][checksum u64][payload]`, little endian. A new segment starts with the
+/// hard state and all entries after the snapshot, so only the latest segment is read. The entries
+/// are also kept in memory, the state of the snapshot is not. The snapshot file consists of a
+/// record that describes the snapshot and its state. A torn record at the end of the last segment
+/// is dropped on opening, because it was never synced and therefore never acknowledged. Damage
+/// before a readable record is reported as kCorrupt. Owned by one thread.
 ///
-/// With a DiskExecutor, records are gathered in memory and written and synced there: a slow disk
-/// delays what depends on a write and nothing else. Snapshots for compaction are written there too;
-/// one that another server sent is written by the caller.
+/// With a DiskExecutor, records are buffered in memory and written and synced by the executor, so
+/// that a slow disk delays only messages that depend on a write. It also writes snapshots for
+/// compaction; a snapshot received from another server is written by the caller.
 class SegmentedLog final : public consensus::LogStore {
  public:
-  /// Opens a folder; an empty one is initialised with `identity` and, for the first servers of a
-  /// new group, their `initial` membership. `executor`, if any, is used by this log alone.
+  /// Opens a directory. An empty one is initialized with `identity` and, for the initial voters of
+  /// a new group, with the `initial` membership. `executor`, if any, must be used by this log only.
   [[nodiscard]] static base::Result<std::unique_ptr<SegmentedLog>> open(
-      FileSystem& files, const FolderIdentity& identity, const consensus::Membership& initial,
-      DiskExecutor* executor = nullptr);
+      FileSystem& files, const DataDirectoryIdentity& identity,
+      const consensus::Membership& initial, DiskExecutor* executor = nullptr);
   SegmentedLog(const SegmentedLog&) = delete;
   SegmentedLog& operator=(const SegmentedLog&) = delete;
-  /// Waits for the executor, which may still be writing.
+  /// Waits for a running task of the executor.
   ~SegmentedLog() override;
 
   [[nodiscard]] const consensus::HardState& hardState() const override { return hard_state_; }
   [[nodiscard]] const consensus::Snapshot& snapshot() const override { return snapshot_; }
   [[nodiscard]] base::Result<base::Bytes> readSnapshotState() const override;
-  [[nodiscard]] base::Result<base::Bytes> readSnapshotPart(std::size_t offset,
-                                                           std::size_t size) const override;
+  [[nodiscard]] base::Result<base::Bytes> readSnapshotChunk(std::size_t offset,
+                                                            std::size_t size) const override;
   [[nodiscard]] std::size_t snapshotBytes() const override { return snapshot_bytes_; }
   [[nodiscard]] std::size_t logBytes() const override { return log_bytes_; }
   [[nodiscard]] consensus::LogIndex lastIndex() const override {
@@ -83,7 +82,7 @@
   [[nodiscard]] bool compacting() const override { return compaction_ != nullptr; }
   [[nodiscard]] base::Result<void> sync() override;
   [[nodiscard]] base::Result<void> beginSync() override;
-  [[nodiscard]] base::Result<bool> syncEnded() override;
+  [[nodiscard]] base::Result<bool> pollSync() override;
 
  private:
   SegmentedLog(FileSystem& files, DiskExecutor* executor) : files_(files), executor_(executor) {}
@@ -91,36 +90,38 @@
   [[nodiscard]] base::Result<void> load();
   [[nodiscard]] base::Result<void> loadSnapshot();
   [[nodiscard]] base::Result<void> writeSnapshot(const consensus::Snapshot& snapshot);
-  /// Waits for the executor and takes in what it did.
-  [[nodiscard]] base::Result<void> settle();
-  /// Drops the entries that the snapshot under way covers, and goes on in the new segment.
+  /// Waits for the executor and handles the result of its task.
+  [[nodiscard]] base::Result<void> waitForExecutor();
+  /// Switches to the new snapshot and segment, and drops the entries that the snapshot covers.
   [[nodiscard]] base::Result<void> finishCompaction();
+  /// Hands the pending records to the executor to be written and synced.
   void startSync();
-  /// Writes and syncs a file with the hard state and all entries.
-  [[nodiscard]] base::Result<void> writeAllEntries(const std::string& name);
-  /// A segment's first records: the hard state and the entries behind `index`.
-  [[nodiscard]] base::Bytes contentAfter(consensus::LogIndex index) const;
+  /// Writes and syncs a segment with the hard state and all entries.
+  [[nodiscard]] base::Result<void> writeSegment(const std::string& name);
+  /// Returns the records of the hard state and of the entries after `index`.
+  [[nodiscard]] base::Bytes encodeTail(consensus::LogIndex index) const;
   [[nodiscard]] base::Result<void> replaySegment(const std::string& name);
+  /// Replays a record. Returns false if it is invalid.
   [[nodiscard]] bool applyRecord(const base::Bytes& payload);
-  void countLogBytes();
-  /// After replay: keeps only the entries that continue from the snapshot.
+  void recomputeLogBytes();
+  /// Drops all replayed entries that do not continue from the snapshot.
   void dropEntriesCoveredBySnapshot();
   [[nodiscard]] base::Result<void> writeRecord(const base::Bytes& payload);
-  /// Begins a new segment holding the hard state and all entries in memory, then drops the others.
-  [[nodiscard]] base::Result<void> rewrite();
+  /// Starts a new segment with the hard state and all entries, then removes the other segments.
+  [[nodiscard]] base::Result<void> rollSegment();
 
   FileSystem& files_;
-  DiskExecutor* const executor_;  ///< null: the caller's thread writes and syncs
-  base::Bytes gathered_;          ///< records that the executor has not been given yet
+  DiskExecutor* const executor_;  ///< nullptr: the caller's thread writes and syncs
+  base::Bytes m_pendingRecords;   ///< records not handed to the executor yet
   struct Compaction;
-  std::shared_ptr<Compaction> compaction_;  ///< under way
-  bool sync_waits_ = false;                 ///< for the end of the compaction
-  bool sync_begun_ = false;                 ///< and its end has not been told
-  bool sync_ended_ = false;                 ///< before the compaction began
+  std::shared_ptr<Compaction> compaction_;  ///< compaction in progress, if any
+  bool m_syncQueued = false;                ///< starts when the compaction has completed
+  bool m_syncInFlight = false;              ///< completion not reported by pollSync() yet
+  bool m_syncCompleted = false;             ///< completed before the compaction started
   consensus::HardState hard_state_;
   consensus::Snapshot snapshot_;  ///< without its state
   std::size_t snapshot_bytes_ = 0;
-  std::size_t snapshot_offset_ = 0;  ///< of the state in the snapshot's file
+  std::size_t snapshot_offset_ = 0;  ///< of the state in the snapshot file
   std::size_t log_bytes_ = 0;        ///< payloads of entries_
   std::deque<consensus::LogEntry> entries_;
   std::uint64_t segment_number_ = 0;
--- a/test/cluster/cluster_member_test.cpp
+++ b/test/cluster/cluster_member_test.cpp
@@ -1,4 +1,4 @@
-/// What a process makes of the controllers' views.
+/// Tests how a process handles the views of the controllers.
 #include "cluster/cluster_member.h"
 
 #include <criterion/criterion.h>
@@ -36,19 +36,19 @@
     return made;
   }
 
-  /// The controllers answer the watch under way.
-  void tell(const directory::DirectoryView& view) {
+  /// Receives the pending watch and answers it with `view`.
+  void answerNextWatch(const directory::DirectoryView& view) {
     for (const transport::OutgoingMessage& outgoing : member.takeMessages()) {
       const auto* request = std::get_if<transport::CommandRequest>(&outgoing.message);
       if (request != nullptr && request->group == kDirectory) {
         watch = *base::decode<directory::DirectoryRequest>(request->payload);
         lastCall = request->call;
-        answer(view);
+        answerLastWatch(view);
       }
     }
   }
-  /// The controllers answer the watch that was sent last.
-  void answer(const directory::DirectoryView& view) {
+  /// Answers the watch that was received last.
+  void answerLastWatch(const directory::DirectoryView& view) {
     transport::CommandResponse response;
     response.group = kDirectory;
     response.call = lastCall;
@@ -57,8 +57,8 @@
         base::encode(directory::DirectoryReply{directory::DirectoryStatus::kDone, {}, view});
     member.onResponse(response, now);
   }
-  /// Time passes until the watch is sent (again); the number of the node that it goes to.
-  [[nodiscard]] std::uint32_t askedNext() {
+  /// Advances the time until the next watch is sent and returns the number of its target node.
+  [[nodiscard]] std::uint32_t nextWatchTarget() {
     while (true) {
       for (const transport::OutgoingMessage& outgoing : member.takeMessages()) {
         const auto* request = std::get_if<transport::CommandRequest>(&outgoing.message);
@@ -97,54 +97,54 @@
   return view;
 }
 
-/// Whom a call that nobody answers is sent to, one after the other.
-std::set<base::NodeId> askedLedgers(Fixture& fixture) {
-  std::set<base::NodeId> asked;
+/// Returns the ledgers to which an unanswered call is sent.
+std::set<base::NodeId> contactedLedgers(Fixture& fixture) {
+  std::set<base::NodeId> contacted;
   fixture.member.call(jobs::JobRequest{jobs::EndJob{"j"}}, base::seconds(20), fixture.now,
                       [](const jobs::JobReply*) {});
   for (int i = 0; i < 40; ++i) {
     for (const transport::OutgoingMessage& outgoing : fixture.member.takeMessages()) {
       const auto* request = std::get_if<transport::CommandRequest>(&outgoing.message);
       if (request != nullptr && request->group == kLedgers) {
-        asked.insert(outgoing.to);
+        contacted.insert(outgoing.to);
       }
     }
     fixture.now += base::milliseconds(300);
     fixture.member.tick(fixture.now);
   }
-  return asked;
+  return contacted;
 }
 
 }  // namespace
 
-Test(cluster_member, only_ledgers_that_may_know_the_leader_are_asked) {
+Test(cluster_member, only_voters_of_the_ledgers_are_called) {
   Fixture fixture;
   directory::DirectoryView view = viewOfLedgers(45);
   view.ledgerVoters = {ledger(7), ledger(20), ledger(44)};
-  fixture.tell(view);
-  cr_assert(askedLedgers(fixture) == view.ledgerVoters);
+  fixture.answerNextWatch(view);
+  cr_assert(contactedLedgers(fixture) == view.ledgerVoters);
 }
 
-Test(cluster_member, all_ledgers_are_asked_while_no_voter_is_heard) {
+Test(cluster_member, all_ledgers_are_called_while_no_voter_is_responsive) {
   Fixture fixture;
   directory::DirectoryView view = viewOfLedgers(4);
   view.ledgerVoters = {ledger(50)};
-  fixture.tell(view);
-  cr_assert_eq(askedLedgers(fixture).size(), 4U);
+  fixture.answerNextWatch(view);
+  cr_assert_eq(contactedLedgers(fixture).size(), 4U);
 }
 
-Test(cluster_member, voters_are_remembered_while_the_controllers_know_none) {
+Test(cluster_member, last_voters_are_kept_while_the_controllers_report_none) {
   Fixture fixture;
   directory::DirectoryView view = viewOfLedgers(9);
   view.ledgerVoters = {ledger(3), ledger(4)};
-  fixture.tell(view);
+  fixture.answerNextWatch(view);
   view.ledgerVoters.clear();
   view.revision = 2;
-  fixture.tell(view);
-  cr_assert_eq(askedLedgers(fixture).size(), 2U);
+  fixture.answerNextWatch(view);
+  cr_assert_eq(contactedLedgers(fixture).size(), 2U);
 }
 
-Test(cluster_member, only_ledgers_that_keep_batches_are_near) {
+Test(cluster_member, zone_ledger_is_a_voter) {
   directory::NodeRecord own = Fixture::record();
   own.zone = "a";
   Fixture fixture(own);
@@ -155,112 +155,112 @@
     summary.silence = base::milliseconds(10);
   }
   view.ledgers[17].silence = base::milliseconds(400);
-  fixture.tell(view);
+  fixture.answerNextWatch(view);
   cr_assert(fixture.member.zoneLedger() == ledger(17));
   view.ledgerVoters = {ledger(40)};
   view.revision = 2;
-  fixture.tell(view);
+  fixture.answerNextWatch(view);
   cr_assert_not(fixture.member.zoneLedger().valid(), "no voter in the zone");
 }
 
-Test(cluster_member, changes_are_passed_on_only_when_they_follow_the_view_that_is_held) {
+Test(cluster_member, incremental_views_are_passed_on_if_they_follow_the_current_view) {
   Fixture fixture;
-  std::vector<directory::DirectoryView> passedOn;
-  fixture.member.onView([&](const directory::DirectoryView& news) { passedOn.push_back(news); });
+  std::vector<directory::DirectoryView> updates;
+  fixture.member.onView([&](const directory::DirectoryView& update) { updates.push_back(update); });
   directory::DirectoryView view = viewOfLedgers(1);
   view.instances.resize(2);
-  fixture.tell(view);
-  cr_assert_eq(passedOn.size(), 1U);
-  cr_assert(passedOn[0].isFull);
-  cr_assert_eq(passedOn[0].instances.size(), 2U);
-  directory::DirectoryView news = viewOfLedgers(2);
-  news.isFull = false;
-  news.since = 1;
-  news.revision = 2;
-  news.removed = {"a"};
-  news.instances.resize(1);
-  news.instances[0].versions["m"] = 5;
-  fixture.tell(news);
-  cr_assert_eq(passedOn.size(), 2U);
-  cr_assert_eq(passedOn[1].removed.size(), 1U);
-  cr_assert_eq(passedOn[1].instances.at(0).versions.at("m"), 5U);
+  fixture.answerNextWatch(view);
+  cr_assert_eq(updates.size(), 1U);
+  cr_assert(updates[0].isFull);
+  cr_assert_eq(updates[0].instances.size(), 2U);
+  directory::DirectoryView update = viewOfLedgers(2);
+  update.isFull = false;
+  update.since = 1;
+  update.revision = 2;
+  update.removed = {"a"};
+  update.instances.resize(1);
+  update.instances[0].versions["m"] = 5;
+  fixture.answerNextWatch(update);
+  cr_assert_eq(updates.size(), 2U);
+  cr_assert_eq(updates[1].removed.size(), 1U);
+  cr_assert_eq(updates[1].instances.at(0).versions.at("m"), 5U);
   cr_assert_eq(fixture.member.view().ledgers.size(), 2U);
   cr_assert_eq(fixture.watchedRevision(), 2U);
 }
 
-Test(cluster_member, changes_to_another_view_are_not_taken_and_the_whole_is_asked_for) {
+Test(cluster_member, incremental_views_of_another_view_are_dropped_and_a_full_one_is_requested) {
   Fixture fixture;
-  int passedOn = 0;
-  fixture.member.onView([&](const directory::DirectoryView&) { ++passedOn; });
-  fixture.tell(viewOfLedgers(1));
-  directory::DirectoryView news = viewOfLedgers(1);
-  news.isFull = false;
-  news.since = 7;
-  news.revision = 8;
-  fixture.tell(news);
-  cr_assert_eq(passedOn, 1);
+  int updates = 0;
+  fixture.member.onView([&](const directory::DirectoryView&) { ++updates; });
+  fixture.answerNextWatch(viewOfLedgers(1));
+  directory::DirectoryView update = viewOfLedgers(1);
+  update.isFull = false;
+  update.since = 7;
+  update.revision = 8;
+  fixture.answerNextWatch(update);
+  cr_assert_eq(updates, 1);
   cr_assert_eq(fixture.watchedRevision(), 0U);
 }
 
-Test(cluster_member, who_waits_for_the_whole_is_told_the_rest) {
+Test(cluster_member, incremental_view_without_a_new_revision_is_applied) {
   Fixture fixture;
-  fixture.tell(viewOfLedgers(1));
-  directory::DirectoryView rest = viewOfLedgers(3);
-  rest.isFull = false;
-  rest.since = 1;
-  rest.revision = 1;
-  fixture.tell(rest);
+  fixture.answerNextWatch(viewOfLedgers(1));
+  directory::DirectoryView incremental = viewOfLedgers(3);
+  incremental.isFull = false;
+  incremental.since = 1;
+  incremental.revision = 1;
+  fixture.answerNextWatch(incremental);
   cr_assert_eq(fixture.member.view().ledgers.size(), 3U);
   cr_assert_eq(fixture.watchedRevision(), 1U);
 }
 
-// The next watch says that the configuration is here, so nobody would send it again.
-Test(cluster_member, configuration_told_with_changes_that_do_not_fit_is_passed_on_at_once) {
+// The next watch reports the version, so the configuration would not be sent again.
+Test(cluster_member, configuration_is_passed_on_even_if_its_incremental_view_is_dropped) {
   Fixture fixture;
-  std::uint64_t passedOn = 0;
+  std::uint64_t passedVersion = 0;
   fixture.member.onConfiguration(
-      [&](const directory::Configuration& newest) { passedOn = newest.version; });
-  fixture.tell(viewOfLedgers(1));
-  directory::DirectoryView news = viewOfLedgers(1);
-  news.isFull = false;
-  news.since = 7;
-  news.revision = 8;
-  news.configuration.emplace();
-  news.configuration->version = 4;
-  fixture.tell(news);
-  cr_assert_eq(passedOn, 4U);
-  news.configuration->version = 3;
-  fixture.tell(news);
-  cr_assert_eq(passedOn, 4U, "a configuration never goes back");
+      [&](const directory::Configuration& newest) { passedVersion = newest.version; });
+  fixture.answerNextWatch(viewOfLedgers(1));
+  directory::DirectoryView update = viewOfLedgers(1);
+  update.isFull = false;
+  update.since = 7;
+  update.revision = 8;
+  update.configuration.emplace();
+  update.configuration->version = 4;
+  fixture.answerNextWatch(update);
+  cr_assert_eq(passedVersion, 4U);
+  update.configuration->version = 3;
+  fixture.answerNextWatch(update);
+  cr_assert_eq(passedVersion, 4U, "an older configuration is ignored");
 }
 
-// An answer may have waited in a process that stood still.
+// The answer may have been delayed, for instance in a frozen process.
 Test(cluster_member, configuration_is_confirmed_up_to_when_the_watch_was_sent) {
   Fixture fixture;
-  cr_assert_not(fixture.member.confirmedAt().has_value());
-  const base::TimePoint asked = fixture.now;
+  cr_assert_not(fixture.member.configurationConfirmedAt().has_value());
+  const base::TimePoint sentAt = fixture.now;
   fixture.now += base::seconds(3);
-  fixture.tell(viewOfLedgers(1));
-  cr_assert(fixture.member.confirmedAt() == asked);
+  fixture.answerNextWatch(viewOfLedgers(1));
+  cr_assert(fixture.member.configurationConfirmedAt() == sentAt);
   cr_assert(fixture.member.lastContactAt() == fixture.now);
 }
 
-// Seeds that are gone for good would cost a resend interval each, with every change of leader.
-Test(cluster_member, seeds_are_asked_only_once_no_controller_has_answered) {
+// Each lost seed would cost a resend interval with every change of leader.
+Test(cluster_member, seeds_are_contacted_only_if_no_controller_answers) {
   constexpr std::uint32_t kSeed = 2;
   constexpr std::uint32_t kLeader = 13;
   Fixture fixture;
   directory::DirectoryView view = viewOfLedgers(1);
   view.controllers = {base::makeNodeId(11, 1), base::makeNodeId(12, 1),
                       base::makeNodeId(kLeader, 1)};
-  fixture.tell(view);
-  while (fixture.askedNext() != kLeader) {
+  fixture.answerNextWatch(view);
+  while (fixture.nextWatchTarget() != kLeader) {
   }
   view.revision = 2;
-  fixture.answer(view);
-  std::vector<std::uint32_t> asked;
+  fixture.answerLastWatch(view);
+  std::vector<std::uint32_t> targets;
   for (int i = 0; i < 4; ++i) {
-    asked.push_back(fixture.askedNext());
+    targets.push_back(fixture.nextWatchTarget());
   }
-  cr_assert(asked == (std::vector<std::uint32_t>{kLeader, 11, 12, kSeed}));
+  cr_assert(targets == (std::vector<std::uint32_t>{kLeader, 11, 12, kSeed}));
 }
--- a/test/cluster/group_repair_test.cpp
+++ b/test/cluster/group_repair_test.cpp
@@ -18,23 +18,28 @@
   return membership;
 }
 
-constexpr base::Duration kHeard = base::milliseconds(100);
+constexpr base::Duration kResponsive = base::milliseconds(100);
 constexpr base::Duration kUnresponsive = base::seconds(4);
 
 }  // namespace
 
-Test(group_repair, sound_group_stays_as_it_is) {
+Test(group_repair, healthy_group_is_unchanged) {
   const auto group = voters({node(1), node(2), node(3)});
-  const auto change = cluster::nextMembershipChange(
-      node(1), group, {{node(1), kHeard}, {node(2), kHeard}, {node(3), kHeard}, {node(4), kHeard}},
-      {});
+  const auto change = cluster::nextMembershipChange(node(1), group,
+                                                    {{node(1), kResponsive},
+                                                     {node(2), kResponsive},
+                                                     {node(3), kResponsive},
+                                                     {node(4), kResponsive}},
+                                                    {});
   cr_assert_not(change.has_value());
 }
 
 Test(group_repair, wiped_member_is_removed_and_its_successor_added) {
   auto group = voters({node(1), node(2), node(3)});
-  const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), base::seconds(1)}, {node(3, 77), kHeard}};
+  const std::vector<cluster::GroupNode> nodes = {{node(1), kResponsive},
+                                                 {node(2), kResponsive},
+                                                 {node(3), base::seconds(1)},
+                                                 {node(3, 77), kResponsive}};
   auto change = cluster::nextMembershipChange(node(1), group, nodes, {});
   cr_assert(change == (cluster::MembershipChange{node(3), true}));
   group.voters.erase(node(3));
@@ -42,23 +47,25 @@
   cr_assert(change == (cluster::MembershipChange{node(3, 77), false}));
 }
 
-// Two instances at one address: a late word from the earlier one must not oust the later one.
-Test(group_repair, successor_is_not_taken_for_replaced) {
+// Two instances at one address: a late heartbeat of the earlier one must not remove the later one.
+Test(group_repair, successor_does_not_count_as_replaced) {
   const auto group = voters({node(1), node(2), node(3, 77)});
-  const auto change = cluster::nextMembershipChange(
-      node(1), group,
-      {{node(1), kHeard}, {node(2), kHeard}, {node(3), base::seconds(1)}, {node(3, 77), kHeard}},
-      {});
+  const auto change = cluster::nextMembershipChange(node(1), group,
+                                                    {{node(1), kResponsive},
+                                                     {node(2), kResponsive},
+                                                     {node(3), base::seconds(1)},
+                                                     {node(3, 77), kResponsive}},
+                                                    {});
   cr_assert_not(change.has_value());
 }
 
-Test(group_repair, silent_member_stays_until_another_votes_in_its_place) {
+Test(group_repair, unresponsive_member_stays_until_its_successor_votes) {
   auto group = voters({node(1), node(2), node(3)});
   const std::vector<cluster::GroupNode> without = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}};
+      {node(1), kResponsive}, {node(2), kResponsive}, {node(3), kUnresponsive}};
   cr_assert_not(cluster::nextMembershipChange(node(1), group, without, {}).has_value());
   auto with = without;
-  with.push_back({node(4), kHeard});
+  with.push_back({node(4), kResponsive});
   cr_assert(cluster::nextMembershipChange(node(1), group, with, {}) ==
             (cluster::MembershipChange{node(4), false}));
   group.learners.insert(node(4));
@@ -71,8 +78,10 @@
 
 Test(group_repair, retiring_member_leaves_after_its_successor_votes) {
   auto group = voters({node(1), node(2), node(3)});
-  const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kHeard, true}, {node(4), kHeard}};
+  const std::vector<cluster::GroupNode> nodes = {{node(1), kResponsive},
+                                                 {node(2), kResponsive},
+                                                 {node(3), kResponsive, true},
+                                                 {node(4), kResponsive}};
   cr_assert(cluster::nextMembershipChange(node(1), group, nodes, {}) ==
             (cluster::MembershipChange{node(4), false}));
   group.voters.insert(node(4));
@@ -83,61 +92,66 @@
 Test(group_repair, retiring_node_is_never_added) {
   const auto group = voters({node(1), node(2)});
   const auto change = cluster::nextMembershipChange(
-      node(1), group, {{node(1), kHeard}, {node(2), kHeard}, {node(3), kHeard, true}}, {});
+      node(1), group,
+      {{node(1), kResponsive}, {node(2), kResponsive}, {node(3), kResponsive, true}}, {});
   cr_assert_not(change.has_value());
 }
 
-// Found by the simulated cluster, seed 81: the unresponsive member came back while its successor
-// was made a voter, and the group stayed at four.
-Test(group_repair, voter_too_many_is_removed_but_not_the_leader) {
+// Guards against a group that stays too large after an unresponsive member returned while its
+// successor was promoted.
+Test(group_repair, surplus_voter_is_removed_but_not_the_leader) {
   const auto group = voters({node(1), node(2), node(3), node(4)});
-  const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kHeard}, {node(4), kHeard}};
+  const std::vector<cluster::GroupNode> nodes = {{node(1), kResponsive},
+                                                 {node(2), kResponsive},
+                                                 {node(3), kResponsive},
+                                                 {node(4), kResponsive}};
   cr_assert(cluster::nextMembershipChange(node(1), group, nodes, {}) ==
             (cluster::MembershipChange{node(4), true}));
   cr_assert(cluster::nextMembershipChange(node(4), group, nodes, {}) ==
             (cluster::MembershipChange{node(3), true}));
 }
 
-// With an even number of voters an unresponsive one only raises the quorum: without it as many
-// losses are borne. It must not wait for a size that the group may never have.
-Test(group_repair, silent_voter_of_an_even_group_goes_whatever_the_size_wanted) {
-  const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
+// An unresponsive voter of an even number only increases the quorum. Its removal must not wait for
+// a size that the group may never reach.
+Test(group_repair, unresponsive_voter_of_an_even_group_is_removed_below_the_target_size) {
+  const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   auto group = voters({node(1), node(2), node(3)});
-  const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}, {node(4), kHeard}};
-  cr_assert(cluster::nextMembershipChange(node(1), group, nodes, five) ==
+  const std::vector<cluster::GroupNode> nodes = {{node(1), kResponsive},
+                                                 {node(2), kResponsive},
+                                                 {node(3), kUnresponsive},
+                                                 {node(4), kResponsive}};
+  cr_assert(cluster::nextMembershipChange(node(1), group, nodes, settings) ==
             (cluster::MembershipChange{node(4), false}));
   group.voters.insert(node(4));
-  cr_assert(cluster::nextMembershipChange(node(1), group, nodes, five) ==
+  cr_assert(cluster::nextMembershipChange(node(1), group, nodes, settings) ==
             (cluster::MembershipChange{node(3), true}));
 }
 
-// Of three, an unresponsive one may come back: without it not one more loss is borne, with it
-// perhaps.
-Test(group_repair, silent_voter_of_an_odd_group_stays_until_another_votes) {
-  const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
+// An unresponsive voter of three may return, while the group tolerates no loss without it.
+Test(group_repair, unresponsive_voter_of_an_odd_group_stays_until_another_votes) {
+  const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   const auto group = voters({node(1), node(2), node(3)});
-  cr_assert_not(
-      cluster::nextMembershipChange(
-          node(1), group, {{node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}}, five)
-          .has_value());
+  cr_assert_not(cluster::nextMembershipChange(
+                    node(1), group,
+                    {{node(1), kResponsive}, {node(2), kResponsive}, {node(3), kUnresponsive}},
+                    settings)
+                    .has_value());
 }
 
-Test(group_repair, nothing_is_concluded_from_silence_while_the_leader_itself_is_not_known) {
-  const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
+Test(group_repair, no_voter_counts_as_unresponsive_while_the_leader_itself_is_unknown) {
+  const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   const auto group = voters({node(1), node(2), node(3), node(4)});
-  cr_assert_not(cluster::nextMembershipChange(node(1), group, {}, five).has_value());
+  cr_assert_not(cluster::nextMembershipChange(node(1), group, {}, settings).has_value());
 }
 
-Test(group_repair, group_is_judged_against_the_losses_it_must_bear) {
-  const cluster::GroupRepairSettings five{5, base::milliseconds(2500)};
+Test(group_repair, group_is_assessed_against_its_target_size) {
+  const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   const std::vector<cluster::GroupNode> nodes = {
-      {node(1), kHeard}, {node(2), kHeard}, {node(3), kUnresponsive}};
+      {node(1), kResponsive}, {node(2), kResponsive}, {node(3), kUnresponsive}};
   const auto group = voters({node(1), node(2), node(3)});
-  const cluster::GroupHealth health = cluster::judgeGroup(group, nodes, five);
+  const cluster::GroupHealth health = cluster::assessGroup(group, nodes, settings);
   cr_assert(health == (cluster::GroupHealth{3, 2, 5}));
   cr_assert_not(health.isAtTargetSize());
-  cr_assert(cluster::judgeGroup(group, nodes, {2, base::milliseconds(2500)}).isAtTargetSize());
-  cr_assert_not(cluster::canAddMember(group, nodes, five), "nobody else is heard");
+  cr_assert(cluster::assessGroup(group, nodes, {2, base::milliseconds(2500)}).isAtTargetSize());
+  cr_assert_not(cluster::canAddMember(group, nodes, settings), "no other node is responsive");
 }
--- a/test/cluster/group_service_test.cpp
+++ b/test/cluster/group_service_test.cpp
@@ -1,4 +1,4 @@
-/// Answers to calls at a group's replica.
+/// Tests responses to calls at a replica.
 #include "cluster/group_service.h"
 
 #include <criterion/criterion.h>
@@ -32,9 +32,9 @@
   int applied = 0;
 };
 
-/// A group of one, which leads once it has run for a while.
-struct LoneReplica {
-  LoneReplica() {
+/// Group with a single replica, which becomes leader during construction.
+struct SingleReplica {
+  SingleReplica() {
     log = base::recover(
         [&] {
           return storage::SegmentedLog::open(disk, {"cluster", kSelf, kGroup}, {{kSelf}, {}});
@@ -65,16 +65,16 @@
 
 }  // namespace
 
-Test(group_service, repeated_call_is_proposed_once_while_it_is_under_way) {
-  LoneReplica lone;
+Test(group_service, repeated_call_is_proposed_once_while_it_is_pending) {
+  SingleReplica single;
   const cluster::ServiceCaller first{kCaller, base::CallId{7}};
-  lone.service->proposeFor(first, "command", "done", lone.now);
-  lone.service->proposeFor(first, "command", "done", lone.now);
-  lone.service->proposeFor({kCaller, base::CallId{8}}, "command", "done", lone.now);
-  lone.run(base::milliseconds(50));
-  cr_assert_eq(lone.machine.applied, 2);
-  cr_assert_eq(lone.service->outbox().size(), 2U);
-  lone.service->proposeFor(first, "command", "done", lone.now);
-  lone.run(base::milliseconds(50));
-  cr_assert_eq(lone.machine.applied, 3, "its answer may have been lost");
+  single.service->proposeFor(first, "command", "done", single.now);
+  single.service->proposeFor(first, "command", "done", single.now);
+  single.service->proposeFor({kCaller, base::CallId{8}}, "command", "done", single.now);
+  single.run(base::milliseconds(50));
+  cr_assert_eq(single.machine.applied, 2);
+  cr_assert_eq(single.service->outbox().size(), 2U);
+  single.service->proposeFor(first, "command", "done", single.now);
+  single.run(base::milliseconds(50));
+  cr_assert_eq(single.machine.applied, 3, "the response may have been lost");
 }
--- a/test/cluster/cluster_world.cpp
+++ b/test/cluster/simulated_cluster.cpp
@@ -1,25 +1,25 @@
-#include "cluster/cluster_world.h"
+#include "cluster/simulated_cluster.h"
 
 namespace tackpick::test {
 namespace {
 
 constexpr base::Duration kStep = base::milliseconds(20);
 
-std::set<base::NodeId> foundingControllers() {
+std::set<base::NodeId> initialControllers() {
   return {base::makeNodeId(1, 0), base::makeNodeId(2, 0), base::makeNodeId(3, 0)};
 }
 
 }  // namespace
 
-const consensus::RaftConsensus* WorldNode::raft() const {
+const consensus::RaftConsensus* SimulatedNode::raft() const {
   if (running && controller) {
     return &controller->replica().raft();
   }
   return running && ledger ? &ledger->replica().raft() : nullptr;
 }
 
-ClusterWorld::ClusterWorld(std::uint64_t seed, consensus::ReplicaSettings replica,
-                           WorldLayout layout)
+SimulatedCluster::SimulatedCluster(std::uint64_t seed, consensus::ReplicaSettings replica,
+                                   SimulatedClusterLayout layout)
     : random_(seed), replica_(replica), m_layout(std::move(layout)) {
   const std::map<directory::NodeRole, std::vector<std::uint32_t>> machines = {
       {directory::NodeRole::kController, m_layout.controllers},
@@ -32,33 +32,33 @@
   }
 }
 
-std::uint32_t ClusterWorld::drawInstance() {
+std::uint32_t SimulatedCluster::randomInstanceId() {
   return static_cast<std::uint32_t>(random_.next() >> 33U) | 1U;
 }
 
-WorldNode& ClusterWorld::add(std::uint32_t number, directory::NodeRole role) {
-  WorldNode& node = nodes_[number];
+SimulatedNode& SimulatedCluster::add(std::uint32_t number, directory::NodeRole role) {
+  SimulatedNode& node = nodes_[number];
   node.number = number;
   node.role = role;
   node.disk = std::make_unique<simulation::SimulatedDisk>();
-  const bool isInitialVoter = foundingControllers().contains(base::makeNodeId(number, 0));
-  node.instance = isInitialVoter ? 0 : drawInstance();
+  const bool isInitialVoter = initialControllers().contains(base::makeNodeId(number, 0));
+  node.instance = isInitialVoter ? 0 : randomInstanceId();
   start(node);
   return node;
 }
 
-std::vector<base::NodeId> ClusterWorld::seeds() const {
+std::vector<base::NodeId> SimulatedCluster::seeds() const {
   constexpr std::size_t kSeeds = 3;
-  const auto initialVoters = foundingControllers();
+  const auto initialVoters = initialControllers();
   std::vector<base::NodeId> seeds;
-  for (const base::NodeId isInitialVoter : initialVoters) {
-    const auto known = nodes_.find(base::nodeNumber(isInitialVoter));
-    if (known == nodes_.end() || !known->second.gone) {
-      seeds.push_back(isInitialVoter);
+  for (const base::NodeId voter : initialVoters) {
+    const auto found = nodes_.find(base::nodeNumber(voter));
+    if (found == nodes_.end() || !found->second.removed) {
+      seeds.push_back(voter);
     }
   }
   for (const auto& [number, node] : nodes_) {
-    const bool other = node.role == directory::NodeRole::kController && !node.gone &&
+    const bool other = node.role == directory::NodeRole::kController && !node.removed &&
                        !initialVoters.contains(base::makeNodeId(number, 0));
     if (other && seeds.size() < kSeeds) {
       seeds.push_back(base::makeNodeId(number, 0));
@@ -67,16 +67,16 @@
   return seeds;
 }
 
-void ClusterWorld::remove(WorldNode& node) {
+void SimulatedCluster::remove(SimulatedNode& node) {
   kill(node);
-  node.gone = true;
+  node.removed = true;
 }
 
-void ClusterWorld::start(WorldNode& node) {
+void SimulatedCluster::start(SimulatedNode& node) {
   node.running = true;
   ++node.epoch;
   if (node.role == directory::NodeRole::kGateway) {
-    node.instance = drawInstance();
+    node.instance = randomInstanceId();
   }
   directory::NodeRecord record;
   record.node = node.id();
@@ -94,11 +94,11 @@
     return node.ledger ? node.ledger->stableMembership(now_) : std::nullopt;
   });
   if (node.role == directory::NodeRole::kController) {
-    openLog(node, directory::kDirectoryGroup, foundingControllers());
+    openLog(node, directory::kDirectoryGroup, initialControllers());
     directory::DirectorySettings settings;
     settings.replica = replica_;
-    settings.repair.targetSize = wantedVoters();
-    settings.initialLedgerVoters = wantedVoters();
+    settings.repair.targetSize = targetVoters();
+    settings.initialLedgerVoters = targetVoters();
     node.controller = std::make_unique<directory::DirectoryRole>(record, settings, *node.log,
                                                                  random_, wall_, now_);
   } else if (node.role == directory::NodeRole::kLedger && !node.disk->list().value().empty()) {
@@ -106,8 +106,8 @@
   }
 }
 
-void ClusterWorld::openLog(WorldNode& node, base::GroupId group,
-                           const std::set<base::NodeId>& initialVoters) {
+void SimulatedCluster::openLog(SimulatedNode& node, base::GroupId group,
+                               const std::set<base::NodeId>& initialVoters) {
   consensus::Membership initial;
   if (initialVoters.contains(node.id())) {
     initial.voters = initialVoters;
@@ -119,16 +119,17 @@
       [](const base::Error&) { return std::unique_ptr<storage::SegmentedLog>(); });
 }
 
-void ClusterWorld::openLedger(WorldNode& node, const std::set<base::NodeId>& initialVoters) {
+void SimulatedCluster::openLedger(SimulatedNode& node,
+                                  const std::set<base::NodeId>& initialVoters) {
   openLog(node, directory::kLedgerGroup, initialVoters);
   jobs::JobRoleSettings settings;
   settings.replica = replica_;
-  settings.repair.targetSize = wantedVoters();
+  settings.repair.targetSize = targetVoters();
   node.ledger = std::make_unique<jobs::JobRole>(node.id(), directory::kLedgerGroup, settings,
                                                 *node.log, random_, now_);
 }
 
-void ClusterWorld::onView(WorldNode& node, const directory::DirectoryView& view) {
+void SimulatedCluster::onView(SimulatedNode& node, const directory::DirectoryView& view) {
   if (node.role != directory::NodeRole::kLedger) {
     return;
   }
@@ -145,7 +146,7 @@
   node.ledger->setNodes(std::move(nodes));
 }
 
-void ClusterWorld::kill(WorldNode& node) {
+void SimulatedCluster::kill(SimulatedNode& node) {
   node.running = false;
   node.controller.reset();
   node.ledger.reset();
@@ -159,24 +160,25 @@
   }
 }
 
-void ClusterWorld::wipe(WorldNode& node) {
+void SimulatedCluster::wipe(SimulatedNode& node) {
   kill(node);
   node.disk->wipe();
-  node.instance = drawInstance();
+  node.instance = randomInstanceId();
 }
 
-void ClusterWorld::setCut(const WorldNode& one, const WorldNode& other, bool cut) {
+void SimulatedCluster::setPartition(const SimulatedNode& one, const SimulatedNode& other,
+                                    bool partitioned) {
   for (const auto& link :
        {std::pair(one.number, other.number), std::pair(other.number, one.number)}) {
-    if (cut) {
-      cuts_.insert(link);
+    if (partitioned) {
+      m_partitions.insert(link);
     } else {
-      cuts_.erase(link);
+      m_partitions.erase(link);
     }
   }
 }
 
-bool ClusterWorld::isWhole(directory::NodeRole role) const {
+bool SimulatedCluster::isComplete(directory::NodeRole role) const {
   for (const auto& [number, node] : nodes_) {
     const consensus::RaftConsensus* raft = node.raft();
     if (node.role != role || raft == nullptr || !raft->isLeader() || !raft->hasLease(now_) ||
@@ -184,17 +186,17 @@
       continue;
     }
     const auto& voters = raft->membership().voters;
-    bool sound = voters.size() == wantedVoters() && raft->membership().learners.empty();
+    bool healthy = voters.size() == targetVoters() && raft->membership().learners.empty();
     for (const base::NodeId voter : voters) {
-      const WorldNode& member = nodes_.at(base::nodeNumber(voter));
-      sound = sound && member.running && member.id() == voter;
+      const SimulatedNode& member = nodes_.at(base::nodeNumber(voter));
+      healthy = healthy && member.running && member.id() == voter;
     }
-    return sound;
+    return healthy;
   }
   return false;
 }
 
-void ClusterWorld::send(const WorldNode& from, const transport::Outbox& outbox) {
+void SimulatedCluster::send(const SimulatedNode& from, const transport::Outbox& outbox) {
   for (const transport::OutgoingMessage& outgoing : outbox) {
     if (random_.chance(lossProbability)) {
       continue;
@@ -205,7 +207,7 @@
   }
 }
 
-void ClusterWorld::turn(WorldNode& node) {
+void SimulatedCluster::endTurn(SimulatedNode& node) {
   if (node.controller) {
     send(node, node.controller->finish(now_).messages);
   }
@@ -215,14 +217,14 @@
   send(node, node.member->takeMessages());
 }
 
-void ClusterWorld::deliver(const Delivery& delivery) {
+void SimulatedCluster::deliver(const Delivery& delivery) {
   const auto found = nodes_.find(base::nodeNumber(delivery.to));
   const std::pair link(base::nodeNumber(delivery.from), base::nodeNumber(delivery.to));
-  if (found == nodes_.end() || !found->second.running || cuts_.contains(link)) {
+  if (found == nodes_.end() || !found->second.running || m_partitions.contains(link)) {
     return;
   }
-  WorldNode& node = found->second;
-  const auto give = [&](const auto& message) {
+  SimulatedNode& node = found->second;
+  const auto dispatch = [&](const auto& message) {
     if (node.controller && message.group == directory::kDirectoryGroup) {
       node.controller->handle(delivery.from, message, now_);
     } else if (node.ledger && message.group == directory::kLedgerGroup) {
@@ -230,16 +232,16 @@
     }
   };
   if (const auto* raft = std::get_if<transport::RaftEnvelope>(&delivery.message)) {
-    give(*raft);
+    dispatch(*raft);
   } else if (const auto* request = std::get_if<transport::CommandRequest>(&delivery.message)) {
-    give(*request);
+    dispatch(*request);
   } else if (const auto* response = std::get_if<transport::CommandResponse>(&delivery.message)) {
     node.member->onResponse(*response, now_);
   }
-  turn(node);
+  endTurn(node);
 }
 
-void ClusterWorld::run(base::Duration time, const std::function<void()>& onStep) {
+void SimulatedCluster::run(base::Duration time, const std::function<void()>& onStep) {
   for (const base::TimePoint end = now_ + time; now_ < end;) {
     const base::TimePoint next = now_ + kStep;
     while (!network_.empty() && network_.top().at <= next) {
@@ -261,7 +263,7 @@
         node.ledger->tick(now_);
       }
       node.member->tick(now_);
-      turn(node);
+      endTurn(node);
     }
   }
 }
--- a/test/consensus/background_sync_test.cpp
+++ b/test/consensus/background_sync_test.cpp
@@ -1,11 +1,11 @@
-/// Raft with syncs that end later than they begin: power may be lost at any point between.
+/// Tests Raft with asynchronous syncs and power loss at any point.
 #include <criterion/criterion.h>
 
 #include <deque>
 
 #include "consensus/raft_consensus.h"
 #include "simulation/simulated_disk.h"
-#include "storage/held_executor.h"
+#include "storage/manual_executor.h"
 #include "storage/segmented_log.h"
 
 namespace base = tackpick::base;
@@ -26,7 +26,7 @@
   return voters;
 }
 
-/// One server with a disk and an executor that are the test's.
+/// A server with a simulated disk and a manual executor.
 struct Server {
   explicit Server(std::uint32_t number) : id(base::makeNodeId(number, 0)), random(number) {}
 
@@ -41,50 +41,50 @@
     applied = log->snapshot().lastIndex;
   }
 
-  void losePower(base::Random& chance) {
+  void losePower(base::Random& faultRandom) {
     raft.reset();
     executor.drop();
     log.reset();
-    disk.crash(chance);
+    disk.crash(faultRandom);
   }
 
   base::NodeId id;
   base::SeededRandom random;
   simulation::SimulatedDisk disk;
-  storage::HeldExecutor executor;
+  storage::ManualExecutor executor;
   std::unique_ptr<storage::SegmentedLog> log;
   std::unique_ptr<consensus::RaftConsensus> raft;
   consensus::LogIndex applied = 0;
 };
 
-struct Travelling {
+struct InFlightMessage {
   base::NodeId from;
   base::NodeId to;
   consensus::RaftMessage message;
 };
 
-/// Three servers whose messages, syncs and losses of power come in an order drawn from a seed.
-class World {
+/// Three servers with a random order of messages, syncs and power losses.
+class RaftSimulation {
  public:
-  World(std::uint64_t seed, consensus::RaftSettings settings)
-      : m_chance(seed), m_settings(settings) {
+  RaftSimulation(std::uint64_t seed, consensus::RaftSettings settings)
+      : m_random(seed), m_settings(settings) {
     for (std::uint32_t i = 1; i <= kServers; ++i) {
       m_servers.push_back(std::make_unique<Server>(i));
       m_servers.back()->start(m_now, m_settings);
     }
   }
 
-  /// False when two servers took different commands for committed at one index.
+  /// Returns false if two servers committed different commands at the same index.
   bool run(int steps) {
-    for (int i = 0; i < steps && m_agreed; ++i) {
+    for (int i = 0; i < steps && m_consistent; ++i) {
       step();
     }
-    return m_agreed;
+    return m_consistent;
   }
   [[nodiscard]] std::size_t committed() const { return m_committed.size(); }
 
  private:
-  Server& drawServer() { return *m_servers[m_chance.below(kServers)]; }
+  Server& randomServer() { return *m_servers[m_random.below(kServers)]; }
 
   void step() {
     constexpr std::uint64_t kKinds = 100;
@@ -93,8 +93,8 @@
     constexpr std::uint64_t kPropose = 90;
     constexpr std::uint64_t kCompact = 91;
     constexpr std::uint64_t kTick = 99;
-    const std::uint64_t kind = m_chance.below(kKinds);
-    Server& server = drawServer();
+    const std::uint64_t kind = m_random.below(kKinds);
+    Server& server = randomServer();
     if (kind < kSync) {
       server.executor.finish();
     } else if (kind < kDeliver) {
@@ -109,7 +109,7 @@
       m_now += base::milliseconds(20);
       server.raft->tick(m_now);
     } else {
-      server.losePower(m_chance);
+      server.losePower(m_random);
       server.start(m_now, m_settings);
     }
     collect(server);
@@ -119,7 +119,7 @@
     if (m_network.empty()) {
       return;
     }
-    Travelling next = std::move(m_network.front());
+    InFlightMessage next = std::move(m_network.front());
     m_network.pop_front();
     for (const auto& server : m_servers) {
       if (server->id == next.to) {
@@ -139,18 +139,18 @@
     for (const consensus::LogEntry& entry : server.raft->takeCommitted()) {
       server.applied = entry.index;
       const auto [known, added] = m_committed.try_emplace(entry.index, entry.payload);
-      m_agreed = m_agreed && known->second == entry.payload;
+      m_consistent = m_consistent && known->second == entry.payload;
     }
   }
 
-  base::SeededRandom m_chance;
+  base::SeededRandom m_random;
   consensus::RaftSettings m_settings;
   base::TimePoint m_now{};
   std::vector<std::unique_ptr<Server>> m_servers;
-  std::deque<Travelling> m_network;
+  std::deque<InFlightMessage> m_network;
   std::map<consensus::LogIndex, base::Bytes> m_committed;
   int m_proposed = 0;
-  bool m_agreed = true;
+  bool m_consistent = true;
 };
 
 constexpr int kSteps = 6000;
@@ -160,25 +160,25 @@
 Test(background_sync, committed_entries_survive_power_loss_at_any_point) {
   std::size_t committed = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    World world(seed, {});
-    cr_assert(world.run(kSteps), "seed %lu", static_cast<unsigned long>(seed));
-    committed += world.committed();
+    RaftSimulation raftSimulation(seed, {});
+    cr_assert(raftSimulation.run(kSteps), "seed %lu", static_cast<unsigned long>(seed));
+    committed += raftSimulation.committed();
   }
-  cr_assert_gt(committed, 400U, "the servers got something done");
+  cr_assert_gt(committed, 400U, "the servers committed entries");
 }
 
-Test(background_sync, acknowledgement_before_the_sync_is_caught) {
+Test(background_sync, acknowledgement_before_the_sync_is_detected) {
   consensus::RaftSettings settings;
   settings.mutants.acknowledgeBeforeSync = true;
-  bool caught = false;
-  for (std::uint64_t seed = 1; seed <= 40 && !caught; ++seed) {
-    World world(seed, settings);
-    caught = !world.run(kSteps);
+  bool detected = false;
+  for (std::uint64_t seed = 1; seed <= 40 && !detected; ++seed) {
+    RaftSimulation raftSimulation(seed, settings);
+    detected = !raftSimulation.run(kSteps);
   }
-  cr_assert(caught);
+  cr_assert(detected);
 }
 
-Test(background_sync, entries_travel_before_the_leaders_own_disk_has_them) {
+Test(background_sync, entries_are_sent_before_they_are_durable_on_the_leader) {
   std::vector<std::unique_ptr<Server>> servers;
   base::TimePoint now{};
   for (std::uint32_t i = 1; i <= kServers; ++i) {
@@ -219,6 +219,6 @@
   for (int i = 0; i < 10; ++i) {
     exchange(false);
   }
-  cr_assert(leader()->executor.running(), "its disk hangs");
-  cr_assert_geq(leader()->raft->commitIndex(), *index, "the two others are a quorum");
+  cr_assert(leader()->executor.running(), "the sync of the leader is still in progress");
+  cr_assert_geq(leader()->raft->commitIndex(), *index, "the two other servers are a quorum");
 }
--- a/test/consensus/group_client_test.cpp
+++ b/test/consensus/group_client_test.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr base::GroupId kGroup{1};
-constexpr base::NodeId kFirst = base::makeNodeId(1, 0);
-constexpr base::NodeId kSecond = base::makeNodeId(2, 0);
+constexpr base::NodeId kFirstReplica = base::makeNodeId(1, 0);
+constexpr base::NodeId kSecondReplica = base::makeNodeId(2, 0);
 
 struct Fixture {
-  Fixture() : client({kGroup, {kFirst, kSecond}}, base::CallId{5}) {}
+  Fixture() : client({kGroup, {kFirstReplica, kSecondReplica}}, base::CallId{5}) {}
 
   void call() {
     client.call(transport::CommandKind::kService, "x", now, outbox,
@@ -22,8 +22,8 @@
                   answer = result == nullptr ? "" : *result;
                 });
   }
-  /// Ticks until a message goes out; how long that took.
-  base::Duration untilSent() {
+  /// Ticks until a message is sent and returns the time that this took.
+  base::Duration timeToNextSend() {
     outbox.clear();
     const base::TimePoint from = now;
     while (outbox.empty() && now - from < base::seconds(20)) {
@@ -45,34 +45,33 @@
 
 }  // namespace
 
-// Found on the bench (scale-2): gateways found a new leader only after a resend time-out for each
-// replica that knew none.
-Test(group_client, replica_without_a_leader_sends_the_call_on_soon) {
+// Guards against a wait of a full resend interval for each replica without a leader.
+Test(group_client, call_is_retried_soon_after_a_replica_without_a_leader) {
   Fixture fixture;
   fixture.call();
-  cr_assert_eq(fixture.outbox.at(0).to.value, kFirst.value);
+  cr_assert_eq(fixture.outbox.at(0).to.value, kFirstReplica.value);
   fixture.respond(transport::CommandStatus::kNotLeader);
-  cr_assert_leq(fixture.untilSent().count(), base::Duration(base::milliseconds(60)).count());
-  cr_assert_eq(fixture.outbox.at(0).to.value, kSecond.value);
+  cr_assert_leq(fixture.timeToNextSend().count(), base::Duration(base::milliseconds(60)).count());
+  cr_assert_eq(fixture.outbox.at(0).to.value, kSecondReplica.value);
 }
 
-Test(group_client, lost_peer_sends_its_calls_elsewhere_soon) {
+Test(group_client, call_is_retried_soon_after_its_connection_is_lost) {
   Fixture fixture;
   fixture.call();
-  fixture.client.onPeerLost(base::nodeNumber(kFirst));
-  cr_assert_leq(fixture.untilSent().count(), base::Duration(base::milliseconds(60)).count());
-  cr_assert_eq(fixture.outbox.at(0).to.value, kSecond.value);
-  // The loss of a node that was not asked changes nothing.
-  fixture.client.onPeerLost(base::nodeNumber(kFirst));
-  cr_assert_gt(fixture.untilSent().count(), base::Duration(base::milliseconds(500)).count());
+  fixture.client.onPeerLost(base::nodeNumber(kFirstReplica));
+  cr_assert_leq(fixture.timeToNextSend().count(), base::Duration(base::milliseconds(60)).count());
+  cr_assert_eq(fixture.outbox.at(0).to.value, kSecondReplica.value);
+  // The loss of a connection to another node has no effect.
+  fixture.client.onPeerLost(base::nodeNumber(kFirstReplica));
+  cr_assert_gt(fixture.timeToNextSend().count(), base::Duration(base::milliseconds(500)).count());
 }
 
 Test(group_client, redirect_is_followed_at_once) {
   Fixture fixture;
   fixture.call();
   fixture.outbox.clear();
-  fixture.respond(transport::CommandStatus::kNotLeader, kSecond);
-  cr_assert_eq(fixture.outbox.at(0).to.value, kSecond.value);
+  fixture.respond(transport::CommandStatus::kNotLeader, kSecondReplica);
+  cr_assert_eq(fixture.outbox.at(0).to.value, kSecondReplica.value);
   fixture.respond(transport::CommandStatus::kOk);
   cr_assert(fixture.ended);
   cr_assert_eq(fixture.answer, "done");
