--- a/test/consensus/replica_test.cpp
+++ b/test/consensus/replica_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr base::GroupId kGroup{1};
 
-/// Keeps the commands it was given.
+/// Records the applied commands.
 class RecordingMachine final : public consensus::StateMachine {
  public:
   base::Bytes apply(consensus::LogIndex, const base::Bytes& command) override {
@@ -32,10 +32,10 @@
   }
 
   std::vector<base::Bytes> commands;
-  mutable int snapshots = 0;  ///< taken
+  mutable int snapshots = 0;  ///< number of snapshots taken
 };
 
-/// One replica with its disk; messages are handed over by the test.
+/// A replica with a simulated disk; the test delivers its messages.
 struct Server {
   Server(base::NodeId self, const std::set<base::NodeId>& voters,
          base::TimePoint startedAt = base::TimePoint{})
@@ -59,7 +59,7 @@
   std::unique_ptr<consensus::Replica> replica;
 };
 
-/// Runs the servers for a while, delivering every message at once.
+/// Runs the servers for `time` and delivers every message immediately.
 void run(std::vector<Server*> servers, base::TimePoint& now, base::Duration time) {
   const base::TimePoint end = now + time;
   while (now < end) {
@@ -67,9 +67,9 @@
     for (Server* server : servers) {
       server->replica->tick(now);
     }
-    bool quiet = false;
-    while (!quiet) {
-      quiet = true;
+    bool idle = false;
+    while (!idle) {
+      idle = true;
       for (Server* server : servers) {
         transport::Outbox outbox;
         server->replica->finish(now, outbox);
@@ -78,7 +78,7 @@
             const auto* raft = std::get_if<transport::RaftEnvelope>(&outgoing.message);
             if (raft != nullptr && base::nodeNumber(to->id) == base::nodeNumber(outgoing.to)) {
               to->replica->handle(server->id, *raft, now);
-              quiet = false;
+              idle = false;
             }
           }
         }
@@ -112,13 +112,13 @@
   cr_assert(leader->replica->propose("one", now, [&](const base::Bytes* result, auto) {
     answer = result == nullptr ? "lost" : *result;
   }));
-  cr_assert(answer.empty(), "nothing is answered before it is committed");
+  cr_assert(answer.empty(), "no result before the command is committed");
   run({&first, &second, &third}, now, base::milliseconds(200));
   cr_assert_eq(answer, "done one");
   cr_assert_eq(third.machine.commands.size(), 1U);
 }
 
-Test(replica, leader_that_lost_its_quorum_stops_reading_and_leading) {
+Test(replica, leader_without_quorum_stops_reading_and_steps_down) {
   const std::set<base::NodeId> voters{base::makeNodeId(1, 0), base::makeNodeId(2, 0),
                                       base::makeNodeId(3, 0)};
   Server first(base::makeNodeId(1, 0), voters);
@@ -128,15 +128,15 @@
   run({&first, &second, &third}, now, base::seconds(3));
   Server* leader = leaderAmong({&first, &second, &third});
   cr_assert(leader->replica->canRead(now));
-  // Frozen for longer than the lease: at waking, before any message, it must not answer.
+  // After a freeze longer than the lease it must not answer, even before it receives a message.
   cr_assert_not(leader->replica->canRead(now + base::seconds(1)));
   run({leader}, now, base::seconds(2));
   cr_assert_not(leader->replica->raft().isLeader());
 }
 
-// Found by scenario second-loss, seed 8: a machine that had lost its disk is reached at the address
-// of its old identity. As leader it took its own messages to that identity for another leader's.
-Test(replica, messages_to_a_lost_identity_are_not_taken) {
+// Guards against a machine that lost its disk and handles messages addressed to its old identity.
+// As leader it would receive its own messages.
+Test(replica, messages_to_an_old_identity_are_ignored) {
   const std::set<base::NodeId> voters{base::makeNodeId(1, 0), base::makeNodeId(2, 0),
                                       base::makeNodeId(3, 0)};
   Server first(base::makeNodeId(1, 0), voters);
@@ -150,9 +150,10 @@
   cr_assert(leader->replica->raft().addMember(replaced.id, now));
   run({&first, &second, &replaced}, now, base::seconds(2));
   cr_assert(leader->replica->raft().membership().isVoter(replaced.id));
-  // While the lost identity still is a member, the new machine must be able to lead.
+  // The new machine must be able to lead while its old identity is still a member.
   for (int tries = 0; tries < 20 && !replaced.replica->raft().isLeader(); ++tries) {
-    now += base::seconds(2);  // all were frozen: whoever led stops, and they elect again
+    now += base::seconds(
+        2);  // All servers were frozen: the leader steps down and a new election starts.
     run({&first, &second, &replaced}, now, base::seconds(3));
   }
   cr_assert(replaced.replica->raft().isLeader());
@@ -167,12 +168,12 @@
 
 namespace {
 
-/// Bytes of the entries and snapshots that `leader` sends to a member that answers heartbeats at
-/// once and takes `delay` for everything else.
+/// Returns the size of the entries and snapshots that `leader` sends to a member that answers
+/// heartbeats immediately and everything else after `delay`.
 std::size_t bytesSentToSlowMember(Server& leader, Server& slow, base::TimePoint& now,
                                   base::Duration delay, base::Duration time) {
   std::size_t bytes = 0;
-  std::vector<std::pair<base::TimePoint, transport::RaftEnvelope>> late;
+  std::vector<std::pair<base::TimePoint, transport::RaftEnvelope>> delayed;
   for (const base::TimePoint end = now + time; now < end; now += base::milliseconds(10)) {
     leader.replica->tick(now);
     transport::Outbox outbox;
@@ -182,11 +183,11 @@
       const auto* append = std::get_if<consensus::AppendRequest>(&envelope.message);
       const bool heartbeat = append != nullptr && append->entries.empty();
       bytes += heartbeat ? 0 : base::encode(envelope).size();
-      late.emplace_back(now + (heartbeat ? base::Duration{0} : delay), envelope);
+      delayed.emplace_back(now + (heartbeat ? base::Duration{0} : delay), envelope);
     }
-    for (auto& [at, envelope] : std::exchange(late, {})) {
+    for (auto& [at, envelope] : std::exchange(delayed, {})) {
       if (at > now) {
-        late.emplace_back(at, envelope);
+        delayed.emplace_back(at, envelope);
       } else if (envelope.to == slow.id) {
         slow.replica->handle(leader.id, envelope, now);
       }
@@ -205,9 +206,9 @@
 
 }  // namespace
 
-// Found on the bench (hunt, trouble-2): the answer to any heartbeat made the leader send the same
-// entries or snapshot once more; a wiped ledger took 14 s to catch up and buffers grew to 200 MB.
-Test(replica, entries_and_snapshots_on_their_way_are_not_sent_again_with_each_heartbeat) {
+// Guards against a leader that sends entries or a snapshot in flight again after each response to a
+// heartbeat.
+Test(replica, entries_and_snapshots_in_flight_are_not_sent_again_with_each_heartbeat) {
   for (const bool compacted : {false, true}) {
     const base::NodeId first = base::makeNodeId(1, 0);
     Server leader(first, {first});
@@ -232,10 +233,9 @@
   }
 }
 
-// Found by scenario everything, seed 2250: the answer to a late request of an earlier term bore the
-// new term and the old round. Its sender, restarted and leading again, took it for a confirmation
-// of its lease while the others elected another leader.
-Test(replica, answer_to_an_earlier_term_confirms_no_lease) {
+// Guards against a response to a late request of an earlier term that echoes its round: a sender
+// that leads again would take it as a confirmation of its lease.
+Test(replica, response_to_an_earlier_term_confirms_no_lease) {
   const base::NodeId first = base::makeNodeId(1, 0);
   const base::NodeId second = base::makeNodeId(2, 0);
   Server follower(second, {first, second});
@@ -274,11 +274,11 @@
   cr_assert_lt(bytes, 4 * kCommandBytes, "%zu", bytes);
 }
 
-/// After a restart of all servers the first to ask is refused by one that started later, which
-/// promises nothing for 0.4 s. It leads soon after that, whatever the other's own timeout is,
-/// unless both ask at the same moment and split the vote.
+// After a restart of all servers the first pre-vote is rejected by a server that started later and
+// does not vote within its minimum election timeout. The repeated pre-vote must succeed soon after,
+// except for rare split votes.
 Test(replica, pre_vote_without_a_majority_is_repeated_soon) {
-  int soon = 0;
+  int elected = 0;
   for (std::uint32_t number = 2; number < 42; ++number) {
     const std::set<base::NodeId> voters{base::makeNodeId(1, 0), base::makeNodeId(number, 0)};
     Server first(base::makeNodeId(1, 0), voters);
@@ -286,12 +286,12 @@
     run({&first}, now, base::milliseconds(900 + 10 * number));
     Server late(base::makeNodeId(number, 0), voters, now);
     run({&first, &late}, now, base::milliseconds(670));
-    soon += leaderAmong({&first, &late}) != nullptr ? 1 : 0;
+    elected += leaderAmong({&first, &late}) != nullptr ? 1 : 0;
   }
-  cr_assert_geq(soon, 38, "%d of 40", soon);
+  cr_assert_geq(elected, 38, "%d of 40", elected);
 }
 
-Test(replica, snapshot_travels_in_parts_and_begins_anew_after_a_restart) {
+Test(replica, snapshot_is_sent_in_chunks_and_restarts_after_a_restart_of_the_follower) {
   const std::set<base::NodeId> voters{base::makeNodeId(1, 0), base::makeNodeId(2, 0),
                                       base::makeNodeId(3, 0)};
   Server first(base::makeNodeId(1, 0), voters);
@@ -308,12 +308,12 @@
     run({&first, &second}, now, base::milliseconds(100));
   }
   leader->replica->raft().compact(leader->replica->appliedIndex(), leader->machine.takeSnapshot());
-  // The third has an empty log. It restarts while the snapshot is on its way.
+  // The third server has an empty log and restarts while it receives the snapshot.
   auto third = std::make_unique<Server>(base::makeNodeId(3, 0), voters, now);
   std::size_t largest = 0;
-  int parts = 0;
-  const auto deliver = [&](int most) {
-    for (int step = 0; step < 400 && parts < most; ++step) {
+  int chunks = 0;
+  const auto deliver = [&](int maxChunks) {
+    for (int step = 0; step < 400 && chunks < maxChunks; ++step) {
       now += base::milliseconds(10);
       for (Server* server : {&first, &second, third.get()}) {
         server->replica->tick(now);
@@ -321,9 +321,9 @@
         server->replica->finish(now, outbox);
         for (const transport::OutgoingMessage& outgoing : outbox) {
           const auto* raft = std::get_if<transport::RaftEnvelope>(&outgoing.message);
-          const auto* part = std::get_if<consensus::InstallSnapshotRequest>(&raft->message);
-          parts += part != nullptr ? 1 : 0;
-          largest = std::max(largest, part != nullptr ? part->snapshot.state.size() : 0);
+          const auto* chunk = std::get_if<consensus::InstallSnapshotRequest>(&raft->message);
+          chunks += chunk != nullptr ? 1 : 0;
+          largest = std::max(largest, chunk != nullptr ? chunk->snapshot.state.size() : 0);
           for (Server* to : {&first, &second, third.get()}) {
             if (to->id == outgoing.to) {
               to->replica->handle(server->id, *raft, now);
@@ -334,15 +334,15 @@
     }
   };
   deliver(3);
-  cr_assert_eq(parts, 3, "the snapshot takes more");
+  cr_assert_eq(chunks, 3, "the snapshot has more chunks");
   third = std::make_unique<Server>(base::makeNodeId(3, 0), voters, now);
   deliver(1000);
   cr_assert_eq(third->machine.commands.size(), static_cast<std::size_t>(kCommands));
   cr_assert(third->machine.commands == leader->machine.commands);
-  cr_assert_leq(largest, consensus::RaftSettings{}.snapshotPartBytes);
+  cr_assert_leq(largest, consensus::RaftSettings{}.snapshotChunkBytes);
 }
 
-Test(replica, log_that_cannot_get_shorter_is_not_compacted) {
+Test(replica, log_without_applied_entries_is_not_compacted) {
   const std::set<base::NodeId> voters{base::makeNodeId(1, 0), base::makeNodeId(2, 0),
                                       base::makeNodeId(3, 0)};
   Server first(base::makeNodeId(1, 0), voters);
@@ -352,14 +352,14 @@
   run({&first, &second, &third}, now, base::seconds(3));
   Server* leader = leaderAmong({&first, &second, &third});
   cr_assert_not_null(leader);
-  // Without the others nothing of this is ever committed, as after a start without a leader.
+  // Without the other servers no entry is committed.
   const consensus::LogIndex entries = 2 * consensus::ReplicaSettings{}.compactionThreshold;
   for (consensus::LogIndex i = 0; i < entries; ++i) {
     cr_assert(leader->replica->propose("x", now, [](const base::Bytes*, auto) {}));
   }
   run({leader}, now, base::seconds(1));
   cr_assert_eq(leader->machine.snapshots, 0);
-  // Once they answer, it is: by each replica, and not for every few entries.
+  // Once they answer, each replica compacts, but only a few times.
   run({&first, &second, &third}, now, base::seconds(5));
   for (const Server* server : {&first, &second, &third}) {
     cr_assert_geq(server->machine.snapshots, 1);
--- a/test/storage/crash_test.cpp
+++ b/test/storage/crash_test.cpp
@@ -1,4 +1,4 @@
-/// SegmentedLog on a disk that forgets what was not synced.
+/// Tests SegmentedLog on a disk that loses unsynced writes in a crash.
 #include <criterion/criterion.h>
 
 #include "simulation/simulated_disk.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-const storage::FolderIdentity kIdentity{"cluster", base::makeNodeId(1, 0), {1}};
+const storage::DataDirectoryIdentity kIdentity{"cluster", base::makeNodeId(1, 0), {1}};
 
 std::unique_ptr<storage::SegmentedLog> openLog(simulation::SimulatedDisk& disk) {
   return base::recover([&] { return storage::SegmentedLog::open(disk, kIdentity, {}); },
@@ -36,9 +36,8 @@
 
 }  // namespace
 
-// Found by scenario broken-disks, seed 1: after two crashes the older segment, torn by the first,
-// stood beside the newer one and was taken for damage.
-Test(crash, torn_segment_left_beside_a_newer_one_is_no_damage) {
+// Guards against a torn segment that is left over next to a newer one and reported as corrupt.
+Test(crash, torn_segment_next_to_a_newer_one_is_ignored) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     base::SeededRandom random(seed);
     simulation::SimulatedDisk disk;
@@ -47,7 +46,8 @@
       cr_assert_eq(log->lastIndex(), index - 1);
       cr_assert(succeeds(log->append(entryAt(index))));
       cr_assert(succeeds(log->sync()));
-      cr_assert(succeeds(log->append(entryAt(index + 1))));  // not synced: torn by the crash
+      cr_assert(succeeds(
+          log->append(entryAt(index + 1))));  // Not synced, so the crash tears this record.
       disk.crash(random);
       const auto reopened = openLog(disk);
       cr_assert_geq(reopened->lastIndex(), index);
@@ -78,7 +78,7 @@
   cr_assert(log->entry(1) == entryAt(1));
 }
 
-Test(crash, damage_in_the_middle_is_refused) {
+Test(crash, damage_in_the_middle_is_rejected) {
   base::SeededRandom random(5);
   simulation::SimulatedDisk disk;
   {
--- a/test/storage/held_executor.h
+++ b/test/storage/manual_executor.h
@@ -1,5 +1,5 @@
 /// \file
-/// A DiskExecutor whose work ends when the test says so.
+/// DiskExecutor whose task runs when the test calls finish().
 #pragma once
 
 #include <optional>
@@ -10,40 +10,41 @@
 
 namespace tackpick::storage {
 
-class HeldExecutor final : public DiskExecutor {
+/// Holds a task until the test runs or drops it.
+class ManualExecutor final : public DiskExecutor {
  public:
-  void start(Work work) override {
-    m_work = std::move(work);
+  void start(Task task) override {
+    m_task = std::move(task);
     ++m_started;
   }
-  [[nodiscard]] bool running() const override { return static_cast<bool>(m_work); }
+  [[nodiscard]] bool running() const override { return static_cast<bool>(m_task); }
   void wait() override { finish(); }
-  [[nodiscard]] base::Result<void> outcome() override {
+  [[nodiscard]] base::Result<void> result() override {
     if (m_error) {
       return base::fail(base::ErrorCode::kStorage, *m_error);
     }
     return {};
   }
 
-  /// The running work ends.
+  /// Runs the pending task.
   void finish() {
-    if (!m_work) {
+    if (!m_task) {
       return;
     }
-    const Work work = std::exchange(m_work, nullptr);
+    const Task task = std::exchange(m_task, nullptr);
     m_error = base::recover(
         [&]() -> base::Result<std::optional<std::string>> {
-          BOOST_LEAF_CHECK(work());
+          BOOST_LEAF_CHECK(task());
           return std::optional<std::string>();
         },
         [](const base::Error& error) { return std::optional(error.message); });
   }
-  /// The machine lost power: the running work never ends.
-  void drop() { m_work = nullptr; }
+  /// Drops the pending task, as a power loss does.
+  void drop() { m_task = nullptr; }
   [[nodiscard]] int started() const { return m_started; }
 
  private:
-  Work m_work;
+  Task m_task;
   std::optional<std::string> m_error;
   int m_started = 0;
 };
