--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -111,7 +111,7 @@
   if (state_.configuration().tenants.empty()) {
     return;
   }
-  duties::UsageReporter::Present input;
+  duties::UsageReporter::StepInputs input;
   std::map<std::uint32_t, const KnownNode*>
       latestByNumber;  // only the latest incarnation of a gateway reports usage
   for (const auto& [node, knownNode] : nodes_) {
@@ -126,7 +126,7 @@
       input.gateways.insert(knownNode->record.node);
     }
   }
-  input.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
+  input.warmedUp = now - leader_since_ > settings_.repair.heartbeatTimeout;
   input.fence = replica_.raft().currentTerm();
   input.wall = clusterTime(now);
   input.now = now;
@@ -153,8 +153,8 @@
   if (!m_capacity.enabled()) {
     return;
   }
-  duties::Autoscaler::Present input;
-  input.settled = now - leader_since_ > settings_.repair.heartbeatTimeout;
+  duties::Autoscaler::StepInputs input;
+  input.warmedUp = now - leader_since_ > settings_.repair.heartbeatTimeout;
   input.fence = replica_.raft().currentTerm();
   input.now = now;
   input.services = scaledServices(state_, currentInstances(now), m_openJobs, modelDemand(now), now);
@@ -215,7 +215,7 @@
   }
   std::set<base::NodeId> initialVoters;
   for (const cluster::GroupNode& node : nodesOf(NodeRole::kLedger, now)) {
-    if (node.silence < settings_.repair.heartbeatTimeout &&
+    if (node.sinceHeartbeat < settings_.repair.heartbeatTimeout &&
         initialVoters.size() < settings_.initialLedgerVoters) {
       initialVoters.insert(node.node);
     }
@@ -229,7 +229,7 @@
 void DirectoryRole::repairOwnGroup(base::TimePoint now) {
   // Nodes have not had time to report to a new leader yet.
   if (now - leader_since_ >= settings_.repair.heartbeatTimeout) {
-    service_.repair(nodesOf(NodeRole::kController, now), settings_.repair, now);
+    service_.repairMembership(nodesOf(NodeRole::kController, now), settings_.repair, now);
   }
 }
 
@@ -357,7 +357,7 @@
     usage_.onOutcome(report, duties::UsageReportOutcome::kUnknown, now);
   }
   for (const duties::ScaleCall& call : scaleCalls) {
-    m_capacity.onOutcome(call, duties::ScaleOutcome::kBusy, now);
+    m_capacity.onOutcome(call, duties::ScaleOutcome::kThrottled, now);
   }
 }
 
--- a/src/directory/scaled_services.cpp
+++ b/src/directory/scaled_services.cpp
@@ -32,7 +32,7 @@
   for (const std::string& model : service.models) {
     const auto open = reportedJobs.openJobs.find(model);
     if (open != reportedJobs.openJobs.end() && !open->second.empty()) {
-      demand.works.insert(*open);
+      demand.openJobs.insert(*open);
     }
     const auto recent = recentDemand.find(model);
     demand.recentEvents += recent == recentDemand.end() ? 0 : recent->second;
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -139,7 +139,8 @@
 }
 
 void GatewayServer::rejectUnknown(int status, const std::shared_ptr<http::Exchange>& exchange) {
-  const std::optional<base::TimePoint> confirmedAt = node_.clusterMember().confirmedAt();
+  const std::optional<base::TimePoint> confirmedAt =
+      node_.clusterMember().configurationConfirmedAt();
   const bool final =
       m_rejectionPolicy.classify(confirmedAt, node_.now()) == directory::RejectionKind::kPermanent;
   const int responseStatus = final ? status : kUnavailable;
@@ -157,8 +158,8 @@
     const http::RawRequest& request, const directory::Route* route,
     const std::shared_ptr<http::Exchange>& exchange) {
   const bool keyRequired = route == nullptr || !route->open;
-  const tenancy::TenantTable::Verdict authResult =
-      tenants_.judge(node_.apiAdapter().apiKey(request.headers), keyRequired);
+  const tenancy::TenantTable::AccessDecision authResult =
+      tenants_.authorize(node_.apiAdapter().apiKey(request.headers), keyRequired);
   if (authResult.allowed) {
     return authResult.tenant;
   }
--- a/src/node/metrics_server.cpp
+++ b/src/node/metrics_server.cpp
@@ -59,7 +59,7 @@
   if (const auto lastContactAt = clusterMember.lastContactAt()) {
     metrics.set(GaugeId::kControllersHeardAge, base::toSeconds(m_node.now() - *lastContactAt));
   }
-  if (const auto confirmedAt = clusterMember.confirmedAt()) {
+  if (const auto confirmedAt = clusterMember.configurationConfirmedAt()) {
     metrics.set(GaugeId::kConfigurationAge, base::toSeconds(m_node.now() - *confirmedAt));
   }
   for (const auto& [model, version] : clusterMember.view().publishedVersions) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -180,7 +180,7 @@
   if (initialVoters.contains(self_)) {
     initial.voters = initialVoters;
   }
-  const storage::FolderIdentity identity{settings_.cluster, self_, group};
+  const storage::DataDirectoryIdentity identity{settings_.cluster, self_, group};
   disk_thread_ = std::make_unique<storage::DiskThread>(
       [this] { asio::post(context_, [this] { scheduleIteration(); }); });
   BOOST_LEAF_ASSIGN(
@@ -205,8 +205,8 @@
   // Usage reports and scaling calls share the rate limit with other callers.
   constexpr double kShareOfRate = 0.5;
   constexpr double kCapacityShareOfRate = 0.25;
-  settings.usage.window = settings_.usageWindow;
-  settings.usage.delay = settings_.usageReportDelay;
+  settings.usage.windowLength = settings_.usageWindow;
+  settings.usage.reportDelay = settings_.usageReportDelay;
   settings.usage.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
       kMicrosPerSecond / (settings_.dutyCallsPerSecond * kShareOfRate)));
   settings.capacity.plan.mode = settings_.capacity;
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -80,9 +80,9 @@
   logEvent(health->isAtTargetSize() ? EventId::kGroupOfSize : EventId::kGroupBelowSize,
            EventFields()
                .add("group", replica.group().value)
-               .add("voters", health->voters)
-               .add("heard", health->heard)
-               .add("wanted", health->wanted)
+               .add("voters", health->totalVoters)
+               .add("heard", health->healthyVoters)
+               .add("wanted", health->targetVoters)
                .text());
 }
 
@@ -109,10 +109,10 @@
                                             .add("zone", decision.subject.zone)
                                             .add("kind", duties::toString(decision.subject.kind))
                                             .add("count", decision.count)
-                                            .add("before", decision.before)
-                                            .add("there", decision.there)
+                                            .add("before", decision.previousCount)
+                                            .add("there", decision.active)
                                             .add("leaving", decision.draining)
-                                            .add("wanted", decision.wanted)
+                                            .add("wanted", decision.targetTotal)
                                             .add("work_known", decision.demandKnown)
                                             .add("items", decision.items)
                                             .add("waiting", decision.waiting)
@@ -128,10 +128,10 @@
     const std::string pool = summary.subject.service + "/" + summary.subject.zone + "/" +
                              std::string(duties::toString(summary.subject.kind));
     metrics_.set(GaugeId::kInstancesDesired, pool, valueIfLeading(summary.desired));
-    metrics_.set(GaugeId::kInstancesThere, pool, valueIfLeading(summary.there));
+    metrics_.set(GaugeId::kInstancesThere, pool, valueIfLeading(summary.active));
     metrics_.set(GaugeId::kInstancesStarting, pool, valueIfLeading(summary.starting));
     metrics_.set(GaugeId::kInstancesLeaving, pool, valueIfLeading(summary.draining));
-    metrics_.set(GaugeId::kInstancesRefused, pool, valueIfLeading(summary.refusals));
+    metrics_.set(GaugeId::kInstancesRefused, pool, valueIfLeading(summary.consecutiveFailures));
   }
 }
 
@@ -143,8 +143,8 @@
     metrics_.set(GaugeId::kCommitIndex, static_cast<double>(raft.commitIndex()));
     metrics_.set(GaugeId::kVoters, static_cast<double>(raft.membership().voters.size()));
     if (const auto health = groupHealth()) {
-      metrics_.set(GaugeId::kVotersHeard, static_cast<double>(health->heard));
-      metrics_.set(GaugeId::kVotersWanted, static_cast<double>(health->wanted));
+      metrics_.set(GaugeId::kVotersHeard, static_cast<double>(health->healthyVoters));
+      metrics_.set(GaugeId::kVotersWanted, static_cast<double>(health->targetVoters));
     }
     metrics_.set(GaugeId::kLogBytes, static_cast<double>(log_->logBytes()));
     metrics_.set(GaugeId::kSnapshotBytes, static_cast<double>(log_->snapshotBytes()));
--- a/test/directory/directory_role_test.cpp
+++ b/test/directory/directory_role_test.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "duties/manual_wall.h"
+#include "duties/manual_wall_clock.h"
 #include "simulation/simulated_disk.h"
 #include "storage/segmented_log.h"
 
@@ -81,7 +81,7 @@
   std::vector<directory::LoadCommand> commands;
   std::vector<tackpick::duties::UsageReport> reports;
   std::vector<tackpick::duties::ScaleCall> scaleCalls;
-  tackpick::test::ManualWall wall;
+  tackpick::test::ManualWallClock wall;
   const base::WallTime wallBegin{base::seconds(1'000'000)};
   directory::DirectorySettings settings;
   std::uint64_t calls = 0;
@@ -191,7 +191,7 @@
 
 Test(directory_role, usage_report_survives_a_restart_unchanged) {
   SingleController controller;
-  controller.settings.usage.window = base::seconds(5);
+  controller.settings.usage.windowLength = base::seconds(5);
   controller.start();
   controller.run(base::seconds(3));
   directory::Configuration tenants = configuration();
@@ -200,7 +200,7 @@
   tenants.tenants = {tenant};
   controller.send(directory::ReplaceConfiguration{tenants});
   controller.run(base::milliseconds(200));
-  const auto window = controller.role->state().usage().next();
+  const auto window = controller.role->state().usage().nextWindow();
   cr_assert(window.has_value());
   controller.send(directory::ReportUsage{{*window, {{*window, {{"a", 3}}}}}});
   controller.run(base::seconds(13));
@@ -216,7 +216,7 @@
 
 Test(directory_role, without_tenants_no_usage_is_reported) {
   SingleController controller;
-  controller.settings.usage.window = base::seconds(5);
+  controller.settings.usage.windowLength = base::seconds(5);
   controller.start();
   controller.run(base::seconds(3));
   controller.send(directory::ReplaceConfiguration{configuration()});
@@ -253,7 +253,7 @@
 
 Test(directory_role, replacement_of_a_draining_engine_is_requested_with_the_leaders_term) {
   SingleController controller;
-  controller.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kExpectedSteps;
+  controller.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kPredictive;
   controller.start();
   controller.run(base::seconds(3));
   controller.send(directory::ReplaceConfiguration{scaledConfiguration(1, 1, 10)});
@@ -297,7 +297,7 @@
 
 Test(directory_role, no_instances_are_requested_without_scaling_settings_or_in_the_default_mode) {
   SingleController unbounded;
-  unbounded.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kExpectedSteps;
+  unbounded.settings.capacity.plan.mode = tackpick::duties::CapacityMode::kPredictive;
   unbounded.start();
   unbounded.run(base::seconds(3));
   unbounded.send(directory::ReplaceConfiguration{configuration()});
@@ -321,7 +321,7 @@
   const auto reply = base::decode<directory::DirectoryReply>(controller.responses[0].payload);
   cr_assert(reply->status == directory::DirectoryStatus::kInvalid);
   cr_assert_eq(controller.role->state().configuration().version, 1U);
-  cr_assert_eq(controller.role->state().configuration().services[0].scaling->maximum, 10U);
+  cr_assert_eq(controller.role->state().configuration().services[0].scaling->maxInstances, 10U);
 }
 
 Test(directory_role, late_heartbeat_of_a_displaced_instance_does_not_bring_it_back) {
