--- a/src/base/bounded_archive.h
+++ b/src/base/bounded_archive.h
@@ -1,5 +1,5 @@
 /// \file
-/// A cereal input archive that refuses lengths no input could hold.
+/// A cereal input archive that rejects lengths above the size of its input.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -11,34 +11,34 @@
 
 namespace tackpick::base {
 
-/// Reads what cereal::PortableBinaryOutputArchive wrote on a little-endian machine. Every element
-/// takes at least one byte, so a length above the bytes that are left is forged or damaged and is
-/// refused before anything is allocated for it.
+/// Reads the output of cereal::PortableBinaryOutputArchive from a little-endian machine. Every
+/// element takes at least one byte, so a length above the number of remaining bytes is invalid and
+/// is rejected before memory is allocated for it.
 class BoundedInputArchive
     : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision> {
  public:
-  explicit BoundedInputArchive(std::string_view bytes) : InputArchive(this), rest_(bytes) {
+  explicit BoundedInputArchive(std::string_view bytes) : InputArchive(this), m_remaining(bytes) {
     std::uint8_t littleEndian = 0;
     read(&littleEndian, sizeof(littleEndian));
     if (littleEndian != 1) {
-      throw cereal::Exception("written on a machine of another byte order");
+      throw cereal::Exception("input has a different byte order");
     }
   }
 
   void read(void* target, std::size_t size) {
-    if (size > rest_.size()) {
-      throw cereal::Exception("the input ends early");
+    if (size > m_remaining.size()) {
+      throw cereal::Exception("input is truncated");
     }
-    std::memcpy(target, rest_.data(), size);
-    rest_.remove_prefix(size);
+    std::memcpy(target, m_remaining.data(), size);
+    m_remaining.remove_prefix(size);
   }
-  [[nodiscard]] std::size_t remaining() const { return rest_.size(); }
+  [[nodiscard]] std::size_t remaining() const { return m_remaining.size(); }
 
  private:
-  std::string_view rest_;
+  std::string_view m_remaining;
 };
 
-// The names are cereal's.
+// The function names are defined by cereal.
 // NOLINTBEGIN(readability-identifier-naming)
 template <class T>
 std::enable_if_t<std::is_arithmetic_v<T>> CEREAL_LOAD_FUNCTION_NAME(BoundedInputArchive& archive,
@@ -46,7 +46,7 @@
   archive.read(&value, sizeof(value));
 }
 
-/// A bool is read as a byte, so that a damaged one is refused.
+/// Reads a bool as a byte, so that values other than 0 and 1 are rejected.
 inline void CEREAL_LOAD_FUNCTION_NAME(BoundedInputArchive& archive, bool& value) {
   std::uint8_t byte = 0;
   archive.read(&byte, sizeof(byte));
@@ -65,7 +65,7 @@
 void CEREAL_LOAD_FUNCTION_NAME(BoundedInputArchive& archive, cereal::SizeTag<T>& tag) {
   archive(tag.size);
   if (tag.size > archive.remaining()) {
-    throw cereal::Exception("a length above the input's");
+    throw cereal::Exception("length exceeds the size of the input");
   }
 }
 
@@ -78,7 +78,7 @@
 }  // namespace tackpick::base
 
 namespace cereal::traits::detail {
-/// Types with save_minimal() and load_minimal() are checked against the archive that writes.
+/// Names the output archive against which cereal checks save_minimal() and load_minimal().
 template <>
 struct get_output_from_input<tackpick::base::BoundedInputArchive> {
   using type = cereal::PortableBinaryOutputArchive;
--- a/src/base/compressed_text.cpp
+++ b/src/base/compressed_text.cpp
@@ -6,33 +6,33 @@
 
 CompressedText::CompressedText(std::string_view text) : m_length(text.size()) {
   if (!text.empty()) {
-    m_parts.push_back(compress(Bytes(text)));
+    m_chunks.push_back(compress(Bytes(text)));
   }
 }
 
 void CompressedText::append(const CompressedText& more) {
-  m_parts.insert(m_parts.end(), more.m_parts.begin(), more.m_parts.end());
+  m_chunks.insert(m_chunks.end(), more.m_chunks.begin(), more.m_chunks.end());
   m_length += more.m_length;
 }
 
-std::optional<std::string> CompressedText::unpack() const {
+std::optional<std::string> CompressedText::decompressedText() const {
   std::string text;
-  for (const Bytes& part : m_parts) {
-    const auto plain = decompress(part, m_length - text.size());
-    if (!plain) {
+  for (const Bytes& chunk : m_chunks) {
+    const auto chunkText = decompress(chunk, m_length - text.size());
+    if (!chunkText) {
       return std::nullopt;
     }
-    text += *plain;
+    text += *chunkText;
   }
   return text.size() == m_length ? std::optional(std::move(text)) : std::nullopt;
 }
 
 bool operator==(const CompressedText& left, const CompressedText& right) {
-  return left.length() == right.length() && left.unpack() == right.unpack();
+  return left.length() == right.length() && left.decompressedText() == right.decompressedText();
 }
 
-bool operator==(const CompressedText& packed, std::string_view text) {
-  return packed.length() == text.size() && packed.unpack() == text;
+bool operator==(const CompressedText& compressed, std::string_view text) {
+  return compressed.length() == text.size() && compressed.decompressedText() == text;
 }
 
 }  // namespace tackpick::base
--- a/src/base/compressed_text.h
+++ b/src/base/compressed_text.h
@@ -1,5 +1,5 @@
 /// \file
-/// A text that is kept and sent compressed.
+/// A text that is stored and sent compressed.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,31 @@
 
 namespace tackpick::base {
 
-/// Compressed once, where the text is made, and unpacked once, where it is read: what passes it on
-/// or keeps it spends no time on it. Texts are joined without unpacking.
+/// A text that is compressed where it is created and decompressed where it is read. Processes that
+/// store or forward it do neither. Texts are concatenated without decompression.
 class CompressedText {
  public:
   CompressedText() = default;
   explicit CompressedText(std::string_view text);
 
   void append(const CompressedText& more);
-  /// Bytes of the text.
+  /// Returns the length of the uncompressed text in bytes.
   [[nodiscard]] std::uint64_t length() const { return m_length; }
-  /// The text; nothing when what was received is damaged.
-  [[nodiscard]] std::optional<std::string> unpack() const;
+  /// Returns the uncompressed text; std::nullopt if the compressed data is corrupt.
+  [[nodiscard]] std::optional<std::string> decompressedText() const;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(m_parts, m_length);
+    archive(m_chunks, m_length);
   }
 
  private:
-  std::vector<Bytes> m_parts;  ///< compressed, in order
+  std::vector<Bytes> m_chunks;  ///< separately compressed parts of the text, in order
   std::uint64_t m_length = 0;
 };
 
-/// Compares texts, however they were joined.
+/// Compares the uncompressed texts, regardless of how they are divided into chunks.
 [[nodiscard]] bool operator==(const CompressedText& left, const CompressedText& right);
-[[nodiscard]] bool operator==(const CompressedText& packed, std::string_view text);
+[[nodiscard]] bool operator==(const CompressedText& compressed, std::string_view text);
 
 }  // namespace tackpick::base
--- a/src/base/compression.cpp
+++ b/src/base/compression.cpp
@@ -7,13 +7,13 @@
 namespace tackpick::base {
 namespace {
 
-constexpr char kPlain = 0;
+constexpr char kUncompressed = 0;
 constexpr char kCompressed = 1;
-/// Shorter messages hardly shrink.
+/// Messages below this size are stored uncompressed.
 constexpr std::size_t kMinBytes = 160;
-/// The fastest level that still encodes single bytes by their frequency.
-constexpr int kLevel = 1;
-/// Small tables: texts repeat little over long distances, and memory counts.
+/// The fastest level that uses entropy coding.
+constexpr int kCompressionLevel = 1;
+/// Small window and hash table, to limit the memory per thread.
 constexpr int kWindowLog = 16;
 constexpr int kHashLog = 12;
 
@@ -24,7 +24,7 @@
 
 Context makeContext() {
   Context context(ZSTD_createCCtx());
-  ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, kLevel);
+  ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, kCompressionLevel);
   ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, kWindowLog);
   ZSTD_CCtx_setParameter(context.get(), ZSTD_c_hashLog, kHashLog);
   return context;
@@ -35,42 +35,42 @@
   return context.get();
 }
 
-Bytes plain(const Bytes& bytes) {
-  Bytes marked;
-  marked.reserve(bytes.size() + 1);
-  marked.push_back(kPlain);
-  marked += bytes;
-  return marked;
+Bytes markUncompressed(const Bytes& bytes) {
+  Bytes output;
+  output.reserve(bytes.size() + 1);
+  output.push_back(kUncompressed);
+  output += bytes;
+  return output;
 }
 
 }  // namespace
 
 Bytes compress(const Bytes& bytes) {
   if (bytes.size() < kMinBytes) {
-    return plain(bytes);
+    return markUncompressed(bytes);
   }
   Bytes compressed(1 + ZSTD_compressBound(bytes.size()), kCompressed);
   const std::size_t size = ZSTD_compress2(sharedContext(), compressed.data() + 1,
                                           compressed.size() - 1, bytes.data(), bytes.size());
   if (ZSTD_isError(size) != 0 || size >= bytes.size()) {
-    return plain(bytes);
+    return markUncompressed(bytes);
   }
   compressed.resize(1 + size);
   return compressed;
 }
 
-std::optional<Bytes> decompress(const Bytes& compressed, std::size_t limit) {
-  if (compressed.empty() || compressed.size() - 1 > limit) {
+std::optional<Bytes> decompress(const Bytes& compressed, std::size_t maxSize) {
+  if (compressed.empty() || compressed.size() - 1 > maxSize) {
     return std::nullopt;
   }
-  if (compressed.front() == kPlain) {
+  if (compressed.front() == kUncompressed) {
     return compressed.substr(1);
   }
   const char* data = compressed.data() + 1;
   const std::size_t length = compressed.size() - 1;
-  // Unknown sizes and errors are huge numbers.
+  // zstd reports unknown sizes and errors as values above any valid size.
   const unsigned long long size = ZSTD_getFrameContentSize(data, length);
-  if (compressed.front() != kCompressed || size > limit) {
+  if (compressed.front() != kCompressed || size > maxSize) {
     return std::nullopt;
   }
   Bytes bytes(size, '\0');
--- a/src/base/compression.h
+++ b/src/base/compression.h
@@ -1,6 +1,5 @@
 /// \file
-/// Compression of what our processes send each other and keep: most of it are texts, which cross
-/// zones several times and are kept for minutes.
+/// Compression of messages between processes and of stored data.
 #pragma once
 
 #include <cstddef>
@@ -10,9 +9,11 @@
 
 namespace tackpick::base {
 
-/// Compresses bytes where that makes them shorter. The first byte says whether.
+/// Compresses `bytes` if that makes them shorter. The first byte of the result marks whether the
+/// rest is compressed.
 [[nodiscard]] Bytes compress(const Bytes& bytes);
-/// What was compressed; nothing when it is damaged or would be longer than `limit`.
-[[nodiscard]] std::optional<Bytes> decompress(const Bytes& compressed, std::size_t limit);
+/// Returns the input of compress(); std::nullopt if `compressed` is corrupt or the result would be
+/// longer than `maxSize`.
+[[nodiscard]] std::optional<Bytes> decompress(const Bytes& compressed, std::size_t maxSize);
 
 }  // namespace tackpick::base
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -10,32 +10,32 @@
 
 namespace leaf = boost::leaf;
 
-/// What kind of failure an Error reports.
+/// Category of an Error.
 enum class ErrorCode {
-  kInvalidInput,   ///< the input breaks a documented rule
+  kInvalidInput,   ///< the input violates a documented rule
   kNotFound,       ///< the named thing does not exist
   kCorrupt,        ///< stored bytes fail their checksum or cannot be decoded
-  kWrongIdentity,  ///< a data folder belongs to another node, cluster or format version
-  kStorage,        ///< the operating system refused to read, write or sync
+  kWrongIdentity,  ///< a data directory belongs to another node, cluster or format version
+  kStorage,        ///< a read, write or sync of a file failed
   kNetwork,        ///< a connection failed
 };
 
 /// The error object loaded into a leaf::result.
 struct Error {
   ErrorCode code = ErrorCode::kInvalidInput;
-  std::string message;  ///< one sentence for a person, naming file, line or path where known
+  std::string message;  ///< one sentence for operators, with file, line or path if known
 };
 
 template <typename T>
 using Result = leaf::result<T>;
 
-/// Makes a failed Result.
+/// Returns a failed Result.
 [[nodiscard]] inline leaf::error_id fail(ErrorCode code, std::string message) {
   return leaf::new_error(Error{code, std::move(message)});
 }
 
-/// Runs `operation` (returning Result<T>) and hands any failure to `onError` (taking Error and
-/// returning T).
+/// Runs `operation`, which returns Result<T>, and passes any failure to `onError`, which takes an
+/// Error and returns T.
 template <typename Operation, typename OnError>
 auto recover(Operation&& operation, OnError&& onError) {
   return leaf::try_handle_all(
--- a/src/base/event_loop_lag.cpp
+++ b/src/base/event_loop_lag.cpp
@@ -5,23 +5,23 @@
 namespace tackpick::base {
 
 void EventLoopLag::onTick(TimePoint now) {
-  if (m_tickedAt == TimePoint{}) {
-    m_tickedAt = now;
-    m_windowFrom = now;
+  if (m_lastTickAt == TimePoint{}) {
+    m_lastTickAt = now;
+    m_windowStart = now;
     return;
   }
-  const Duration gap = now - m_tickedAt;
-  const Duration late = std::max(gap - m_interval, Duration{0});
-  m_tickedAt = now;
-  m_weighted += static_cast<double>(late.count()) * static_cast<double>(gap.count());
-  const Duration window = now - m_windowFrom;
+  const Duration gap = now - m_lastTickAt;
+  const Duration lag = std::max(gap - m_interval, Duration{0});
+  m_lastTickAt = now;
+  m_weightedLag += static_cast<double>(lag.count()) * static_cast<double>(gap.count());
+  const Duration window = now - m_windowStart;
   if (window < m_window) {
     return;
   }
   m_average =
-      Duration(static_cast<Duration::rep>(m_weighted / static_cast<double>(window.count())));
-  m_weighted = 0;
-  m_windowFrom = now;
+      Duration(static_cast<Duration::rep>(m_weightedLag / static_cast<double>(window.count())));
+  m_weightedLag = 0;
+  m_windowStart = now;
 }
 
 }  // namespace tackpick::base
--- a/src/base/event_loop_lag.h
+++ b/src/base/event_loop_lag.h
@@ -1,29 +1,29 @@
 /// \file
-/// How late the ticks of an event loop come.
+/// Measures the lag of an event loop.
 #pragma once
 
 #include "base/time.h"
 
 namespace tackpick::base {
 
-/// An event loop ticks each `interval` when it has nothing else to do. What its ticks come later is
-/// averaged over the time that they took, in windows: one long pause shows in one window only, a
-/// loop without enough processor in each. Deterministic.
+/// Averages the delay of a periodic timer beyond its `interval`, weighted by the time between ticks
+/// and separately for each window. One long pause affects one window; a lack of CPU time affects
+/// every window. Deterministic.
 class EventLoopLag {
  public:
   explicit EventLoopLag(Duration interval, Duration window = milliseconds(500))
       : m_interval(interval), m_window(window) {}
 
   void onTick(TimePoint now);
-  /// Of the last whole window; zero before there is one.
+  /// Returns the average lag in the last complete window; zero before the first one ends.
   [[nodiscard]] Duration average() const { return m_average; }
 
  private:
   const Duration m_interval;
   const Duration m_window;
-  TimePoint m_tickedAt{};
-  TimePoint m_windowFrom{};
-  double m_weighted = 0;  ///< lateness times the time between the ticks, in square microseconds
+  TimePoint m_lastTickAt{};
+  TimePoint m_windowStart{};
+  double m_weightedLag = 0;  ///< sum of lag times time between ticks, in square microseconds
   Duration m_average{0};
 };
 
--- a/src/base/identifiers.h
+++ b/src/base/identifiers.h
@@ -1,5 +1,5 @@
 /// \file
-/// Identifiers with types, so that a batch identifier cannot be passed where an engine is meant.
+/// Strongly typed identifiers.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace tackpick::base {
 
-/// A 64-bit identifier; `Tag` only makes each kind a type of its own. Zero means "none".
+/// A 64-bit identifier. `Tag` makes each kind of identifier a separate type. Zero means "none".
 template <typename Tag>
 struct NumericId {
   std::uint64_t value = 0;
@@ -28,12 +28,12 @@
   }
 };
 
-/// An identifier chosen by users (a tenant's or batch's name).
+/// A string identifier that users choose, such as the name of a tenant or batch.
 template <typename Tag>
-struct TextId {
+struct StringId {
   std::string value;
 
-  auto operator<=>(const TextId&) const = default;
+  auto operator<=>(const StringId&) const = default;
   [[nodiscard]] bool valid() const { return !value.empty(); }
 
   template <class Archive>
@@ -46,48 +46,49 @@
   }
 };
 
-/// One process of ours. An empty data folder always gets a new identity.
+/// Identifies one controller, ledger or gateway process. A new identity is created for each empty
+/// data directory.
 using NodeId = NumericId<struct NodeTag>;
-/// A NodeId is a number, which stands in settings files and has an address, and an instance, which
-/// is drawn anew whenever a data folder is created. So a machine that lost its disk is another
-/// node than before, though it is reached at the same address.
+/// Returns the NodeId with the node number `number`, which settings files map to an address, and
+/// the random number `instance`, which is generated when a data directory is created. A node that
+/// lost its disk therefore returns as another node at the same address.
 [[nodiscard]] constexpr NodeId makeNodeId(std::uint32_t number, std::uint32_t instance) {
   constexpr unsigned kInstanceBits = 32;
   return {(static_cast<std::uint64_t>(number) << kInstanceBits) | instance};
 }
-/// The node's number.
+/// Returns the node number, the upper 32 bits of the identifier.
 [[nodiscard]] constexpr std::uint32_t nodeNumber(NodeId node) {
   constexpr unsigned kInstanceBits = 32;
   return static_cast<std::uint32_t>(node.value >> kInstanceBits);
 }
 
-/// A model engine (back end).
+/// Identifies a model engine.
 using EngineId = NumericId<struct EngineTag>;
-/// One run of an engine process; a restart is a new incarnation.
+/// Identifies one run of an engine process. Each restart is a new incarnation.
 using Incarnation = NumericId<struct IncarnationTag>;
-/// A replication group: the controllers, or one group of ledgers.
+/// Identifies a replication group: the controllers or one group of ledgers.
 using GroupId = NumericId<struct GroupTag>;
-/// One caller's request inside one gateway.
+/// Identifies a caller's request within one gateway.
 using CallerId = NumericId<struct CallerTag>;
-/// One dispatch of a job to an engine; unique over all gateways and restarts.
+/// Identifies one dispatch of a request or item to an engine. Unique across gateways and restarts.
 using AttemptId = NumericId<struct AttemptTag>;
-/// One call from a gateway to a replication group.
+/// Identifies one call from a gateway to a replication group.
 using CallId = NumericId<struct CallTag>;
 /// Number of a published set of weights; higher is newer.
 using WeightsVersion = NumericId<struct WeightsVersionTag>;
-/// Number of an accepted configuration; it only goes up.
+/// Number of an accepted configuration. Increases monotonically.
 using Revision = NumericId<struct RevisionTag>;
 
-using TenantName = TextId<struct TenantNameTag>;
-/// `tenant/workload`.
-using WorkloadPath = TextId<struct WorkloadPathTag>;
-/// A batch as its trainer names it, prefixed by the tenant.
-using BatchId = TextId<struct BatchTag>;
-/// Chosen by the client so that a resend is recognised.
-using IdempotencyKey = TextId<struct IdempotencyKeyTag>;
+using TenantName = StringId<struct TenantNameTag>;
+/// Path of a workload: `tenant/workload`.
+using WorkloadPath = StringId<struct WorkloadPathTag>;
+/// Name that a trainer gave to a batch, prefixed by the tenant.
+using BatchId = StringId<struct BatchTag>;
+/// Key that the client chooses so that a repeated request is detected.
+using IdempotencyKey = StringId<struct IdempotencyKeyTag>;
 
-/// Orders things issued by one authority over time: a receiver refuses any fence lower than the
-/// highest it has seen. `term` is the issuing leader's Raft term.
+/// Fencing token of the commands of a leader. A receiver rejects any fence lower than the highest
+/// it has seen. `term` is the Raft term of the leader that issued it.
 struct Fence {
   std::uint64_t term = 0;
   std::uint64_t sequence = 0;
@@ -110,8 +111,8 @@
 };
 
 template <typename Tag>
-struct std::hash<tackpick::base::TextId<Tag>> {
-  std::size_t operator()(const tackpick::base::TextId<Tag>& id) const noexcept {
+struct std::hash<tackpick::base::StringId<Tag>> {
+  std::size_t operator()(const tackpick::base::StringId<Tag>& id) const noexcept {
     return std::hash<std::string>{}(id.value);
   }
 };
--- a/src/base/large_value.h
+++ b/src/base/large_value.h
@@ -1,5 +1,5 @@
 /// \file
-/// Encoding of values so large that they must not be held twice.
+/// Encoding of large values into a buffer of the exact size.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace tackpick::base {
 
-/// Counts what is written to it.
+/// A stream buffer that counts the bytes written to it and discards them.
 class CountingBuffer final : public std::streambuf {
  public:
   [[nodiscard]] std::size_t size() const { return m_size; }
@@ -29,7 +29,7 @@
   std::size_t m_size = 0;
 };
 
-/// Keeps what is written to it in a string of exactly that size.
+/// A stream buffer that appends to a string with a preallocated capacity.
 class FixedBuffer final : public std::streambuf {
  public:
   explicit FixedBuffer(std::size_t size) { m_bytes.reserve(size); }
@@ -49,9 +49,10 @@
   Bytes m_bytes;
 };
 
-/// The same bytes as encode(), without the room of a string that grew: a first pass counts them.
+/// Returns the same bytes as encode(), in a string without excess capacity. A first pass determines
+/// the size.
 template <typename T>
-[[nodiscard]] Bytes encodeLarge(const T& value) {
+[[nodiscard]] Bytes encodePresized(const T& value) {
   const auto write = [&](std::streambuf& buffer) {
     std::ostream stream(&buffer);
     cereal::PortableBinaryOutputArchive archive(stream);
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,5 +1,5 @@
 /// \file
-/// Randomness as an injected dependency, and the hash functions shared by several modules.
+/// Pseudo-random number generators and hash functions.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace tackpick::base {
 
-/// Mixes 64 bits (the finaliser of SplitMix64). A bijection.
+/// Returns a 64-bit mix of `value` (the finaliser of SplitMix64). A bijection.
 [[nodiscard]] constexpr std::uint64_t mix(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9ULL;
@@ -15,12 +15,12 @@
   return value ^ (value >> 31U);
 }
 
-/// Hash of two values; the order matters.
+/// Returns a hash of two values, which depends on their order.
 [[nodiscard]] constexpr std::uint64_t mix(std::uint64_t first, std::uint64_t second) {
   return mix(mix(first) ^ second);
 }
 
-/// Stable 64-bit hash of bytes: the same on every run and machine.
+/// Returns a 64-bit hash of `bytes`. Deterministic.
 [[nodiscard]] std::uint64_t hashBytes(std::string_view bytes, std::uint64_t seed = 0);
 
 /// Source of pseudo-random numbers.
@@ -29,19 +29,19 @@
   virtual ~Random() = default;
   virtual std::uint64_t next() = 0;
 
-  /// Uniform in [0, bound); zero when `bound` is zero.
+  /// Returns a uniform integer in [0, bound); zero if `bound` is zero.
   std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : next() % bound; }
-  /// Uniform in [0, 1).
+  /// Returns a uniform number in [0, 1).
   double uniform();
-  /// True with the given probability.
+  /// Returns true with the given probability.
   bool chance(double probability) { return uniform() < probability; }
-  /// Exponentially distributed with the given mean.
+  /// Returns an exponentially distributed number with the given mean.
   double exponential(double mean);
-  /// Pareto distributed: at least `minimum`, tail index `alpha`.
+  /// Returns a Pareto distributed number of at least `minimum`, with tail index `alpha`.
   double pareto(double minimum, double alpha);
 };
 
-/// Deterministic generator (SplitMix64): the same seed gives the same numbers everywhere.
+/// SplitMix64 generator. Deterministic.
 class SeededRandom final : public Random {
  public:
   explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
--- a/src/base/serialization.h
+++ b/src/base/serialization.h
@@ -1,5 +1,5 @@
 /// \file
-/// Encoding of typed messages as bytes, by cereal's portable binary archive.
+/// Encoding of typed messages as bytes with cereal's portable binary archive.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -22,7 +22,6 @@
 /// Encoded bytes of a message or state.
 using Bytes = std::string;
 
-/// Encodes `value`.
 template <typename T>
 [[nodiscard]] Bytes encode(const T& value) {
   std::ostringstream stream;
@@ -33,8 +32,8 @@
   return std::move(stream).str();
 }
 
-/// Decodes bytes written by encode; nothing when they are not a whole T. Memory is bounded by the
-/// length of the input: see BoundedInputArchive.
+/// Decodes the output of encode(). Returns std::nullopt if `bytes` is not exactly one valid T.
+/// Memory use is bounded by the length of the input, see BoundedInputArchive.
 template <typename T>
 [[nodiscard]] std::optional<T> decode(const Bytes& bytes) {
   try {
--- a/src/base/sorted_cursor.h
+++ b/src/base/sorted_cursor.h
@@ -1,19 +1,20 @@
 /// \file
-/// Looks the keys of one sorted map up in another.
+/// Lookup of ascending keys in a sorted map.
 #pragma once
 
 #include <map>
 
 namespace tackpick::base {
 
-/// Finds keys that are asked for in rising order by stepping through a map instead of searching it:
-/// where all instances are walked, the maps that belong to them are joined on the way.
+/// Looks up keys in ascending order by advancing an iterator instead of searching the map for each
+/// key.
 template <class Key, class Value>
 class SortedCursor {
  public:
   explicit SortedCursor(const std::map<Key, Value>& map) : m_next(map.begin()), m_end(map.end()) {}
 
-  /// The value of `key`, which is not below any asked for before; null when there is none.
+  /// Returns the value of `key`, or null if the map does not contain it. `key` must not be less
+  /// than the key of an earlier call.
   [[nodiscard]] const Value* find(const Key& key) {
     while (m_next != m_end && m_next->first < key) {
       ++m_next;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,6 +1,6 @@
 /// \file
-/// Time as the decision modules see it: a monotonic clock with microsecond resolution.
-/// Decision modules never read a clock; the driver (runtime or simulator) passes `now` in.
+/// Time types and clocks with microsecond resolution. Decision modules never read a clock; the
+/// runtime or the simulator passes the current time to them.
 #pragma once
 
 #include <chrono>
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Tag of the monotonic clock. Its epoch is arbitrary and differs between machines, so time points
-/// of one machine mean nothing on another: only durations cross the network.
+/// Clock type of monotonic time points. The epoch differs between machines, so only durations are
+/// sent over the network.
 struct MonotonicClock {
   using rep = std::int64_t;
   using period = std::micro;
@@ -26,10 +26,10 @@
 
 using TimePoint = MonotonicClock::time_point;
 
-/// The time of day, since 1970. Clocks of machines differ, and may be set while they run.
+/// Wall-clock time since 1970. Wall clocks differ between machines and may be adjusted at run time.
 using WallTime = std::chrono::sys_time<Duration>;
 
-/// Supplies what this machine's clock shows.
+/// Provides the current wall-clock time.
 class WallTimeSource {
  public:
   virtual ~WallTimeSource() = default;
@@ -44,17 +44,17 @@
   }
 };
 
-/// Supplies the current monotonic time. The runtime reads the operating system's clock; the
-/// simulator advances a virtual one.
+/// Provides the current monotonic time. The runtime reads the clock of the operating system; the
+/// simulator advances a virtual clock.
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
   [[nodiscard]] virtual TimePoint now() const = 0;
 };
 
-/// This machine's time since its boot, suspensions included: the only place where a monotonic clock
-/// is read. CLOCK_MONOTONIC, which std::chrono::steady_clock reads, stands still while a machine is
-/// suspended: a lease that has long passed to another would seem young after the resume.
+/// Time since the machine booted, including time in suspension. std::chrono::steady_clock must not
+/// be used instead: it stops while the machine is suspended, so that an expired lease would appear
+/// to be valid after the resume.
 struct BootClock : MonotonicClock {
   [[nodiscard]] static TimePoint now() {
     std::timespec time{};
@@ -71,13 +71,13 @@
   [[nodiscard]] TimePoint now() const override { return BootClock::now(); }
 };
 
-/// Milliseconds as a floating point number, for reports and metrics.
+/// Returns the duration in milliseconds, for reports and metrics.
 [[nodiscard]] inline double toMilliseconds(Duration duration) {
   constexpr double kMicrosecondsPerMillisecond = 1000.0;
   return static_cast<double>(duration.count()) / kMicrosecondsPerMillisecond;
 }
 
-/// Seconds as a floating point number, for reports and metrics.
+/// Returns the duration in seconds, for reports and metrics.
 [[nodiscard]] inline double toSeconds(Duration duration) {
   constexpr double kMicrosecondsPerSecond = 1e6;
   return static_cast<double>(duration.count()) / kMicrosecondsPerSecond;
--- a/src/base/timer.h
+++ b/src/base/timer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Timers of the event loops.
+/// Timer for use in event loops.
 #pragma once
 
 #include <asio/basic_waitable_timer.hpp>
@@ -8,9 +8,9 @@
 
 namespace tackpick::base {
 
-/// Counts the time of a suspension, as all decisions do: a deadline that has passed meanwhile is
-/// over at the resume. The operating system may wake the process late, by the time until the next
-/// tick of its event loop, so whoever is woken compares times and does not trust the wake-up.
+/// A timer that includes the time in which the machine is suspended. The operating system may wake
+/// the process late after a resume, so handlers must compare times rather than rely on the timer
+/// alone.
 using Timer = asio::basic_waitable_timer<BootClock>;
 
 }  // namespace tackpick::base
--- a/src/base/verdict.h
+++ b/src/base/verdict.h
@@ -1,5 +1,5 @@
 /// \file
-/// The verdict says whether a request may have run. It accompanies every error.
+/// Whether a request may have run on an engine. Sent with every error.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,22 @@
 
 namespace tackpick::base {
 
+/// Whether a request ran on an engine, in increasing order of certainty that it did.
 enum class Verdict : std::uint8_t {
-  /// No engine ran any part of it: safe to send again anywhere.
+  /// No engine ran any part of the request. It is safe to send it again.
   kNotRun,
-  /// It is unknown whether an engine ran it, or it ran in part.
+  /// The request ran in part, or it is unknown whether it ran.
   kMayHaveRun,
-  /// An engine ran it to its end.
+  /// An engine ran the request to completion.
   kRan,
 };
 
-/// The verdict over several attempts: once something may have run, a later refusal cannot take it
-/// back.
+/// Returns the verdict on two attempts at the same request: the one closer to kRan.
 [[nodiscard]] constexpr Verdict combine(Verdict earlier, Verdict later) {
   return earlier > later ? earlier : later;
 }
 
-/// Name used in HTTP bodies and headers: `not_run`, `may_have_run` or `ran`.
+/// Returns the name used in HTTP bodies and headers: `not_run`, `may_have_run` or `ran`.
 [[nodiscard]] constexpr std::string_view toString(Verdict verdict) {
   switch (verdict) {
     case Verdict::kNotRun:
--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -58,7 +58,7 @@
   if (!leased_.progress) {
     return;
   }
-  auto text = leased_.progress->text.unpack();
+  auto text = leased_.progress->text.decompressedText();
   if (!text) {
     leased_.progress.reset();  // damaged: the text begins anew
     begun_anew_ = true;
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -191,7 +191,7 @@
 
 // Nearly all of it are texts, which are packed: compressing them again takes five times as long as
 // the rest and saves 3 percent.
-base::Bytes JobState::takeSnapshot() const { return base::encodeLarge(jobs_); }
+base::Bytes JobState::takeSnapshot() const { return base::encodePresized(jobs_); }
 
 void JobState::loadSnapshot(const base::Bytes& snapshot) {
   jobs_.clear();  // two states at once may not fit
--- a/test/base/compressed_text_test.cpp
+++ b/test/base/compressed_text_test.cpp
@@ -1,4 +1,4 @@
-/// Texts that are kept and sent compressed.
+/// Tests of texts that are stored and sent compressed.
 #include "base/compressed_text.h"
 
 #include <criterion/criterion.h>
@@ -18,29 +18,30 @@
 
 }  // namespace
 
-Test(compressed_text, texts_come_back_as_they_were_also_joined) {
-  base::CompressedText packed(longText('a'));
-  cr_assert_lt(base::encode(packed).size(), longText('a').size());
-  packed.append(base::CompressedText("\nshort"));
-  packed.append(base::CompressedText());
-  packed.append(base::CompressedText(longText('k')));
-  const std::string whole = longText('a') + "\nshort" + longText('k');
-  cr_assert_eq(packed.length(), whole.size());
-  cr_assert(packed == whole);
-  cr_assert(packed == base::CompressedText(whole), "however it was joined");
-  const auto decoded = base::decode<base::CompressedText>(base::encode(packed));
-  cr_assert(decoded->unpack() == whole);
-  cr_assert(base::CompressedText().unpack() == "");
+Test(compressed_text, texts_round_trip_when_appended) {
+  base::CompressedText compressed(longText('a'));
+  cr_assert_lt(base::encode(compressed).size(), longText('a').size());
+  compressed.append(base::CompressedText("\nshort"));
+  compressed.append(base::CompressedText());
+  compressed.append(base::CompressedText(longText('k')));
+  const std::string joined = longText('a') + "\nshort" + longText('k');
+  cr_assert_eq(compressed.length(), joined.size());
+  cr_assert(compressed == joined);
+  cr_assert(compressed == base::CompressedText(joined),
+            "equal regardless of the division into chunks");
+  const auto decoded = base::decode<base::CompressedText>(base::encode(compressed));
+  cr_assert(decoded->decompressedText() == joined);
+  cr_assert(base::CompressedText().decompressedText() == "");
 }
 
-Test(compressed_text, damage_is_noticed) {
+Test(compressed_text, corruption_is_detected) {
   base::Bytes bytes = base::encode(base::CompressedText(longText('a')));
-  bool noticed = false;
-  for (std::size_t i = 0; i < bytes.size() && !noticed; ++i) {
-    base::Bytes damaged = bytes;
-    damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
-    const auto decoded = base::decode<base::CompressedText>(damaged);
-    noticed = decoded && !decoded->unpack();
+  bool detected = false;
+  for (std::size_t i = 0; i < bytes.size() && !detected; ++i) {
+    base::Bytes corrupted = bytes;
+    corrupted[i] = static_cast<char>(corrupted[i] ^ 0x10);
+    const auto decoded = base::decode<base::CompressedText>(corrupted);
+    detected = decoded && !decoded->decompressedText();
   }
-  cr_assert(noticed);
+  cr_assert(detected);
 }
--- a/test/base/event_loop_lag_test.cpp
+++ b/test/base/event_loop_lag_test.cpp
@@ -1,4 +1,4 @@
-/// How late the ticks of an event loop come.
+/// Tests of the measurement of event loop lag.
 #include "base/event_loop_lag.h"
 
 #include <criterion/criterion.h>
@@ -13,11 +13,11 @@
   void run(base::Duration time, base::Duration gap) {
     for (const base::TimePoint until = now + time; now < until;) {
       now += gap;
-      lateness.onTick(now);
+      lag.onTick(now);
     }
   }
 
-  base::EventLoopLag lateness{kInterval};
+  base::EventLoopLag lag{kInterval};
   base::TimePoint now{base::seconds(1)};
 };
 
@@ -25,24 +25,24 @@
 
 Test(event_loop_lag, is_zero_while_ticks_come_in_time) {
   Loop loop;
-  cr_assert_eq(loop.lateness.average(), base::Duration{0});
+  cr_assert_eq(loop.lag.average(), base::Duration{0});
   loop.run(base::seconds(2), kInterval);
-  cr_assert_eq(loop.lateness.average(), base::Duration{0});
+  cr_assert_eq(loop.lag.average(), base::Duration{0});
 }
 
 Test(event_loop_lag, shows_a_starved_loop_as_long_as_it_lasts) {
   Loop loop;
   loop.run(base::seconds(2), base::milliseconds(100));
-  cr_assert_eq(loop.lateness.average(), base::milliseconds(80));
+  cr_assert_eq(loop.lag.average(), base::milliseconds(80));
   loop.run(base::seconds(1), kInterval);
-  cr_assert_eq(loop.lateness.average(), base::Duration{0});
+  cr_assert_eq(loop.lag.average(), base::Duration{0});
 }
 
-Test(event_loop_lag, one_pause_shows_for_one_window) {
+Test(event_loop_lag, one_pause_affects_one_window) {
   Loop loop;
   loop.run(base::seconds(1), kInterval);
   loop.run(base::milliseconds(20), base::seconds(6));
-  cr_assert_gt(loop.lateness.average(), base::seconds(5));
+  cr_assert_gt(loop.lag.average(), base::seconds(5));
   loop.run(base::milliseconds(520), kInterval);
-  cr_assert_eq(loop.lateness.average(), base::Duration{0});
+  cr_assert_eq(loop.lag.average(), base::Duration{0});
 }
--- a/test/base/time_source_test.cpp
+++ b/test/base/time_source_test.cpp
@@ -1,10 +1,5 @@
-/// A machine that is suspended for some seconds.
-///
-/// Leases, fences, deadlines and the age of what is known are all counted with one clock. The
-/// operating system's monotonic clock stands still while the machine is suspended, and that of the
-/// others goes on: a leader, or a gateway, that read it would hold its lease for young after it has
-/// long been given to somebody else. Here the machine is suspended by a stand-in for the system
-/// call that reads clocks.
+/// Guards against a clock that stops while the machine is suspended: a leader or gateway would use
+/// its lease after another has acquired it.
 #include <criterion/criterion.h>
 #include <unistd.h>
 
@@ -14,7 +9,7 @@
 namespace base = tackpick::base;
 using tackpick::test::suspendedSeconds;
 
-Test(time_source, counts_the_time_of_a_suspension) {
+Test(time_source, includes_the_time_of_a_suspension) {
   const base::MonotonicTimeSource clock;
   const base::TimePoint before = clock.now();
   suspendedSeconds += 3;
@@ -22,7 +17,7 @@
   cr_assert_geq(passed.count(), base::Duration(base::seconds(3)).count());
 }
 
-Test(time_source, runs_on_by_itself) {
+Test(time_source, advances_in_real_time) {
   const base::MonotonicTimeSource clock;
   const base::TimePoint before = clock.now();
   usleep(2000);
--- a/test/cluster/cluster_world_test.cpp
+++ b/test/cluster/cluster_world_test.cpp
@@ -132,7 +132,7 @@
                            for (std::size_t at = 0; at < reply->results.size(); ++at) {
                              const std::string text =
                                  reply->results[at].itemId + " " +
-                                 reply->results[at].result.text.unpack().value();
+                                 reply->results[at].result.text.decompressedText().value();
                              if (at >= seen.size()) {
                                seen.push_back(text);
                                ++results_seen_;
--- a/test/jobs/progress_test.cpp
+++ b/test/jobs/progress_test.cpp
@@ -223,11 +223,11 @@
       }
       if (const jobs::PartialText* partial = kept(state)) {
         // Events are counted by line; the text must also be some gateway's own text so far.
-        const std::string text = partial->text.unpack().value();
+        const std::string text = partial->text.decompressedText().value();
         const auto lines = std::count(text.begin(), text.end(), '\n') + 1;
         cr_assert_eq(static_cast<std::uint64_t>(lines), partial->point.event + 1);
         const bool own = std::any_of(runs.begin(), runs.end(), [&](const auto& run) {
-          return run->completed().text.unpack()->starts_with(text);
+          return run->completed().text.decompressedText()->starts_with(text);
         });
         cr_assert(own, "seed %lu step %d", static_cast<unsigned long>(seed), step);
       }
