--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -13,9 +13,9 @@
 namespace tackpick::http {
 namespace {
 
-constexpr long kOn = 1;
-constexpr int kFirstSuccess = 200;
-constexpr int kFirstRedirect = 300;
+constexpr long kEnabled = 1;
+constexpr int kMinSuccessStatus = 200;
+constexpr int kMinRedirectStatus = 300;
 
 void initialiseOnce() {
   static const CURLcode kInitialised = curl_global_init(CURL_GLOBAL_DEFAULT);
@@ -33,23 +33,23 @@
     curl_multi_setopt(multi_, CURLMOPT_SOCKETDATA, this);
     curl_multi_setopt(multi_, CURLMOPT_TIMERFUNCTION, &Implementation::onTimer);
     curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
-    constexpr long kKeptConnections = 2048;
-    curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, kKeptConnections);
+    constexpr long kMaxIdleConnections = 2048;
+    curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
   }
   Implementation(const Implementation&) = delete;
   Implementation& operator=(const Implementation&) = delete;
 
   ~Implementation() {
     for (auto& [id, transfer] : transfers_) {
-      curl_multi_remove_handle(multi_, transfer->easy);
+      curl_multi_remove_handle(multi_, transfer->handle);
     }
     transfers_.clear();
     curl_multi_cleanup(multi_);
-    for (auto& [socket, watch] : watches_) {
-      watch->descriptor.release();
+    for (auto& [socket, socketWatch] : watches_) {
+      socketWatch->descriptor.release();
     }
-    for (CURL* easy : idle_) {
-      curl_easy_cleanup(easy);
+    for (CURL* handle : m_idleHandles) {
+      curl_easy_cleanup(handle);
     }
   }
 
@@ -59,7 +59,7 @@
     transfer->onData = std::move(onData);
     transfer->onDone = std::move(onDone);
     transfer->body = request.body;
-    transfer->easy = takeEasy();
+    transfer->handle = acquireHandle();
     configure(*transfer, request);
     Transfer& stored = *transfer;
     transfers_[transfer->id] = std::move(transfer);
@@ -73,7 +73,7 @@
       return;
     }
     if (in_curl_) {
-      // libcurl forbids removing a handle inside its callbacks.
+      // Handles must not be removed inside libcurl callbacks.
       found->second->cancelled = true;
       asio::post(context_, [weak = weak_from_this(), id] {
         if (const auto self = weak.lock()) {
@@ -90,7 +90,7 @@
  private:
   struct Transfer {
     TransferId id;
-    CURL* easy = nullptr;
+    CURL* handle = nullptr;
     curl_slist* headerList = nullptr;
     DataCallback onData;
     DoneCallback onDone;
@@ -103,18 +103,18 @@
     Transfer& operator=(const Transfer&) = delete;
     ~Transfer() {
       curl_slist_free_all(headerList);
-      if (easy != nullptr) {
-        curl_easy_cleanup(easy);
+      if (handle != nullptr) {
+        curl_easy_cleanup(handle);
       }
     }
   };
   using Transfers = std::unordered_map<TransferId, std::unique_ptr<Transfer>>;
 
-  /// One of libcurl's sockets, watched by Asio but owned by libcurl.
-  struct Watch {
-    explicit Watch(asio::io_context& context) : descriptor(context) {}
+  /// A socket that libcurl owns and Asio polls.
+  struct SocketWatch {
+    explicit SocketWatch(asio::io_context& context) : descriptor(context) {}
     asio::posix::stream_descriptor descriptor;
-    int wanted = 0;
+    int polledEvents = 0;
     bool reading = false;
     bool writing = false;
     bool removed = false;
@@ -126,10 +126,10 @@
       return;
     }
     if (!in_curl_) {
-      curl_multi_add_handle(multi_, found->second->easy);
+      curl_multi_add_handle(multi_, found->second->handle);
       return;
     }
-    // libcurl forbids adding a handle inside its callbacks.
+    // Handles must not be added inside libcurl callbacks.
     asio::post(context_, [weak = weak_from_this(), id] {
       if (const auto self = weak.lock()) {
         self->add(id);
@@ -137,46 +137,47 @@
     });
   }
 
-  CURL* takeEasy() {
-    if (idle_.empty()) {
+  CURL* acquireHandle() {
+    if (m_idleHandles.empty()) {
       return curl_easy_init();
     }
-    CURL* easy = idle_.back();
-    idle_.pop_back();
-    return easy;
+    CURL* handle = m_idleHandles.back();
+    m_idleHandles.pop_back();
+    return handle;
   }
 
   void release(Transfers::iterator found) {
-    constexpr std::size_t kIdleHandles = 256;
+    constexpr std::size_t kMaxIdleHandles = 256;
     Transfer& transfer = *found->second;
-    curl_multi_remove_handle(multi_, transfer.easy);
-    if (idle_.size() < kIdleHandles) {
-      curl_easy_reset(transfer.easy);
-      idle_.push_back(std::exchange(transfer.easy, nullptr));
+    curl_multi_remove_handle(multi_, transfer.handle);
+    if (m_idleHandles.size() < kMaxIdleHandles) {
+      curl_easy_reset(transfer.handle);
+      m_idleHandles.push_back(std::exchange(transfer.handle, nullptr));
     }
     transfers_.erase(found);
   }
 
   static void configure(Transfer& transfer, const ClientRequest& request) {
-    CURL* easy = transfer.easy;
-    curl_easy_setopt(easy, CURLOPT_URL, request.url.c_str());
-    curl_easy_setopt(easy, CURLOPT_PRIVATE, &transfer);
-    curl_easy_setopt(easy, CURLOPT_NOSIGNAL, kOn);
-    curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, kOn);
-    curl_easy_setopt(easy, CURLOPT_PROXY, "");
-    curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &Implementation::onData);
-    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &transfer);
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &Implementation::onHeader);
-    curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer);
-    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
+    CURL* handle = transfer.handle;
+    curl_easy_setopt(handle, CURLOPT_URL, request.url.c_str());
+    curl_easy_setopt(handle, CURLOPT_PRIVATE, &transfer);
+    curl_easy_setopt(handle, CURLOPT_NOSIGNAL, kEnabled);
+    curl_easy_setopt(handle, CURLOPT_TCP_NODELAY, kEnabled);
+    curl_easy_setopt(handle, CURLOPT_PROXY, "");
+    curl_easy_setopt(handle, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
+    curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &Implementation::onData);
+    curl_easy_setopt(handle, CURLOPT_WRITEDATA, &transfer);
+    curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, &Implementation::onHeader);
+    curl_easy_setopt(handle, CURLOPT_HEADERDATA, &transfer);
+    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS,
                      static_cast<long>(request.connectTimeout.count() / 1000));
     if (request.timeout.count() > 0) {
-      curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request.timeout.count() / 1000));
+      curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS,
+                       static_cast<long>(request.timeout.count() / 1000));
     }
     if (request.newConnection) {
-      curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, kOn);
-      curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, kOn);
+      curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, kEnabled);
+      curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, kEnabled);
     }
     transfer.headerList = curl_slist_append(nullptr, "Expect:");
     for (const auto& [name, value] : request.headers) {
@@ -184,30 +185,30 @@
       line.append(": ").append(value);
       transfer.headerList = curl_slist_append(transfer.headerList, line.c_str());
     }
-    curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer.headerList);
+    curl_easy_setopt(handle, CURLOPT_HTTPHEADER, transfer.headerList);
     if (request.method != "GET") {
-      curl_easy_setopt(easy, CURLOPT_POSTFIELDS, transfer.body.data());
-      curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE,
+      curl_easy_setopt(handle, CURLOPT_POSTFIELDS, transfer.body.data());
+      curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE,
                        static_cast<curl_off_t>(transfer.body.size()));
-      curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.method.c_str());
+      curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, request.method.c_str());
     }
   }
 
   static std::size_t onData(char* data, std::size_t size, std::size_t count, void* user) {
     auto& transfer = *static_cast<Transfer*>(user);
-    const std::string_view piece(data, size * count);
+    const std::string_view chunk(data, size * count);
     long status = 0;
-    curl_easy_getinfo(transfer.easy, CURLINFO_RESPONSE_CODE, &status);
-    const bool successful = status >= kFirstSuccess && status < kFirstRedirect;
+    curl_easy_getinfo(transfer.handle, CURLINFO_RESPONSE_CODE, &status);
+    const bool successful = status >= kMinSuccessStatus && status < kMinRedirectStatus;
     if (transfer.cancelled) {
       return 0;
     }
     if (successful && transfer.onData) {
-      transfer.onData(piece);
+      transfer.onData(chunk);
     } else {
-      transfer.result.body.append(piece);
+      transfer.result.body.append(chunk);
     }
-    return piece.size();
+    return chunk.size();
   }
 
   static std::size_t onHeader(char* data, std::size_t size, std::size_t count, void* user) {
@@ -227,9 +228,10 @@
     return size * count;
   }
 
-  static int onSocket(CURL* /*easy*/, curl_socket_t socket, int what, void* user, void* /*data*/) {
+  static int onSocket(CURL* /*handle*/, curl_socket_t socket, int pollAction, void* user,
+                      void* /*data*/) {
     auto& self = *static_cast<Implementation*>(user);
-    if (what == CURL_POLL_REMOVE) {
+    if (pollAction == CURL_POLL_REMOVE) {
       const auto found = self.watches_.find(socket);
       if (found != self.watches_.end()) {
         found->second->removed = true;
@@ -238,49 +240,49 @@
       }
       return 0;
     }
-    std::shared_ptr<Watch>& watch = self.watches_[socket];
-    if (!watch) {
-      watch = std::make_shared<Watch>(self.context_);
-      watch->descriptor.assign(socket);
+    std::shared_ptr<SocketWatch>& socketWatch = self.watches_[socket];
+    if (!socketWatch) {
+      socketWatch = std::make_shared<SocketWatch>(self.context_);
+      socketWatch->descriptor.assign(socket);
     }
-    watch->wanted = what;
-    self.wait(socket, watch);
+    socketWatch->polledEvents = pollAction;
+    self.wait(socket, socketWatch);
     return 0;
   }
 
-  void wait(curl_socket_t socket, const std::shared_ptr<Watch>& watch) {
-    if ((watch->wanted & CURL_POLL_IN) != 0 && !watch->reading) {
-      watch->reading = true;
-      watch->descriptor.async_wait(
+  void wait(curl_socket_t socket, const std::shared_ptr<SocketWatch>& socketWatch) {
+    if ((socketWatch->polledEvents & CURL_POLL_IN) != 0 && !socketWatch->reading) {
+      socketWatch->reading = true;
+      socketWatch->descriptor.async_wait(
           asio::posix::stream_descriptor::wait_read,
-          [weak = weak_from_this(), socket, watch](const asio::error_code& error) {
-            watch->reading = false;
+          [weak = weak_from_this(), socket, socketWatch](const asio::error_code& error) {
+            socketWatch->reading = false;
             if (const auto self = weak.lock()) {
-              self->onReady(socket, watch, CURL_CSELECT_IN, error);
+              self->onReady(socket, socketWatch, CURL_CSELECT_IN, error);
             }
           });
     }
-    if ((watch->wanted & CURL_POLL_OUT) != 0 && !watch->writing) {
-      watch->writing = true;
-      watch->descriptor.async_wait(
+    if ((socketWatch->polledEvents & CURL_POLL_OUT) != 0 && !socketWatch->writing) {
+      socketWatch->writing = true;
+      socketWatch->descriptor.async_wait(
           asio::posix::stream_descriptor::wait_write,
-          [weak = weak_from_this(), socket, watch](const asio::error_code& error) {
-            watch->writing = false;
+          [weak = weak_from_this(), socket, socketWatch](const asio::error_code& error) {
+            socketWatch->writing = false;
             if (const auto self = weak.lock()) {
-              self->onReady(socket, watch, CURL_CSELECT_OUT, error);
+              self->onReady(socket, socketWatch, CURL_CSELECT_OUT, error);
             }
           });
     }
   }
 
-  void onReady(curl_socket_t socket, const std::shared_ptr<Watch>& watch, int events,
+  void onReady(curl_socket_t socket, const std::shared_ptr<SocketWatch>& socketWatch, int events,
                const asio::error_code& error) {
-    if (watch->removed || error == asio::error::operation_aborted) {
+    if (socketWatch->removed || error == asio::error::operation_aborted) {
       return;
     }
     runCurl(socket, error ? events | CURL_CSELECT_ERR : events);
-    if (!watch->removed) {
-      wait(socket, watch);
+    if (!socketWatch->removed) {
+      wait(socket, socketWatch);
     }
   }
 
@@ -310,15 +312,15 @@
   }
 
   void collectFinished() {
-    int left = 0;
-    while (const CURLMsg* message = curl_multi_info_read(multi_, &left)) {
+    int remaining = 0;
+    while (const CURLMsg* message = curl_multi_info_read(multi_, &remaining)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
-      CURL* easy = message->easy_handle;
+      CURL* handle = message->easy_handle;
       const CURLcode code = message->data.result;
       Transfer* transfer = nullptr;
-      curl_easy_getinfo(easy, CURLINFO_PRIVATE, &transfer);
+      curl_easy_getinfo(handle, CURLINFO_PRIVATE, &transfer);
       finish(*transfer, code);
     }
   }
@@ -327,8 +329,8 @@
     ClientResult result = std::move(transfer.result);
     long status = 0;
     long requestBytes = 0;
-    curl_easy_getinfo(transfer.easy, CURLINFO_RESPONSE_CODE, &status);
-    curl_easy_getinfo(transfer.easy, CURLINFO_REQUEST_SIZE, &requestBytes);
+    curl_easy_getinfo(transfer.handle, CURLINFO_RESPONSE_CODE, &status);
+    curl_easy_getinfo(transfer.handle, CURLINFO_REQUEST_SIZE, &requestBytes);
     result.status = static_cast<int>(status);
     result.complete = code == CURLE_OK;
     if (code != CURLE_OK) {
@@ -349,8 +351,8 @@
   std::uint64_t last_id_ = 0;
   bool in_curl_ = false;
   Transfers transfers_;
-  std::unordered_map<curl_socket_t, std::shared_ptr<Watch>> watches_;
-  std::vector<CURL*> idle_;
+  std::unordered_map<curl_socket_t, std::shared_ptr<SocketWatch>> watches_;
+  std::vector<CURL*> m_idleHandles;
 };
 
 Client::Client(asio::io_context& context)
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -20,31 +20,32 @@
 
 struct ClientRequest {
   std::string method = "GET";
-  std::string url;  ///< with an IP number as host
+  std::string url;  ///< the host must be an IP address
   std::map<std::string, std::string> headers;
   std::string body;
   base::Duration connectTimeout = base::seconds(1);
-  base::Duration timeout{0};  ///< for the whole transfer; zero: none
-  /// Never reuse a connection: libcurl silently sends a request again when a reused connection
-  /// turns out to be dead, which a not-repeatable request must not suffer.
+  base::Duration timeout{0};  ///< for the complete transfer; zero means no timeout
+  /// Whether to open a new connection. Required for requests that must not be repeated, because
+  /// libcurl silently sends a request again if a reused connection turns out to be closed.
   bool newConnection = false;
 };
 
-/// How a transfer ended.
+/// Outcome of a transfer.
 struct ClientResult {
-  int status = 0;                                      ///< zero: no answer began
-  bool complete = false;                               ///< the whole answer arrived
-  base::Verdict verdict = base::Verdict::kMayHaveRun;  ///< not_run: no byte of the request went out
-  std::string error;                                   ///< empty when complete
-  std::string body;                                    ///< unless a data callback took it
-  std::map<std::string, std::string> headers;          ///< names in lower case
+  int status = 0;         ///< zero if no response was received
+  bool complete = false;  ///< whether the complete response was received
+  base::Verdict verdict = base::Verdict::kMayHaveRun;  ///< kNotRun: no byte was sent
+  std::string error;                                   ///< empty if complete
+  std::string body;                            ///< empty if it was passed to a data callback
+  std::map<std::string, std::string> headers;  ///< names in lower case
 };
 
-/// Called with each piece of a successful (2xx) answer's body.
+/// Called with each part of the body of a successful (2xx) response.
 using DataCallback = std::function<void(std::string_view data)>;
 using DoneCallback = std::function<void(const ClientResult& result)>;
 
-/// Runs on the thread of its io_context. Callbacks are never called from within start().
+/// HTTP client for any number of concurrent transfers. Runs on the thread of its io_context.
+/// Callbacks are never called from within start().
 class Client {
  public:
   explicit Client(asio::io_context& context);
@@ -53,8 +54,9 @@
   Client& operator=(const Client&) = delete;
 
   TransferId start(const ClientRequest& request, DataCallback onData, DoneCallback onDone);
-  /// Breaks the transfer off; its callbacks are not called any more.
+  /// Aborts the transfer. Its callbacks are no longer called.
   void cancel(TransferId transfer);
+  /// Returns the number of transfers in progress.
   [[nodiscard]] std::size_t active() const;
 
  private:
--- a/src/http/exchange_server.cpp
+++ b/src/http/exchange_server.cpp
@@ -10,7 +10,7 @@
  public:
   Implementation(asio::io_context& context, const std::string& host, std::uint16_t port,
                  ExchangeLimits limits, ExchangeHandler handler)
-      : shared(std::make_shared<ServerShared>(context, limits, std::move(handler))),
+      : state(std::make_shared<ServerState>(context, limits, std::move(handler))),
         acceptor(context, {asio::ip::make_address(host), port}) {}
 
   void accept() {
@@ -20,15 +20,15 @@
         return;
       }
       if (!error) {
-        const auto connection = std::make_shared<ServerConnection>(self->shared, std::move(socket));
-        self->shared->connections.insert(connection);
+        const auto connection = std::make_shared<ServerConnection>(self->state, std::move(socket));
+        self->state->connections.insert(connection);
         connection->start();
       }
       self->accept();
     });
   }
 
-  std::shared_ptr<ServerShared> shared;
+  std::shared_ptr<ServerState> state;
   asio::ip::tcp::acceptor acceptor;
 };
 
@@ -46,31 +46,31 @@
 }
 
 void ExchangeServer::setLimits(const ExchangeLimits& limits) {
-  implementation_->shared->limits = limits;
+  implementation_->state->limits = limits;
 }
 
 void ExchangeServer::beginDrain() {
   asio::error_code ignored;
   implementation_->acceptor.close(ignored);
-  implementation_->shared->draining = true;
-  const auto connections = implementation_->shared->connections;
+  implementation_->state->draining = true;
+  const auto connections = implementation_->state->connections;
   for (const auto& connection : connections) {
     connection->closeIfIdle();
   }
 }
 
-std::size_t ExchangeServer::openExchanges() const { return implementation_->shared->openExchanges; }
+std::size_t ExchangeServer::openExchanges() const { return implementation_->state->openExchanges; }
 
 std::size_t ExchangeServer::openConnections() const {
-  return implementation_->shared->connections.size();
+  return implementation_->state->connections.size();
 }
 
-UnreadResponses ExchangeServer::unreadResponses() const { return implementation_->shared->unread; }
+UnreadResponses ExchangeServer::unreadResponses() const { return implementation_->state->unread; }
 
 void ExchangeServer::stop() {
   asio::error_code ignored;
   implementation_->acceptor.close(ignored);
-  const auto connections = implementation_->shared->connections;
+  const auto connections = implementation_->state->connections;
   for (const auto& connection : connections) {
     connection->close();
   }
--- a/src/http/exchange_server.h
+++ b/src/http/exchange_server.h
@@ -1,6 +1,6 @@
 /// \file
-/// HTTP/1.1 server on Asio and http_parser. It goes on reading while a request is handled, so that
-/// a caller's hang-up is noticed at once, and its limits may change while it runs.
+/// HTTP/1.1 server on Asio and http_parser. It continues to read while a request is handled, to
+/// detect immediately that the client has disconnected. Its limits can be changed at run time.
 #pragma once
 
 #include <asio.hpp>
@@ -15,64 +15,69 @@
 
 namespace tackpick::http {
 
-/// A request as it arrived; the body is whole.
+/// An unmodified request with its complete body.
 struct RawRequest {
   std::string method;
-  std::string target;  ///< path and query, unaltered
+  std::string target;  ///< path and query, not decoded
   HeaderList headers;
   std::string body;
   base::TimePoint receivedAt{};
 
-  /// The target without its query.
+  /// Returns the target without its query.
   [[nodiscard]] std::string path() const { return target.substr(0, target.find('?')); }
 };
 
-/// One request with its answer. Used on the server's thread; calls after the end do nothing.
+/// One request and its response. Used on the server's thread. Calls after the end of the exchange
+/// have no effect.
 class Exchange {
  public:
   virtual ~Exchange() = default;
-  /// Sends a whole answer.
+  /// Sends a complete response.
   virtual void respond(int status, const HeaderList& headers, std::string_view body) = 0;
-  /// Begins an answer whose length is not known.
+  /// Begins a response of unknown length.
   virtual void begin(int status, const HeaderList& headers) = 0;
   virtual void write(std::string_view data) = 0;
   virtual void finish() = 0;
-  /// Cuts the connection, so that the client sees an incomplete answer.
+  /// Resets the connection, so that the client detects that the response is incomplete.
   virtual void abort() = 0;
-  /// Called when the client hangs up before the answer is complete.
+  /// Sets the callback for a connection that is closed before the response is complete.
   virtual void onClosed(std::function<void()> callback) = 0;
-  /// Called each time that everything handed over has been written, until the answer is complete.
+  /// Sets the callback that is called each time the send queue becomes empty, until the response is
+  /// complete.
   virtual void onDrained(std::function<void()> callback) = 0;
-  /// Bytes handed over and not yet written: a client that does not read makes it grow.
+  /// Returns the number of bytes queued on the connection and not yet written to the socket.
   [[nodiscard]] virtual std::size_t unsentBytes() const = 0;
 };
 
 using ExchangeHandler = std::function<void(RawRequest request, std::shared_ptr<Exchange> exchange)>;
 
-/// What a client may send and how long it may take.
+/// Size limits and timeouts of client connections.
 struct ExchangeLimits {
-  std::size_t headerBytes = 16U << 10U;
-  std::size_t bodyBytes = 8U << 20U;
+  std::size_t maxHeaderBytes = 16U << 10U;
+  std::size_t maxBodyBytes = 8U << 20U;
   base::Duration headerTimeout = base::seconds(5);  ///< from the first byte to the last header
   base::Duration bodyTimeout = base::seconds(20);   ///< from the last header to the last byte
   base::Duration idleTimeout = base::seconds(20);   ///< between two requests
-  base::Duration writeTimeout = base::seconds(20);  ///< for a client to take what was written
-  /// Answered and unread, of one connection: a stream beyond it is cut, and no further request is
-  /// taken.
-  std::size_t unsentBytes = 4U << 20U;
-  /// The same of all connections: beyond it those are cut that have read nothing for longest.
-  std::size_t totalUnsentBytes = 32U << 20U;
-  /// A client that takes so long for what was written last may be cut for others' sake.
-  base::Duration stallTime = base::seconds(1);
+  base::Duration writeTimeout = base::seconds(20);  ///< for a client to read a response
+  /// Maximum number of unsent bytes of one connection. Above it, a stream is aborted and no further
+  /// request is read.
+  std::size_t maxUnsentBytes = 4U << 20U;
+  /// Maximum number of unsent bytes of all connections together. Above it, the connections that
+  /// have been stalled for longest are aborted.
+  std::size_t maxTotalUnsentBytes = 32U << 20U;
+  /// Minimum time for which a connection must be stalled before it may be aborted to enforce
+  /// maxTotalUnsentBytes.
+  base::Duration minStallTime = base::seconds(1);
 };
 
-/// What clients have not read.
+/// Response data that clients have not read.
 struct UnreadResponses {
-  std::size_t bytes = 0;              ///< handed over and not yet written, now
-  std::uint64_t disconnectCount = 0;  ///< connections that were cut for it, since the start
+  std::size_t bytes = 0;  ///< queued and not yet written to a socket
+  std::uint64_t disconnectCount =
+      0;  ///< connections aborted because of unread data, since the start
 };
 
-/// Serves on the thread that runs `context`.
+/// HTTP server that runs on the thread of `context`.
 class ExchangeServer {
  public:
   ExchangeServer(asio::io_context& context, const std::string& host, std::uint16_t port,
@@ -82,12 +87,12 @@
   ExchangeServer& operator=(const ExchangeServer&) = delete;
 
   [[nodiscard]] std::uint16_t port() const;
-  /// For requests that begin from now on.
+  /// Sets the limits for requests that begin after the call.
   void setLimits(const ExchangeLimits& limits);
-  /// From now on nobody can connect, each answer ends its connection, and idle connections are
-  /// closed.
+  /// Closes the listening socket and all idle connections. The other connections are closed after
+  /// their current response.
   void beginDrain();
-  /// Requests without a complete answer.
+  /// Returns the number of requests without a complete response.
   [[nodiscard]] std::size_t openExchanges() const;
   [[nodiscard]] std::size_t openConnections() const;
   [[nodiscard]] UnreadResponses unreadResponses() const;
@@ -99,7 +104,7 @@
   std::shared_ptr<Implementation> implementation_;
 };
 
-/// The standard reason phrase, or "Status".
+/// Returns the standard reason phrase, or "Status" if the status is unknown.
 [[nodiscard]] std::string_view reasonPhrase(int status);
 
 }  // namespace tackpick::http
--- a/src/http/header_collector.h
+++ b/src/http/header_collector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Collects the header fields that http_parser hands over in pieces.
+/// Assembles header fields from the fragments that http_parser reports.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,22 @@
 
 namespace tackpick::http {
 
+/// Assembles the header fields of one message. Names and values may arrive in several fragments.
 class HeaderCollector {
  public:
   void onName(const char* at, std::size_t length) {
-    if (in_value_) {
+    if (m_inValue) {
       flush();
     }
     name_.append(at, length);
   }
   void onValue(const char* at, std::size_t length) {
-    in_value_ = true;
+    m_inValue = true;
     value_.append(at, length);
   }
-  /// The headers are complete: the collected ones, and nothing is left here.
+  /// Returns the collected headers and clears the collector. Called at the end of the headers.
   [[nodiscard]] HeaderList take() {
-    if (in_value_) {
+    if (m_inValue) {
       flush();
     }
     return std::exchange(headers_, {});
@@ -33,13 +34,13 @@
  private:
   void flush() {
     headers_.add(std::exchange(name_, {}), std::exchange(value_, {}));
-    in_value_ = false;
+    m_inValue = false;
   }
 
   HeaderList headers_;
   std::string name_;
   std::string value_;
-  bool in_value_ = false;
+  bool m_inValue = false;
 };
 
 }  // namespace tackpick::http
--- a/src/http/header_list.h
+++ b/src/http/header_list.h
@@ -1,5 +1,5 @@
 /// \file
-/// The header fields of one HTTP message, in order and with duplicates.
+/// Header fields of an HTTP message.
 #pragma once
 
 #include <string>
@@ -13,20 +13,21 @@
   std::string value;
 };
 
-/// True when both names are the same header's (case does not count).
-[[nodiscard]] bool sameHeaderName(std::string_view left, std::string_view right);
+/// Whether two header names are equal, ignoring case.
+[[nodiscard]] bool equalsHeaderName(std::string_view left, std::string_view right);
 
+/// The header fields of one HTTP message, in order and with duplicates.
 class HeaderList {
  public:
   void add(std::string name, std::string value) {
     fields_.push_back({std::move(name), std::move(value)});
   }
-  /// Replaces every field of that name by one.
+  /// Replaces all fields with that name by one.
   void set(std::string_view name, std::string value);
   void remove(std::string_view name);
-  /// Removes the fields that concern one connection only (RFC 9110, section 7.6.1), and framing.
+  /// Removes the hop-by-hop fields (RFC 9110, section 7.6.1) and the framing fields.
   void removeHopByHopHeaders();
-  /// The first value, or an empty text.
+  /// Returns the first value, or an empty string if there is no field with that name.
   [[nodiscard]] std::string value(std::string_view name) const;
   [[nodiscard]] bool has(std::string_view name) const;
   [[nodiscard]] const std::vector<HeaderField>& fields() const { return fields_; }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -72,7 +72,7 @@
   return -1;
 }
 
-/// Decodes %XX and '+' of a query; nothing when an escape is malformed.
+/// Decodes %XX and '+' in a query. Returns std::nullopt if an escape sequence is malformed.
 std::optional<std::string> decodeQueryText(std::string_view text) {
   constexpr int kHexBase = 16;
   std::string decoded;
@@ -105,7 +105,7 @@
     const auto value =
         equals == std::string_view::npos ? std::string() : decodeQueryText(pair.substr(equals + 1));
     if (!name || !value) {
-      return {};  // a malformed query is as good as none
+      return {};
     }
     query[*name] = *value;
   }
@@ -114,7 +114,7 @@
 
 namespace {
 
-Request convert(RawRequest source) {
+Request toRequest(RawRequest source) {
   Request request;
   request.method = std::move(source.method);
   request.path = source.path();
@@ -143,7 +143,7 @@
   Implementation(asio::io_context& context, const ServerSettings& settings, const Handler& handler)
       : server_(context, settings.host, settings.port, limits(settings),
                 [handler](RawRequest request, const std::shared_ptr<Exchange>& exchange) {
-                  handler(convert(std::move(request)),
+                  handler(toRequest(std::move(request)),
                           std::make_shared<ExchangeResponder>(exchange));
                 }) {}
 
@@ -152,8 +152,8 @@
  private:
   static ExchangeLimits limits(const ServerSettings& settings) {
     ExchangeLimits limits;
-    limits.headerBytes = settings.maximumHeaderBytes;
-    limits.bodyBytes = settings.maximumBodyBytes;
+    limits.maxHeaderBytes = settings.maxRequestHeaderBytes;
+    limits.maxBodyBytes = settings.maxRequestBodyBytes;
     limits.headerTimeout = base::seconds(settings.readTimeoutSeconds);
     limits.bodyTimeout = base::seconds(settings.readTimeoutSeconds);
     limits.idleTimeout = base::seconds(settings.readTimeoutSeconds);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP server of the product's own interface: names in lower case, queries decoded.
+/// HTTP server for the product's own interfaces.
 #pragma once
 
 #include <asio.hpp>
@@ -12,6 +12,7 @@
 
 namespace tackpick::http {
 
+/// A request with decoded query and lower-case header names.
 struct Request {
   std::string method;
   std::string path;  ///< without the query
@@ -19,48 +20,50 @@
   std::map<std::string, std::string> headers;  ///< names in lower case
   std::string body;
 
-  /// The header's value, or an empty text.
+  /// Returns the value of the header, or an empty string if it is missing.
   [[nodiscard]] std::string header(const std::string& lowerCaseName) const;
+  /// Returns the value of the query parameter, or an empty string if it is missing.
   [[nodiscard]] std::string queryValue(const std::string& name) const;
 };
 
 using Headers = std::map<std::string, std::string>;
 
-/// Answers one request, whole or as a stream. Used on the server's thread.
+/// Sends the response to one request, either complete or as a stream of events. Used on the
+/// server's thread.
 class Responder {
  public:
   virtual ~Responder() = default;
-  /// Sends a whole answer.
+  /// Sends a complete response.
   virtual void respond(int status, const Headers& headers, std::string body) = 0;
   /// Begins a stream of server-sent events.
   virtual void beginStream(const Headers& headers) = 0;
   /// Sends one event; `data` must not contain a newline.
   virtual void sendEvent(std::string_view data) = 0;
   virtual void endStream() = 0;
-  /// Cuts the connection, so that the client sees an incomplete answer.
+  /// Resets the connection, so that the client detects that the response is incomplete.
   virtual void abort() = 0;
-  /// Called when the client hangs up before the answer is complete.
+  /// Sets the callback for a connection that is closed before the response is complete.
   virtual void onClosed(std::function<void()> callback) = 0;
-  /// Bytes handed over and not yet written: a client that does not read makes it grow.
+  /// Returns the number of bytes queued on the connection and not yet written to the socket.
   [[nodiscard]] virtual std::size_t unsentBytes() const = 0;
 };
 
 using Handler = std::function<void(const Request& request, std::shared_ptr<Responder> responder)>;
 
-/// Knobs of Server.
+/// Settings of Server.
 struct ServerSettings {
-  std::string host = "127.0.0.1";  ///< an IP number
-  std::uint16_t port = 0;          ///< 0: chosen by the operating system
-  std::size_t maximumBodyBytes = 8U << 20U;
-  std::size_t maximumHeaderBytes = 8U << 10U;
-  int readTimeoutSeconds = 20;   ///< for the headers, then for the body, of a request
-  int writeTimeoutSeconds = 20;  ///< for a client to take what was written
+  std::string host = "127.0.0.1";  ///< an IP address
+  std::uint16_t port = 0;          ///< 0: assigned by the operating system
+  std::size_t maxRequestBodyBytes = 8U << 20U;
+  std::size_t maxRequestHeaderBytes = 8U << 10U;
+  int readTimeoutSeconds = 20;   ///< separately for the headers and the body of a request
+  int writeTimeoutSeconds = 20;  ///< for a client to read a response
 };
 
-/// The decoded query of a request's target; empty when it is malformed.
+/// Returns the decoded query of a request target; empty if it is malformed.
 [[nodiscard]] std::map<std::string, std::string> parseQuery(std::string_view target);
 
-/// Serves on the thread that runs `context`.
+/// HTTP server that runs on the thread of `context`.
 class Server {
  public:
   Server(asio::io_context& context, const ServerSettings& settings, const Handler& handler);
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -7,13 +7,13 @@
 namespace tackpick::http {
 namespace {
 
-/// What a client may send ahead while its request is handled.
+/// Maximum number of bytes read ahead while a request is handled.
 constexpr std::size_t kReadAheadBytes = 64U << 10U;
 using namespace status;
 
-constexpr int kFirstStatusWithBody = 200;
+constexpr int kMinFinalStatus = 200;
 
-base::TimePoint steadyNow() { return base::MonotonicTimeSource().now(); }
+base::TimePoint monotonicNow() { return base::MonotonicTimeSource().now(); }
 
 std::string statusLine(int status) {
   std::string line = "HTTP/1.1 " + std::to_string(status) + " ";
@@ -22,7 +22,7 @@
   return line;
 }
 
-void appendFields(std::string& out, const HeaderList& headers) {
+void appendHeaders(std::string& out, const HeaderList& headers) {
   for (const HeaderField& field : headers.fields()) {
     out += field.name;
     out += ": ";
@@ -47,57 +47,57 @@
 
 namespace {
 
-class ExchangeOnConnection final : public Exchange {
+class ConnectionExchange final : public Exchange {
  public:
-  ExchangeOnConnection(std::shared_ptr<ServerConnection> connection, std::uint64_t number)
+  ConnectionExchange(std::shared_ptr<ServerConnection> connection, std::uint64_t number)
       : connection_(std::move(connection)), number_(number) {}
-  ExchangeOnConnection(const ExchangeOnConnection&) = delete;
-  ExchangeOnConnection& operator=(const ExchangeOnConnection&) = delete;
-  ~ExchangeOnConnection() override {
-    if (live()) {
-      connection_->abortNow();  // nobody is left to answer
+  ConnectionExchange(const ConnectionExchange&) = delete;
+  ConnectionExchange& operator=(const ConnectionExchange&) = delete;
+  ~ConnectionExchange() override {
+    if (isActive()) {
+      connection_->resetConnection();  // no response can be sent any more
     }
   }
 
   void respond(int status, const HeaderList& headers, std::string_view body) override {
-    if (live()) {
+    if (isActive()) {
       connection_->respond(status, headers, body);
     }
   }
   void begin(int status, const HeaderList& headers) override {
-    if (live()) {
-      connection_->beginAnswer(status, headers);
+    if (isActive()) {
+      connection_->beginResponse(status, headers);
     }
   }
   void write(std::string_view data) override {
-    if (live() && !data.empty()) {
-      connection_->writePiece(data);
+    if (isActive() && !data.empty()) {
+      connection_->writeChunk(data);
     }
   }
   void finish() override {
-    if (live()) {
-      connection_->finishAnswer();
+    if (isActive()) {
+      connection_->finishResponse();
     }
   }
   void abort() override {
-    if (live()) {
-      connection_->abortNow();
+    if (isActive()) {
+      connection_->resetConnection();
     }
   }
   void onClosed(std::function<void()> callback) override {
-    if (live()) {
+    if (isActive()) {
       connection_->setOnClosed(std::move(callback));
     }
   }
   void onDrained(std::function<void()> callback) override {
-    if (live()) {
+    if (isActive()) {
       connection_->setOnDrained(std::move(callback));
     }
   }
   [[nodiscard]] std::size_t unsentBytes() const override { return connection_->unsentBytes(); }
 
  private:
-  [[nodiscard]] bool live() const { return connection_->isCurrent(number_); }
+  [[nodiscard]] bool isActive() const { return connection_->isCurrent(number_); }
 
   std::shared_ptr<ServerConnection> connection_;
   std::uint64_t number_;
@@ -110,25 +110,25 @@
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_url = [](http_parser* parser, const char* at, std::size_t length) {
-      ServerConnection& self = of(parser);
+      ServerConnection& self = fromParser(parser);
       self.request_.target.append(at, length);
       return self.countHeaderBytes(length) ? 0 : -1;
     };
     settings.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
-      of(parser).fields_.onName(at, length);
-      return of(parser).countHeaderBytes(length) ? 0 : -1;
+      fromParser(parser).m_headerCollector.onName(at, length);
+      return fromParser(parser).countHeaderBytes(length) ? 0 : -1;
     };
     settings.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
-      of(parser).fields_.onValue(at, length);
-      return of(parser).countHeaderBytes(length) ? 0 : -1;
+      fromParser(parser).m_headerCollector.onValue(at, length);
+      return fromParser(parser).countHeaderBytes(length) ? 0 : -1;
     };
     settings.on_headers_complete = [](http_parser* parser) {
-      return of(parser).onHeadersComplete();
+      return fromParser(parser).onHeadersComplete();
     };
     settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
-      ServerConnection& self = of(parser);
-      if (self.request_.body.size() + length > self.shared_->limits.bodyBytes) {
-        self.refusal_ = kPayloadTooLarge;
+      ServerConnection& self = fromParser(parser);
+      if (self.request_.body.size() + length > self.m_serverState->limits.maxBodyBytes) {
+        self.m_rejectStatus = kPayloadTooLarge;
         return -1;
       }
       self.request_.body.append(at, length);
@@ -144,30 +144,30 @@
 }
 
 bool ServerConnection::countHeaderBytes(std::size_t count) {
-  constexpr std::size_t kSeparators = 4;
+  constexpr std::size_t kSeparatorBytes = 4;
   if (parser_.flags & F_TRAILING) {
     return true;
   }
-  header_bytes_ += count + kSeparators;
-  if (header_bytes_ > shared_->limits.headerBytes) {
-    refusal_ = kHeaderFieldsTooLarge;
+  m_headerBytes += count + kSeparatorBytes;
+  if (m_headerBytes > m_serverState->limits.maxHeaderBytes) {
+    m_rejectStatus = kHeaderFieldsTooLarge;
     return false;
   }
   return true;
 }
 
 int ServerConnection::onHeadersComplete() {
-  request_.headers = fields_.take();
-  parser_.upgrade = 0;  // offers to change the protocol are not taken
+  request_.headers = m_headerCollector.take();
+  parser_.upgrade = 0;  // protocol upgrades are not supported
   const bool lengthKnown = parser_.content_length != static_cast<std::uint64_t>(-1);
-  if (lengthKnown && parser_.content_length > shared_->limits.bodyBytes) {
-    refusal_ = kPayloadTooLarge;
+  if (lengthKnown && parser_.content_length > m_serverState->limits.maxBodyBytes) {
+    m_rejectStatus = kPayloadTooLarge;
     return -1;
   }
   if (request_.headers.has("expect")) {
     enqueue("HTTP/1.1 100 Continue\r\n\r\n");
   }
-  armTimer(shared_->limits.bodyTimeout);
+  armTimer(m_serverState->limits.bodyTimeout);
   return 0;
 }
 
@@ -192,80 +192,80 @@
     return;
   }
   asio::error_code error;
-  const std::size_t count = socket_.read_some(asio::buffer(shared_->readBuffer), error);
+  const std::size_t count = socket_.read_some(asio::buffer(m_serverState->readBuffer), error);
   if (error && error != asio::error::would_block) {
     close();
     return;
   }
-  pending_.append(shared_->readBuffer.data(), count);
-  parsePending();
-  // While a request is handled, reading goes on only to notice that the client hangs up.
-  if (!closed_ && !close_after_write_ && pending_.size() < kReadAheadBytes) {
+  m_inputBuffer.append(m_serverState->readBuffer.data(), count);
+  parseInput();
+  // Reading continues while a request is handled, to detect that the client disconnects.
+  if (!closed_ && !close_after_write_ && m_inputBuffer.size() < kReadAheadBytes) {
     read();
   }
 }
 
-void ServerConnection::parsePending() {
-  if (handling_ || closed_ || close_after_write_ || pending_.empty()) {
+void ServerConnection::parseInput() {
+  if (m_handlingRequest || closed_ || close_after_write_ || m_inputBuffer.empty()) {
     return;
   }
-  if (unsent_ > shared_->limits.unsentBytes) {
-    return;  // until the client has read the answers before
+  if (m_unsentBytes > m_serverState->limits.maxUnsentBytes) {
+    return;  // until the client has read the earlier responses
   }
-  if (!request_begun_) {
-    request_begun_ = true;
-    armTimer(shared_->limits.headerTimeout);
+  if (!m_requestStarted) {
+    m_requestStarted = true;
+    armTimer(m_serverState->limits.headerTimeout);
   }
   const std::size_t parsed =
-      http_parser_execute(&parser_, &parserSettings(), pending_.data(), pending_.size());
+      http_parser_execute(&parser_, &parserSettings(), m_inputBuffer.data(), m_inputBuffer.size());
   if (closed_) {
-    return;  // cut for what it left unread, when more was handed over to it
+    return;  // a parser callback queued data and exceeded the limit of unsent bytes
   }
   const http_errno error = HTTP_PARSER_ERRNO(&parser_);
   if (error == HPE_PAUSED) {
     http_parser_pause(&parser_, 0);
-    pending_.erase(0, parsed);
+    m_inputBuffer.erase(0, parsed);
     dispatch();
     return;
   }
   if (error != HPE_OK) {
-    refuse(refusal_ != 0 ? refusal_ : kBadRequest);
+    reject(m_rejectStatus != 0 ? m_rejectStatus : kBadRequest);
     return;
   }
-  pending_.erase(0, parsed);
+  m_inputBuffer.erase(0, parsed);
 }
 
 void ServerConnection::dispatch() {
   timer_.cancel();
-  handling_ = true;
-  request_begun_ = false;
-  answer_begun_ = false;
-  ++exchange_number_;
-  ++shared_->openExchanges;
+  m_handlingRequest = true;
+  m_requestStarted = false;
+  m_responseStarted = false;
+  ++m_exchangeNumber;
+  ++m_serverState->openExchanges;
   request_.method = http_method_str(static_cast<http_method>(parser_.method));
-  request_.receivedAt = steadyNow();
+  request_.receivedAt = monotonicNow();
   head_request_ = parser_.method == HTTP_HEAD;
   http10_ = parser_.http_major == 1 && parser_.http_minor == 0;
   keep_alive_ = http_should_keep_alive(&parser_) != 0;
   http_parser_init(&parser_, HTTP_REQUEST);
-  header_bytes_ = 0;
+  m_headerBytes = 0;
   RawRequest request = std::exchange(request_, {});
-  shared_->handler(std::move(request),
-                   std::make_shared<ExchangeOnConnection>(shared_from_this(), exchange_number_));
+  m_serverState->handler(std::move(request), std::make_shared<ConnectionExchange>(
+                                                 shared_from_this(), m_exchangeNumber));
 }
 
-void ServerConnection::refuse(int status) {
-  std::string answer = statusLine(status) + "Content-Length: 0\r\nConnection: close\r\n\r\n";
+void ServerConnection::reject(int status) {
+  std::string response = statusLine(status) + "Content-Length: 0\r\nConnection: close\r\n\r\n";
   close_after_write_ = true;
-  enqueue(std::move(answer));
+  enqueue(std::move(response));
 }
 
 bool ServerConnection::bodyAllowed(int status) const {
-  return !head_request_ && status >= kFirstStatusWithBody && status != kNoContent &&
+  return !head_request_ && status >= kMinFinalStatus && status != kNoContent &&
          status != kNotModified;
 }
 
-void ServerConnection::appendConnectionFields(std::string& out) const {
+void ServerConnection::appendConnectionHeader(std::string& out) const {
   if (!keep_alive_) {
     out += "Connection: close\r\n";
   } else if (http10_) {
@@ -274,15 +274,15 @@
 }
 
 void ServerConnection::respond(int status, const HeaderList& headers, std::string_view body) {
-  if (answer_begun_) {
-    abortNow();
+  if (m_responseStarted) {
+    resetConnection();
     return;
   }
-  keep_alive_ = keep_alive_ && !shared_->draining;
+  keep_alive_ = keep_alive_ && !m_serverState->draining;
   std::string out = statusLine(status);
-  appendFields(out, headers);
-  appendConnectionFields(out);
-  if (status >= kFirstStatusWithBody && status != kNoContent) {
+  appendHeaders(out, headers);
+  appendConnectionHeader(out);
+  if (status >= kMinFinalStatus && status != kNoContent) {
     out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   }
   out += "\r\n";
@@ -293,13 +293,13 @@
   endExchange();
 }
 
-void ServerConnection::beginAnswer(int status, const HeaderList& headers) {
-  answer_begun_ = true;
+void ServerConnection::beginResponse(int status, const HeaderList& headers) {
+  m_responseStarted = true;
   chunked_ = !http10_ && bodyAllowed(status);
-  keep_alive_ = keep_alive_ && !shared_->draining && !http10_;
+  keep_alive_ = keep_alive_ && !m_serverState->draining && !http10_;
   std::string out = statusLine(status);
-  appendFields(out, headers);
-  appendConnectionFields(out);
+  appendHeaders(out, headers);
+  appendConnectionHeader(out);
   if (chunked_) {
     out += "Transfer-Encoding: chunked\r\n";
   }
@@ -307,9 +307,9 @@
   enqueue(std::move(out));
 }
 
-void ServerConnection::writePiece(std::string_view data) {
-  if (unsent_ > shared_->limits.unsentBytes) {
-    cutUnread();
+void ServerConnection::writeChunk(std::string_view data) {
+  if (m_unsentBytes > m_serverState->limits.maxUnsentBytes) {
+    disconnectSlowReader();
     return;
   }
   if (!chunked_) {
@@ -324,7 +324,7 @@
   enqueue(std::move(out));
 }
 
-void ServerConnection::finishAnswer() {
+void ServerConnection::finishResponse() {
   if (chunked_) {
     enqueue("0\r\n\r\n");
   }
@@ -333,24 +333,24 @@
 
 void ServerConnection::endExchange() {
   if (closed_) {
-    return;  // cut while its answer was handed over
+    return;  // the response exceeded the limit of unsent bytes
   }
-  handling_ = false;
+  m_handlingRequest = false;
   chunked_ = false;
-  --shared_->openExchanges;
+  --m_serverState->openExchanges;
   on_closed_ = nullptr;
   m_onDrained = nullptr;
-  if (!keep_alive_ || shared_->draining) {
+  if (!keep_alive_ || m_serverState->draining) {
     close_after_write_ = true;
     if (!writing_) {
       close();
     }
     return;
   }
-  armTimer(shared_->limits.idleTimeout);
-  // Posted: the handler that answered may still be on the stack.
-  asio::post(shared_->context, [self = shared_from_this()] {
-    self->parsePending();
+  armTimer(m_serverState->limits.idleTimeout);
+  // Posted because the handler that sent the response may still be on the call stack.
+  asio::post(m_serverState->context, [self = shared_from_this()] {
+    self->parseInput();
     self->read();
   });
 }
@@ -359,55 +359,56 @@
   if (closed_) {
     return;
   }
-  unsent_ += bytes.size();
-  shared_->unread.bytes += bytes.size();
-  output_.push_back(std::move(bytes));
+  m_unsentBytes += bytes.size();
+  m_serverState->unread.bytes += bytes.size();
+  m_outputQueue.push_back(std::move(bytes));
   if (!writing_) {
     writeNext();
   }
-  makeRoom();
+  enforceUnsentLimit();
 }
 
-void ServerConnection::makeRoom() {
-  while (shared_->unread.bytes > shared_->limits.totalUnsentBytes) {
-    const base::TimePoint now = steadyNow();
-    const auto slowest = std::max_element(shared_->connections.begin(), shared_->connections.end(),
-                                          [now](const auto& left, const auto& right) {
-                                            return left->stalledFor(now) < right->stalledFor(now);
-                                          });
-    const bool found = slowest != shared_->connections.end() &&
-                       (*slowest)->stalledFor(now) >= shared_->limits.stallTime;
+void ServerConnection::enforceUnsentLimit() {
+  while (m_serverState->unread.bytes > m_serverState->limits.maxTotalUnsentBytes) {
+    const base::TimePoint now = monotonicNow();
+    const auto slowest =
+        std::max_element(m_serverState->connections.begin(), m_serverState->connections.end(),
+                         [now](const auto& left, const auto& right) {
+                           return left->stallDuration(now) < right->stallDuration(now);
+                         });
+    const bool found = slowest != m_serverState->connections.end() &&
+                       (*slowest)->stallDuration(now) >= m_serverState->limits.minStallTime;
     if (!found) {
       return;
     }
-    (*slowest)->shared_from_this()->cutUnread();
+    (*slowest)->shared_from_this()->disconnectSlowReader();
   }
 }
 
-void ServerConnection::cutUnread() {
-  ++shared_->unread.disconnectCount;
-  abortNow();
+void ServerConnection::disconnectSlowReader() {
+  ++m_serverState->unread.disconnectCount;
+  resetConnection();
 }
 
 void ServerConnection::subtractUnsent(std::size_t bytes) {
-  const std::size_t known = std::min(unsent_, bytes);
-  unsent_ -= known;
-  shared_->unread.bytes -= known;
+  const std::size_t counted = std::min(m_unsentBytes, bytes);
+  m_unsentBytes -= counted;
+  m_serverState->unread.bytes -= counted;
 }
 
 void ServerConnection::onDrained() {
   if (m_onDrained) {
-    asio::post(shared_->context, m_onDrained);
+    asio::post(m_serverState->context, m_onDrained);
   }
-  // Requests may have waited for it.
-  parsePending();
-  if (pending_.size() < kReadAheadBytes) {
+  // Parses requests that were held back while too many bytes were unsent.
+  parseInput();
+  if (m_inputBuffer.size() < kReadAheadBytes) {
     read();
   }
 }
 
 void ServerConnection::writeNext() {
-  if (output_.empty()) {
+  if (m_outputQueue.empty()) {
     writing_ = false;
     if (close_after_write_) {
       close();
@@ -417,20 +418,20 @@
     return;
   }
   writing_ = true;
-  m_writingSince = steadyNow();
-  in_flight_.clear();
-  for (const std::string& bytes : output_) {
-    in_flight_ += bytes;
+  m_writeStartedAt = monotonicNow();
+  m_writeBuffer.clear();
+  for (const std::string& bytes : m_outputQueue) {
+    m_writeBuffer += bytes;
   }
-  output_.clear();
-  asio::async_write(socket_, asio::buffer(in_flight_),
+  m_outputQueue.clear();
+  asio::async_write(socket_, asio::buffer(m_writeBuffer),
                     [self = shared_from_this()](const asio::error_code& error, std::size_t) {
                       if (error) {
                         self->writing_ = false;
                         self->close();
                         return;
                       }
-                      self->subtractUnsent(self->in_flight_.size());
+                      self->subtractUnsent(self->m_writeBuffer.size());
                       self->writeNext();
                     });
 }
@@ -438,19 +439,19 @@
 void ServerConnection::armTimer(base::Duration delay) {
   timer_.expires_after(delay);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
-    if (error || self->closed_ || self->handling_) {
+    if (error || self->closed_ || self->m_handlingRequest) {
       return;
     }
-    if (self->request_begun_ && !self->close_after_write_) {
-      self->refuse(kRequestTimeout);
-      self->armTimer(self->shared_->limits.writeTimeout);
+    if (self->m_requestStarted && !self->close_after_write_) {
+      self->reject(kRequestTimeout);
+      self->armTimer(self->m_serverState->limits.writeTimeout);
     } else {
       self->close();
     }
   });
 }
 
-void ServerConnection::abortNow() {
+void ServerConnection::resetConnection() {
   asio::error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   m_aborted = true;
@@ -462,21 +463,21 @@
     return;
   }
   closed_ = true;
-  subtractUnsent(unsent_);
+  subtractUnsent(m_unsentBytes);
   m_onDrained = nullptr;
   asio::error_code ignored;
   timer_.cancel();
-  if (!handling_ && !m_aborted) {
+  if (!m_handlingRequest && !m_aborted) {
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   }
   socket_.close(ignored);
-  if (handling_) {
-    handling_ = false;
-    --shared_->openExchanges;
+  if (m_handlingRequest) {
+    m_handlingRequest = false;
+    --m_serverState->openExchanges;
   }
-  shared_->connections.erase(shared_from_this());
+  m_serverState->connections.erase(shared_from_this());
   if (on_closed_) {
-    asio::post(shared_->context, std::exchange(on_closed_, nullptr));
+    asio::post(m_serverState->context, std::exchange(on_closed_, nullptr));
   }
 }
 
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -21,14 +21,14 @@
 
 namespace tackpick::http {
 
-/// Bytes taken from the socket at once.
+/// Maximum number of bytes per read from the socket.
 inline constexpr std::size_t kServerReadBytes = 16U << 10U;
 
 class ServerConnection;
 
-/// What the connections of one server share.
-struct ServerShared {
-  ServerShared(asio::io_context& io, ExchangeLimits initial, ExchangeHandler onRequest)
+/// State shared by the connections of a server.
+struct ServerState {
+  ServerState(asio::io_context& io, ExchangeLimits initial, ExchangeHandler onRequest)
       : context(io), limits(initial), handler(std::move(onRequest)) {}
 
   asio::io_context& context;
@@ -38,16 +38,18 @@
   std::size_t openExchanges = 0;
   std::set<std::shared_ptr<ServerConnection>> connections;
   UnreadResponses unread;
-  /// One for all connections, which read when bytes have arrived: one of each own would cost 48 MB
-  /// with 3,000 of them.
+  /// Shared by all connections to save memory. Connections only read when data has arrived and
+  /// copy it out at once.
   std::array<char, kServerReadBytes> readBuffer{};
 };
 
-/// One client connection: reads requests one after the other and writes their answers.
+/// One client connection, which reads requests and writes their responses in order.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
-  ServerConnection(std::shared_ptr<ServerShared> shared, asio::ip::tcp::socket socket)
-      : shared_(std::move(shared)), socket_(std::move(socket)), timer_(shared_->context) {
+  ServerConnection(std::shared_ptr<ServerState> state, asio::ip::tcp::socket socket)
+      : m_serverState(std::move(state)),
+        socket_(std::move(socket)),
+        timer_(m_serverState->context) {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
   }
@@ -56,92 +58,94 @@
     asio::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
-    armTimer(shared_->limits.idleTimeout);
+    armTimer(m_serverState->limits.idleTimeout);
     read();
   }
 
-  /// Closes now unless a request is being handled.
+  /// Closes the connection unless a request is being handled or a response is being written.
   void closeIfIdle() {
-    if (!handling_ && !writing_) {
+    if (!m_handlingRequest && !writing_) {
       close();
     }
   }
   void close();
-  /// Resets the connection, so that the client sees that the answer is cut.
-  void abortNow();
+  /// Resets the connection, so that the client detects that the response is incomplete.
+  void resetConnection();
 
-  // For ExchangeOnConnection; `number` tells whether the exchange still is the current one.
+  // Functions for ConnectionExchange.
+
+  /// Whether the exchange with that number is still the current one.
   [[nodiscard]] bool isCurrent(std::uint64_t number) const {
-    return handling_ && number == exchange_number_ && !closed_;
+    return m_handlingRequest && number == m_exchangeNumber && !closed_;
   }
   void respond(int status, const HeaderList& headers, std::string_view body);
-  void beginAnswer(int status, const HeaderList& headers);
-  void writePiece(std::string_view data);
-  void finishAnswer();
+  void beginResponse(int status, const HeaderList& headers);
+  void writeChunk(std::string_view data);
+  void finishResponse();
   void setOnDrained(std::function<void()> callback) { m_onDrained = std::move(callback); }
   void setOnClosed(std::function<void()> callback) { on_closed_ = std::move(callback); }
-  [[nodiscard]] std::size_t unsentBytes() const { return unsent_; }
-  /// How long the client has taken for what was written last.
-  [[nodiscard]] base::Duration stalledFor(base::TimePoint now) const {
-    return writing_ ? now - m_writingSince : base::Duration{0};
+  [[nodiscard]] std::size_t unsentBytes() const { return m_unsentBytes; }
+  /// Returns the time since the current write began; zero if none is in progress.
+  [[nodiscard]] base::Duration stallDuration(base::TimePoint now) const {
+    return writing_ ? now - m_writeStartedAt : base::Duration{0};
   }
 
  private:
-  static ServerConnection& of(http_parser* parser) {
+  static ServerConnection& fromParser(http_parser* parser) {
     return *static_cast<ServerConnection*>(parser->data);
   }
   static const http_parser_settings& parserSettings();
 
   void read();
   void onReadable();
-  void parsePending();
+  void parseInput();
   void dispatch();
   int onHeadersComplete();
   bool countHeaderBytes(std::size_t count);
-  void refuse(int status);
+  void reject(int status);
   [[nodiscard]] bool bodyAllowed(int status) const;
-  void appendConnectionFields(std::string& out) const;
+  void appendConnectionHeader(std::string& out) const;
   void endExchange();
   void enqueue(std::string bytes);
   void writeNext();
   void onDrained();
-  /// Cuts this connection, whose client does not read.
-  void cutUnread();
-  /// Cuts connections whose clients do not read, until all together hold no more than they may.
-  void makeRoom();
+  /// Aborts this connection because its client does not read.
+  void disconnectSlowReader();
+  /// Aborts stalled connections until the unsent bytes of all connections are within the limit.
+  void enforceUnsentLimit();
   void subtractUnsent(std::size_t bytes);
   void armTimer(base::Duration delay);
 
-  std::shared_ptr<ServerShared> shared_;
+  std::shared_ptr<ServerState> m_serverState;
   asio::ip::tcp::socket socket_;
   base::Timer timer_;
   http_parser parser_{};
-  std::string pending_;  ///< bytes read and not yet parsed
+  std::string m_inputBuffer;  ///< bytes read but not parsed
   bool reading_ = false;
 
   RawRequest request_;
-  HeaderCollector fields_;
-  std::size_t header_bytes_ = 0;
-  bool request_begun_ = false;
-  int refusal_ = 0;  ///< status that the parser's callbacks decided on
+  HeaderCollector m_headerCollector;
+  std::size_t m_headerBytes = 0;
+  bool m_requestStarted = false;
+  int m_rejectStatus = 0;  ///< status set by a parser callback that rejected the request
 
-  bool handling_ = false;
-  std::uint64_t exchange_number_ = 0;
+  bool m_handlingRequest = false;
+  std::uint64_t m_exchangeNumber = 0;
   bool keep_alive_ = true;
   bool head_request_ = false;
   bool http10_ = false;
   bool chunked_ = false;
-  bool answer_begun_ = false;
+  bool m_responseStarted = false;
   std::function<void()> on_closed_;
   std::function<void()> m_onDrained;
 
-  std::deque<std::string> output_;
-  std::string in_flight_;
-  std::size_t unsent_ = 0;
+  std::deque<std::string> m_outputQueue;
+  std::string m_writeBuffer;
+  std::size_t m_unsentBytes = 0;
   bool writing_ = false;
-  base::TimePoint m_writingSince{};
+  base::TimePoint m_writeStartedAt{};
   bool close_after_write_ = false;
-  bool m_aborted = false;  ///< what was not sent is dropped, and nothing tells of an orderly end
+  bool m_aborted = false;  ///< closed by a reset, without sending the queued data
   bool closed_ = false;
 };
 
--- a/src/http/status.h
+++ b/src/http/status.h
@@ -1,5 +1,5 @@
 /// \file
-/// Status codes of HTTP that the product sends or tells apart (RFC 9110, section 15).
+/// HTTP status codes that the product sends or handles (RFC 9110, section 15).
 #pragma once
 
 namespace tackpick::http::status {
--- a/src/http/stream_relay.h
+++ b/src/http/stream_relay.h
@@ -1,5 +1,5 @@
 /// \file
-/// Passes an answer on piece by piece, no faster than the caller takes it.
+/// Forwards a streamed response to a caller with backpressure.
 #pragma once
 
 #include <cstddef>
@@ -11,27 +11,30 @@
 
 namespace tackpick::http {
 
-/// While the caller leaves more than `maxUnsent` bytes unread, no more of the answer is read from
-/// its server, which then notices a slow reader as if it had sent to the caller itself.
+/// Forwards a response from an upstream server to a caller. While more than `maxUnsent` bytes are
+/// unsent to the caller, reading from the upstream server is paused.
 class StreamRelay : public std::enable_shared_from_this<StreamRelay> {
  public:
-  /// Enough for a caller that reads to be busy until more has come.
+  /// Default of `maxUnsent`. Large enough that a caller that reads is not slowed down.
   static constexpr std::size_t kMaxUnsent = 256U << 10U;
 
-  StreamRelay(UpstreamClient& upstream, ExchangeId from, std::shared_ptr<Exchange> to,
-              std::size_t maxUnsent = kMaxUnsent)
-      : m_upstream(upstream), m_from(from), m_to(std::move(to)), m_maxUnsent(maxUnsent) {}
+  StreamRelay(UpstreamClient& upstream, ExchangeId upstreamExchange,
+              std::shared_ptr<Exchange> downstream, std::size_t maxUnsent = kMaxUnsent)
+      : m_upstream(upstream),
+        m_upstreamExchange(upstreamExchange),
+        m_downstream(std::move(downstream)),
+        m_maxUnsent(maxUnsent) {}
 
   void begin(int status, const HeaderList& headers);
-  /// True when reading stops because of it.
-  bool pass(std::string_view data);
+  /// Sends `data` to the caller. Returns whether this paused reading from the upstream server.
+  bool forwardData(std::string_view data);
 
  private:
   void resume();
 
   UpstreamClient& m_upstream;
-  const ExchangeId m_from;
-  const std::shared_ptr<Exchange> m_to;
+  const ExchangeId m_upstreamExchange;
+  const std::shared_ptr<Exchange> m_downstream;
   const std::size_t m_maxUnsent;
   bool m_paused = false;
 };
--- a/src/http/upstream_client.cpp
+++ b/src/http/upstream_client.cpp
@@ -4,7 +4,7 @@
 
 namespace tackpick::http {
 
-UpstreamClient::UpstreamClient(asio::io_context& context, UpstreamSettings settings)
+UpstreamClient::UpstreamClient(asio::io_context& context, UpstreamClientSettings settings)
     : pool_(std::make_shared<UpstreamPool>(context, settings)) {}
 
 UpstreamClient::~UpstreamClient() {
@@ -22,9 +22,9 @@
 }
 
 ExchangeId UpstreamClient::start(UpstreamRequest request, UpstreamEvents events) {
-  const ExchangeId id = pool_->next;
-  ++pool_->next.value;
-  auto connection = request.newConnection ? nullptr : pool_->takeIdle(request.address);
+  const ExchangeId id = pool_->nextExchangeId;
+  ++pool_->nextExchangeId.value;
+  auto connection = request.newConnection ? nullptr : pool_->acquireIdle(request.address);
   if (!connection) {
     connection = std::make_shared<UpstreamConnection>(pool_, request.address);
   }
--- a/src/http/upstream_client.h
+++ b/src/http/upstream_client.h
@@ -1,7 +1,6 @@
 /// \file
-/// HTTP/1.1 client for engines and servers, on Asio and http_parser. Unlike a general client it
-/// never repeats a request by itself, and it tells an answer to this request from a late answer to
-/// an earlier one by an echoed header.
+/// HTTP/1.1 client for engines and servers, on Asio and http_parser. It never repeats a request on
+/// its own, and it uses an echoed header to detect a late response to an earlier request.
 #pragma once
 
 #include <asio.hpp>
@@ -20,9 +19,9 @@
 
 using ExchangeId = base::NumericId<struct UpstreamExchangeTag>;
 
-/// Where a server listens.
+/// Address of a server.
 struct Address {
-  std::string host;  ///< an IP number
+  std::string host;  ///< an IP address
   std::uint16_t port = 0;
 
   auto operator<=>(const Address&) const = default;
@@ -32,62 +31,67 @@
   Address address;
   std::string method = "GET";
   std::string target = "/";
-  HeaderList headers;  ///< without framing; Host included
+  HeaderList headers;  ///< includes Host, excludes the framing headers
   std::string body;
-  /// Header that the answer repeats, with its value; an answer with another value belongs to
-  /// another request and is passed over. An empty name: any answer counts.
+  /// Name of a header that the server copies from the request to the response. A response with a
+  /// value other than `echoValue` belongs to another request and is ignored. If the name is empty,
+  /// every response is accepted.
   std::string echoHeader;
   std::string echoValue;
-  /// Use a connection of its own: a kept one may turn out to be dead after the request was sent.
+  /// Whether to open a new connection. An idle connection may turn out to be closed after the
+  /// request was sent.
   bool newConnection = false;
 };
 
-/// How an exchange ended.
+/// Outcome of an exchange.
 struct UpstreamResult {
-  bool complete = false;  ///< the whole answer arrived
-  /// kNotRun: no byte of the request went out.
+  bool complete = false;  ///< whether the complete response was received
+  /// kNotRun if no byte of the request was sent.
   base::Verdict verdict = base::Verdict::kMayHaveRun;
-  bool answerBegan = false;
-  std::string error;  ///< empty when complete
+  bool responseStarted = false;
+  std::string error;  ///< empty if complete
 };
 
+/// Callbacks for the progress of an exchange.
 struct UpstreamEvents {
   std::function<void(int status, const HeaderList& headers)> onHead;
   std::function<void(std::string_view data)> onData;
   std::function<void(const UpstreamResult& end)> onEnd;
 };
 
-/// Knobs of UpstreamClient.
-struct UpstreamSettings {
+/// Settings of UpstreamClient.
+struct UpstreamClientSettings {
   base::Duration connectTimeout = base::milliseconds(600);
-  /// A connection kept without use is closed after this, or after four fifths of what the server
-  /// says in Keep-Alive.
+  /// Time after which an idle connection is closed. Reduced to 4/5 of the timeout in the server's
+  /// Keep-Alive header if that is shorter.
   base::Duration idleTimeout = base::seconds(8);
-  std::size_t idlePerAddress = 32;
+  std::size_t maxIdlePerAddress = 32;
 };
 
 /// Counters since the start.
 struct UpstreamCounters {
   std::uint64_t connectionsOpened = 0;
-  std::uint64_t mismatchedResponses = 0;  ///< answers that belonged to another request
+  std::uint64_t mismatchedResponses = 0;  ///< responses to another request
 };
 
 class UpstreamPool;
 
-/// Runs on the thread of its io_context. Events are never called from within start() or cancel().
+/// HTTP client for any number of concurrent exchanges. Runs on the thread of its io_context. Events
+/// are never called from within start() or cancel().
 class UpstreamClient {
  public:
-  UpstreamClient(asio::io_context& context, UpstreamSettings settings);
+  UpstreamClient(asio::io_context& context, UpstreamClientSettings settings);
   ~UpstreamClient();
   UpstreamClient(const UpstreamClient&) = delete;
   UpstreamClient& operator=(const UpstreamClient&) = delete;
 
   ExchangeId start(UpstreamRequest request, UpstreamEvents events);
-  /// Reads no more of the exchange's answer until resume().
+  /// Stops reading the response until resume().
   void pause(ExchangeId exchange);
   void resume(ExchangeId exchange);
-  /// Breaks the exchange off by closing its connection; its events are not called any more.
+  /// Aborts the exchange by closing its connection. Its events are no longer called.
   void cancel(ExchangeId exchange);
+  /// Returns the number of exchanges in progress.
   [[nodiscard]] std::size_t active() const;
   [[nodiscard]] const UpstreamCounters& counters() const;
 
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -7,8 +7,9 @@
 namespace tackpick::http {
 namespace {
 
-constexpr int kFirstFinalStatus = 200;
+constexpr int kMinFinalStatus = 200;
 
+/// Returns the `timeout` of the Keep-Alive header in seconds; std::nullopt if there is none.
 std::optional<int> keepAliveSeconds(const HeaderList& headers) {
   const std::string value = headers.value("Keep-Alive");
   constexpr std::string_view kKey = "timeout=";
@@ -24,7 +25,7 @@
 
 }  // namespace
 
-std::string requestBytes(const UpstreamRequest& request) {
+std::string serializeRequest(const UpstreamRequest& request) {
   std::string out = request.method + " " + request.target + " HTTP/1.1\r\n";
   for (const HeaderField& field : request.headers.fields()) {
     out += field.name;
@@ -40,30 +41,29 @@
   return out;
 }
 
-/// The `timeout` of a Keep-Alive header, in seconds.
-std::shared_ptr<UpstreamConnection> UpstreamPool::takeIdle(const Address& address) {
+std::shared_ptr<UpstreamConnection> UpstreamPool::acquireIdle(const Address& address) {
   const auto found = idle.find(address);
   while (found != idle.end() && !found->second.empty()) {
     auto connection = std::move(found->second.back());
     found->second.pop_back();
-    if (connection->usable()) {
+    if (connection->isOpen()) {
       return connection;
     }
   }
   return nullptr;
 }
 
-void UpstreamPool::keepIdle(const std::shared_ptr<UpstreamConnection>& connection) {
-  auto& kept = idle[connection->address()];
-  if (stopped || kept.size() >= settings.idlePerAddress) {
+void UpstreamPool::releaseIdle(const std::shared_ptr<UpstreamConnection>& connection) {
+  auto& idleConnections = idle[connection->address()];
+  if (stopped || idleConnections.size() >= settings.maxIdlePerAddress) {
     connection->close();
     return;
   }
-  kept.push_back(connection);
-  connection->waitIdle();
+  idleConnections.push_back(connection);
+  connection->startIdleTimer();
 }
 
-void UpstreamPool::forgetIdle(const std::shared_ptr<UpstreamConnection>& connection) {
+void UpstreamPool::removeIdle(const std::shared_ptr<UpstreamConnection>& connection) {
   const auto found = idle.find(connection->address());
   if (found != idle.end()) {
     std::erase(found->second, connection);
@@ -78,25 +78,25 @@
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
-      of(parser).fields_.onName(at, length);
-      return of(parser).countHeaderBytes(length);
+      fromParser(parser).m_headerCollector.onName(at, length);
+      return fromParser(parser).countHeaderBytes(length);
     };
     settings.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
-      of(parser).fields_.onValue(at, length);
-      return of(parser).countHeaderBytes(length);
+      fromParser(parser).m_headerCollector.onValue(at, length);
+      return fromParser(parser).countHeaderBytes(length);
     };
     settings.on_headers_complete = [](http_parser* parser) {
-      return of(parser).onHeadersComplete();
+      return fromParser(parser).onHeadersComplete();
     };
     settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
-      UpstreamConnection& self = of(parser);
-      if (!self.foreign_ && self.busy_ && self.events_.onData) {
+      UpstreamConnection& self = fromParser(parser);
+      if (!self.m_mismatched && self.m_inExchange && self.events_.onData) {
         self.events_.onData({at, length});
       }
       return 0;
     };
     settings.on_message_complete = [](http_parser* parser) {
-      of(parser).onMessageComplete();
+      fromParser(parser).onMessageComplete();
       http_parser_pause(parser, 1);
       return 0;
     };
@@ -108,17 +108,17 @@
 void UpstreamConnection::resetParser() {
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
-  fields_ = {};
-  header_bytes_ = 0;
-  foreign_ = false;
+  m_headerCollector = {};
+  m_headerBytes = 0;
+  m_mismatched = false;
 }
 
 void UpstreamConnection::connect() {
-  ++client_->counters.connectionsOpened;
+  ++m_pool->counters.connectionsOpened;
   asio::error_code error;
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address_.host, error),
                                          address_.port);
-  timer_.expires_after(client_->settings.connectTimeout);
+  timer_.expires_after(m_pool->settings.connectTimeout);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& failed) {
     if (!failed && !self->connected_) {
       self->fail("connect timed out");
@@ -141,16 +141,16 @@
 }
 
 void UpstreamConnection::write() {
-  sent_any_ = true;
+  m_sendStarted = true;
   asio::async_write(
       socket_, asio::buffer(output_),
       [self = shared_from_this(), id = id_](const asio::error_code& error, std::size_t) {
         if (self->closed_ || self->id_ != id) {
           return;
         }
-        // A failed write is not the end: the answer may be there already.
-        self->written_ = !error;
-        if (self->answered_) {
+        // A failed write does not end the exchange: a response may have been received already.
+        self->m_requestWritten = !error;
+        if (self->m_responseComplete) {
           self->succeed();
         }
       });
@@ -178,17 +178,17 @@
 }
 
 void UpstreamConnection::onReadError(const asio::error_code& error) {
-  if (!busy_) {
-    client_->forgetIdle(shared_from_this());
+  if (!m_inExchange) {
+    m_pool->removeIdle(shared_from_this());
     close();
     return;
   }
-  if (error == asio::error::eof && head_seen_ && !foreign_) {
-    // An answer without a length ends with its connection, unless that is reset.
-    keep_ = false;
+  if (error == asio::error::eof && m_headersReceived && !m_mismatched) {
+    // A response without a length is complete when the connection is closed without a reset.
+    m_reusable = false;
     http_parser_execute(&parser_, &parserSettings(), nullptr, 0);
-    if (answered_) {
-      written_ = true;
+    if (m_responseComplete) {
+      m_requestWritten = true;
       succeed();
       return;
     }
@@ -197,12 +197,12 @@
 }
 
 void UpstreamConnection::onBytes(std::size_t count) {
-  if (!busy_ || answered_) {
-    // Bytes after a complete answer belong to no request.
-    ++client_->counters.mismatchedResponses;
-    keep_ = false;
-    if (!busy_) {
-      client_->forgetIdle(shared_from_this());
+  if (!m_inExchange || m_responseComplete) {
+    // Bytes after a complete response do not belong to any request.
+    ++m_pool->counters.mismatchedResponses;
+    m_reusable = false;
+    if (!m_inExchange) {
+      m_pool->removeIdle(shared_from_this());
       close();
     } else {
       read();
@@ -210,7 +210,7 @@
     return;
   }
   std::size_t offset = 0;
-  while (offset < count && !answered_ && !closed_) {
+  while (offset < count && !m_responseComplete && !closed_) {
     const std::size_t parsed =
         http_parser_execute(&parser_, &parserSettings(), buffer_.data() + offset, count - offset);
     const http_errno error = HTTP_PARSER_ERRNO(&parser_);
@@ -219,13 +219,13 @@
     }
     if (error == HPE_PAUSED) {
       offset += parsed;
-      if (!answered_) {
-        resetParser();  // it was an interim answer, or one to another request
+      if (!m_responseComplete) {
+        resetParser();  // it was an interim response or belongs to another request
       }
       continue;
     }
     if (error != HPE_OK || parser_.upgrade != 0) {
-      fail(std::string("malformed answer: ") + http_errno_description(error));
+      fail(std::string("malformed response: ") + http_errno_description(error));
       return;
     }
     offset += parsed;
@@ -233,10 +233,10 @@
   if (closed_) {
     return;
   }
-  if (answered_) {
+  if (m_responseComplete) {
     if (offset < count) {
-      ++client_->counters.mismatchedResponses;
-      keep_ = false;
+      ++m_pool->counters.mismatchedResponses;
+      m_reusable = false;
     }
     succeed();
     return;
@@ -245,27 +245,28 @@
 }
 
 int UpstreamConnection::onHeadersComplete() {
-  const HeaderList headers = fields_.take();
-  if (parser_.status_code < kFirstFinalStatus) {
+  const HeaderList headers = m_headerCollector.take();
+  if (parser_.status_code < kMinFinalStatus) {
     return 0;
   }
   if (!request_.echoHeader.empty()) {
     const std::string echoed = headers.value(request_.echoHeader);
-    foreign_ = !echoed.empty() && echoed != request_.echoValue;
+    m_mismatched = !echoed.empty() && echoed != request_.echoValue;
   }
-  if (foreign_) {
-    ++client_->counters.mismatchedResponses;
+  if (m_mismatched) {
+    ++m_pool->counters.mismatchedResponses;
     return 0;
   }
-  head_seen_ = true;
-  keep_ = keep_ && http_should_keep_alive(&parser_) != 0;
-  constexpr int kFifths = 5;
-  constexpr int kUsedFifths = 4;
-  const auto told = keepAliveSeconds(headers);
-  idle_timeout_ = client_->settings.idleTimeout;
-  if (told) {
-    idle_timeout_ =
-        std::min<base::Duration>(idle_timeout_, base::seconds(*told) * kUsedFifths / kFifths);
+  m_headersReceived = true;
+  m_reusable = m_reusable && http_should_keep_alive(&parser_) != 0;
+  constexpr int kIdleTimeoutDenominator = 5;
+  constexpr int kIdleTimeoutNumerator = 4;
+  const auto serverTimeout = keepAliveSeconds(headers);
+  idle_timeout_ = m_pool->settings.idleTimeout;
+  if (serverTimeout) {
+    idle_timeout_ = std::min<base::Duration>(
+        idle_timeout_,
+        base::seconds(*serverTimeout) * kIdleTimeoutNumerator / kIdleTimeoutDenominator);
   }
   if (events_.onHead) {
     events_.onHead(parser_.status_code, headers);
@@ -274,26 +275,26 @@
 }
 
 void UpstreamConnection::onMessageComplete() {
-  if (!foreign_ && parser_.status_code >= kFirstFinalStatus) {
-    answered_ = true;
+  if (!m_mismatched && parser_.status_code >= kMinFinalStatus) {
+    m_responseComplete = true;
   }
 }
 
 void UpstreamConnection::succeed() {
-  if (!busy_) {
+  if (!m_inExchange) {
     return;
   }
-  // A server that answers before it has read the whole request may read the rest of it later:
-  // nothing else may follow on that connection.
-  const bool reusable = keep_ && written_ && !closed_;
+  // If the server responds before it has read the complete request, it may read the rest later, so
+  // the connection cannot be reused.
+  const bool reusable = m_reusable && m_requestWritten && !closed_;
   UpstreamResult result;
   result.complete = true;
   result.verdict = base::Verdict::kRan;
-  result.answerBegan = true;
+  result.responseStarted = true;
   if (reusable) {
     UpstreamEvents events = std::exchange(events_, {});
-    client_->active.erase(id_);
-    client_->keepIdle(shared_from_this());
+    m_pool->active.erase(id_);
+    m_pool->releaseIdle(shared_from_this());
     read();
     if (events.onEnd) {
       events.onEnd(result);
@@ -304,20 +305,20 @@
 }
 
 void UpstreamConnection::fail(const std::string& error) {
-  if (!busy_) {
+  if (!m_inExchange) {
     return;
   }
   UpstreamResult result;
-  result.verdict = sent_any_ ? base::Verdict::kMayHaveRun : base::Verdict::kNotRun;
-  result.answerBegan = head_seen_;
+  result.verdict = m_sendStarted ? base::Verdict::kMayHaveRun : base::Verdict::kNotRun;
+  result.responseStarted = m_headersReceived;
   result.error = error;
   end(result);
 }
 
 void UpstreamConnection::end(const UpstreamResult& result) {
-  busy_ = false;
+  m_inExchange = false;
   close();
-  client_->active.erase(id_);
+  m_pool->active.erase(id_);
   const UpstreamEvents events = std::exchange(events_, {});
   if (events.onEnd) {
     events.onEnd(result);
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -1,5 +1,5 @@
 /// \file
-/// The connections of an UpstreamClient.
+/// Connections of an UpstreamClient.
 #pragma once
 
 #include <http_parser.h>
@@ -19,57 +19,57 @@
 
 namespace tackpick::http {
 
-/// Bytes taken from the socket at once.
+/// Maximum number of bytes per read from the socket.
 inline constexpr std::size_t kUpstreamReadBytes = 32U << 10U;
 
-/// Headers of an answer that are longer end its connection.
-inline constexpr std::size_t kMaximumHeaderBytes = 64U << 10U;
+/// Maximum size of the headers of a response. Longer headers are an error.
+inline constexpr std::size_t kMaxHeaderBytes = 64U << 10U;
 
-/// A request as it goes over the wire.
-[[nodiscard]] std::string requestBytes(const UpstreamRequest& request);
+/// Returns the HTTP/1.1 representation of `request`.
+[[nodiscard]] std::string serializeRequest(const UpstreamRequest& request);
 
 class UpstreamConnection;
 
-/// The connections of one client.
+/// The active and idle connections of a client.
 class UpstreamPool {
  public:
-  UpstreamPool(asio::io_context& io, UpstreamSettings clientSettings)
-      : context(io), settings(clientSettings) {}
+  UpstreamPool(asio::io_context& io, UpstreamClientSettings initialSettings)
+      : context(io), settings(initialSettings) {}
 
-  std::shared_ptr<UpstreamConnection> takeIdle(const Address& address);
-  void keepIdle(const std::shared_ptr<UpstreamConnection>& connection);
-  void forgetIdle(const std::shared_ptr<UpstreamConnection>& connection);
+  std::shared_ptr<UpstreamConnection> acquireIdle(const Address& address);
+  void releaseIdle(const std::shared_ptr<UpstreamConnection>& connection);
+  void removeIdle(const std::shared_ptr<UpstreamConnection>& connection);
 
   asio::io_context& context;
-  const UpstreamSettings settings;
+  const UpstreamClientSettings settings;
   std::map<ExchangeId, std::shared_ptr<UpstreamConnection>> active;
   std::map<Address, std::vector<std::shared_ptr<UpstreamConnection>>> idle;
   UpstreamCounters counters;
-  ExchangeId next{1};
+  ExchangeId nextExchangeId{1};
   bool stopped = false;
 };
 
-/// One connection to a server; serves one exchange at a time.
+/// A connection to a server. Handles one exchange at a time.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
-  UpstreamConnection(std::shared_ptr<UpstreamPool> client, Address address)
-      : client_(std::move(client)),
+  UpstreamConnection(std::shared_ptr<UpstreamPool> pool, Address address)
+      : m_pool(std::move(pool)),
         address_(std::move(address)),
-        socket_(client_->context),
-        timer_(client_->context) {}
+        socket_(m_pool->context),
+        timer_(m_pool->context) {}
 
   void start(ExchangeId id, UpstreamRequest request, UpstreamEvents events) {
     id_ = id;
     request_ = std::move(request);
     events_ = std::move(events);
-    output_ = requestBytes(request_);
-    busy_ = true;
+    output_ = serializeRequest(request_);
+    m_inExchange = true;
     m_paused = false;
-    sent_any_ = false;
-    written_ = false;
-    head_seen_ = false;
-    keep_ = true;
-    answered_ = false;
+    m_sendStarted = false;
+    m_requestWritten = false;
+    m_headersReceived = false;
+    m_reusable = true;
+    m_responseComplete = false;
     resetParser();
     timer_.cancel();
     if (connected_) {
@@ -95,24 +95,24 @@
     read();
   }
 
-  void waitIdle() {
-    busy_ = false;
+  void startIdleTimer() {
+    m_inExchange = false;
     m_paused = false;
     events_ = {};
     timer_.expires_after(idle_timeout_);
     timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
-      if (!error && !self->busy_) {
-        self->client_->forgetIdle(self);
+      if (!error && !self->m_inExchange) {
+        self->m_pool->removeIdle(self);
         self->close();
       }
     });
   }
 
   [[nodiscard]] const Address& address() const { return address_; }
-  [[nodiscard]] bool usable() const { return !closed_; }
+  [[nodiscard]] bool isOpen() const { return !closed_; }
 
  private:
-  static UpstreamConnection& of(http_parser* parser) {
+  static UpstreamConnection& fromParser(http_parser* parser) {
     return *static_cast<UpstreamConnection*>(parser->data);
   }
   static const http_parser_settings& parserSettings();
@@ -123,10 +123,10 @@
   void onBytes(std::size_t count);
   void onReadError(const asio::error_code& error);
   int onHeadersComplete();
-  /// Zero while the headers are not too long, as http_parser wants it.
+  /// Returns the result of an http_parser callback: zero, or -1 if the headers are too long.
   int countHeaderBytes(std::size_t count) {
-    header_bytes_ += count;
-    return header_bytes_ > kMaximumHeaderBytes ? -1 : 0;
+    m_headerBytes += count;
+    return m_headerBytes > kMaxHeaderBytes ? -1 : 0;
   }
   void onMessageComplete();
   void resetParser();
@@ -134,7 +134,7 @@
   void succeed();
   void end(const UpstreamResult& result);
 
-  std::shared_ptr<UpstreamPool> client_;
+  std::shared_ptr<UpstreamPool> m_pool;
   const Address address_;
   asio::ip::tcp::socket socket_;
   base::Timer timer_;
@@ -146,18 +146,18 @@
   std::string output_;
   std::array<char, kUpstreamReadBytes> buffer_{};
   http_parser parser_{};
-  HeaderCollector fields_;
-  std::size_t header_bytes_ = 0;
+  HeaderCollector m_headerCollector;
+  std::size_t m_headerBytes = 0;
   bool connected_ = false;
   bool reading_ = false;
-  bool busy_ = false;
-  bool m_paused = false;  ///< nothing more of the answer is to be read now
-  bool sent_any_ = false;
-  bool written_ = false;
-  bool head_seen_ = false;
-  bool foreign_ = false;  ///< the answer being read belongs to another request
-  bool keep_ = true;
-  bool answered_ = false;  ///< the whole answer has been read
+  bool m_inExchange = false;
+  bool m_paused = false;  ///< reading the response is suspended
+  bool m_sendStarted = false;
+  bool m_requestWritten = false;
+  bool m_headersReceived = false;
+  bool m_mismatched = false;  ///< the current response belongs to another request
+  bool m_reusable = true;
+  bool m_responseComplete = false;
   bool closed_ = false;
 };
 
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -24,7 +24,7 @@
 
 http::ExchangeLimits limits() {
   http::ExchangeLimits limits;
-  limits.bodyBytes = kBodyBytes;
+  limits.maxBodyBytes = kBodyBytes;
   return limits;
 }
 
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -298,7 +298,7 @@
   const auto relay = found->second.relay;
   if (!relay) {
     found->second.body.append(data);
-  } else if (relay->pass(data)) {
+  } else if (relay->forwardData(data)) {
     node_.metrics().count(telemetry::CounterId::kSlowReaders, "held_back");
   }
 }
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -48,10 +48,10 @@
   http::ExchangeLimits exchange;
   if (process.memoryMb) {
     const auto memory = static_cast<std::size_t>(*process.memoryMb) << kMegabyteBits;
-    exchange.totalUnsentBytes = memory / kMemoryPerUnread;
+    exchange.maxTotalUnsentBytes = memory / kMemoryPerUnread;
   }
-  exchange.headerBytes = limits.headerBytes;
-  exchange.bodyBytes = limits.bodyBytes;
+  exchange.maxHeaderBytes = limits.headerBytes;
+  exchange.maxBodyBytes = limits.bodyBytes;
   exchange.headerTimeout = limits.headerTimeout;
   exchange.idleTimeout = limits.idleTimeout;
   return exchange;
@@ -163,8 +163,8 @@
 
 bool GatewayServer::isTenantField(std::string_view name) const {
   const edge::HeaderNames& names = node_.apiAdapter().headers();
-  return tenants_.hasTenants() &&
-         (http::sameHeaderName(name, names.credential) || http::sameHeaderName(name, names.tenant));
+  return tenants_.hasTenants() && (http::equalsHeaderName(name, names.credential) ||
+                                   http::equalsHeaderName(name, names.tenant));
 }
 
 void GatewayServer::takeJobCall(jobs::JobRequest request, const std::string& tenant,
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -77,7 +77,7 @@
 
 base::Result<void> Node::open() {
   BOOST_LEAF_ASSIGN(self_, openIdentity());
-  upstream_ = std::make_unique<http::UpstreamClient>(context_, http::UpstreamSettings{});
+  upstream_ = std::make_unique<http::UpstreamClient>(context_, http::UpstreamClientSettings{});
   openMember();
   if (settings_.role == directory::NodeRole::kController) {
     BOOST_LEAF_CHECK(openDirectory());
--- a/test/http/exchange_server_test.cpp
+++ b/test/http/exchange_server_test.cpp
@@ -1,4 +1,4 @@
-/// What a caller sees of the HTTP server, byte by byte.
+/// Tests of the HTTP server over a raw TCP connection.
 #include "http/exchange_server.h"
 
 #include <criterion/criterion.h>
@@ -14,22 +14,22 @@
 
 namespace {
 
-/// A server whose requests wait in `open` until the test answers them.
+/// A server that collects exchanges in `pendingExchanges` until the test responds to them.
 struct Fixture {
   explicit Fixture(const http::ExchangeLimits& limits = {})
       : server(context, "127.0.0.1", 0, limits,
                [this](http::RawRequest request, std::shared_ptr<http::Exchange> exchange) {
                  requests.push_back(std::move(request));
-                 open.push_back(std::move(exchange));
+                 pendingExchanges.push_back(std::move(exchange));
                }) {}
 
-  bool waitRequests(std::size_t count) {
+  bool waitForRequests(std::size_t count) {
     return runUntil(context, [&] { return requests.size() >= count; });
   }
 
   asio::io_context context;
   std::vector<http::RawRequest> requests;
-  std::vector<std::shared_ptr<http::Exchange>> open;
+  std::vector<std::shared_ptr<http::Exchange>> pendingExchanges;
   http::ExchangeServer server;
 };
 
@@ -37,15 +37,15 @@
 
 }  // namespace
 
-// The users' measure: a caller that hung up while its request was handled went unnoticed.
+// Guards against a disconnect that is not detected while the request is handled.
 Test(exchange_server, hang_up_while_a_request_is_handled_is_noticed) {
   for (const bool reset : {false, true}) {
     Fixture fixture;
     RawPeer peer(fixture.context, fixture.server.port());
     peer.send(kGet);
-    cr_assert(fixture.waitRequests(1));
+    cr_assert(fixture.waitForRequests(1));
     bool closed = false;
-    fixture.open[0]->onClosed([&] { closed = true; });
+    fixture.pendingExchanges[0]->onClosed([&] { closed = true; });
     if (reset) {
       peer.reset();
     } else {
@@ -60,11 +60,11 @@
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
-  cr_assert(fixture.waitRequests(1));
+  cr_assert(fixture.waitForRequests(1));
   bool closed = false;
-  fixture.open[0]->onClosed([&] { closed = true; });
-  fixture.open[0]->begin(200, {});
-  fixture.open[0]->write("piece");
+  fixture.pendingExchanges[0]->onClosed([&] { closed = true; });
+  fixture.pendingExchanges[0]->begin(200, {});
+  fixture.pendingExchanges[0]->write("piece");
   peer.readUntil("piece");
   peer.close();
   cr_assert(runUntil(fixture.context, [&] { return closed; }));
@@ -74,7 +74,7 @@
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
-  cr_assert(fixture.waitRequests(1));
+  cr_assert(fixture.waitForRequests(1));
   const http::RawRequest& request = fixture.requests[0];
   cr_assert_eq(request.target, "/a?b=1");
   cr_assert_eq(request.path(), "/a");
@@ -89,12 +89,12 @@
   peer.send(
       "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /2 HTTP/1.1\r\n"
       "Host: h\r\n\r\n");
-  cr_assert(fixture.waitRequests(1));
+  cr_assert(fixture.waitForRequests(1));
   cr_assert_eq(fixture.requests[0].body, "abc");
-  fixture.open[0]->respond(200, {}, "one");
-  cr_assert(fixture.waitRequests(2));
+  fixture.pendingExchanges[0]->respond(200, {}, "one");
+  cr_assert(fixture.waitForRequests(2));
   cr_assert_eq(fixture.requests[1].target, "/2");
-  fixture.open[1]->respond(200, {}, "two");
+  fixture.pendingExchanges[1]->respond(200, {}, "two");
   const std::string answers = peer.readUntil("two");
   cr_assert_lt(answers.find("one"), answers.find("two"));
 }
@@ -105,7 +105,7 @@
   peer.send(
       "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3\r\ncde"
       "\r\n0\r\n\r\n");
-  cr_assert(fixture.waitRequests(1));
+  cr_assert(fixture.waitForRequests(1));
   cr_assert_eq(fixture.requests[0].body, "abcde");
 }
 
@@ -115,8 +115,8 @@
     std::string status;
   };
   http::ExchangeLimits limits;
-  limits.headerBytes = 512;
-  limits.bodyBytes = 16;
+  limits.maxHeaderBytes = 512;
+  limits.maxBodyBytes = 16;
   const std::vector<Case> cases = {
       {"nonsense\r\n\r\n", "400"},
       {"GET / HTTP/1.1\r\nA: " + std::string(600, 'x') + "\r\n\r\n", "431"},
@@ -124,12 +124,13 @@
       {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + std::string(32, 'x'), "413"},
       {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
   };
-  for (const Case& bad : cases) {
+  for (const Case& invalid : cases) {
     Fixture fixture(limits);
     RawPeer peer(fixture.context, fixture.server.port());
-    peer.send(bad.bytes);
+    peer.send(invalid.bytes);
     cr_assert(peer.waitClosed());
-    cr_assert(peer.received().starts_with("HTTP/1.1 " + bad.status), "%s", peer.received().c_str());
+    cr_assert(peer.received().starts_with("HTTP/1.1 " + invalid.status), "%s",
+              peer.received().c_str());
     cr_assert(fixture.requests.empty());
   }
 }
@@ -151,7 +152,7 @@
 Test(exchange_server, limits_can_change_while_it_runs) {
   Fixture fixture;
   http::ExchangeLimits limits;
-  limits.bodyBytes = 2;
+  limits.maxBodyBytes = 2;
   fixture.server.setLimits(limits);
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
@@ -163,11 +164,11 @@
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
-  cr_assert(fixture.waitRequests(1));
-  fixture.open[0]->begin(200, {});
-  fixture.open[0]->write("half");
+  cr_assert(fixture.waitForRequests(1));
+  fixture.pendingExchanges[0]->begin(200, {});
+  fixture.pendingExchanges[0]->write("half");
   peer.readUntil("half");
-  fixture.open[0]->abort();
+  fixture.pendingExchanges[0]->abort();
   cr_assert(peer.waitClosed());
   cr_assert_eq(peer.received().find("0\r\n\r\n"), std::string::npos);
 }
@@ -176,8 +177,8 @@
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
-  cr_assert(fixture.waitRequests(1));
-  fixture.open.clear();
+  cr_assert(fixture.waitForRequests(1));
+  fixture.pendingExchanges.clear();
   cr_assert(peer.waitClosed());
   cr_assert(peer.received().empty());
 }
@@ -188,15 +189,15 @@
   RawPeer idle(fixture.context, port);
   RawPeer busy(fixture.context, fixture.server.port());
   busy.send(kGet);
-  cr_assert(fixture.waitRequests(1));
+  cr_assert(fixture.waitForRequests(1));
   fixture.server.beginDrain();
   cr_assert(idle.waitClosed());
-  // A request that is taken late in a planned stop would be cut by its end.
+  // A request accepted during a shutdown would be aborted at its end.
   asio::ip::tcp::socket late(fixture.context);
-  asio::error_code refused;
-  late.connect({asio::ip::make_address("127.0.0.1"), port}, refused);
-  cr_assert(refused, "nobody can connect any more");
-  fixture.open[0]->respond(200, {}, "done");
+  asio::error_code connectError;
+  late.connect({asio::ip::make_address("127.0.0.1"), port}, connectError);
+  cr_assert(connectError, "no new connection is accepted");
+  fixture.pendingExchanges[0]->respond(200, {}, "done");
   cr_assert(busy.waitClosed());
   cr_assert_neq(busy.received().find("Connection: close"), std::string::npos);
   cr_assert(busy.received().ends_with("done"));
--- a/test/http/loopback.h
+++ b/test/http/loopback.h
@@ -1,5 +1,5 @@
 /// \file
-/// A raw TCP peer on loopback for tests of the HTTP modules.
+/// A TCP client on the loopback interface for tests of the HTTP modules.
 #pragma once
 
 #include <array>
@@ -10,17 +10,18 @@
 
 namespace tackpick::test {
 
-/// Runs the loop until `done` holds. The limit only ends a test that hangs.
+/// Runs the event loop until `done` returns true or the deadline has passed. Returns the last
+/// result of `done`.
 inline bool runUntil(asio::io_context& context, const std::function<bool()>& done) {
-  const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-  while (!done() && std::chrono::steady_clock::now() < limit) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  while (!done() && std::chrono::steady_clock::now() < deadline) {
     context.restart();
     context.run_for(std::chrono::milliseconds(5));
   }
   return done();
 }
 
-/// A blocking client socket whose reads are polled, so that server and client share a thread.
+/// A client socket whose reads are polled, so that server and client can share a thread.
 class RawPeer {
  public:
   RawPeer(asio::io_context& context, std::uint16_t port) : context_(context), socket_(context) {
@@ -30,7 +31,7 @@
       : context_(context), socket_(std::move(socket)) {}
 
   void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
-  /// Reads until `text` has arrived or the connection ended; returns all that was read so far.
+  /// Reads until `text` has been received or the connection is closed. Returns all data received.
   std::string readUntil(const std::string& text) {
     runUntil(context_, [&] {
       poll();
@@ -38,7 +39,7 @@
     });
     return received_;
   }
-  /// True once the other side has closed or reset.
+  /// Waits until the peer has closed or reset the connection. Returns whether it has.
   bool waitClosed() {
     return runUntil(context_, [&] {
       poll();
@@ -48,11 +49,11 @@
   [[nodiscard]] bool wasReset() const { return reset_; }
   [[nodiscard]] const std::string& received() const { return received_; }
   void clear() { received_.clear(); }
-  /// Takes what has arrived.
+  /// Reads the data that has arrived.
   void readSome() { poll(); }
   [[nodiscard]] asio::ip::tcp::socket& socket() { return socket_; }
   void close() { socket_.close(); }
-  /// Closes so that the other side sees a reset.
+  /// Closes the connection with a reset.
   void reset() {
     socket_.set_option(asio::socket_base::linger(true, 0));
     socket_.close();
--- a/test/http/upstream_client_test.cpp
+++ b/test/http/upstream_client_test.cpp
@@ -1,4 +1,4 @@
-/// What the HTTP client makes of well and badly behaved servers.
+/// Tests of the HTTP client with correct and faulty servers.
 #include "http/upstream_client.h"
 
 #include <criterion/criterion.h>
@@ -14,28 +14,28 @@
 
 namespace {
 
-/// A server whose connections the test drives by hand.
+/// A client and a listening socket whose connections the test handles itself.
 struct Fixture {
   Fixture() : acceptor(context, {asio::ip::make_address("127.0.0.1"), 0}), client(context, {}) {}
 
-  /// Starts a request named `id`; its outcome goes to the members below.
+  /// Starts a request with the header `Id: id`. Its outcome is stored in the members below.
   http::ExchangeId request(const std::string& id, const std::string& body = "") {
     status = 0;
-    answer.clear();
+    responseBody.clear();
     end.reset();
-    http::UpstreamRequest wanted;
-    wanted.address = {"127.0.0.1", acceptor.local_endpoint().port()};
-    wanted.method = "POST";
-    wanted.headers.add("Host", "h");
-    wanted.headers.add("Id", id);
-    wanted.body = body;
-    wanted.echoHeader = "Id";
-    wanted.echoValue = id;
+    http::UpstreamRequest upstreamRequest;
+    upstreamRequest.address = {"127.0.0.1", acceptor.local_endpoint().port()};
+    upstreamRequest.method = "POST";
+    upstreamRequest.headers.add("Host", "h");
+    upstreamRequest.headers.add("Id", id);
+    upstreamRequest.body = body;
+    upstreamRequest.echoHeader = "Id";
+    upstreamRequest.echoValue = id;
     http::UpstreamEvents events;
     events.onHead = [this](int code, const http::HeaderList&) { status = code; };
-    events.onData = [this](std::string_view data) { answer.append(data); };
+    events.onData = [this](std::string_view data) { responseBody.append(data); };
     events.onEnd = [this](const http::UpstreamResult& result) { end = result; };
-    return client.start(std::move(wanted), std::move(events));
+    return client.start(std::move(upstreamRequest), std::move(events));
   }
   RawPeer accept() {
     std::optional<asio::ip::tcp::socket> accepted;
@@ -55,11 +55,11 @@
   asio::ip::tcp::acceptor acceptor;
   http::UpstreamClient client;
   int status = 0;
-  std::string answer;
+  std::string responseBody;
   std::optional<http::UpstreamResult> end;
 };
 
-std::string whole(const std::string& id, const std::string& body) {
+std::string makeResponse(const std::string& id, const std::string& body) {
   return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
@@ -71,16 +71,16 @@
   fixture.request("1");
   RawPeer server = fixture.accept();
   server.readUntil("\r\n\r\n");
-  server.send(whole("1", "one"));
+  server.send(makeResponse("1", "one"));
   cr_assert(fixture.waitEnd());
   cr_assert(fixture.end->complete);
-  cr_assert_eq(fixture.answer, "one");
+  cr_assert_eq(fixture.responseBody, "one");
   fixture.request("2");
   server.clear();
   server.readUntil("Id: 2");
-  server.send(whole("2", "two"));
+  server.send(makeResponse("2", "two"));
   cr_assert(fixture.waitEnd());
-  cr_assert_eq(fixture.answer, "two");
+  cr_assert_eq(fixture.responseBody, "two");
   cr_assert_eq(fixture.client.counters().connectionsOpened, 1U);
 }
 
@@ -89,10 +89,10 @@
   fixture.request("2");
   RawPeer server = fixture.accept();
   server.readUntil("\r\n\r\n");
-  server.send(whole("1", "foreign") + whole("2", "own"));
+  server.send(makeResponse("1", "foreign") + makeResponse("2", "own"));
   cr_assert(fixture.waitEnd());
   cr_assert(fixture.end->complete);
-  cr_assert_eq(fixture.answer, "own");
+  cr_assert_eq(fixture.responseBody, "own");
   cr_assert_eq(fixture.client.counters().mismatchedResponses, 1U);
 }
 
@@ -101,9 +101,9 @@
   fixture.request("1");
   RawPeer server = fixture.accept();
   server.readUntil("\r\n\r\n");
-  server.send(whole("1", "one") + whole("1", "one"));
+  server.send(makeResponse("1", "one") + makeResponse("1", "one"));
   cr_assert(fixture.waitEnd());
-  cr_assert_eq(fixture.answer, "one");
+  cr_assert_eq(fixture.responseBody, "one");
   cr_assert(server.waitClosed());
 }
 
@@ -112,9 +112,9 @@
   fixture.request("1");
   RawPeer server = fixture.accept();
   server.readUntil("\r\n\r\n");
-  server.send(whole("1", "one"));
+  server.send(makeResponse("1", "one"));
   cr_assert(fixture.waitEnd());
-  server.send(whole("1", "again"));
+  server.send(makeResponse("1", "again"));
   cr_assert(server.waitClosed());
 }
 
@@ -125,7 +125,7 @@
     RawPeer server = fixture.accept();
     server.readUntil("\r\n\r\n");
     server.send("HTTP/1.1 200 OK\r\nId: 1\r\n\r\nbody");
-    runUntil(fixture.context, [&] { return fixture.answer == "body"; });
+    runUntil(fixture.context, [&] { return fixture.responseBody == "body"; });
     if (reset) {
       server.reset();
     } else {
@@ -133,7 +133,7 @@
     }
     cr_assert(fixture.waitEnd());
     cr_assert_eq(fixture.end->complete, !reset);
-    cr_assert_eq(fixture.answer, "body");
+    cr_assert_eq(fixture.responseBody, "body");
   }
 }
 
@@ -167,7 +167,7 @@
   cr_assert_eq(fixture.end->verdict, base::Verdict::kNotRun);
 }
 
-// A server may answer early and read the rest of the body later: nothing else may stand there.
+// Guards against the reuse of a connection on which the server may still read a request body.
 Test(upstream_client, early_answer_to_a_long_body_ends_the_connection) {
   Fixture fixture;
   fixture.request("1", std::string(64U << 20U, 'x'));
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -320,7 +320,7 @@
   cr_assert_eq(call.headers.value("Tenant"), "acme");
   cr_assert_eq(std::count_if(call.headers.fields().begin(), call.headers.fields().end(),
                              [](const http::HeaderField& field) {
-                               return http::sameHeaderName(field.name, "Tenant");
+                               return http::equalsHeaderName(field.name, "Tenant");
                              }),
                1);
 }
