--- a/apps/tackpickd/main.cpp
+++ b/apps/tackpickd/main.cpp
@@ -28,11 +28,11 @@
 struct Options {
   std::string settingsFile;
   bool checkOnly = false;
-  runtime::FolderMode mode = runtime::FolderMode::kExisting;
+  runtime::DirectoryMode mode = runtime::DirectoryMode::kMustExist;
   std::string internal;
   std::string http;
   std::string zone;
-  std::string dataFolder;
+  std::string dataDirectory;
 };
 
 /// The settings file when no flag names it.
@@ -71,15 +71,15 @@
   options.settingsFile = parsed["settings"].as<std::string>();
   options.checkOnly = parsed.count("check") > 0;
   if (parsed.count("init") > 0) {
-    options.mode = runtime::FolderMode::kInitialise;
+    options.mode = runtime::DirectoryMode::kInitialise;
   }
   if (parsed.count("join") > 0) {
-    options.mode = runtime::FolderMode::kJoin;
+    options.mode = runtime::DirectoryMode::kJoin;
   }
   options.internal = parsed["internal"].as<std::string>();
   options.http = parsed["http"].as<std::string>();
   options.zone = parsed["zone"].as<std::string>();
-  options.dataFolder = parsed["data-folder"].as<std::string>();
+  options.dataDirectory = parsed["data-folder"].as<std::string>();
   return options;
 }
 
@@ -92,7 +92,8 @@
     BOOST_LEAF_ASSIGN(settings.http, config::parseEndpoint(options.http));
   }
   settings.zone = options.zone.empty() ? settings.zone : options.zone;
-  settings.dataFolder = options.dataFolder.empty() ? settings.dataFolder : options.dataFolder;
+  settings.dataDirectory =
+      options.dataDirectory.empty() ? settings.dataDirectory : options.dataDirectory;
   return settings;
 }
 
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -79,7 +79,7 @@
     request.clock = clock_->wallNow();
   }
   directory_.call(
-      transport::CommandKind::kService, base::encode(directory::DirectoryRequest{request}), now,
+      transport::CommandKind::kLeaderCall, base::encode(directory::DirectoryRequest{request}), now,
       outbox_,
       [this, asked](const base::Bytes* result, base::TimePoint at) {
         watching_ = false;
@@ -173,7 +173,7 @@
 void ClusterMember::call(const directory::DirectoryRequest& request, base::Duration deadline,
                          base::TimePoint now, DirectoryCallback callback) {
   directory_.call(
-      transport::CommandKind::kService, base::encode(request), now, outbox_,
+      transport::CommandKind::kLeaderCall, base::encode(request), now, outbox_,
       [callback = std::move(callback)](const base::Bytes* result, base::TimePoint) {
         const auto reply =
             result == nullptr ? std::nullopt : base::decode<directory::DirectoryReply>(*result);
@@ -200,7 +200,7 @@
                                 consensus::CallTimes times, base::TimePoint now,
                                 JobCallback callback) {
   client.call(
-      transport::CommandKind::kService, base::encode(request), now, outbox_,
+      transport::CommandKind::kLeaderCall, base::encode(request), now, outbox_,
       [callback = std::move(callback)](const base::Bytes* result, base::TimePoint) {
         const auto reply = result == nullptr ? std::nullopt : base::decode<jobs::JobReply>(*result);
         callback(reply ? &*reply : nullptr);
--- a/src/config/declarations.cpp
+++ b/src/config/declarations.cpp
@@ -9,74 +9,75 @@
 namespace tackpick::config {
 namespace {
 
+/// Reads declaration files and appends the declared nodes to a list.
 class DeclarationReader {
  public:
   explicit DeclarationReader(std::vector<DeclaredNode>& nodes) : nodes_(nodes) {}
 
-  void read(const YAML::Node& document, Problems& problems) {
-    MappingReader reader(document, "", problems);
+  void read(const YAML::Node& document, ConfigErrors& errors) {
+    MappingReader reader(document, "", errors);
     const YAML::Node defaults = reader.child("defaults");
     if (defaults.IsDefined()) {
-      addNode("", defaults, "defaults", problems);
+      addNode("", defaults, "defaults", errors);
     }
     const YAML::Node tenants = reader.child("tenants");
     if (tenants.IsDefined()) {
-      readList(tenants, "", "tenants", problems);
+      readList(tenants, "", "tenants", errors);
     }
-    reader.finish();
+    reader.rejectUnknownKeys();
   }
 
  private:
-  void readItem(const YAML::Node& item, const std::string& parent, const std::string& where,
-                Problems& problems) {
-    MappingReader reader(item, where + "[]", problems);
-    const std::string name = reader.requiredText("name");
+  void readItem(const YAML::Node& item, const std::string& parent, const std::string& location,
+                ConfigErrors& errors) {
+    MappingReader reader(item, location + "[]", errors);
+    const std::string name = reader.getRequiredString("name");
     const std::string path = parent.empty() ? name : parent + "/" + name;
     const YAML::Node settings = reader.child("settings");
-    addNode(path, settings, where + "." + name + ".settings", problems);
+    addNode(path, settings, location + "." + name + ".settings", errors);
     const YAML::Node workloads = reader.child("workloads");
     if (workloads.IsDefined()) {
-      readList(workloads, path, where + "." + name + ".workloads", problems);
+      readList(workloads, path, location + "." + name + ".workloads", errors);
     }
-    reader.finish();
+    reader.rejectUnknownKeys();
   }
 
-  void readList(const YAML::Node& list, const std::string& parent, const std::string& where,
-                Problems& problems) {
+  void readList(const YAML::Node& list, const std::string& parent, const std::string& location,
+                ConfigErrors& errors) {
     if (!list.IsSequence()) {
-      problems.add(list, where, "expected a list");
+      errors.add(list, location, "expected a list");
       return;
     }
     for (const YAML::Node& item : list) {
-      readItem(item, parent, where, problems);
+      readItem(item, parent, location, errors);
     }
   }
 
-  void addNode(const std::string& path, const YAML::Node& settings, const std::string& where,
-               Problems& problems) {
+  void addNode(const std::string& path, const YAML::Node& settings, const std::string& location,
+               ConfigErrors& errors) {
     DeclaredNode node;
     node.path = path;
     if (settings.IsDefined() && !settings.IsNull()) {
       if (!settings.IsMap()) {
-        problems.add(settings, where, "expected a mapping");
+        errors.add(settings, location, "expected a mapping");
         return;
       }
       for (const auto& entry : settings) {
-        readSetting(entry.first, entry.second, where, node, problems);
+        readSetting(entry.first, entry.second, location, node, errors);
       }
     }
     if (!seen_.insert(path).second) {
-      problems.add(settings, where, "the node is declared twice");
+      errors.add(settings, location, "the node is declared twice");
       return;
     }
     nodes_.push_back(std::move(node));
   }
 
-  static void readSetting(const YAML::Node& name, const YAML::Node& value, const std::string& where,
-                          DeclaredNode& node, Problems& problems) {
+  static void readSetting(const YAML::Node& name, const YAML::Node& value,
+                          const std::string& location, DeclaredNode& node, ConfigErrors& errors) {
     const auto key = control::findSettingKey(name.as<std::string>(""));
     if (!key) {
-      problems.add(name, where + "." + name.as<std::string>(""), "no such setting");
+      errors.add(name, location + "." + name.as<std::string>(""), "no such setting");
       return;
     }
     base::recover(
@@ -86,7 +87,7 @@
           return 0;
         },
         [&](const base::Error& error) {
-          problems.add(value, where, error.message);
+          errors.add(value, location, error.message);
           return 0;
         });
   }
@@ -112,8 +113,8 @@
       value = number;
     }
   }
-  if (const auto problem = control::validateSetting(key, value)) {
-    return base::fail(base::ErrorCode::kInvalidInput, *problem);
+  if (const auto errorMessage = control::validateSetting(key, value)) {
+    return base::fail(base::ErrorCode::kInvalidInput, *errorMessage);
   }
   return value;
 }
@@ -137,15 +138,15 @@
   }
   std::vector<DeclaredNode> nodes;
   DeclarationReader reader(nodes);
-  std::string problemText;
+  std::string errorText;
   for (const std::string& file : files) {
     BOOST_LEAF_AUTO(document, loadYaml(file));
-    Problems problems(file);
-    reader.read(document, problems);
-    problemText += problems.text();
+    ConfigErrors errors(file);
+    reader.read(document, errors);
+    errorText += errors.toString();
   }
-  if (!problemText.empty()) {
-    return base::fail(base::ErrorCode::kInvalidInput, problemText);
+  if (!errorText.empty()) {
+    return base::fail(base::ErrorCode::kInvalidInput, errorText);
   }
   return nodes;
 }
--- a/src/config/declarations.h
+++ b/src/config/declarations.h
@@ -11,17 +11,17 @@
 
 namespace tackpick::config {
 
-/// A node that the declarations name, with all the values it shall have.
+/// A declared tenant or workload with all of its setting values.
 struct DeclaredNode {
   std::string path;
   std::map<control::SettingKey, control::SettingValue> values;
 };
 
-/// Reads every .yaml file of a folder, or one file. Each node may be declared once. All problems
-/// are in the error's message, one a line.
+/// Reads all .yaml files of a directory, or one file. Each node may be declared only once. The
+/// error message contains all errors found, one per line.
 [[nodiscard]] base::Result<std::vector<DeclaredNode>> loadDeclarations(const std::string& path);
 
-/// Parses a value given on the command line as the type of `key`.
+/// Parses a value from the command line as the type of `key`.
 [[nodiscard]] base::Result<control::SettingValue> parseSetting(control::SettingKey key,
                                                                const std::string& text);
 
--- a/src/config/process_settings.cpp
+++ b/src/config/process_settings.cpp
@@ -9,30 +9,30 @@
 namespace tackpick::config {
 namespace {
 
-constexpr std::int64_t kLargestNode = std::numeric_limits<std::uint32_t>::max();
-constexpr std::int64_t kLargestGroup = 1'000'000;
+constexpr std::int64_t kMaxNodeNumber = std::numeric_limits<std::uint32_t>::max();
+constexpr std::int64_t kMaxGroupNumber = 1'000'000;
 
 transport::Endpoint readEndpoint(MappingReader& reader, const std::string& key) {
-  const std::string text = reader.requiredText(key);
+  const std::string text = reader.getRequiredString(key);
   return base::recover([&] { return parseEndpoint(text); },
                        [&](const base::Error& error) {
-                         reader.problem(key, error.message);
+                         reader.addError(key, error.message);
                          return transport::Endpoint{};
                        });
 }
 
 std::vector<std::uint32_t> readNodes(MappingReader& reader, const std::string& key,
-                                     Problems& problems) {
+                                     ConfigErrors& errors) {
   std::vector<std::uint32_t> nodes;
   const YAML::Node list = reader.child(key);
   if (!list.IsDefined() || !list.IsSequence() || list.size() == 0) {
-    reader.problem(key, "expected a list of node numbers");
+    reader.addError(key, "expected a list of node numbers");
     return nodes;
   }
   for (const YAML::Node& item : list) {
     std::uint32_t number = 0;
     if (!YAML::convert<std::uint32_t>::decode(item, number) || number == 0) {
-      problems.add(item, reader.childPath(key), "expected a node number");
+      errors.add(item, reader.childPath(key), "expected a node number");
       continue;
     }
     nodes.push_back(number);
@@ -40,111 +40,111 @@
   return nodes;
 }
 
-GroupSettings readGroup(const YAML::Node& node, const std::string& path, Problems& problems) {
-  MappingReader reader(node, path, problems);
+GroupSettings readGroup(const YAML::Node& node, const std::string& path, ConfigErrors& errors) {
+  MappingReader reader(node, path, errors);
   GroupSettings group;
-  group.group = {static_cast<std::uint64_t>(reader.integer("group", 1, 1, kLargestGroup))};
-  group.nodes = readNodes(reader, "nodes", problems);
-  reader.finish();
+  group.group = {static_cast<std::uint64_t>(reader.getInteger("group", 1, 1, kMaxGroupNumber))};
+  group.nodes = readNodes(reader, "nodes", errors);
+  reader.rejectUnknownKeys();
   return group;
 }
 
-void readRoles(MappingReader& reader, ProcessSettings& settings, Problems& problems) {
+void readRoles(MappingReader& reader, ProcessSettings& settings, ConfigErrors& errors) {
   const YAML::Node list = reader.child("roles");
   if (!list.IsDefined() || !list.IsSequence() || list.size() == 0) {
-    reader.problem("roles", "expected a list of controller, ledger, gateway");
+    reader.addError("roles", "expected a list of controller, ledger, gateway");
     return;
   }
   for (const YAML::Node& item : list) {
     const auto name = item.as<std::string>("");
     if (name == "controller") {
-      settings.roles.insert(Role::kController);
+      settings.roles.insert(ProcessRole::kController);
     } else if (name == "ledger") {
-      settings.roles.insert(Role::kLedger);
+      settings.roles.insert(ProcessRole::kLedger);
     } else if (name == "gateway") {
-      settings.roles.insert(Role::kGateway);
+      settings.roles.insert(ProcessRole::kGateway);
     } else {
-      problems.add(item, "roles", "expected controller, ledger or gateway, got " + name);
+      errors.add(item, "roles", "expected controller, ledger or gateway, got " + name);
     }
   }
 }
 
-void readPeers(MappingReader& reader, ProcessSettings& settings, Problems& problems) {
+void readPeers(MappingReader& reader, ProcessSettings& settings, ConfigErrors& errors) {
   const YAML::Node list = reader.child("peers");
   if (!list.IsDefined()) {
     return;
   }
   if (!list.IsSequence()) {
-    reader.problem("peers", "expected a list of {node, address}");
+    reader.addError("peers", "expected a list of {node, address}");
     return;
   }
   for (const YAML::Node& item : list) {
-    MappingReader peer(item, "peers[]", problems);
-    const auto number = static_cast<std::uint32_t>(peer.integer("node", 0, 1, kLargestNode));
+    MappingReader peer(item, "peers[]", errors);
+    const auto number = static_cast<std::uint32_t>(peer.getInteger("node", 0, 1, kMaxNodeNumber));
     const transport::Endpoint endpoint = readEndpoint(peer, "address");
     if (!settings.peers.emplace(number, endpoint).second) {
-      peer.problem("node", "the node stands twice");
+      peer.addError("node", "duplicate node number");
     }
-    peer.finish();
+    peer.rejectUnknownKeys();
   }
 }
 
-void readGateway(MappingReader& parent, ProcessSettings& settings, Problems& problems) {
+void readGateway(MappingReader& parent, ProcessSettings& settings, ConfigErrors& errors) {
   const YAML::Node node = parent.child("gateway");
   if (!node.IsDefined()) {
     return;
   }
   constexpr std::int64_t kMaxMillis = 3'600'000;
   constexpr std::int64_t kMaxSamples = 1'000'000;
-  MappingReader reader(node, "gateway", problems);
+  MappingReader reader(node, "gateway", errors);
   gateway::GatewaySettings& gateway = settings.gateway;
-  gateway.hedgeTail = reader.flag("hedge_tail", gateway.hedgeTail);
-  gateway.resumePartial = reader.flag("resume_partial", gateway.resumePartial);
-  gateway.longestFirst = reader.flag("longest_first", gateway.longestFirst);
-  const bool baseline = reader.flag("baseline_policy", false);
-  gateway.queue.fifo = baseline;
-  gateway.selector.policy =
-      baseline ? routing::SelectionPolicy::kRoundRobin : routing::SelectionPolicy::kBalanced;
+  gateway.hedgeTail = reader.getBool("hedge_tail", gateway.hedgeTail);
+  gateway.resumePartial = reader.getBool("resume_partial", gateway.resumePartial);
+  gateway.longestFirst = reader.getBool("longest_first", gateway.longestFirst);
+  const bool useBaselinePolicy = reader.getBool("baseline_policy", false);
+  gateway.queue.fifo = useBaselinePolicy;
+  gateway.selector.policy = useBaselinePolicy ? routing::SelectionPolicy::kRoundRobin
+                                              : routing::SelectionPolicy::kBalanced;
   gateway.readersPerEngine = static_cast<std::uint32_t>(
-      reader.integer("readers_per_engine", gateway.readersPerEngine, 0, kLargestGroup));
+      reader.getInteger("readers_per_engine", gateway.readersPerEngine, 0, kMaxGroupNumber));
   gateway.maximumSamples = static_cast<std::uint32_t>(
-      reader.integer("maximum_samples", gateway.maximumSamples, 1, kMaxSamples));
+      reader.getInteger("maximum_samples", gateway.maximumSamples, 1, kMaxSamples));
   gateway.sampleReserve = static_cast<std::uint32_t>(
-      reader.integer("sample_reserve", gateway.sampleReserve, 0, kMaxSamples));
-  gateway.retryRatio = reader.number("retry_ratio", gateway.retryRatio, 0.0, 1.0);
+      reader.getInteger("sample_reserve", gateway.sampleReserve, 0, kMaxSamples));
+  gateway.retryRatio = reader.getDouble("retry_ratio", gateway.retryRatio, 0.0, 1.0);
   const auto toMillis = [](base::Duration duration) { return duration.count() / 1000; };
   gateway.stallTimeout = base::milliseconds(
-      reader.integer("stall_timeout_ms", toMillis(gateway.stallTimeout), 1, kMaxMillis));
+      reader.getInteger("stall_timeout_ms", toMillis(gateway.stallTimeout), 1, kMaxMillis));
   gateway.readInterval = base::milliseconds(
-      reader.integer("read_interval_ms", toMillis(gateway.readInterval), 1, kMaxMillis));
-  gateway.queue.starvationLimit = base::milliseconds(reader.integer(
+      reader.getInteger("read_interval_ms", toMillis(gateway.readInterval), 1, kMaxMillis));
+  gateway.queue.starvationLimit = base::milliseconds(reader.getInteger(
       "starvation_limit_ms", toMillis(gateway.queue.starvationLimit), 1, kMaxMillis));
-  if (baseline && reader.has("hedge_tail") && gateway.hedgeTail) {
-    reader.problem("hedge_tail", "clashes with baseline_policy, which has no tail handling");
+  if (useBaselinePolicy && reader.has("hedge_tail") && gateway.hedgeTail) {
+    reader.addError("hedge_tail", "conflicts with baseline_policy, which does not hedge");
   }
-  if (baseline) {
+  if (useBaselinePolicy) {
     gateway.hedgeTail = false;
     gateway.longestFirst = false;
     gateway.resumePartial = false;
   }
   const YAML::Node peers = reader.child("peers");
   if (peers.IsDefined()) {
-    for (const std::uint32_t number : readNodes(reader, "peers", problems)) {
+    for (const std::uint32_t number : readNodes(reader, "peers", errors)) {
       gateway.peers.push_back(base::makeNodeId(number, 0));
     }
   }
-  reader.finish();
+  reader.rejectUnknownKeys();
 }
 
-std::string resolve(const std::filesystem::path& folder, const std::string& path) {
-  return path.empty() ? path : (folder / path).lexically_normal().string();
+std::string resolve(const std::filesystem::path& directory, const std::string& path) {
+  return path.empty() ? path : (directory / path).lexically_normal().string();
 }
 
 void checkAddresses(MappingReader& reader, const ProcessSettings& settings) {
   const auto check = [&](const GroupSettings& group, const std::string& key) {
     for (const std::uint32_t number : group.nodes) {
       if (number != settings.node && !settings.peers.contains(number)) {
-        reader.problem(key, "node " + std::to_string(number) + " has no address under peers");
+        reader.addError(key, "node " + std::to_string(number) + " has no address under peers");
       }
     }
   };
@@ -152,11 +152,11 @@
   for (const GroupSettings& group : settings.ledgers) {
     check(group, "ledgers");
     if (group.group == settings.controllers.group) {
-      reader.problem("ledgers", "a ledger group has the number of the controllers' group");
+      reader.addError("ledgers", "a ledger group has the same number as the controllers' group");
     }
   }
-  if (settings.roles.contains(Role::kGateway) && settings.ledgers.empty()) {
-    reader.problem("ledgers", "a gateway needs at least one ledger group");
+  if (settings.roles.contains(ProcessRole::kGateway) && settings.ledgers.empty()) {
+    reader.addError("ledgers", "a gateway needs at least one ledger group");
   }
 }
 
@@ -164,7 +164,7 @@
 
 base::Result<transport::Endpoint> parseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
-  const std::string expected = "expected host:port with an IP number as host, got '" + text + "'";
+  const std::string expected = "expected host:port with an IP address as host, got '" + text + "'";
   if (colon == std::string::npos || colon + 1 == text.size()) {
     return base::fail(base::ErrorCode::kInvalidInput, expected);
   }
@@ -174,9 +174,9 @@
   asio::ip::make_address(endpoint.host, error);
   unsigned port = 0;
   for (const char c : text.substr(colon + 1)) {
-    constexpr unsigned kDecimal = 10;
+    constexpr unsigned kDecimalBase = 10;
     const bool digit = c >= '0' && c <= '9';
-    port = digit ? port * kDecimal + static_cast<unsigned>(c - '0') : kLargestNode;
+    port = digit ? port * kDecimalBase + static_cast<unsigned>(c - '0') : kMaxNodeNumber;
     if (port > std::numeric_limits<std::uint16_t>::max()) {
       return base::fail(base::ErrorCode::kInvalidInput, expected);
     }
@@ -190,42 +190,42 @@
 
 base::Result<ProcessSettings> loadProcessSettings(const std::string& file) {
   BOOST_LEAF_AUTO(document, loadYaml(file));
-  Problems problems(file);
-  const std::filesystem::path folder = std::filesystem::absolute(file).parent_path();
+  ConfigErrors errors(file);
+  const std::filesystem::path directory = std::filesystem::absolute(file).parent_path();
   ProcessSettings settings;
-  MappingReader reader(document, "", problems);
-  settings.cluster = reader.requiredText("cluster");
-  settings.node = static_cast<std::uint32_t>(reader.integer("node", 0, 1, kLargestNode));
+  MappingReader reader(document, "", errors);
+  settings.cluster = reader.getRequiredString("cluster");
+  settings.node = static_cast<std::uint32_t>(reader.getInteger("node", 0, 1, kMaxNodeNumber));
   if (settings.node == 0) {
-    reader.problem("node", "expected a node number; it is required");
+    reader.addError("node", "expected a node number; it is required");
   }
-  settings.zone = reader.requiredText("zone");
-  settings.dataFolder = resolve(folder, reader.requiredText("data_folder"));
-  settings.keyFile = resolve(folder, reader.requiredText("key_file"));
+  settings.zone = reader.getRequiredString("zone");
+  settings.dataDirectory = resolve(directory, reader.getRequiredString("data_folder"));
+  settings.keyFile = resolve(directory, reader.getRequiredString("key_file"));
   settings.internal = readEndpoint(reader, "internal");
   settings.http = readEndpoint(reader, "http");
-  readRoles(reader, settings, problems);
-  readPeers(reader, settings, problems);
+  readRoles(reader, settings, errors);
+  readPeers(reader, settings, errors);
   if (reader.has("controllers")) {
-    settings.controllers = readGroup(reader.child("controllers"), "controllers", problems);
+    settings.controllers = readGroup(reader.child("controllers"), "controllers", errors);
   } else {
-    reader.problem("controllers", "expected {group, nodes}; it is required");
+    reader.addError("controllers", "expected {group, nodes}; it is required");
   }
   const YAML::Node ledgers = reader.child("ledgers");
   if (ledgers.IsDefined() && ledgers.IsSequence()) {
     for (const YAML::Node& item : ledgers) {
-      settings.ledgers.push_back(readGroup(item, "ledgers[]", problems));
+      settings.ledgers.push_back(readGroup(item, "ledgers[]", errors));
     }
   }
-  settings.machineListUrl = reader.text("machine_list", "");
-  settings.operatorTokenHash = reader.text("operator_token_hash", "");
-  settings.concurrentWeightLoads = static_cast<std::uint32_t>(
-      reader.integer("concurrent_weight_loads", settings.concurrentWeightLoads, 1, kLargestGroup));
-  readGateway(reader, settings, problems);
+  settings.machineListUrl = reader.getString("machine_list", "");
+  settings.operatorTokenHash = reader.getString("operator_token_hash", "");
+  settings.concurrentWeightLoads = static_cast<std::uint32_t>(reader.getInteger(
+      "concurrent_weight_loads", settings.concurrentWeightLoads, 1, kMaxGroupNumber));
+  readGateway(reader, settings, errors);
   checkAddresses(reader, settings);
-  reader.finish();
-  if (!problems.empty()) {
-    return base::fail(base::ErrorCode::kInvalidInput, problems.text());
+  reader.rejectUnknownKeys();
+  if (!errors.empty()) {
+    return base::fail(base::ErrorCode::kInvalidInput, errors.toString());
   }
   return settings;
 }
--- a/src/config/process_settings.h
+++ b/src/config/process_settings.h
@@ -14,37 +14,37 @@
 
 namespace tackpick::config {
 
-enum class Role { kController, kLedger, kGateway };
+enum class ProcessRole { kController, kLedger, kGateway };
 
-/// A replication group as the settings name it.
+/// Number and members of a replication group.
 struct GroupSettings {
   base::GroupId group;
   std::vector<std::uint32_t> nodes;  ///< node numbers
 };
 
-/// Everything a process learns from its file. Relative paths are relative to the file.
+/// Settings of one process of a static cluster. Relative paths are relative to the settings file.
 struct ProcessSettings {
   std::string cluster;
   std::uint32_t node = 0;
   std::string zone;
-  std::string dataFolder;
+  std::string dataDirectory;
   std::string keyFile;
   transport::Endpoint internal;
   transport::Endpoint http;
-  std::set<Role> roles;
+  std::set<ProcessRole> roles;
   std::map<std::uint32_t, transport::Endpoint> peers;
   GroupSettings controllers;
   std::vector<GroupSettings> ledgers;
-  std::string machineListUrl;     ///< controllers; may be empty
-  std::string operatorTokenHash;  ///< controllers: an operator token that always works
+  std::string machineListUrl;     ///< controllers; optional
+  std::string operatorTokenHash;  ///< controllers: an operator token that is always accepted
   std::uint32_t concurrentWeightLoads = 8;
   gateway::GatewaySettings gateway;
 };
 
-/// Reads and checks a file. All problems are in the error's message, one a line.
+/// Reads and validates a settings file. The error message contains all errors found, one per line.
 [[nodiscard]] base::Result<ProcessSettings> loadProcessSettings(const std::string& file);
 
-/// Parses `host:port` with an IP number as host.
+/// Parses `host:port` with an IP address as host.
 [[nodiscard]] base::Result<transport::Endpoint> parseEndpoint(const std::string& text);
 
 }  // namespace tackpick::config
--- a/src/config/yaml_reader.cpp
+++ b/src/config/yaml_reader.cpp
@@ -5,24 +5,25 @@
 
 namespace tackpick::config {
 
-void Problems::add(const YAML::Node& where, const std::string& path, const std::string& expected) {
-  const int line = where.Mark().line;
-  const std::string place = line >= 0 ? ":" + std::to_string(line + 1) : "";
-  lines_.push_back(file_ + place + ": " + path + ": " + expected);
+void ConfigErrors::add(const YAML::Node& errorNode, const std::string& path,
+                       const std::string& expected) {
+  const int line = errorNode.Mark().line;
+  const std::string lineSuffix = line >= 0 ? ":" + std::to_string(line + 1) : "";
+  m_messages.push_back(file_ + lineSuffix + ": " + path + ": " + expected);
 }
 
-std::string Problems::text() const {
+std::string ConfigErrors::toString() const {
   std::string all;
-  for (const std::string& line : lines_) {
+  for (const std::string& line : m_messages) {
     all += line + "\n";
   }
   return all;
 }
 
-MappingReader::MappingReader(const YAML::Node& node, std::string path, Problems& problems)
-    : node_(node), path_(std::move(path)), problems_(problems) {
+MappingReader::MappingReader(const YAML::Node& node, std::string path, ConfigErrors& errors)
+    : node_(node), path_(std::move(path)), m_errors(errors) {
   if (!node_.IsMap()) {
-    problems_.add(node_, path_, "expected a mapping");
+    m_errors.add(node_, path_, "expected a mapping");
     node_ = YAML::Node(YAML::NodeType::Map);
     return;
   }
@@ -30,7 +31,7 @@
   for (const auto& entry : node_) {
     const auto key = entry.first.as<std::string>("");
     if (!seen.insert(key).second) {
-      problems_.add(entry.first, childPath(key), "the key stands twice");
+      m_errors.add(entry.first, childPath(key), "duplicate key");
     }
   }
 }
@@ -40,7 +41,7 @@
 }
 
 YAML::Node MappingReader::child(const std::string& key) {
-  read_.insert(key);
+  m_readKeys.insert(key);
   return node_[key];
 }
 
@@ -48,81 +49,79 @@
   return path_.empty() ? key : path_ + "." + key;
 }
 
-void MappingReader::problem(const std::string& key, const std::string& expected) {
-  problems_.add(has(key) ? node_[key] : node_, childPath(key), expected);
+void MappingReader::addError(const std::string& key, const std::string& expected) {
+  m_errors.add(has(key) ? node_[key] : node_, childPath(key), expected);
 }
 
-std::string MappingReader::text(const std::string& key, const std::string& fallback) {
-  read_.insert(key);
+std::string MappingReader::getString(const std::string& key, const std::string& fallback) {
+  m_readKeys.insert(key);
   if (!has(key)) {
     return fallback;
   }
   if (!node_[key].IsScalar()) {
-    problem(key, "expected a text");
+    addError(key, "expected a string");
     return fallback;
   }
   return node_[key].Scalar();
 }
 
-std::string MappingReader::requiredText(const std::string& key) {
-  std::string value = text(key, "");
+std::string MappingReader::getRequiredString(const std::string& key) {
+  std::string value = getString(key, "");
   if (value.empty()) {
-    problem(key, "expected a text; it is required");
+    addError(key, "expected a string; the key is required");
   }
   return value;
 }
 
-std::int64_t MappingReader::integer(const std::string& key, std::int64_t fallback,
-                                    std::int64_t minimum, std::int64_t maximum) {
-  read_.insert(key);
+std::int64_t MappingReader::getInteger(const std::string& key, std::int64_t fallback,
+                                       std::int64_t min, std::int64_t max) {
+  m_readKeys.insert(key);
   if (!has(key)) {
     return fallback;
   }
   std::int64_t value = 0;
   const bool valid =
       node_[key].IsScalar() && YAML::convert<std::int64_t>::decode(node_[key], value);
-  if (!valid || value < minimum || value > maximum) {
-    problem(key, "expected an integer from " + std::to_string(minimum) + " to " +
-                     std::to_string(maximum));
+  if (!valid || value < min || value > max) {
+    addError(key, "expected an integer from " + std::to_string(min) + " to " + std::to_string(max));
     return fallback;
   }
   return value;
 }
 
-double MappingReader::number(const std::string& key, double fallback, double minimum,
-                             double maximum) {
-  read_.insert(key);
+double MappingReader::getDouble(const std::string& key, double fallback, double min, double max) {
+  m_readKeys.insert(key);
   if (!has(key)) {
     return fallback;
   }
   double value = 0;
   const bool valid = node_[key].IsScalar() && YAML::convert<double>::decode(node_[key], value);
-  if (!valid || !(value >= minimum && value <= maximum)) {
+  if (!valid || !(value >= min && value <= max)) {
     std::ostringstream expected;
-    expected << "expected a number from " << minimum << " to " << maximum;
-    problem(key, expected.str());
+    expected << "expected a number from " << min << " to " << max;
+    addError(key, expected.str());
     return fallback;
   }
   return value;
 }
 
-bool MappingReader::flag(const std::string& key, bool fallback) {
-  read_.insert(key);
+bool MappingReader::getBool(const std::string& key, bool fallback) {
+  m_readKeys.insert(key);
   if (!has(key)) {
     return fallback;
   }
   bool value = fallback;
   if (!node_[key].IsScalar() || !YAML::convert<bool>::decode(node_[key], value)) {
-    problem(key, "expected true or false");
+    addError(key, "expected true or false");
   }
   return value;
 }
 
-void MappingReader::finish() {
+void MappingReader::rejectUnknownKeys() {
   for (const auto& entry : node_) {
     const auto key = entry.first.as<std::string>("");
-    if (!read_.contains(key)) {
-      problems_.add(entry.first, childPath(key), "unknown key");
+    if (!m_readKeys.contains(key)) {
+      m_errors.add(entry.first, childPath(key), "unknown key");
     }
   }
 }
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -43,7 +43,7 @@
 constexpr std::size_t kMemoryPerUnread = 8;
 
 http::ExchangeLimits toExchangeLimits(const directory::CallerLimits& limits,
-                                      const config::ProcessLimits& process) {
+                                      const config::ResourceLimits& process) {
   constexpr unsigned kMegabyteBits = 20;
   http::ExchangeLimits exchange;
   if (process.memoryMb) {
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -103,12 +103,12 @@
 }
 
 jobs::GatewayCapacity ItemRunner::capacity() const {
-  const config::ProcessLimits& limits = node_.settings().limits;
+  const config::ResourceLimits& limits = node_.settings().limits;
   jobs::GatewayCapacity capacity;
   capacity.cpuCores = limits.cpuCores();
   capacity.memoryMb = limits.memoryMb.value_or(0);
   capacity.fileDescriptors = limits.fileDescriptors.value_or(0);
-  capacity.linkMbps = limits.linkMbps.value_or(0);
+  capacity.linkMbps = limits.networkMbps.value_or(0);
   capacity.eventLoopLag = m_lateness.average();
   for (const auto& [key, item] : items_) {
     capacity.bufferedTextBytes += item->run.textBytes();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -94,11 +94,11 @@
 }
 
 base::Result<base::NodeId> Node::openIdentity() {
-  BOOST_LEAF_AUTO(number, config::nodeNumberOf(settings_.address));
-  if (settings_.dataFolder.empty()) {
+  BOOST_LEAF_AUTO(number, config::parseNodeNumber(settings_.address));
+  if (settings_.dataDirectory.empty()) {
     return base::makeNodeId(number, drawInstance());
   }
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder));
+  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory));
   BOOST_LEAF_AUTO(names, folder->list());
   if (std::find(names.begin(), names.end(), kIdentityFile) != names.end()) {
     BOOST_LEAF_AUTO(bytes, folder->read(kIdentityFile));
@@ -106,7 +106,7 @@
     if (!stored || stored->cluster != settings_.cluster ||
         base::nodeNumber({stored->node}) != number) {
       return base::fail(base::ErrorCode::kWrongIdentity,
-                        settings_.dataFolder + ": belongs to another node or cluster");
+                        settings_.dataDirectory + ": belongs to another node or cluster");
     }
     return base::NodeId{stored->node};
   }
@@ -125,7 +125,7 @@
   for (const transport::Endpoint& seed : settings_.seeds) {
     base::recover(
         [&]() -> base::Result<int> {
-          BOOST_LEAF_AUTO(number, config::nodeNumberOf(seed.host));
+          BOOST_LEAF_AUTO(number, config::parseNodeNumber(seed.host));
           seeds.push_back(base::makeNodeId(number, 0));
           return 0;
         },
@@ -173,7 +173,7 @@
 
 base::Result<void> Node::openLog(const std::string& name, base::GroupId group,
                                  const std::set<base::NodeId>& initialVoters) {
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder + "/" + name));
+  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory + "/" + name));
   folders_.push_back(std::move(folder));
   consensus::Membership initial;
   if (initialVoters.contains(self_)) {
@@ -195,7 +195,7 @@
   settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
   settings.initialLedgerVoters = 2 * settings_.toleratedLosses + 1;
   settings.orders.concurrentLoads = settings_.concurrentLoads;
-  settings.instanceSilence = settings_.instanceHeartbeat + kHeartbeatSlack;
+  settings.instanceSilence = settings_.instanceHeartbeatInterval + kHeartbeatSlack;
   settings.orders.heartbeatTimeout = settings.instanceSilence;
   constexpr base::Duration kOrderMargin = base::milliseconds(100);
   settings.commandLease.duration = settings_.commandLease + kOrderMargin;
@@ -207,10 +207,10 @@
   settings.usage.window = settings_.usageWindow;
   settings.usage.delay = settings_.usageReportDelay;
   settings.usage.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
-      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kShareOfRate)));
-  settings.capacity.plan.mode = settings_.capacity;
+      kMicrosPerSecond / (settings_.platformCallsPerSecond * kShareOfRate)));
+  settings.capacity.plan.mode = settings_.capacityMode;
   settings.capacity.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
-      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kCapacityShareOfRate)));
+      kMicrosPerSecond / (settings_.platformCallsPerSecond * kCapacityShareOfRate)));
   directory_ = std::make_unique<directory::DirectoryRole>(ownRecord(), settings, *log_, *random_,
                                                           wall_clock_, now());
   m_platformClient = std::make_unique<PlatformClient>(*this);
@@ -219,7 +219,7 @@
 
 base::Result<void> Node::reopenLedger() {
   BOOST_LEAF_AUTO(folder,
-                  storage::PosixFileSystem::create(settings_.dataFolder + "/" + kLedgerFolder));
+                  storage::PosixFileSystem::create(settings_.dataDirectory + "/" + kLedgerFolder));
   BOOST_LEAF_AUTO(names, folder->list());
   const bool initialised =
       std::find(names.begin(), names.end(), storage::kIdentityFileName) != names.end();
@@ -231,7 +231,7 @@
   BOOST_LEAF_CHECK(openLog(kLedgerFolder, directory::kLedgerGroup, initialVoters));
   jobs::JobRoleSettings settings;
   settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
-  settings.retention = settings_.retention;
+  settings.retention = settings_.jobRetention;
   ledger_ = std::make_unique<jobs::JobRole>(self_, directory::kLedgerGroup, settings, *log_,
                                             *random_, now());
   ledger_->setTenantPriorities(jobs::TenantPriorities(member_->configuration().tenants));
--- a/src/node/platform_client.cpp
+++ b/src/node/platform_client.cpp
@@ -56,7 +56,7 @@
 void PlatformClient::start(http::UpstreamRequest request,
                            std::function<void(const CallEnd&)> callback) {
   auto call = std::make_shared<Call>(m_node.context(), std::move(callback));
-  const transport::Endpoint& platform = m_node.settings().dutyPlatform;
+  const transport::Endpoint& platform = m_node.settings().platformEndpoint;
   request.address = {platform.host, platform.port};
   request.headers.set("Host", platform.host);
   http::UpstreamEvents events;
--- a/src/runtime/control_api.cpp
+++ b/src/runtime/control_api.cpp
@@ -81,7 +81,7 @@
   }
   const std::string hash = transport::sha256Hex(header.substr(kScheme.size()));
   if (!daemon_.settings().operatorTokenHash.empty() &&
-      transport::equalSecret(hash, daemon_.settings().operatorTokenHash)) {
+      transport::constantTimeEquals(hash, daemon_.settings().operatorTokenHash)) {
     return true;
   }
   const control::ControlDelta state = daemon_.controller()->state().deltaSince({});
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -50,26 +50,26 @@
 Daemon::~Daemon() = default;
 
 base::Result<std::unique_ptr<Daemon>> Daemon::create(const config::ProcessSettings& settings,
-                                                     FolderMode mode) {
+                                                     DirectoryMode mode) {
   std::unique_ptr<Daemon> daemon(new Daemon(settings));
   BOOST_LEAF_CHECK(daemon->open(mode));
   return daemon;
 }
 
-base::Result<void> Daemon::open(FolderMode mode) {
+base::Result<void> Daemon::open(DirectoryMode mode) {
   BOOST_LEAF_ASSIGN(key_, transport::readKeyFile(settings_.keyFile));
   BOOST_LEAF_CHECK(openIdentity(mode));
   BOOST_LEAF_CHECK(openRoles(mode));
   client_ = std::make_unique<http::Client>(context_);
   engine_link_ = std::make_unique<EngineLink>(*client_, engineEvents());
-  if (settings_.roles.contains(config::Role::kGateway)) {
+  if (settings_.roles.contains(config::ProcessRole::kGateway)) {
     openGateway();
   }
   return openNetwork();
 }
 
-base::Result<void> Daemon::openIdentity(FolderMode mode) {
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder));
+base::Result<void> Daemon::openIdentity(DirectoryMode mode) {
+  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory));
   BOOST_LEAF_AUTO(identity, openNodeIdentity(*folder, settings_, mode));
   self_ = {identity.node};
   incarnation_ = {identity.incarnation};
@@ -78,11 +78,11 @@
 
 base::Result<consensus::LogStore*> Daemon::openLog(const std::string& name,
                                                    const config::GroupSettings& group,
-                                                   FolderMode mode) {
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder + "/" + name));
+                                                   DirectoryMode mode) {
+  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory + "/" + name));
   folders_.push_back(std::move(folder));
   consensus::Membership initial;
-  if (mode == FolderMode::kInitialise) {
+  if (mode == DirectoryMode::kInitialise) {
     for (const base::NodeId node : toNodeIds(group.nodes)) {
       initial.voters.insert(node);
     }
@@ -93,8 +93,8 @@
   return logs_.back().get();
 }
 
-base::Result<void> Daemon::openRoles(FolderMode mode) {
-  if (settings_.roles.contains(config::Role::kController)) {
+base::Result<void> Daemon::openRoles(DirectoryMode mode) {
+  if (settings_.roles.contains(config::ProcessRole::kController)) {
     BOOST_LEAF_AUTO(log, openLog("control", settings_.controllers, mode));
     control::ControllerSettings controller;
     controller.rollout.concurrentLoads = settings_.concurrentWeightLoads;
@@ -103,7 +103,7 @@
     controller_ = std::make_unique<control::Controller>(self_, settings_.controllers.group,
                                                         controller, *log, *random_, now());
   }
-  if (settings_.roles.contains(config::Role::kLedger)) {
+  if (settings_.roles.contains(config::ProcessRole::kLedger)) {
     for (const config::GroupSettings& group : settings_.ledgers) {
       if (!contains(group.nodes, settings_.node)) {
         continue;
--- a/src/runtime/daemon.h
+++ b/src/runtime/daemon.h
@@ -32,7 +32,7 @@
  public:
   /// Opens data folders and ports. Fails when a folder is refused or a port is taken.
   [[nodiscard]] static base::Result<std::unique_ptr<Daemon>> create(
-      const config::ProcessSettings& settings, FolderMode mode);
+      const config::ProcessSettings& settings, DirectoryMode mode);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
@@ -60,12 +60,12 @@
  private:
   explicit Daemon(config::ProcessSettings settings);
 
-  [[nodiscard]] base::Result<void> open(FolderMode mode);
-  [[nodiscard]] base::Result<void> openIdentity(FolderMode mode);
+  [[nodiscard]] base::Result<void> open(DirectoryMode mode);
+  [[nodiscard]] base::Result<void> openIdentity(DirectoryMode mode);
   [[nodiscard]] base::Result<consensus::LogStore*> openLog(const std::string& name,
                                                            const config::GroupSettings& group,
-                                                           FolderMode mode);
-  [[nodiscard]] base::Result<void> openRoles(FolderMode mode);
+                                                           DirectoryMode mode);
+  [[nodiscard]] base::Result<void> openRoles(DirectoryMode mode);
   [[nodiscard]] base::Result<void> openNetwork();
   void openGateway();
   void openHttp();
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -86,7 +86,7 @@
   writer.counter("internal_bytes_received_total", "bytes from our other processes",
                  static_cast<double>(daemon.network().bytesReceived()));
   writer.counter("internal_connections_refused_total", "wrong key, version or frame",
-                 static_cast<double>(daemon.network().refusedConnections()));
+                 static_cast<double>(daemon.network().rejectedConnections()));
   return writer.text();
 }
 
--- a/src/runtime/node_identity.cpp
+++ b/src/runtime/node_identity.cpp
@@ -12,18 +12,19 @@
 const std::string kNodeFile = "node";
 
 /// An identity of its own for an empty folder.
-base::Result<NodeIdentity> newIdentity(const config::ProcessSettings& settings, FolderMode mode) {
-  const bool replica = settings.roles.contains(config::Role::kController) ||
-                       settings.roles.contains(config::Role::kLedger);
-  if (mode == FolderMode::kExisting && replica) {
+base::Result<NodeIdentity> newIdentity(const config::ProcessSettings& settings,
+                                       DirectoryMode mode) {
+  const bool replica = settings.roles.contains(config::ProcessRole::kController) ||
+                       settings.roles.contains(config::ProcessRole::kLedger);
+  if (mode == DirectoryMode::kMustExist && replica) {
     return base::fail(base::ErrorCode::kNotFound,
-                      settings.dataFolder +
+                      settings.dataDirectory +
                           ": empty; start once with --init for a new cluster, or with --join to "
                           "replace a lost node");
   }
   // The first voters of a cluster have instance 0 so that settings can name them.
   constexpr std::uint32_t kInstanceMask = 0xffffffffU;
-  const bool joins = mode == FolderMode::kJoin;
+  const bool joins = mode == DirectoryMode::kJoin;
   const auto instance =
       joins ? (static_cast<std::uint32_t>(randomNumber() & kInstanceMask) | 1U) : 0U;
   NodeIdentity identity;
@@ -39,7 +40,7 @@
   if (!stored || stored->cluster != settings.cluster ||
       base::nodeNumber({stored->node}) != settings.node) {
     return base::fail(base::ErrorCode::kWrongIdentity,
-                      settings.dataFolder + ": belongs to another node or cluster");
+                      settings.dataDirectory + ": belongs to another node or cluster");
   }
   return *stored;
 }
@@ -48,7 +49,7 @@
 
 base::Result<NodeIdentity> openNodeIdentity(storage::FileSystem& folder,
                                             const config::ProcessSettings& settings,
-                                            FolderMode mode) {
+                                            DirectoryMode mode) {
   BOOST_LEAF_AUTO(names, folder.list());
   const bool known = std::find(names.begin(), names.end(), kNodeFile) != names.end();
   BOOST_LEAF_AUTO(identity, known ? readIdentity(folder, settings) : newIdentity(settings, mode));
--- a/src/runtime/node_identity.h
+++ b/src/runtime/node_identity.h
@@ -12,8 +12,8 @@
 namespace tackpick::runtime {
 
 /// How an empty data folder of a replica is to be treated.
-enum class FolderMode {
-  kExisting,    ///< it must not be empty
+enum class DirectoryMode {
+  kMustExist,   ///< it must not be empty
   kInitialise,  ///< a new cluster: the nodes of the settings are its first voters
   kJoin,        ///< a new node of an existing group: it knows no member and never votes
 };
@@ -34,7 +34,7 @@
 /// when the folder belongs to another node or cluster, or is empty and must not be.
 [[nodiscard]] base::Result<NodeIdentity> openNodeIdentity(storage::FileSystem& folder,
                                                           const config::ProcessSettings& settings,
-                                                          FolderMode mode);
+                                                          DirectoryMode mode);
 
 /// Wall clock, microseconds since 1970.
 [[nodiscard]] std::uint64_t wallMicroseconds();
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -14,10 +14,10 @@
 constexpr std::size_t kHeaderBytes = 4;
 constexpr unsigned kBitsPerByte = 8;
 constexpr std::size_t kNonceBytes = 16;
-/// Before the peer has proved the key, frames are small.
-constexpr std::uint32_t kMaximumHandshakeFrame = 512;
+/// Maximum size of a frame before the peer is authenticated.
+constexpr std::uint32_t kMaxHandshakeFrameBytes = 512;
 constexpr auto kHandshakeTimeout = std::chrono::milliseconds(600);
-constexpr int kUnacknowledgedMillis = 1000;
+constexpr int kTcpUserTimeoutMs = 1000;
 
 struct Hello {
   std::string magic;
@@ -35,18 +35,18 @@
 
 }  // namespace
 
-Connection::Connection(PeerNetwork& network, asio::ip::tcp::socket socket, bool dialled,
+Connection::Connection(PeerNetwork& network, asio::ip::tcp::socket socket, bool isOutbound,
                        base::NodeId expectedPeer)
     : network_(network),
       socket_(std::move(socket)),
       handshake_timer_(network.context_),
-      dialled_(dialled),
+      m_isOutbound(isOutbound),
       expected_peer_(expectedPeer) {}
 
-void Connection::limitHandshake() {
+void Connection::startHandshakeTimer() {
   handshake_timer_.expires_after(kHandshakeTimeout);
   handshake_timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
-    if (!error && !self->ready_) {
+    if (!error && !self->m_authenticated) {
       self->close();
     }
   });
@@ -55,13 +55,13 @@
 void Connection::start() {
   asio::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  // A peer behind a silent cut acknowledges nothing: the connection must not outlive it for long.
+  // Closes the connection if the peer becomes unreachable and stops acknowledging data.
   using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-  socket_.set_option(UserTimeout(kUnacknowledgedMillis), ignored);
-  own_hello_ = base::encode(
+  socket_.set_option(UserTimeout(kTcpUserTimeoutMs), ignored);
+  m_localHello = base::encode(
       Hello{kMagic, kProtocolVersion, network_.settings_.self, randomBytes(kNonceBytes)});
-  enqueue(own_hello_);
-  limitHandshake();
+  enqueue(m_localHello);
+  startHandshakeTimer();
   readHeader();
 }
 
@@ -77,10 +77,10 @@
                        length |= static_cast<std::uint32_t>(self->header_[i]) << (kBitsPerByte * i);
                      }
                      const std::size_t limit = self->stage_ == Stage::kMessages
-                                                   ? self->network_.settings_.maximumFrameBytes
-                                                   : kMaximumHandshakeFrame;
+                                                   ? self->network_.settings_.maxFrameBytes
+                                                   : kMaxHandshakeFrameBytes;
                      if (length > limit) {
-                       self->refuse();
+                       self->reject();
                        return;
                      }
                      self->readPayload(length);
@@ -108,8 +108,8 @@
     case Stage::kHello:
       onHello();
       break;
-    case Stage::kProof:
-      onProof();
+    case Stage::kAuthTag:
+      onAuthTag();
       break;
     case Stage::kMessages:
       onMessageFrame();
@@ -118,54 +118,54 @@
 }
 
 void Connection::onMessageFrame() {
-  const auto bytes = base::decompress(payload_, network_.settings_.maximumFrameBytes);
+  const auto bytes = base::decompress(payload_, network_.settings_.maxFrameBytes);
   auto message = bytes ? base::decode<InternalMessage>(*bytes) : std::nullopt;
   if (!message) {
-    refuse();
+    reject();
     return;
   }
   network_.handler_(peer_, std::move(*message));
 }
 
 void Connection::onHello() {
-  // Its few bytes bound what a forged length inside could make the decoder allocate.
-  constexpr std::size_t kSmallestHello = 20;
+  // Rejects frames that are too short to contain a valid Hello.
+  constexpr std::size_t kMinHelloBytes = 20;
   const auto hello =
-      payload_.size() < kSmallestHello ? std::nullopt : base::decode<Hello>(payload_);
+      payload_.size() < kMinHelloBytes ? std::nullopt : base::decode<Hello>(payload_);
   const bool acceptable = hello && hello->magic == kMagic && hello->version == kProtocolVersion &&
                           hello->nonce.size() == kNonceBytes && hello->node.valid() &&
                           (!expected_peer_.valid() ||
                            base::nodeNumber(hello->node) == base::nodeNumber(expected_peer_));
   if (!acceptable) {
-    refuse();
+    reject();
     return;
   }
   peer_ = hello->node;
   peer_hello_ = payload_;
-  stage_ = Stage::kProof;
-  enqueue(proofOf(dialled_));
+  stage_ = Stage::kAuthTag;
+  enqueue(computeAuthTag(m_isOutbound));
 }
 
-base::Bytes Connection::proofOf(bool ofDialler) const {
-  const base::Bytes& diallerHello = dialled_ ? own_hello_ : peer_hello_;
-  const base::Bytes& acceptorHello = dialled_ ? peer_hello_ : own_hello_;
-  const base::Bytes role = ofDialler ? "dialler" : "acceptor";
-  return authenticate(network_.settings_.key, role + diallerHello + acceptorHello);
+base::Bytes Connection::computeAuthTag(bool ofInitiator) const {
+  const base::Bytes& initiatorHello = m_isOutbound ? m_localHello : peer_hello_;
+  const base::Bytes& responderHello = m_isOutbound ? peer_hello_ : m_localHello;
+  const base::Bytes role = ofInitiator ? "dialler" : "acceptor";
+  return hmacSha256(network_.settings_.key, role + initiatorHello + responderHello);
 }
 
-void Connection::onProof() {
-  if (!equalSecret(payload_, proofOf(!dialled_))) {
-    refuse();
+void Connection::onAuthTag() {
+  if (!constantTimeEquals(payload_, computeAuthTag(!m_isOutbound))) {
+    reject();
     return;
   }
   stage_ = Stage::kMessages;
-  ready_ = true;
+  m_authenticated = true;
   handshake_timer_.cancel();
-  network_.onReady(shared_from_this());
+  network_.onAuthenticated(shared_from_this());
 }
 
-void Connection::refuse() {
-  ++network_.refused_connections_;
+void Connection::reject() {
+  ++network_.m_rejectedConnections;
   close();
 }
 
@@ -174,7 +174,7 @@
     return;
   }
   closed_ = true;
-  ready_ = false;
+  m_authenticated = false;
   asio::error_code ignored;
   handshake_timer_.cancel(ignored);
   socket_.close(ignored);
@@ -182,7 +182,7 @@
 }
 
 void Connection::send(const base::Bytes& message) {
-  if (queued_bytes_ + message.size() <= network_.settings_.maximumQueuedBytes) {
+  if (queued_bytes_ + message.size() <= network_.settings_.maxQueuedBytes) {
     enqueue(base::compress(message));
   }
 }
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -1,5 +1,5 @@
 /// \file
-/// One internal connection: handshake, frames, bounded send queue.
+/// A connection between two processes of the cluster.
 #pragma once
 
 #include <array>
@@ -12,49 +12,50 @@
 
 namespace tackpick::transport {
 
-/// Frames are `[length u32 little endian][payload]`. The first frame of each side is a Hello, the
-/// second a Proof over both Hellos; only then follow messages (see base/compression.h). Lives as
-/// long as its asynchronous operations.
+/// A connection between two processes, with handshake, framing and a bounded send queue. Frames are
+/// `[length u32 little endian][payload]`. The first frame of each side is a Hello, the second an
+/// authentication tag over both Hellos. All later frames are compressed messages, see
+/// base/compression.h. Pending asynchronous operations keep the connection alive.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(PeerNetwork& network, asio::ip::tcp::socket socket, bool dialled,
+  Connection(PeerNetwork& network, asio::ip::tcp::socket socket, bool isOutbound,
              base::NodeId expectedPeer);
 
-  /// Closes the connection unless both ends have proved themselves soon.
-  void limitHandshake();
+  /// Starts a timer that closes the connection unless the handshake completes in time.
+  void startHandshakeTimer();
   void start();
   void send(const base::Bytes& message);
   void close();
-  [[nodiscard]] bool isReady() const { return ready_; }
-  [[nodiscard]] bool isDialled() const { return dialled_; }
+  [[nodiscard]] bool isAuthenticated() const { return m_authenticated; }
+  [[nodiscard]] bool isOutboundConnection() const { return m_isOutbound; }
   [[nodiscard]] base::NodeId peer() const { return peer_; }
   [[nodiscard]] asio::ip::tcp::socket& socket() { return socket_; }
   [[nodiscard]] base::NodeId expectedPeer() const { return expected_peer_; }
 
  private:
-  enum class Stage { kHello, kProof, kMessages };
+  enum class Stage { kHello, kAuthTag, kMessages };
 
   void readHeader();
   void readPayload(std::uint32_t length);
   void onFrame();
   void onMessageFrame();
   void onHello();
-  void onProof();
-  void refuse();
+  void onAuthTag();
+  void reject();
   void enqueue(const base::Bytes& payload);
   void writeNext();
-  [[nodiscard]] base::Bytes proofOf(bool ofDialler) const;
+  [[nodiscard]] base::Bytes computeAuthTag(bool ofInitiator) const;
 
   PeerNetwork& network_;
   asio::ip::tcp::socket socket_;
   base::Timer handshake_timer_;
-  const bool dialled_;
+  const bool m_isOutbound;
   const base::NodeId expected_peer_;
   base::NodeId peer_;
   Stage stage_ = Stage::kHello;
-  bool ready_ = false;
+  bool m_authenticated = false;
   bool closed_ = false;
-  base::Bytes own_hello_;
+  base::Bytes m_localHello;
   base::Bytes peer_hello_;
   std::array<unsigned char, 4> header_{};
   base::Bytes payload_;
--- a/src/transport/internal_messages.h
+++ b/src/transport/internal_messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// Messages between the system's own processes. The whole internal protocol is this variant,
-/// encoded by cereal and framed by transport/connection.h.
+/// Messages of the internal protocol between the processes of a cluster. InternalMessage is encoded
+/// with cereal and framed as described in transport/connection.h.
 #pragma once
 
 #include <variant>
@@ -14,13 +14,14 @@
 
 namespace tackpick::transport {
 
-/// Version of this protocol; peers of another version are refused in the handshake.
+/// Version of the internal protocol. Peers with another version are rejected in the handshake.
 inline constexpr std::uint32_t kProtocolVersion = 2;
 
+/// A Raft message and its addressee.
 struct RaftEnvelope {
   base::GroupId group;
-  /// A machine that lost its disk is reached at the address of its lost identity, and must not
-  /// take what was meant for that one.
+  /// Identity of the addressee. A node that lost its disk has the address of its previous identity
+  /// and must ignore messages to it.
   base::NodeId to;
   consensus::RaftMessage message;
 
@@ -31,9 +32,9 @@
 };
 
 enum class CommandKind : std::uint8_t {
-  kCommand,  ///< goes through the log
-  kQuery,    ///< answered by the leader under its lease
-  kService,  ///< decided by the role that owns the group, on its leader
+  kCommand,     ///< appended to the Raft log
+  kQuery,       ///< answered by the leader under its lease
+  kLeaderCall,  ///< handled on the leader by the role that owns the group
 };
 
 /// A call to a replication group.
@@ -51,8 +52,8 @@
 
 enum class CommandStatus : std::uint8_t {
   kOk,           ///< `payload` is the result
-  kNotLeader,    ///< not accepted here; try `leader` when it is valid
-  kUnavailable,  ///< leadership was lost on the way: the command may or may not take effect
+  kNotLeader,    ///< this node is not the leader; `leader` is the leader if known
+  kUnavailable,  ///< leadership was lost; the command may or may not take effect
 };
 
 struct CommandResponse {
@@ -68,13 +69,13 @@
   }
 };
 
-/// Sent by each gateway to the controllers, as heartbeat, acknowledgement of the revision it runs,
-/// and request to renew its serving lease.
+/// Sent by each gateway to the controllers as a heartbeat, to acknowledge the configuration
+/// revision and to renew its serving lease.
 struct WatchRequest {
   base::Incarnation incarnation;  ///< of the gateway process
-  std::uint64_t sequence = 0;     ///< echoed, so that the gateway can date the lease from sending
-  base::Revision revision;        ///< the configuration in force in this gateway
-  bool draining = false;          ///< gives the lease back
+  std::uint64_t sequence = 0;     ///< echoed; identifies the send time from which the lease runs
+  base::Revision revision;        ///< configuration that the gateway has applied
+  bool draining = false;          ///< whether the gateway releases its lease
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -82,11 +83,11 @@
   }
 };
 
-/// Answer of the leading controller; also pushed without a lease when the configuration changes.
+/// Response of the controllers' leader. Also pushed without a lease when the configuration changes.
 struct WatchResponse {
   base::Incarnation incarnation;
   std::uint64_t sequence = 0;  ///< zero in a push
-  base::Duration lease{0};     ///< the gateway may serve this long from sending the request
+  base::Duration lease{0};     ///< duration, starting when the request was sent
   control::ControlDelta delta;
 
   template <class Archive>
@@ -95,7 +96,7 @@
   }
 };
 
-/// A controller that does not lead says who might.
+/// Response of a controller that is not the leader, with the leader if known.
 struct WatchRedirect {
   base::NodeId leader;
 
@@ -105,7 +106,7 @@
   }
 };
 
-/// Asks a controller to add or remove a replica of a group it belongs to.
+/// Requests that a controller adds or removes a replica of a group that it belongs to.
 struct MembershipRequest {
   base::GroupId group;
   base::CallId call;
@@ -126,7 +127,7 @@
   InternalMessage message;
 };
 
-/// Messages that a decision module wants sent, in order.
+/// Messages that a decision module sends, in order.
 using Outbox = std::vector<OutgoingMessage>;
 
 }  // namespace tackpick::transport
--- a/src/transport/peer_network.cpp
+++ b/src/transport/peer_network.cpp
@@ -34,7 +34,7 @@
   stopped_ = true;
   asio::error_code ignored;
   acceptor_.close(ignored);
-  const auto connections = all_;
+  const auto connections = m_connections;
   for (const auto& [pointer, weak] : connections) {
     if (const auto connection = weak.lock()) {
       connection->close();
@@ -50,7 +50,7 @@
     if (!error) {
       const auto connection =
           std::make_shared<Connection>(*this, std::move(socket), false, base::NodeId{});
-      all_[connection.get()] = connection;
+      m_connections[connection.get()] = connection;
       connection->start();
     }
     accept();
@@ -58,9 +58,9 @@
 }
 
 std::optional<Endpoint> PeerNetwork::addressOf(std::uint32_t number) const {
-  const auto listed = settings_.peers.find(number);
-  if (listed != settings_.peers.end()) {
-    return listed->second;
+  const auto configured = settings_.peers.find(number);
+  if (configured != settings_.peers.end()) {
+    return configured->second;
   }
   if (settings_.derivedPeerPort == 0) {
     return std::nullopt;
@@ -68,17 +68,17 @@
   return Endpoint{asio::ip::address_v4(number).to_string(), settings_.derivedPeerPort};
 }
 
-void PeerNetwork::dial(std::uint32_t number) {
-  Dialled& dialled = dialled_[number];
+void PeerNetwork::connect(std::uint32_t number) {
+  OutboundPeer& outbound = m_outboundPeers[number];
   const auto address = addressOf(number);
-  if (dialled.connection || dialled.waiting || stopped_ || !address) {
+  if (outbound.connection || outbound.inBackoff || stopped_ || !address) {
     return;
   }
   const auto connection = std::make_shared<Connection>(*this, asio::ip::tcp::socket(context_), true,
                                                        base::makeNodeId(number, 0));
-  dialled.connection = connection;
-  all_[connection.get()] = connection;
-  connection->limitHandshake();
+  outbound.connection = connection;
+  m_connections[connection.get()] = connection;
+  connection->startHandshakeTimer();
   connection->socket().async_connect(toAsio(*address), [connection](const asio::error_code& error) {
     if (error) {
       connection->close();
@@ -88,44 +88,44 @@
   });
 }
 
-void PeerNetwork::onReady(const std::shared_ptr<Connection>& connection) {
-  if (connection->isDialled()) {
-    Dialled& dialled = dialled_[base::nodeNumber(connection->expectedPeer())];
-    dialled.backoff = base::Duration{0};
-    dialled.pendingBytes = 0;
-    for (const base::Bytes& frame : std::exchange(dialled.pending, {})) {
+void PeerNetwork::onAuthenticated(const std::shared_ptr<Connection>& connection) {
+  if (connection->isOutboundConnection()) {
+    OutboundPeer& outbound = m_outboundPeers[base::nodeNumber(connection->expectedPeer())];
+    outbound.backoff = base::Duration{0};
+    outbound.pendingBytes = 0;
+    for (const base::Bytes& frame : std::exchange(outbound.pending, {})) {
       connection->send(frame);
     }
   } else {
-    accepted_[connection->peer()] = connection;
+    m_inboundConnections[connection->peer()] = connection;
   }
 }
 
 void PeerNetwork::onClosed(const std::shared_ptr<Connection>& connection) {
-  all_.erase(connection.get());
-  const auto accepted = accepted_.find(connection->peer());
-  if (accepted != accepted_.end() && accepted->second == connection) {
-    accepted_.erase(accepted);
+  m_connections.erase(connection.get());
+  const auto inbound = m_inboundConnections.find(connection->peer());
+  if (inbound != m_inboundConnections.end() && inbound->second == connection) {
+    m_inboundConnections.erase(inbound);
   }
   const base::NodeId peer =
-      connection->isDialled() ? connection->expectedPeer() : connection->peer();
+      connection->isOutboundConnection() ? connection->expectedPeer() : connection->peer();
   if (settings_.onConnectionLost && !stopped_ && peer.valid()) {
     settings_.onConnectionLost(base::nodeNumber(peer));
   }
-  if (!connection->isDialled() || stopped_) {
+  if (!connection->isOutboundConnection() || stopped_) {
     return;
   }
   const std::uint32_t number = base::nodeNumber(connection->expectedPeer());
-  Dialled& dialled = dialled_[number];
-  dialled.connection.reset();
-  dialled.pending.clear();
-  dialled.pendingBytes = 0;
-  dialled.waiting = true;
-  dialled.backoff = std::clamp(dialled.backoff * 2, settings_.minBackoff, settings_.maxBackoff);
-  dialled.timer = std::make_shared<base::Timer>(context_, dialled.backoff);
-  dialled.timer->async_wait([this, number](const asio::error_code& error) {
+  OutboundPeer& outbound = m_outboundPeers[number];
+  outbound.connection.reset();
+  outbound.pending.clear();
+  outbound.pendingBytes = 0;
+  outbound.inBackoff = true;
+  outbound.backoff = std::clamp(outbound.backoff * 2, settings_.minBackoff, settings_.maxBackoff);
+  outbound.timer = std::make_shared<base::Timer>(context_, outbound.backoff);
+  outbound.timer->async_wait([this, number](const asio::error_code& error) {
     if (!error && !stopped_) {
-      dialled_[number].waiting = false;
+      m_outboundPeers[number].inBackoff = false;
     }
   });
 }
@@ -137,29 +137,29 @@
   }
   const std::uint32_t number = base::nodeNumber(to);
   if (number == base::nodeNumber(settings_.self)) {
-    return;  // an earlier instance of this very node
+    return;  // an earlier instance of this node
   }
-  const bool listed = settings_.peers.contains(number);
-  const auto accepted = accepted_.find(to);
-  if (!listed && accepted != accepted_.end()) {
-    accepted->second->send(base::encode(message));
+  const bool configured = settings_.peers.contains(number);
+  const auto inbound = m_inboundConnections.find(to);
+  if (!configured && inbound != m_inboundConnections.end()) {
+    inbound->second->send(base::encode(message));
     return;
   }
   if (!addressOf(number)) {
     return;
   }
-  dial(number);
-  Dialled& dialled = dialled_[number];
-  if (!dialled.connection) {
+  connect(number);
+  OutboundPeer& outbound = m_outboundPeers[number];
+  if (!outbound.connection) {
     return;
   }
   base::Bytes frame = base::encode(message);
-  if (dialled.connection->isReady()) {
-    dialled.connection->send(frame);
-  } else if (dialled.pendingBytes + frame.size() <= settings_.maximumPendingBytes) {
-    // Connecting takes a moment at most: a peer that is down does not collect old messages.
-    dialled.pendingBytes += frame.size();
-    dialled.pending.push_back(std::move(frame));
+  if (outbound.connection->isAuthenticated()) {
+    outbound.connection->send(frame);
+  } else if (outbound.pendingBytes + frame.size() <= settings_.maxPendingBytes) {
+    // Messages are only queued during a connection attempt, not while the peer is unreachable.
+    outbound.pendingBytes += frame.size();
+    outbound.pending.push_back(std::move(frame));
   }
 }
 
--- a/src/transport/shared_key.cpp
+++ b/src/transport/shared_key.cpp
@@ -11,7 +11,7 @@
 
 namespace tackpick::transport {
 
-base::Bytes authenticate(const base::Bytes& key, const base::Bytes& message) {
+base::Bytes hmacSha256(const base::Bytes& key, const base::Bytes& message) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned int size = 0;
   HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
@@ -20,7 +20,7 @@
   return {reinterpret_cast<const char*>(digest.data()), size};
 }
 
-bool equalSecret(const base::Bytes& left, const base::Bytes& right) {
+bool constantTimeEquals(const base::Bytes& left, const base::Bytes& right) {
   return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
--- a/src/transport/shared_key.h
+++ b/src/transport/shared_key.h
@@ -1,5 +1,5 @@
 /// \file
-/// Proof that both ends of an internal connection hold the same key.
+/// Cryptographic functions for the shared key of a cluster and for access tokens.
 #pragma once
 
 #include <string>
@@ -9,15 +9,15 @@
 
 namespace tackpick::transport {
 
-/// HMAC-SHA-256 of `message`.
-[[nodiscard]] base::Bytes authenticate(const base::Bytes& key, const base::Bytes& message);
-/// Compares in constant time.
-[[nodiscard]] bool equalSecret(const base::Bytes& left, const base::Bytes& right);
-/// Unpredictable bytes from the operating system.
+/// Returns the HMAC-SHA-256 of `message`.
+[[nodiscard]] base::Bytes hmacSha256(const base::Bytes& key, const base::Bytes& message);
+/// Compares two byte strings in a time that does not depend on their content.
+[[nodiscard]] bool constantTimeEquals(const base::Bytes& left, const base::Bytes& right);
+/// Returns cryptographically secure random bytes.
 [[nodiscard]] base::Bytes randomBytes(std::size_t count);
-/// SHA-256 in hexadecimal, as bearer tokens are kept.
+/// Returns the SHA-256 digest in hexadecimal, the form in which bearer tokens are stored.
 [[nodiscard]] std::string sha256Hex(const std::string& text);
-/// Reads a key file; at least 16 bytes, trailing newline ignored.
+/// Reads a key of at least 16 bytes from a file. Trailing newlines are ignored.
 [[nodiscard]] base::Result<base::Bytes> readKeyFile(const std::string& path);
 
 }  // namespace tackpick::transport
--- a/test/consensus/group_client_test.cpp
+++ b/test/consensus/group_client_test.cpp
@@ -16,7 +16,7 @@
   Fixture() : client({kGroup, {kFirst, kSecond}}, base::CallId{5}) {}
 
   void call() {
-    client.call(transport::CommandKind::kService, "x", now, outbox,
+    client.call(transport::CommandKind::kLeaderCall, "x", now, outbox,
                 [this](const base::Bytes* result, base::TimePoint) {
                   ended = true;
                   answer = result == nullptr ? "" : *result;
