--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -92,7 +92,7 @@
 
 void ControlServer::onUnreadable(const http::RawRequest& request, const edge::MalformedCall& call) {
   node_.metrics().count(telemetry::CounterId::kUnreadableCalls, call.why);
-  if (const auto times = m_unreadable.note(node_.now())) {
+  if (const auto times = m_unreadable.shouldLog(node_.now())) {
     telemetry::logEvent(telemetry::EventId::kChangeRefused, telemetry::EventFields()
                                                                 .add("path", request.path())
                                                                 .add("reason", call.why)
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -273,7 +273,7 @@
   const http::UnreadResponses unread = traffic_.unreadResponses();
   for (; m_toldCuts < unread.disconnectCount; ++m_toldCuts) {
     node_.metrics().count(telemetry::CounterId::kSlowReaders, "cut");
-    if (const auto times = m_cutReaders.note(node_.now())) {
+    if (const auto times = m_cutReaders.shouldLog(node_.now())) {
       telemetry::logEvent(
           telemetry::EventId::kSlowReaderCut,
           telemetry::EventFields().add("times", *times).add("unread_bytes", unread.bytes).text());
--- a/src/node/metrics_server.cpp
+++ b/src/node/metrics_server.cpp
@@ -34,7 +34,7 @@
   m_node.reportFigures();
   http::HeaderList headers;
   headers.add("Content-Type", "text/plain; version=0.0.4");
-  exchange->respond(http::status::kOk, headers, m_node.metrics().text());
+  exchange->respond(http::status::kOk, headers, m_node.metrics().render());
 }
 
 void MetricsServer::refresh() {
--- a/src/node/rejection_log.cpp
+++ b/src/node/rejection_log.cpp
@@ -6,7 +6,7 @@
 
 void RejectionLog::note(int status, std::uint64_t version, std::optional<base::Duration> age,
                         base::TimePoint now) {
-  const std::optional<std::uint64_t> requests = m_limiter.note(now);
+  const std::optional<std::uint64_t> requests = m_limiter.shouldLog(now);
   if (!requests) {
     return;
   }
--- a/src/telemetry/event.cpp
+++ b/src/telemetry/event.cpp
@@ -150,7 +150,7 @@
     table += "| " + std::to_string(static_cast<unsigned>(description.id)) + " | " +
              std::string(description.name) + " | " +
              kSeverities.at(static_cast<std::size_t>(description.severity)) + " | " +
-             std::string(description.meaning) + " | " + std::string(description.advice) + " |\n";
+             std::string(description.summary) + " | " + std::string(description.remedy) + " |\n";
   }
   return table;
 }
--- a/src/telemetry/event.h
+++ b/src/telemetry/event.h
@@ -1,6 +1,6 @@
 /// \file
-/// Numbered events: one for each thing an operator must see. The numbers never change their
-/// meaning; docs/EVENTS.md is their catalogue.
+/// Numbered events for operators. A number never changes its meaning. docs/EVENTS.md lists all
+/// events.
 #pragma once
 
 #include <cstdint>
@@ -66,19 +66,19 @@
 
 enum class Severity : std::uint8_t { kInfo, kWarning, kError };
 
-/// A row of the catalogue.
+/// Description of an event in the catalogue.
 struct EventDescription {
   EventId id;
   std::string_view name;
   Severity severity;
-  std::string_view meaning;
-  std::string_view advice;  ///< what an operator does about it
+  std::string_view summary;
+  std::string_view remedy;  ///< what an operator should do; may be empty
 };
 
-/// The catalogue, in order of number.
+/// Returns the descriptions of all events, ordered by number.
 [[nodiscard]] const std::vector<EventDescription>& eventCatalogue();
 [[nodiscard]] const EventDescription& describe(EventId id);
-/// The catalogue as the Markdown table of docs/EVENTS.md.
+/// Returns the catalogue as the Markdown table of docs/EVENTS.md.
 [[nodiscard]] std::string catalogueAsMarkdown();
 
 }  // namespace tackpick::telemetry
--- a/src/telemetry/line_buffer.cpp
+++ b/src/telemetry/line_buffer.cpp
@@ -21,9 +21,9 @@
   if (m_bytes.empty()) {
     return;
   }
-  const std::size_t taken = m_sink.write(m_bytes);
-  m_bytes.erase(0, taken);
-  m_written += taken;
+  const std::size_t written = m_sink.write(m_bytes);
+  m_bytes.erase(0, written);
+  m_written += written;
 }
 
 }  // namespace tackpick::telemetry
--- a/src/telemetry/line_buffer.h
+++ b/src/telemetry/line_buffer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Lines of the log on their way to standard output. Writing never blocks: a reader that stalls
-/// loses lines, and how many is said in a line of its own.
+/// Non-blocking buffer for log lines. If the reader stalls, lines are dropped, and a later line
+/// reports their number.
 #pragma once
 
 #include <cstddef>
@@ -11,22 +11,24 @@
 
 namespace tackpick::telemetry {
 
-/// Where bytes go without blocking. The daemon writes to a descriptor, tests to a string.
+/// Non-blocking output. The daemon writes to a file descriptor, tests to a string.
 class ByteSink {
  public:
   virtual ~ByteSink() = default;
-  /// Returns how many bytes were taken; fewer than offered when the reader is slow.
+  /// Returns the number of bytes written, which is less than the size of `bytes` if the reader is
+  /// slow.
   virtual std::size_t write(std::string_view bytes) = 0;
 };
 
-/// Gathers lines so that one write carries many. Owned by one thread.
+/// Buffers lines to combine them into fewer writes. Not thread-safe.
 class LineBuffer {
  public:
   LineBuffer(ByteSink& sink, std::size_t capacity) : m_sink(sink), m_capacity(capacity) {}
 
-  /// Adds a line, without its end. It is dropped and counted when the buffer is full.
+  /// Adds a line, given without its line end. The line is dropped and counted if the buffer is
+  /// full.
   void add(std::string_view line);
-  /// Hands over what the sink takes.
+  /// Writes as much as the sink accepts.
   void flush();
   [[nodiscard]] std::uint64_t droppedLines() const { return m_dropped; }
   [[nodiscard]] std::uint64_t writtenBytes() const { return m_written; }
--- a/src/telemetry/log.cpp
+++ b/src/telemetry/log.cpp
@@ -12,10 +12,10 @@
 namespace tackpick::telemetry {
 namespace {
 
-/// Lines that wait for a slow reader.
+/// Maximum size of the lines buffered for a slow reader.
 constexpr std::size_t kBufferBytes = 256U << 10U;
 
-/// Standard output, which is set not to block.
+/// Standard output in non-blocking mode.
 class StandardOutput final : public ByteSink {
  public:
   StandardOutput() {
@@ -30,12 +30,12 @@
       return static_cast<std::size_t>(written);
     }
     const bool full = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-    return full ? 0 : bytes.size();  // nobody will ever read it
+    return full ? 0 : bytes.size();  // discards the bytes after a permanent error
   }
 };
 
-/// Takes glog's lines. glog calls it with its own lock held.
-class BufferedSink final : public google::LogSink {
+/// A glog sink that buffers lines. glog holds its own lock during the calls.
+class BufferedLogSink final : public google::LogSink {
  public:
   void send(google::LogSeverity severity, const char* /*fullFilename*/, const char* baseFilename,
             int line, const google::LogMessageTime& time, const char* message,
@@ -52,8 +52,8 @@
   LineBuffer m_buffer{m_output, kBufferBytes};
 };
 
-BufferedSink& sink() {
-  static BufferedSink kSink;
+BufferedLogSink& sink() {
+  static BufferedLogSink kSink;
   return kSink;
 }
 
@@ -62,9 +62,9 @@
 void initialiseLogging(const std::string& program) {
   static const std::string kProgram = program;
   google::InitGoogleLogging(kProgram.c_str());
-  constexpr int kNothing = google::NUM_SEVERITIES;
+  constexpr int kNoSeverity = google::NUM_SEVERITIES;
   FLAGS_logtostderr = false;
-  FLAGS_stderrthreshold = kNothing;
+  FLAGS_stderrthreshold = kNoSeverity;
   for (int severity = google::GLOG_INFO; severity < google::NUM_SEVERITIES; ++severity) {
     google::SetLogDestination(severity, "");
   }
@@ -72,10 +72,10 @@
   std::atexit([] { flushLog(); });
 }
 
-void logEvent(EventId id, const std::string& detail) {
+void logEvent(EventId id, const std::string& fields) {
   const EventDescription& description = describe(id);
   const std::string line = "E" + std::to_string(static_cast<unsigned>(id)) + " " +
-                           std::string(description.name) + (detail.empty() ? "" : " ") + detail;
+                           std::string(description.name) + (fields.empty() ? "" : " ") + fields;
   switch (description.severity) {
     case Severity::kInfo:
       LOG(INFO) << line;
--- a/src/telemetry/log.h
+++ b/src/telemetry/log.h
@@ -13,13 +13,13 @@
 
 namespace tackpick::telemetry {
 
-/// Sets up logging to standard output. Call once, first. Lines are gathered until flushLog() or
-/// the end of the process.
+/// Initialises logging to standard output. Must be called once, before any other logging function.
+/// Lines are buffered until flushLog() or the end of the process.
 void initialiseLogging(const std::string& program);
-/// Logs `E<number> <name> <detail>`; `detail` is `key=value` pairs.
-void logEvent(EventId id, const std::string& detail);
-/// Writes out what was logged, as far as the reader takes it; never blocks. Warnings and errors
-/// are written at once.
+/// Logs `E<number> <name> <fields>`, where `fields` is a list of `key=value` pairs.
+void logEvent(EventId id, const std::string& fields);
+/// Writes the buffered lines as far as the reader accepts them, without blocking. Warnings and
+/// errors are written immediately when they are logged.
 void flushLog();
 
 /// Counters since the start.
@@ -29,13 +29,13 @@
 };
 [[nodiscard]] LogCounters logCounters();
 
-/// Builds the `key=value` pairs of an event. Blanks and line ends in values become underscores, so
-/// that a line always splits at its blanks.
+/// Builds the `key=value` pairs of an event. Spaces and line ends in values are replaced by
+/// underscores, so that a line can be split at its spaces.
 class EventFields {
  public:
   EventFields& add(std::string_view key, std::string_view value);
   EventFields& add(std::string_view key, std::uint64_t value);
-  /// In whole milliseconds.
+  /// Adds the value in milliseconds, rounded down.
   EventFields& add(std::string_view key, base::Duration value);
   [[nodiscard]] const std::string& text() const { return m_text; }
 
--- a/src/telemetry/log_rate_limiter.h
+++ b/src/telemetry/log_rate_limiter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bounds how often something is logged that others cause.
+/// Rate limit for log lines that are caused by other processes.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,28 @@
 
 namespace tackpick::telemetry {
 
-/// At most one line in an interval.
+/// Allows at most one log line per interval and counts the occurrences since the last one.
 class LogRateLimiter {
  public:
   explicit LogRateLimiter(base::Duration interval) : m_interval(interval) {}
 
-  /// It happened once more. When a line is due: how often since the last one.
-  [[nodiscard]] std::optional<std::uint64_t> note(base::TimePoint now) {
-    ++m_untold;
-    if (m_toldAt && now - *m_toldAt < m_interval) {
+  /// Counts one occurrence. Returns the number of occurrences since the last logged line if a line
+  /// may be logged now, std::nullopt otherwise.
+  [[nodiscard]] std::optional<std::uint64_t> shouldLog(base::TimePoint now) {
+    ++m_suppressed;
+    if (m_lastLoggedAt && now - *m_lastLoggedAt < m_interval) {
       return std::nullopt;
     }
-    const std::uint64_t times = m_untold;
-    m_toldAt = now;
-    m_untold = 0;
-    return times;
+    const std::uint64_t count = m_suppressed;
+    m_lastLoggedAt = now;
+    m_suppressed = 0;
+    return count;
   }
 
  private:
   const base::Duration m_interval;
-  std::optional<base::TimePoint> m_toldAt;
-  std::uint64_t m_untold = 0;
+  std::optional<base::TimePoint> m_lastLoggedAt;
+  std::uint64_t m_suppressed = 0;
 };
 
 }  // namespace tackpick::telemetry
--- a/src/telemetry/metric.h
+++ b/src/telemetry/metric.h
@@ -1,6 +1,6 @@
 /// \file
-/// The figures that a process of a self-formed cluster tells about itself. The catalogue stands in
-/// metric.cpp; docs/METRICS.md is printed from it.
+/// Metrics of a process of a self-formed cluster. docs/METRICS.md is generated from the catalogue
+/// in metric.cpp.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace tackpick::telemetry {
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 enum class CounterId : std::uint8_t {
   kRequestsAnswered,  ///< by status
   kRequestsGivenUp,   ///< by verdict
@@ -38,7 +38,7 @@
   kLogLinesDropped,
 };
 
-/// Values of now.
+/// Current values.
 enum class GaugeId : std::uint8_t {
   kLeader,
   kTerm,
@@ -52,7 +52,7 @@
   kControllersHeardAge,
   kConfigurationAge,
   kInstances,         ///< by state
-  kInstancesDesired,  ///< this and the next four by service, zone and kind
+  kInstancesDesired,  ///< by service, zone and kind, as are the next four
   kInstancesThere,
   kInstancesStarting,
   kInstancesLeaving,
@@ -75,36 +75,36 @@
   kLengthForecastError,  ///< by model
 };
 
-/// Times, in buckets.
+/// Histograms of durations.
 enum class HistogramId : std::uint8_t {
   kRequestTime,
   kItemWait,
   kItemRun,
   kLedgerCallTime,
   kControlCallTime,
-  kTurnTime,  ///< of the event loop's turn, syncs included
+  kTurnTime,  ///< of one iteration of the event loop, including syncs
 };
 
 enum class MetricKind : std::uint8_t { kCounter, kGauge, kHistogram };
 
-/// A row of the catalogue.
+/// Description of a metric in the catalogue.
 struct MetricDescription {
   MetricKind kind = MetricKind::kCounter;
-  std::uint8_t id = 0;    ///< the value of its enumeration
-  std::string_view name;  ///< with its unit, as scrapers expect it
+  std::uint8_t id = 0;    ///< value of the enumerator
+  std::string_view name;  ///< name with unit, in the Prometheus convention
   std::string_view help;
-  std::string_view label;  ///< name of its label; empty: none
+  std::string_view label;  ///< label name; empty if there is none
 };
 
 [[nodiscard]] const std::vector<MetricDescription>& metricCatalogue();
-/// The catalogue as the Markdown table of docs/METRICS.md.
+/// Returns the catalogue as the Markdown table of docs/METRICS.md.
 [[nodiscard]] std::string metricsAsMarkdown();
 
-/// Where modules report figures. Used on one thread.
+/// Interface through which modules report metrics. Not thread-safe.
 class Metrics {
  public:
   virtual ~Metrics() = default;
-  virtual void count(CounterId id, std::string_view label, std::uint64_t times) = 0;
+  virtual void count(CounterId id, std::string_view label, std::uint64_t increment) = 0;
   virtual void set(GaugeId id, std::string_view label, double value) = 0;
   virtual void observe(HistogramId id, base::Duration time) = 0;
 
--- a/src/telemetry/prometheus_metrics.cpp
+++ b/src/telemetry/prometheus_metrics.cpp
@@ -12,12 +12,13 @@
 namespace tackpick::telemetry {
 namespace {
 
-/// Upper bounds in seconds; two a decade and more where callers' objectives lie.
+/// Upper bounds of the histogram buckets in seconds, denser around the latency objectives.
 const prometheus::Histogram::BucketBoundaries kBuckets = {
     0.001, 0.003, 0.01, 0.03, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0, 40.0};
 
+/// Returns the numeric value of an id, the key of the maps below.
 template <typename Id>
-std::uint8_t number(Id id) {
+std::uint8_t indexOf(Id id) {
   return static_cast<std::uint8_t>(id);
 }
 
@@ -64,23 +65,23 @@
 
 PrometheusMetrics::~PrometheusMetrics() = default;
 
-void PrometheusMetrics::count(CounterId id, std::string_view label, std::uint64_t times) {
-  const std::string& name = m_implementation->counterLabels.at(number(id));
-  m_implementation->counters.at(number(id))
+void PrometheusMetrics::count(CounterId id, std::string_view label, std::uint64_t increment) {
+  const std::string& name = m_implementation->counterLabels.at(indexOf(id));
+  m_implementation->counters.at(indexOf(id))
       ->Add(Implementation::labels(name, label))
-      .Increment(static_cast<double>(times));
+      .Increment(static_cast<double>(increment));
 }
 
 void PrometheusMetrics::set(GaugeId id, std::string_view label, double value) {
-  const std::string& name = m_implementation->gaugeLabels.at(number(id));
-  m_implementation->gauges.at(number(id))->Add(Implementation::labels(name, label)).Set(value);
+  const std::string& name = m_implementation->gaugeLabels.at(indexOf(id));
+  m_implementation->gauges.at(indexOf(id))->Add(Implementation::labels(name, label)).Set(value);
 }
 
 void PrometheusMetrics::observe(HistogramId id, base::Duration time) {
-  m_implementation->histograms.at(number(id))->Observe(base::toSeconds(time));
+  m_implementation->histograms.at(indexOf(id))->Observe(base::toSeconds(time));
 }
 
-std::string PrometheusMetrics::text() const {
+std::string PrometheusMetrics::render() const {
   std::ostringstream out;
   prometheus::TextSerializer().Serialize(out, m_implementation->registry.Collect());
   return out.str();
--- a/src/telemetry/prometheus_metrics.h
+++ b/src/telemetry/prometheus_metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Metrics kept by the Prometheus client library and written in its text format.
+/// Metrics based on the Prometheus client library.
 #pragma once
 
 #include <memory>
@@ -9,6 +9,7 @@
 
 namespace tackpick::telemetry {
 
+/// Stores metrics with the Prometheus client library and renders its text format.
 class PrometheusMetrics final : public Metrics {
  public:
   PrometheusMetrics();
@@ -16,12 +17,12 @@
 
   using Metrics::count;
   using Metrics::set;
-  void count(CounterId id, std::string_view label, std::uint64_t times) override;
+  void count(CounterId id, std::string_view label, std::uint64_t increment) override;
   void set(GaugeId id, std::string_view label, double value) override;
   void observe(HistogramId id, base::Duration time) override;
 
-  /// All figures in the text format that scrapers read.
-  [[nodiscard]] std::string text() const;
+  /// Returns all metrics in the Prometheus text format.
+  [[nodiscard]] std::string render() const;
 
  private:
   struct Implementation;
--- a/test/telemetry/telemetry_test.cpp
+++ b/test/telemetry/telemetry_test.cpp
@@ -1,4 +1,4 @@
-/// The catalogues of events and figures, and lines on their way to a slow reader.
+/// Tests of the event and metric catalogues and of the log line buffer.
 #include <criterion/criterion.h>
 
 #include <cstdlib>
@@ -15,20 +15,20 @@
 
 namespace {
 
-/// Takes as many bytes as the test lets it.
-class SlowReader final : public telemetry::ByteSink {
+/// Accepts as many bytes as the test allows.
+class ThrottledSink final : public telemetry::ByteSink {
  public:
   std::size_t write(std::string_view bytes) override {
-    const std::size_t taken = std::min(bytes.size(), room);
-    room -= taken;
-    text += bytes.substr(0, taken);
-    return taken;
+    const std::size_t written = std::min(bytes.size(), capacity);
+    capacity -= written;
+    text += bytes.substr(0, written);
+    return written;
   }
-  std::size_t room = 0;
+  std::size_t capacity = 0;
   std::string text;
 };
 
-std::string page(const std::string& name) {
+std::string readDocsPage(const std::string& name) {
   const char* root = std::getenv("TACKPICK_ROOT");
   std::ifstream file(std::string(root == nullptr ? "." : root) + "/docs/" + name);
   std::stringstream text;
@@ -39,18 +39,18 @@
 }  // namespace
 
 Test(line_buffer, stalled_reader_loses_lines_and_is_told_how_many) {
-  SlowReader reader;
+  ThrottledSink reader;
   telemetry::LineBuffer buffer(reader, 40);
   for (const std::string line : {"first", "second", "a line that no longer fits in", "x"}) {
     buffer.add(line);
     buffer.flush();
   }
-  cr_assert_eq(buffer.droppedLines(), 2U, "the notice of a lost line has no room either");
+  cr_assert_eq(buffer.droppedLines(), 2U, "the notice of dropped lines does not fit either");
   cr_assert(reader.text.empty());
-  reader.room = 8;
+  reader.capacity = 8;
   buffer.flush();
-  cr_assert_eq(reader.text, "first\nse", "a line may be cut until the reader goes on");
-  reader.room = 1000;
+  cr_assert_eq(reader.text, "first\nse", "a line may be written in parts");
+  reader.capacity = 1000;
   buffer.flush();
   buffer.add("x");
   buffer.flush();
@@ -65,8 +65,8 @@
     cr_assert(ids.insert(event.id).second);
     cr_assert(names.insert(event.name).second);
   }
-  cr_assert(page("EVENTS.md").find(telemetry::catalogueAsMarkdown()) != std::string::npos,
-            "print docs/EVENTS.md anew with tackpickd --events");
+  cr_assert(readDocsPage("EVENTS.md").find(telemetry::catalogueAsMarkdown()) != std::string::npos,
+            "regenerate docs/EVENTS.md with tackpickd --events");
 }
 
 Test(metric_catalogue, is_the_page_and_names_are_used_once) {
@@ -75,6 +75,6 @@
     cr_assert(names.insert(metric.name).second);
     cr_assert_not(metric.help.empty());
   }
-  cr_assert(page("METRICS.md").find(telemetry::metricsAsMarkdown()) != std::string::npos,
-            "print docs/METRICS.md anew with tackpickd --metrics");
+  cr_assert(readDocsPage("METRICS.md").find(telemetry::metricsAsMarkdown()) != std::string::npos,
+            "regenerate docs/METRICS.md with tackpickd --metrics");
 }
