--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -192,7 +192,7 @@
 }
 
 // The snapshot is not compressed: it consists mostly of texts that are already compressed.
-base::Bytes JobState::takeSnapshot() const { return base::encodeLarge(jobs_); }
+base::Bytes JobState::takeSnapshot() const { return base::encodePresized(jobs_); }
 
 void JobState::loadSnapshot(const base::Bytes& snapshot) {
   jobs_.clear();  // frees memory: two states at once may not fit
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -24,7 +24,7 @@
 
 http::ExchangeLimits limits() {
   http::ExchangeLimits limits;
-  limits.bodyBytes = kMaxBodyBytes;
+  limits.maxBodyBytes = kMaxBodyBytes;
   return limits;
 }
 
@@ -93,7 +93,7 @@
 void ControlServer::onMalformedCall(const http::RawRequest& request,
                                     const edge::MalformedCall& call) {
   node_.metrics().count(telemetry::CounterId::kUnreadableCalls, call.why);
-  if (const auto times = m_malformedLogLimiter.note(node_.now())) {
+  if (const auto times = m_malformedLogLimiter.shouldLog(node_.now())) {
     telemetry::logEvent(telemetry::EventId::kChangeRefused, telemetry::EventFields()
                                                                 .add("path", request.path())
                                                                 .add("reason", call.why)
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -45,15 +45,15 @@
 constexpr std::size_t kUnsentMemoryDivisor = 8;
 
 http::ExchangeLimits toExchangeLimits(const directory::RequestLimits& limits,
-                                      const config::ProcessLimits& process) {
+                                      const config::ResourceLimits& process) {
   constexpr unsigned kMegabyteShift = 20;
   http::ExchangeLimits exchange;
   if (process.memoryMb) {
     const auto memory = static_cast<std::size_t>(*process.memoryMb) << kMegabyteShift;
-    exchange.totalUnsentBytes = memory / kUnsentMemoryDivisor;
+    exchange.maxTotalUnsentBytes = memory / kUnsentMemoryDivisor;
   }
-  exchange.headerBytes = limits.headerBytes;
-  exchange.bodyBytes = limits.bodyBytes;
+  exchange.maxHeaderBytes = limits.headerBytes;
+  exchange.maxBodyBytes = limits.bodyBytes;
   exchange.headerTimeout = limits.headerTimeout;
   exchange.idleTimeout = limits.idleTimeout;
   return exchange;
@@ -169,8 +169,8 @@
 
 bool GatewayServer::isTenantHeader(std::string_view name) const {
   const edge::HeaderNames& names = node_.apiAdapter().headers();
-  return tenants_.hasTenants() &&
-         (http::sameHeaderName(name, names.credential) || http::sameHeaderName(name, names.tenant));
+  return tenants_.hasTenants() && (http::equalsHeaderName(name, names.credential) ||
+                                   http::equalsHeaderName(name, names.tenant));
 }
 
 void GatewayServer::handleJobCall(jobs::JobRequest request, const std::string& tenant,
@@ -280,7 +280,7 @@
   const http::UnreadResponses unread = m_requestServer.unreadResponses();
   for (; m_loggedDisconnects < unread.disconnectCount; ++m_loggedDisconnects) {
     node_.metrics().count(telemetry::CounterId::kSlowReaders, "cut");
-    if (const auto times = m_slowReaderLogLimiter.note(node_.now())) {
+    if (const auto times = m_slowReaderLogLimiter.shouldLog(node_.now())) {
       telemetry::logEvent(
           telemetry::EventId::kSlowReaderCut,
           telemetry::EventFields().add("times", *times).add("unread_bytes", unread.bytes).text());
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -77,7 +77,7 @@
 
 base::Result<void> Node::open() {
   BOOST_LEAF_ASSIGN(self_, openIdentity());
-  upstream_ = std::make_unique<http::UpstreamClient>(context_, http::UpstreamSettings{});
+  upstream_ = std::make_unique<http::UpstreamClient>(context_, http::UpstreamClientSettings{});
   createClusterMember();
   if (settings_.role == directory::NodeRole::kController) {
     BOOST_LEAF_CHECK(openDirectory());
@@ -94,11 +94,11 @@
 }
 
 base::Result<base::NodeId> Node::openIdentity() {
-  BOOST_LEAF_AUTO(number, config::nodeNumberOf(settings_.address));
-  if (settings_.dataFolder.empty()) {
+  BOOST_LEAF_AUTO(number, config::parseNodeNumber(settings_.address));
+  if (settings_.dataDirectory.empty()) {
     return base::makeNodeId(number, randomIncarnation());
   }
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder));
+  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory));
   BOOST_LEAF_AUTO(names, folder->list());
   if (std::find(names.begin(), names.end(), kIdentityFile) != names.end()) {
     BOOST_LEAF_AUTO(bytes, folder->read(kIdentityFile));
@@ -106,7 +106,7 @@
     if (!stored || stored->cluster != settings_.cluster ||
         base::nodeNumber({stored->node}) != number) {
       return base::fail(base::ErrorCode::kWrongIdentity,
-                        settings_.dataFolder + ": belongs to another node or cluster");
+                        settings_.dataDirectory + ": belongs to another node or cluster");
     }
     return base::NodeId{stored->node};
   }
@@ -126,7 +126,7 @@
   for (const transport::Endpoint& seed : settings_.seeds) {
     base::recover(
         [&]() -> base::Result<int> {
-          BOOST_LEAF_AUTO(number, config::nodeNumberOf(seed.host));
+          BOOST_LEAF_AUTO(number, config::parseNodeNumber(seed.host));
           seeds.push_back(base::makeNodeId(number, 0));
           return 0;
         },
@@ -174,7 +174,7 @@
 
 base::Result<void> Node::openLog(const std::string& name, base::GroupId group,
                                  const std::set<base::NodeId>& initialVoters) {
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataFolder + "/" + name));
+  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory + "/" + name));
   folders_.push_back(std::move(folder));
   consensus::Membership initial;
   if (initialVoters.contains(self_)) {
@@ -196,7 +196,7 @@
   settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
   settings.initialLedgerVoters = 2 * settings_.toleratedLosses + 1;
   settings.loads.concurrentLoads = settings_.concurrentLoads;
-  settings.overdueAfter = settings_.instanceHeartbeat + kHeartbeatSlack;
+  settings.overdueAfter = settings_.instanceHeartbeatInterval + kHeartbeatSlack;
   settings.loads.heartbeatTimeout = settings.overdueAfter;
   constexpr base::Duration kCommandLeaseMargin = base::milliseconds(100);
   settings.commandLease.duration = settings_.commandLease + kCommandLeaseMargin;
@@ -208,10 +208,10 @@
   settings.usage.windowLength = settings_.usageWindow;
   settings.usage.reportDelay = settings_.usageReportDelay;
   settings.usage.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
-      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kShareOfRate)));
-  settings.capacity.plan.mode = settings_.capacity;
+      kMicrosPerSecond / (settings_.platformCallsPerSecond * kShareOfRate)));
+  settings.capacity.plan.mode = settings_.capacityMode;
   settings.capacity.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
-      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kCapacityShareOfRate)));
+      kMicrosPerSecond / (settings_.platformCallsPerSecond * kCapacityShareOfRate)));
   directory_ = std::make_unique<directory::DirectoryRole>(ownRecord(), settings, *log_, *random_,
                                                           wall_clock_, now());
   m_platformClient = std::make_unique<PlatformClient>(*this);
@@ -220,7 +220,7 @@
 
 base::Result<void> Node::reopenLedger() {
   BOOST_LEAF_AUTO(folder,
-                  storage::PosixFileSystem::create(settings_.dataFolder + "/" + kLedgerFolder));
+                  storage::PosixFileSystem::create(settings_.dataDirectory + "/" + kLedgerFolder));
   BOOST_LEAF_AUTO(names, folder->list());
   const bool initialised =
       std::find(names.begin(), names.end(), storage::kIdentityFileName) != names.end();
@@ -232,7 +232,7 @@
   BOOST_LEAF_CHECK(openLog(kLedgerFolder, directory::kLedgerGroup, initialVoters));
   jobs::JobRoleSettings settings;
   settings.repair.targetSize = 2 * settings_.toleratedLosses + 1;
-  settings.retention = settings_.retention;
+  settings.retention = settings_.jobRetention;
   ledger_ = std::make_unique<jobs::JobRole>(self_, directory::kLedgerGroup, settings, *log_,
                                             *random_, now());
   ledger_->setTenantPriorities(jobs::TenantPriorities(m_clusterMember->configuration().tenants));
--- a/test/cluster/simulated_cluster_test.cpp
+++ b/test/cluster/simulated_cluster_test.cpp
@@ -133,8 +133,8 @@
           found_.insert(id);
           std::vector<std::string>& seen = m_resultsByJob[id];
           for (std::size_t at = 0; at < reply->results.size(); ++at) {
-            const std::string text =
-                reply->results[at].itemId + " " + reply->results[at].result.text.unpack().value();
+            const std::string text = reply->results[at].itemId + " " +
+                                     reply->results[at].result.text.decompressedText().value();
             if (at >= seen.size()) {
               seen.push_back(text);
               ++results_seen_;
--- a/test/jobs/progress_test.cpp
+++ b/test/jobs/progress_test.cpp
@@ -224,11 +224,11 @@
       }
       if (const jobs::PartialText* partial = savedText(state)) {
         // Each line is one event; the text must also be a prefix of some gateway's text.
-        const std::string text = partial->text.unpack().value();
+        const std::string text = partial->text.decompressedText().value();
         const auto lines = std::count(text.begin(), text.end(), '\n') + 1;
         cr_assert_eq(static_cast<std::uint64_t>(lines), partial->point.event + 1);
         const bool own = std::any_of(runs.begin(), runs.end(), [&](const auto& run) {
-          return run->completed().text.unpack()->starts_with(text);
+          return run->completed().text.decompressedText()->starts_with(text);
         });
         cr_assert(own, "seed %lu step %d", static_cast<unsigned long>(seed), step);
       }
