--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's bytes as typed calls, and back.
+/// Tests of the translation between the hosting platform's HTTP API and typed calls.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -40,18 +40,18 @@
 
 http::RawRequest request(const std::string& method, const std::string& target,
                          const std::string& body = "") {
-  http::RawRequest made;
-  made.method = method;
-  made.target = target;
-  made.headers.add("Host", "h.example");
-  made.headers.add("Request-Id", "r1");
-  made.body = body;
-  return made;
+  http::RawRequest raw;
+  raw.method = method;
+  raw.target = target;
+  raw.headers.add("Host", "h.example");
+  raw.headers.add("Request-Id", "r1");
+  raw.body = body;
+  return raw;
 }
 
 }  // namespace
 
-Test(platform_json, configuration_is_read_whole) {
+Test(platform_json, configuration_is_parsed) {
   const auto configuration = platform::parseConfiguration(kConfiguration);
   cr_assert(configuration.has_value());
   cr_assert_eq(configuration->version, 7U);
@@ -67,7 +67,7 @@
   cr_assert_eq(configuration->limits.bodyBytes, 1000U);
 }
 
-Test(platform_json, anything_cut_short_is_refused) {
+Test(platform_json, truncated_bodies_are_rejected) {
   for (std::size_t length = 0; length < kConfiguration.size(); ++length) {
     cr_assert_not(platform::parseConfiguration(kConfiguration.substr(0, length)).has_value());
   }
@@ -76,17 +76,17 @@
   }
 }
 
-Test(platform_json, damage_never_crashes) {
+Test(platform_json, corrupted_bodies_do_not_crash) {
   base::SeededRandom random(1);
   for (int round = 0; round < 4000; ++round) {
-    for (const std::string& good : {kConfiguration, kJob}) {
-      std::string bad = good;
-      bad[random.below(bad.size())] = static_cast<char>(random.below(256));
-      (void)platform::parseConfiguration(bad);
-      (void)platform::parseJob("j", "h", {}, bad);
-      (void)platform::parseHeartbeat("i", bad);
-      (void)platform::parseVersion(bad);
-      (void)platform::parseReport(bad);
+    for (const std::string& valid : {kConfiguration, kJob}) {
+      std::string corrupted = valid;
+      corrupted[random.below(corrupted.size())] = static_cast<char>(random.below(256));
+      (void)platform::parseConfiguration(corrupted);
+      (void)platform::parseJob("j", "h", {}, corrupted);
+      (void)platform::parseHeartbeat("i", corrupted);
+      (void)platform::parseVersion(corrupted);
+      (void)platform::parseReportedVersions(corrupted);
     }
   }
 }
@@ -104,30 +104,31 @@
   cr_assert_eq(heartbeat->sequence, 4U);
   cr_assert(std::holds_alternative<edge::MalformedCall>(
       platform::parseHeartbeat("i", R"({"service":"e"})")));
-  cr_assert_eq(platform::parseReport(R"({"models":[{"name":"m","version":5}]})")->at("m"), 5U);
+  cr_assert_eq(platform::parseReportedVersions(R"({"models":[{"name":"m","version":5}]})")->at("m"),
+               5U);
 }
 
-Test(platform_json, bounds_and_prices_of_instances) {
-  const auto read = [](const std::string& scaling) {
+Test(platform_json, scaling_is_parsed) {
+  const auto parse = [](const std::string& scaling) {
     return platform::parseConfiguration(R"({"version":1,"routes":[],"services":[{"name":"e")" +
                                         scaling + "}]}");
   };
-  const auto whole = read(
+  const auto withScaling = parse(
       R"(,"scaling":{"minimum":1,"maximum":30,"bootTimeS":4.5,"spotPrice":0.18,
       "zonePrices":{"a":1.0,"b":0.8}})");
-  cr_assert(whole.has_value() && whole->services[0].scaling.has_value());
-  const tackpick::duties::Scaling& scaling = *whole->services[0].scaling;
+  cr_assert(withScaling.has_value() && withScaling->services[0].scaling.has_value());
+  const tackpick::duties::Scaling& scaling = *withScaling->services[0].scaling;
   cr_assert_eq(scaling.minimum, 1U);
   cr_assert_eq(scaling.maximum, 30U);
   cr_assert_eq(scaling.startupDuration.count(), base::Duration(base::milliseconds(4500)).count());
   cr_assert_float_eq(scaling.preemptiblePrice, 0.18, 1e-9);
   cr_assert_float_eq(scaling.zonePrices.at("b"), 0.8, 1e-9);
-  cr_assert_not(read("")->services[0].scaling.has_value());
-  cr_assert_not(read(R"(,"scaling":null)")->services[0].scaling.has_value());
+  cr_assert_not(parse("")->services[0].scaling.has_value());
+  cr_assert_not(parse(R"(,"scaling":null)")->services[0].scaling.has_value());
 }
 
-Test(platform_json, nonsense_in_bounds_and_prices_is_refused) {
-  // What the parser lets through, the validation of the controllers must stop.
+Test(platform_json, invalid_scaling_is_rejected) {
+  // Values that the parser accepts must be rejected by the validation of the controllers.
   for (const std::string scaling :
        {R"(7)", R"("x")", R"([])", R"({})", R"({"minimum":-1,"maximum":3})",
         R"({"minimum":1,"maximum":2.5})", R"({"minimum":4,"maximum":3})",
@@ -137,32 +138,32 @@
         R"({"minimum":1,"maximum":3,"zonePrices":{"":1}})",
         R"({"minimum":1,"maximum":3,"zonePrices":{"a":"x"}})",
         R"({"minimum":1,"maximum":3,"zonePrices":[1]})"}) {
-    const auto read = platform::parseConfiguration(
+    const auto parsed = platform::parseConfiguration(
         R"({"version":1,"routes":[],"services":[{"name":"e","scaling":)" + scaling + "}]}");
-    const bool taken = read && base::recover(
-                                   [&]() -> base::Result<bool> {
-                                     BOOST_LEAF_CHECK(directory::validate(*read));
-                                     return true;
-                                   },
-                                   [](const base::Error&) { return false; });
-    cr_assert_not(taken, "taken: %s", scaling.c_str());
+    const bool accepted = parsed && base::recover(
+                                        [&]() -> base::Result<bool> {
+                                          BOOST_LEAF_CHECK(directory::validate(*parsed));
+                                          return true;
+                                        },
+                                        [](const base::Error&) { return false; });
+    cr_assert_not(accepted, "accepted: %s", scaling.c_str());
   }
 }
 
-Test(platform_json, withdrawable_instance_tells_when_it_ends) {
-  const auto read = [](const std::string& fields) {
+Test(platform_json, preemptible_instance_reports_time_to_termination) {
+  const auto parseRecord = [](const std::string& fields) {
     const auto parsed = platform::parseHeartbeat(
         "i-1", R"({"service":"e","address":"10.0.0.9:8080","zone":"z","slots":8)" + fields + "}");
     return std::get<directory::InstanceHeartbeat>(parsed).record;
   };
-  cr_assert_not(read("").preemptible);
-  const auto draining = read(R"(,"state":"draining","spot":true,"leaves_ms":2400)");
+  cr_assert_not(parseRecord("").preemptible);
+  const auto draining = parseRecord(R"(,"state":"draining","spot":true,"leaves_ms":2400)");
   cr_assert(draining.preemptible && draining.draining);
   cr_assert_eq(draining.timeToTermination.count(),
                base::Duration(base::milliseconds(2400)).count());
-  cr_assert_gt(read(R"(,"state":"draining","leaves_ms":0)").timeToTermination.count(), 0);
-  cr_assert_eq(read(R"(,"state":"draining")").timeToTermination.count(), 0);
-  cr_assert_eq(read(R"(,"state":"ready","leaves_ms":9)").timeToTermination.count(), 0);
+  cr_assert_gt(parseRecord(R"(,"state":"draining","leaves_ms":0)").timeToTermination.count(), 0);
+  cr_assert_eq(parseRecord(R"(,"state":"draining")").timeToTermination.count(), 0);
+  cr_assert_eq(parseRecord(R"(,"state":"ready","leaves_ms":9)").timeToTermination.count(), 0);
   cr_assert(std::holds_alternative<edge::MalformedCall>(platform::parseHeartbeat(
       "i-1", R"({"service":"e","address":"10.0.0.9:8080","spot":"perhaps"})")));
 }
@@ -179,14 +180,14 @@
   reply.results.push_back(
       {"i", {0, jobs::ItemState::kCompleted, base::CompressedText("a\nb"), {6, 7}}});
   reply.results.push_back({"k", {1, jobs::ItemState::kTerminated, {}, {}}});
-  const Json answer = Json::parse(platform::resultsJson(5, reply).value());
-  cr_assert_eq(answer["nextPageToken"].get<int>(), 7);
-  cr_assert_eq(answer["results"][0]["message"].get<std::string>(), "a\nb");
-  cr_assert_eq(answer["results"][0]["versions"].dump(), "[6,7]");
-  cr_assert_eq(answer["results"][1]["state"].get<std::string>(), "terminated");
+  const Json page = Json::parse(platform::resultsJson(5, reply).value());
+  cr_assert_eq(page["nextPageToken"].get<int>(), 7);
+  cr_assert_eq(page["results"][0]["message"].get<std::string>(), "a\nb");
+  cr_assert_eq(page["results"][0]["versions"].dump(), "[6,7]");
+  cr_assert_eq(page["results"][1]["state"].get<std::string>(), "terminated");
 }
 
-Test(platform_dialect, calls_at_a_gateway) {
+Test(platform_adapter, gateway_calls_are_parsed) {
   const platform::PlatformAdapter apiAdapter;
   const auto configuration = platform::parseConfiguration(kConfiguration);
   const directory::Route* batch = &configuration->routes[0];
@@ -208,7 +209,7 @@
   cr_assert_eq(std::get<jobs::EndJob>(std::get<edge::JobCall>(end).request).id, "j");
 }
 
-Test(platform_dialect, answers_promise_no_more_than_is_known) {
+Test(platform_adapter, statuses_map_to_http_codes) {
   const platform::PlatformAdapter apiAdapter;
   jobs::JobReply reply;
   cr_assert_eq(apiAdapter.jobResponse(jobs::SubmitJob{}, reply).status, 202);
@@ -218,43 +219,45 @@
   cr_assert_eq(apiAdapter.controlResponse(directory::ReplaceConfiguration{}, invalid).status, 400);
 }
 
-Test(platform_dialect, calls_at_a_controller) {
+Test(platform_adapter, control_calls_are_parsed) {
   const platform::PlatformAdapter apiAdapter;
-  const auto typed = [&](const std::string& method, const std::string& target,
-                         const std::string& body = "") {
+  const auto parseTyped = [&](const std::string& method, const std::string& target,
+                              const std::string& body = "") {
     return std::get<directory::DirectoryRequest>(
         apiAdapter.controlCall(request(method, target, body)));
   };
   cr_assert(std::holds_alternative<directory::ReplaceConfiguration>(
-      typed("POST", "/Configuration.Replace", kConfiguration)));
-  cr_assert(
-      std::holds_alternative<directory::ReadConfiguration>(typed("GET", "/Configuration.Read")));
-  cr_assert_eq(std::get<directory::DeregisterInstance>(typed("POST", "/Instances.Leave/i-1")).id,
-               "i-1");
-  cr_assert_eq(std::get<directory::RetireNode>(typed("POST", "/Retire.Start/n", "{}")).name, "n");
-  cr_assert_eq(std::get<directory::ReadRetirement>(typed("GET", "/Retire.Read/n")).name, "n");
+      parseTyped("POST", "/Configuration.Replace", kConfiguration)));
+  cr_assert(std::holds_alternative<directory::ReadConfiguration>(
+      parseTyped("GET", "/Configuration.Read")));
+  cr_assert_eq(
+      std::get<directory::DeregisterInstance>(parseTyped("POST", "/Instances.Leave/i-1")).id,
+      "i-1");
+  cr_assert_eq(std::get<directory::RetireNode>(parseTyped("POST", "/Retire.Start/n", "{}")).name,
+               "n");
+  cr_assert_eq(std::get<directory::ReadRetirement>(parseTyped("GET", "/Retire.Read/n")).name, "n");
   cr_assert(std::holds_alternative<edge::UnknownCall>(
       apiAdapter.controlCall(request("GET", "/elsewhere"))));
   cr_assert(std::holds_alternative<edge::MalformedCall>(
       apiAdapter.controlCall(request("POST", "/Configuration.Replace", "{"))));
 }
 
-Test(platform_dialect, load_header) {
+Test(platform_adapter, load_header) {
   const platform::PlatformAdapter apiAdapter;
   const auto load = apiAdapter.load("3,1,8");
   cr_assert(load.has_value());
   cr_assert_eq(load->waiting, 1U);
   cr_assert_eq(load->slowdownPercent, 100U);
-  const auto longer = apiAdapter.load("3,1,8,250");
-  cr_assert(longer.has_value(), "some services tell a fourth figure");
-  cr_assert_eq(longer->slots, 8U);
-  cr_assert_eq(longer->slowdownPercent, 250U);
-  for (const char* bad : {"", "3", "3,1", "3,1,x", "a,b,c"}) {
-    cr_assert_not(apiAdapter.load(bad).has_value());
+  const auto withSlowdown = apiAdapter.load("3,1,8,250");
+  cr_assert(withSlowdown.has_value(), "the fourth value is optional");
+  cr_assert_eq(withSlowdown->slots, 8U);
+  cr_assert_eq(withSlowdown->slowdownPercent, 250U);
+  for (const char* invalid : {"", "3", "3,1", "3,1,x", "a,b,c"}) {
+    cr_assert_not(apiAdapter.load(invalid).has_value());
   }
 }
 
-Test(platform_dialect, scoring_call_is_read_sent_and_its_score_told) {
+Test(platform_adapter, scoring_call_round_trip) {
   const std::string body = R"({"model":"m","items":[{"identifier":"i","path":"/p/3","headers":{},
    "scoringCall":{"identifier":"c","host":"s.example","path":"/score/1","body":"q83vEjRWeJA="}}]})";
   const auto job = platform::parseJob("j", "h", {}, body);
@@ -272,12 +275,12 @@
   reply.results = {
       {"i", {0, jobs::ItemState::kCompleted, base::CompressedText("text"), {1}, "signed"}},
       {"k", {1, jobs::ItemState::kTerminated, {}, {}}}};
-  const Json told = Json::parse(platform::resultsJson(0, reply).value());
-  cr_assert_eq(told["results"][0]["score"], "signed");
-  cr_assert_not(told["results"][1].contains("score"));
+  const Json page = Json::parse(platform::resultsJson(0, reply).value());
+  cr_assert_eq(page["results"][0]["score"], "signed");
+  cr_assert_not(page["results"][1].contains("score"));
 }
 
-Test(platform_json, tenants_and_open_routes) {
+Test(platform_json, tenants_and_public_routes) {
   const std::string body = R"({"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/p/",
    "kind":"safe","timeoutMs":1,"service":"s","public":true}],"services":[{"name":"s"}],
    "tenants":[{"name":"a","apiKeys":["k1","k2"],"priority":1},{"name":"b","apiKeys":[]}]})";
@@ -288,14 +291,15 @@
   cr_assert(configuration->tenants[0].keys.at(1) == tackpick::tenancy::digestKey("k2"));
   cr_assert_eq(configuration->tenants[0].priority.value(), 1U);
   cr_assert_not(configuration->tenants[1].priority.has_value());
-  for (const char* bad : {R"({"version":1,"routes":[],"services":[],"tenants":[{"name":"a"}]})",
-                          R"({"version":1,"routes":[],"services":[],"tenants":[{"apiKeys":[]}]})",
-                          R"({"version":1,"routes":[],"services":[],"tenants":[7]})"}) {
-    cr_assert_not(platform::parseConfiguration(bad).has_value(), "%s", bad);
+  for (const char* invalid :
+       {R"({"version":1,"routes":[],"services":[],"tenants":[{"name":"a"}]})",
+        R"({"version":1,"routes":[],"services":[],"tenants":[{"apiKeys":[]}]})",
+        R"({"version":1,"routes":[],"services":[],"tenants":[7]})"}) {
+    cr_assert_not(platform::parseConfiguration(invalid).has_value(), "%s", invalid);
   }
 }
 
-Test(platform_dialect, key_is_read_from_its_scheme_only) {
+Test(platform_adapter, api_key_requires_token_scheme) {
   const platform::PlatformAdapter apiAdapter;
   const auto keyOf = [&](const std::string& name, const std::string& value) {
     http::HeaderList headers;
@@ -309,7 +313,7 @@
   cr_assert_eq(keyOf("Host", "Token k1"), "");
 }
 
-Test(platform_dialect, item_goes_out_under_its_tenant) {
+Test(platform_adapter, item_request_carries_tenant) {
   const platform::PlatformAdapter apiAdapter;
   jobs::LeasedItem leased;
   leased.item.id = "i";
@@ -325,7 +329,7 @@
                1);
 }
 
-Test(platform_dialect, number_of_instances) {
+Test(platform_adapter, scale_request_and_outcomes) {
   const platform::PlatformAdapter apiAdapter;
   namespace duties = tackpick::duties;
   const duties::ScaleCall onDemand{{"e", "z", duties::InstanceKind::kOnDemand}, 6, 12};
@@ -344,7 +348,7 @@
   cr_assert(apiAdapter.scaleOutcome(onDemand, 503) == duties::ScaleOutcome::kUnknown);
 }
 
-Test(platform_dialect, usage_report) {
+Test(platform_adapter, usage_report) {
   const platform::PlatformAdapter apiAdapter;
   const http::UpstreamRequest call = apiAdapter.usageRequest({{7, {{"a", 3}}}, 12}, "core-1");
   cr_assert_eq(call.method, "POST");
@@ -394,9 +398,9 @@
 
 }  // namespace
 
-// What cannot be an engine's own heartbeat must register nothing: an engine with four billion
-// places gets all the work, one at no address loses it.
-Test(platform_json, heartbeat_that_names_no_usable_instance_is_refused) {
+// A malformed heartbeat must not register an instance: one with billions of slots would attract all
+// work, one with an invalid address would lose it.
+Test(platform_json, unusable_heartbeats_are_rejected) {
   cr_assert(heartbeatOf(heartbeatCall(kHeartbeat)).has_value());
   const std::vector<std::string> unusable = {
       "",
@@ -433,88 +437,89 @@
   }
   cr_assert(std::holds_alternative<edge::MalformedCall>(
                 heartbeatCall(kHeartbeat, "/Instances.Heartbeat/a#1")),
-            "an identifier that no path can hold");
+            "an identifier must not contain the separator of incarnation keys");
 }
 
-Test(platform_json, incarnation_is_the_identifier_and_the_start) {
+Test(platform_json, incarnation_has_id_and_start_time) {
   const auto heartbeat = heartbeatOf(heartbeatCall(kHeartbeat));
   const directory::Incarnation incarnation = directory::Incarnation::parse(heartbeat->record.id);
   cr_assert_eq(incarnation.name, "i-1");
   cr_assert_eq(incarnation.born, 1764720000123U);
   cr_assert_eq(heartbeatOf(heartbeatCall(heartbeatWithout("born")))->record.id, "i-1");
-  const auto leave = platform::PlatformAdapter().controlCall(
+  const auto deregistration = platform::PlatformAdapter().controlCall(
       request("POST", "/Instances.Leave/i-1", R"({"born":1764720000123})"));
-  const auto& typed = std::get<directory::DirectoryRequest>(leave);
+  const auto& typed = std::get<directory::DirectoryRequest>(deregistration);
   cr_assert_eq(std::get<directory::DeregisterInstance>(typed).id, heartbeat->record.id);
-  const auto bare =
+  const auto withoutBody =
       platform::PlatformAdapter().controlCall(request("POST", "/Instances.Leave/i-1"));
   cr_assert_eq(
-      std::get<directory::DeregisterInstance>(std::get<directory::DirectoryRequest>(bare)).id,
+      std::get<directory::DeregisterInstance>(std::get<directory::DirectoryRequest>(withoutBody))
+          .id,
       "i-1");
-  const http::UpstreamRequest order = platform::PlatformAdapter().loadRequest(
+  const http::UpstreamRequest loadRequest = platform::PlatformAdapter().loadRequest(
       {heartbeat->record.id, "10.1.0.9", 8080, "m", 4, 1}, "c");
-  cr_assert_eq(order.headers.value("Expected-Instance"), "i-1");
+  cr_assert_eq(loadRequest.headers.value("Expected-Instance"), "i-1");
 }
 
 namespace {
 
-/// A body of the wire with some of its tokens or bytes damaged.
-std::string damaged(const std::string& body, base::Random& random) {
-  static const std::vector<std::string> kTokens = {"-1",
-                                                   "0",
-                                                   "1e308",
-                                                   "-1e308",
-                                                   "4294967296",
-                                                   "18446744073709551615",
-                                                   "18446744073709551616",
-                                                   "0.5",
-                                                   "null",
-                                                   "true",
-                                                   "[]",
-                                                   "{}",
-                                                   "\"\"",
-                                                   "\"-7\"",
-                                                   "\"nan\"",
-                                                   "\"1e99\"",
-                                                   "[[[[[[[[[[1]]]]]]]]]]",
-                                                   "\"\\u0000\""};
-  std::string made = body;
-  const std::uint64_t changes = 1 + random.below(3);
-  for (std::uint64_t change = 0; change < changes && !made.empty(); ++change) {
-    const std::size_t at = random.below(made.size());
+/// Returns the body with one to three random mutations of its bytes or JSON values.
+std::string mutate(const std::string& body, base::Random& random) {
+  static const std::vector<std::string> kReplacements = {"-1",
+                                                         "0",
+                                                         "1e308",
+                                                         "-1e308",
+                                                         "4294967296",
+                                                         "18446744073709551615",
+                                                         "18446744073709551616",
+                                                         "0.5",
+                                                         "null",
+                                                         "true",
+                                                         "[]",
+                                                         "{}",
+                                                         "\"\"",
+                                                         "\"-7\"",
+                                                         "\"nan\"",
+                                                         "\"1e99\"",
+                                                         "[[[[[[[[[[1]]]]]]]]]]",
+                                                         "\"\\u0000\""};
+  std::string mutated = body;
+  const std::uint64_t mutations = 1 + random.below(3);
+  for (std::uint64_t mutation = 0; mutation < mutations && !mutated.empty(); ++mutation) {
+    const std::size_t at = random.below(mutated.size());
     switch (random.below(4)) {
       case 0:
-        made[at] = static_cast<char>(random.below(256));
+        mutated[at] = static_cast<char>(random.below(256));
         break;
       case 1:
-        made.resize(at);
+        mutated.resize(at);
         break;
       case 2:
-        made.insert(at, made.substr(random.below(made.size()), random.below(30)));
+        mutated.insert(at, mutated.substr(random.below(mutated.size()), random.below(30)));
         break;
       default: {
-        // The value behind a colon.
-        const std::size_t colon = made.find(':', at);
+        // Replaces the value behind a colon.
+        const std::size_t colon = mutated.find(':', at);
         if (colon != std::string::npos) {
-          const std::size_t end = made.find_first_of(",}]", colon);
-          made.replace(colon + 1, (end == std::string::npos ? made.size() : end) - colon - 1,
-                       kTokens[random.below(kTokens.size())]);
+          const std::size_t end = mutated.find_first_of(",}]", colon);
+          mutated.replace(colon + 1, (end == std::string::npos ? mutated.size() : end) - colon - 1,
+                          kReplacements[random.below(kReplacements.size())]);
         }
       }
     }
   }
-  return made;
+  return mutated;
 }
 
-/// Decodes damaged bodies of every kind; what is accepted must be usable.
-void decodeDamaged(base::Random& random) {
+/// Decodes mutated bodies of every kind and checks that accepted values are in range.
+void decodeMutated(base::Random& random) {
   const platform::PlatformAdapter apiAdapter;
-  if (const auto heartbeat = heartbeatOf(heartbeatCall(damaged(kHeartbeat, random)))) {
+  if (const auto heartbeat = heartbeatOf(heartbeatCall(mutate(kHeartbeat, random)))) {
     cr_assert(heartbeat->record.slots >= 1 && heartbeat->record.slots <= 100'000);
     cr_assert_neq(heartbeat->record.port, 0);
     cr_assert_not(heartbeat->record.host.empty() || heartbeat->record.service.empty());
   }
-  if (const auto configuration = platform::parseConfiguration(damaged(kConfiguration, random))) {
+  if (const auto configuration = platform::parseConfiguration(mutate(kConfiguration, random))) {
     for (const directory::Route& route : configuration->routes) {
       cr_assert(route.timeout >= base::Duration{0} && route.queueTimeout >= base::Duration{0});
       cr_assert_leq(route.attempts, 1000U);
@@ -525,31 +530,32 @@
   }
   const auto configuration = platform::parseConfiguration(kConfiguration);
   const auto job =
-      platform::parseJob("j", "h.example", configuration->routes[0], damaged(kJob, random));
+      platform::parseJob("j", "h.example", configuration->routes[0], mutate(kJob, random));
   if (job) {
     for (const jobs::Item& item : job->items) {
       cr_assert_leq(item.expectedTokens, 1'000'000'000U);
     }
   }
-  (void)platform::parseVersion(damaged(R"({"model":"m","version":8})", random));
-  (void)platform::parseReport(damaged(kHeartbeat, random));
-  (void)apiAdapter.load(damaged("3,0,8", random));
+  (void)platform::parseVersion(mutate(R"({"model":"m","version":8})", random));
+  (void)platform::parseReportedVersions(mutate(kHeartbeat, random));
+  (void)apiAdapter.load(mutate("3,0,8", random));
   (void)apiAdapter.controlCall(
-      request("POST", "/Instances.Leave/i-1", damaged(R"({"born":5})", random)));
-  http::RawRequest read = request("GET", damaged("/lots/j?afterRevision=12", random));
-  read.headers.add("Wait-Milliseconds", damaged("1000", random));
+      request("POST", "/Instances.Leave/i-1", mutate(R"({"born":5})", random)));
+  http::RawRequest read = request("GET", mutate("/lots/j?afterRevision=12", random));
+  read.headers.add("Wait-Milliseconds", mutate("1000", random));
   (void)apiAdapter.gatewayCall(read, &configuration->routes[0]);
 }
 
 }  // namespace
 
-/// TACKPICK_FUZZ_ROUNDS runs more than CI does. Each round has a seed of its own.
-Test(platform_json, decoders_survive_damaged_bodies) {
+/// Each round uses its own seed; TACKPICK_FUZZ_ROUNDS sets the number of rounds.
+Test(platform_json, decoders_survive_mutated_bodies) {
   constexpr std::uint64_t kRounds = 4000;
-  const char* wanted = std::getenv("TACKPICK_FUZZ_ROUNDS");
-  const std::uint64_t rounds = wanted == nullptr ? kRounds : std::stoull(wanted);
+  const char* configuredRounds = std::getenv("TACKPICK_FUZZ_ROUNDS");
+  const std::uint64_t rounds =
+      configuredRounds == nullptr ? kRounds : std::stoull(configuredRounds);
   for (std::uint64_t seed = 1; seed <= rounds; ++seed) {
     base::SeededRandom random(seed);
-    decodeDamaged(random);
+    decodeMutated(random);
   }
 }
