--- a/test/integration/stand_in_scale_platform.cpp
+++ b/test/integration/fake_scale_platform.cpp
@@ -1,35 +1,35 @@
-#include "integration/stand_in_scale_platform.h"
+#include "integration/fake_scale_platform.h"
 
 #include "http/status.h"
 #include "runtime/json.h"
 
 namespace tackpick::test {
 
-StandInScalePlatform::StandInScalePlatform()
+FakeScalePlatform::FakeScalePlatform()
     : m_server(
           m_context, "127.0.0.1", 0, {},
           [this](const http::RawRequest& request, const std::shared_ptr<http::Exchange>& exchange) {
-            answer(request, exchange);
+            handleRequest(request, exchange);
           }),
       m_thread([this] { m_context.run(); }) {}
 
-StandInScalePlatform::~StandInScalePlatform() {
+FakeScalePlatform::~FakeScalePlatform() {
   m_context.stop();
   m_thread.join();
 }
 
-void StandInScalePlatform::setUnresponsive(bool unresponsive) {
+void FakeScalePlatform::setUnresponsive(bool unresponsive) {
   const std::lock_guard lock(m_mutex);
   m_unresponsive = unresponsive;
 }
 
-std::vector<StandInScalePlatform::Call> StandInScalePlatform::calls() const {
+std::vector<FakeScalePlatform::Call> FakeScalePlatform::calls() const {
   const std::lock_guard lock(m_mutex);
   return m_calls;
 }
 
-void StandInScalePlatform::answer(const http::RawRequest& request,
-                                  const std::shared_ptr<http::Exchange>& exchange) {
+void FakeScalePlatform::handleRequest(const http::RawRequest& request,
+                                      const std::shared_ptr<http::Exchange>& exchange) {
   const std::lock_guard lock(m_mutex);
   if (request.target == "/scale") {
     const runtime::Json body = runtime::Json::parse(request.body);
@@ -37,7 +37,7 @@
                        std::stoull(request.headers.value("Fencing-Token")), body["zone"],
                        body["desiredCount"]});
     if (m_unresponsive) {
-      m_unanswered.push_back(exchange);
+      m_pendingExchanges.push_back(exchange);
       return;
     }
   }
--- a/test/integration/stand_in_scale_platform.h
+++ b/test/integration/fake_scale_platform.h
@@ -1,5 +1,5 @@
 /// \file
-/// A platform that takes calls which set numbers of instances.
+/// Hosting platform's scaling API, served in the test's process.
 #pragma once
 
 #include <asio.hpp>
@@ -14,8 +14,8 @@
 
 namespace tackpick::test {
 
-/// Starts nothing: it only takes note.
-class StandInScalePlatform {
+/// Records scaling calls without starting any instance.
+class FakeScalePlatform {
  public:
   struct Call {
     std::string holder;
@@ -24,23 +24,24 @@
     std::uint32_t count = 0;
   };
 
-  StandInScalePlatform();
-  ~StandInScalePlatform();
-  StandInScalePlatform(const StandInScalePlatform&) = delete;
-  StandInScalePlatform& operator=(const StandInScalePlatform&) = delete;
+  FakeScalePlatform();
+  ~FakeScalePlatform();
+  FakeScalePlatform(const FakeScalePlatform&) = delete;
+  FakeScalePlatform& operator=(const FakeScalePlatform&) = delete;
 
-  /// Gives no answer from now on, or answers again.
+  /// Sets whether scaling calls are left without a response.
   void setUnresponsive(bool unresponsive);
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
   [[nodiscard]] std::vector<Call> calls() const;
 
  private:
-  void answer(const http::RawRequest& request, const std::shared_ptr<http::Exchange>& exchange);
+  void handleRequest(const http::RawRequest& request,
+                     const std::shared_ptr<http::Exchange>& exchange);
 
   mutable std::mutex m_mutex;
   bool m_unresponsive = false;
   std::vector<Call> m_calls;
-  std::vector<std::shared_ptr<http::Exchange>> m_unanswered;
+  std::vector<std::shared_ptr<http::Exchange>> m_pendingExchanges;
   asio::io_context m_context;
   http::ExchangeServer m_server;
   std::thread m_thread;
--- a/test/integration/fleet.cpp
+++ b/test/integration/fleet.cpp
@@ -13,7 +13,7 @@
 namespace tackpick::test {
 namespace {
 
-constexpr std::uint32_t kEngines = 4;
+constexpr std::uint32_t kEngineCount = 4;
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
 constexpr int kMisdirected = 421;
@@ -22,7 +22,7 @@
 const std::string kCallerToken = "caller";
 const std::string kTrainerToken = "trainer";
 
-std::string joined(const std::vector<std::uint16_t>& ports) {
+std::string joinPorts(const std::vector<std::uint16_t>& ports) {
   std::string text;
   for (const std::uint16_t port : ports) {
     text += (text.empty() ? "" : ",") + std::to_string(port);
@@ -30,7 +30,7 @@
   return text;
 }
 
-std::string numbersOf(const std::vector<Node>& nodes) {
+std::string joinNodeNumbers(const std::vector<Node>& nodes) {
   std::string text;
   for (const Node& node : nodes) {
     text += (text.empty() ? "" : ", ") + std::to_string(node.number);
@@ -42,74 +42,79 @@
 
 Fleet::Fleet() {
   std::string pattern = "/tmp/tackpick-fleet-XXXXXX";
-  folder_ = mkdtemp(pattern.data());
-  std::ofstream(folder_ + "/cluster.key") << "a key for this test only, long enough\n";
-  proxy_port_ = reservePort();
-  platform_port_ = reservePort();
-  emulator_admin_port_ = reservePort();
-  proxy_ = std::make_unique<Process>(
-      "tackpick-faultproxy", std::vector<std::string>{"--admin-port", std::to_string(proxy_port_)},
-      folder_ + "/proxy.txt");
+  m_folder = mkdtemp(pattern.data());
+  std::ofstream(m_folder + "/cluster.key") << "a key for this test only, long enough\n";
+  m_proxyPort = reservePort();
+  m_platformPort = reservePort();
+  m_emulatorAdminPort = reservePort();
+  m_proxy = std::make_unique<Process>(
+      "tackpick-faultproxy", std::vector<std::string>{"--admin-port", std::to_string(m_proxyPort)},
+      m_folder + "/proxy.txt");
   waitUntil(
       [&] {
-        return call({"GET", "http://127.0.0.1:" + std::to_string(proxy_port_) + "/healthz"})
+        return sendRequest({"GET", "http://127.0.0.1:" + std::to_string(m_proxyPort) + "/healthz"})
                    .status == kOk;
       },
-      "the proxy");
-  for (std::uint32_t i = 1; i <= kEngines; ++i) {
-    engine_ports_.push_back(reservePort());
-    announced_ports_.push_back(addRoute("engine-" + std::to_string(i), engine_ports_.back()));
+      "the fault proxy is ready");
+  for (std::uint32_t i = 1; i <= kEngineCount; ++i) {
+    m_enginePorts.push_back(reservePort());
+    m_advertisedPorts.push_back(addRoute("engine-" + std::to_string(i), m_enginePorts.back()));
   }
   startEmulator();
   std::uint32_t number = 0;
   for (int i = 0; i < 3; ++i) {
-    controllers_.push_back(makeNode("controller", ++number));
+    m_controllers.push_back(makeNode("controller", ++number));
   }
   for (int i = 0; i < 3; ++i) {
-    ledgers_.push_back(makeNode("ledger", ++number));
+    m_ledgers.push_back(makeNode("ledger", ++number));
   }
   for (int i = 0; i < 2; ++i) {
-    gateways_.push_back(makeNode("gateway", ++number));
+    m_gateways.push_back(makeNode("gateway", ++number));
   }
-  for (auto* group : {&controllers_, &ledgers_, &gateways_}) {
+  for (auto* group : {&m_controllers, &m_ledgers, &m_gateways}) {
     for (Node& node : *group) {
       writeSettings(node);
       startNode(node, node.role == "gateway" ? std::vector<std::string>{}
                                              : std::vector<std::string>{"--init"});
     }
   }
-  const Json first{{"path", ""}, {"set", {{"token_limit", 4000}, {"hedging", true}}}};
-  const Json tenant{{"path", "t"}, {"set", Json::object()}};
-  const Json ask{{"path", "t/ask"}, {"set", {{"priority", 1}}}};
-  const Json train{{"path", "t/train"}, {"set", {{"priority", 5}, {"staleness_bound", 2}}}};
-  const HttpAnswer applied =
-      control("apply", {{"author", "test"}, {"changes", Json::array({first, tenant, ask, train})}});
+  const Json rootNode{{"path", ""}, {"set", {{"token_limit", 4000}, {"hedging", true}}}};
+  const Json tenantNode{{"path", "t"}, {"set", Json::object()}};
+  const Json askNode{{"path", "t/ask"}, {"set", {{"priority", 1}}}};
+  const Json trainNode{{"path", "t/train"}, {"set", {{"priority", 5}, {"staleness_bound", 2}}}};
+  const HttpResponse applied = control(
+      "apply",
+      {{"author", "test"}, {"changes", Json::array({rootNode, tenantNode, askNode, trainNode})}});
   cr_assert_eq(applied.status, kOk, "%s", applied.body.c_str());
   for (const auto& [token, role] :
        {std::pair{kCallerToken, "caller"}, {kTrainerToken, "trainer"}}) {
     control("credentials",
             {{"token_hash", transport::sha256Hex(token)}, {"role", role}, {"tenant", "t"}});
   }
-  for (const Node& gateway : gateways_) {
-    waitUntil([&] { return call({"GET", gateway.url("/readyz")}).status == kOk; }, "a gateway");
+  for (const Node& gateway : m_gateways) {
+    waitUntil(
+        [&] {
+          return sendRequest({"GET", gateway.url("/readyz")}).status == kOk;
+        },
+        "a gateway is ready");
     waitUntil(
         [&] {
           const Json body{{"workload", "ask"}, {"prompt", "[[tokens=2]]probe"}, {"max_tokens", 4}};
-          return complete(gateway, body).status == kOk;
+          return requestCompletion(gateway, body).status == kOk;
         },
-        "an engine");
+        "a completion is served");
   }
 }
 
 Fleet::~Fleet() {
-  for (auto* group : {&gateways_, &ledgers_, &controllers_}) {
+  for (auto* group : {&m_gateways, &m_ledgers, &m_controllers}) {
     for (Node& node : *group) {
       node.process.reset();
     }
   }
-  emulator_.reset();
-  proxy_.reset();
-  std::filesystem::remove_all(folder_);
+  m_emulator.reset();
+  m_proxy.reset();
+  std::filesystem::remove_all(m_folder);
 }
 
 Node Fleet::makeNode(const std::string& role, std::uint32_t number) {
@@ -119,37 +124,38 @@
   node.folder = role + "-" + std::to_string(number);
   node.internalPort = reservePort();
   node.httpPort = reservePort();
-  std::filesystem::create_directory(folderOf(node));
+  std::filesystem::create_directory(directoryOf(node));
   return node;
 }
 
 std::uint16_t Fleet::addRoute(const std::string& name, std::uint16_t target) {
-  HttpCall request{"POST", "http://127.0.0.1:" + std::to_string(proxy_port_) + "/routes"};
+  HttpRequest request{"POST", "http://127.0.0.1:" + std::to_string(m_proxyPort) + "/routes"};
   request.body = Json{{"name", name}, {"host", "127.0.0.1"}, {"port", target}}.dump();
-  return Json::parse(call(request).body)["port"].get<std::uint16_t>();
+  return Json::parse(sendRequest(request).body)["port"].get<std::uint16_t>();
 }
 
 void Fleet::setFault(const std::string& route, const std::string& fault, std::uint64_t bytes) {
-  HttpCall request{"POST", "http://127.0.0.1:" + std::to_string(proxy_port_) + "/routes/" + route};
+  HttpRequest request{"POST",
+                      "http://127.0.0.1:" + std::to_string(m_proxyPort) + "/routes/" + route};
   request.body = Json{{"fault", fault}, {"bytes", bytes}}.dump();
-  cr_assert_eq(call(request).status, kOk);
+  cr_assert_eq(sendRequest(request).status, kOk);
 }
 
-void Fleet::setFaultBetween(const Node& one, const Node& other, const std::string& fault) {
+void Fleet::setLinkFault(const Node& one, const Node& other, const std::string& fault) {
   setFault(std::to_string(one.number) + "-" + std::to_string(other.number), fault);
   setFault(std::to_string(other.number) + "-" + std::to_string(one.number), fault);
 }
 
 void Fleet::writeSettings(const Node& node) {
-  std::ofstream file(folderOf(node) + "/settings.yaml");
+  std::ofstream file(directoryOf(node) + "/settings.yaml");
   file << "cluster: test\nnode: " << node.number << "\nzone: zone-a\ndata_folder: data\n"
        << "key_file: ../cluster.key\ninternal: 127.0.0.1:" << node.internalPort
        << "\nhttp: 127.0.0.1:" << node.httpPort << "\nroles: [" << node.role << "]\n"
-       << "machine_list: http://127.0.0.1:" << platform_port_ << "/machines\n"
+       << "machine_list: http://127.0.0.1:" << m_platformPort << "/machines\n"
        << "operator_token_hash: " << transport::sha256Hex(kOperatorToken) << "\n"
-       << "controllers: {group: 1, nodes: [" << numbersOf(controllers_) << "]}\n"
-       << "ledgers:\n  - {group: 101, nodes: [" << numbersOf(ledgers_) << "]}\npeers:\n";
-  for (const auto* group : {&controllers_, &ledgers_}) {
+       << "controllers: {group: 1, nodes: [" << joinNodeNumbers(m_controllers) << "]}\n"
+       << "ledgers:\n  - {group: 101, nodes: [" << joinNodeNumbers(m_ledgers) << "]}\npeers:\n";
+  for (const auto* group : {&m_controllers, &m_ledgers}) {
     for (const Node& peer : *group) {
       if (peer.number != node.number) {
         const std::string name = std::to_string(node.number) + "-" + std::to_string(peer.number);
@@ -161,34 +167,35 @@
 }
 
 void Fleet::startNode(Node& node, const std::vector<std::string>& flags) {
-  std::vector<std::string> arguments{"--settings", folderOf(node) + "/settings.yaml"};
+  std::vector<std::string> arguments{"--settings", directoryOf(node) + "/settings.yaml"};
   arguments.insert(arguments.end(), flags.begin(), flags.end());
-  node.process = std::make_unique<Process>("tackpickd", arguments, folderOf(node) + "/log.txt");
+  node.process = std::make_unique<Process>("tackpickd", arguments, directoryOf(node) + "/log.txt");
 }
 
 void Fleet::startEmulator() {
-  emulator_ = std::make_unique<Process>(
+  m_emulator = std::make_unique<Process>(
       "tackpick-emulator",
-      std::vector<std::string>{"--engines", std::to_string(kEngines), "--serve-platform",
-                               "--platform-port", std::to_string(platform_port_), "--admin-port",
-                               std::to_string(emulator_admin_port_), "--engine-ports",
-                               joined(engine_ports_), "--announce-ports", joined(announced_ports_)},
-      folder_ + "/emulator.txt");
+      std::vector<std::string>{"--engines", std::to_string(kEngineCount), "--serve-platform",
+                               "--platform-port", std::to_string(m_platformPort), "--admin-port",
+                               std::to_string(m_emulatorAdminPort), "--engine-ports",
+                               joinPorts(m_enginePorts), "--announce-ports",
+                               joinPorts(m_advertisedPorts)},
+      m_folder + "/emulator.txt");
 }
 
-Json Fleet::status(const Node& controller) const {
-  HttpCall request{"GET", controller.url("/v1/control/status")};
+Json Fleet::controllerStatus(const Node& controller) const {
+  HttpRequest request{"GET", controller.url("/v1/control/status")};
   request.token = kOperatorToken;
   request.timeoutSeconds = 2;
-  return Json::parse(call(request).body, nullptr, false);
+  return Json::parse(sendRequest(request).body, nullptr, false);
 }
 
 Node& Fleet::leader() {
   Node* found = nullptr;
   waitUntil(
       [&] {
-        for (Node& node : controllers_) {
-          const Json state = status(node);
+        for (Node& node : m_controllers) {
+          const Json state = controllerStatus(node);
           if (state.is_object() && state.value("can_read", false)) {
             found = &node;
             return true;
@@ -196,68 +203,69 @@
         }
         return false;
       },
-      "a controller that leads");
+      "a leading controller");
   return *found;
 }
 
-HttpAnswer Fleet::control(const std::string& path, const Json& body) {
-  Json identified = body;
-  if (!identified.contains("request_id")) {
-    identified["request_id"] = "test-" + std::to_string(++request_number_);
+HttpResponse Fleet::control(const std::string& path, const Json& body) {
+  Json bodyWithRequestId = body;
+  if (!bodyWithRequestId.contains("request_id")) {
+    bodyWithRequestId["request_id"] = "test-" + std::to_string(++m_lastRequestNumber);
   }
-  HttpAnswer answer;
+  HttpResponse response;
   waitUntil(
       [&] {
-        for (const Node& node : controllers_) {
-          HttpCall request{"POST", node.url("/v1/control/" + path)};
+        for (const Node& node : m_controllers) {
+          HttpRequest request{"POST", node.url("/v1/control/" + path)};
           request.token = kOperatorToken;
-          request.body = identified.dump();
+          request.body = bodyWithRequestId.dump();
           request.timeoutSeconds = 15;
-          answer = call(request);
-          if (answer.status != 0 && answer.status != kMisdirected &&
-              answer.status != kUnavailable) {
+          response = sendRequest(request);
+          if (response.status != 0 && response.status != kMisdirected &&
+              response.status != kUnavailable) {
             return true;
           }
         }
         return false;
       },
-      "an answer to " + path);
-  return answer;
+      "a response to " + path);
+  return response;
 }
 
-HttpAnswer Fleet::set(const std::string& path, const std::string& key, const Json& value) {
+HttpResponse Fleet::setSetting(const std::string& path, const std::string& key, const Json& value) {
   const Json change{{"path", path}, {"set", {{key, value}}}};
   return control("apply", {{"author", "test"}, {"changes", Json::array({change})}});
 }
 
-HttpAnswer Fleet::complete(const Node& gateway, const Json& body, const std::string& key) const {
-  HttpCall request{"POST", gateway.url("/v1/completions")};
+HttpResponse Fleet::requestCompletion(const Node& gateway, const Json& body,
+                                      const std::string& key) const {
+  HttpRequest request{"POST", gateway.url("/v1/completions")};
   request.token = kCallerToken;
   request.body = body.dump();
   if (!key.empty()) {
     request.headers["Idempotency-Key"] = key;
   }
-  return call(request);
+  return sendRequest(request);
 }
 
-HttpAnswer Fleet::fromAnyGateway(HttpCall request) {
-  HttpAnswer answer;
+HttpResponse Fleet::callAnyGateway(HttpRequest request) {
+  HttpResponse response;
   request.token = kTrainerToken;
   request.timeoutSeconds = 15;
   const std::string path = request.url;
   waitUntil(
       [&] {
-        for (const Node& gateway : gateways_) {
+        for (const Node& gateway : m_gateways) {
           request.url = gateway.url(path);
-          answer = call(request);
-          if (answer.status == kOk || answer.status == kAccepted) {
+          response = sendRequest(request);
+          if (response.status == kOk || response.status == kAccepted) {
             return true;
           }
         }
         return false;
       },
-      "an answer to " + path);
-  return answer;
+      "a response to " + path);
+  return response;
 }
 
 void Fleet::submitBatch(const std::string& name, const std::vector<std::uint32_t>& lengths,
@@ -268,56 +276,57 @@
                        {"seed", samples.size()},
                        {"max_tokens", 4000}});
   }
-  HttpCall request{"POST", "/v1/batches"};
+  HttpRequest request{"POST", "/v1/batches"};
   request.body = Json{
       {"batch", name},
       {"workload", "train"},
       {"trainer_version", trainerVersion},
       {"samples",
        samples}}.dump();
-  fromAnyGateway(request);
+  callAnyGateway(request);
 }
 
-std::uint64_t Fleet::readWholeBatch(const std::string& name, std::size_t samples) {
+std::uint64_t Fleet::readFullBatch(const std::string& name, std::size_t samples) {
   std::set<std::uint32_t> seen;
-  std::uint64_t oldest = UINT64_MAX;
+  std::uint64_t oldestVersion = UINT64_MAX;
   std::uint32_t cursor = 0;
   waitUntil(
       [&] {
-        const HttpCall request{
+        const HttpRequest request{
             "GET", "/v1/batches/" + name + "/samples?max=64&cursor=" + std::to_string(cursor)};
-        const Json page = Json::parse(fromAnyGateway(request).body);
+        const Json page = Json::parse(callAnyGateway(request).body);
         for (const Json& sample : page["samples"]) {
           const auto index = sample["index"].get<std::uint32_t>();
-          cr_assert(seen.insert(index).second, "sample %u came twice", index);
-          checking::ReceivedAnswer answer;
-          answer.tokens = sample["token_ids"].get<std::vector<engine::Token>>();
+          cr_assert(seen.insert(index).second, "sample %u delivered twice", index);
+          checking::ReceivedAnswer received;
+          received.tokens = sample["token_ids"].get<std::vector<engine::Token>>();
           for (const Json& span : sample["weights"]) {
             const auto version = span["version"].get<std::uint64_t>();
-            oldest = std::min(oldest, version);
-            answer.spans.push_back({{version}, span["first"], span["count"]});
+            oldestVersion = std::min(oldestVersion, version);
+            received.spans.push_back({{version}, span["first"], span["count"]});
           }
           const std::string prompt =
-              engine::lengthDirective(static_cast<std::uint32_t>(answer.tokens.size())) + name;
-          cr_assert(checking::hasCorrectVersions(answer, prompt, index), "sample %u", index);
+              engine::lengthDirective(static_cast<std::uint32_t>(received.tokens.size())) + name;
+          cr_assert(checking::hasCorrectVersions(received, prompt, index),
+                    "versions of sample %u do not match its tokens", index);
         }
         cursor = page["cursor"].get<std::uint32_t>();
         return seen.size() == samples;
       },
-      "the whole of batch " + name);
-  return oldest;
+      "all samples of batch " + name);
+  return oldestVersion;
 }
 
 void Fleet::publishWeights(std::uint64_t version) {
-  HttpCall request{"POST", "/v1/weights"};
+  HttpRequest request{"POST", "/v1/weights"};
   request.body = Json{{"model", "default"}, {"version", version}}.dump();
-  fromAnyGateway(request);
+  callAnyGateway(request);
 }
 
-HttpAnswer Fleet::emulatorAdmin(const std::string& path) const {
-  return call({"POST", "http://127.0.0.1:" + std::to_string(emulator_admin_port_) + path});
+HttpResponse Fleet::postToEmulator(const std::string& path) const {
+  return sendRequest({"POST", "http://127.0.0.1:" + std::to_string(m_emulatorAdminPort) + path});
 }
 
-Json Fleet::engineRecord() const { return Json::parse(emulatorAdmin("/record").body); }
+Json Fleet::executionRecord() const { return Json::parse(postToEmulator("/record").body); }
 
 }  // namespace tackpick::test
--- a/test/integration/fleet.h
+++ b/test/integration/fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// A whole fleet of real processes on loopback, with tackpick-faultproxy between every pair.
+/// Fleet of real processes on loopback, with tackpick-faultproxy on every link.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 using runtime::Json;
 
-/// A tackpickd process and where it listens.
+/// A tackpickd process, its ports and its folder.
 struct Node {
   std::uint32_t number = 0;
   std::string role;
@@ -27,8 +27,8 @@
   }
 };
 
-/// Three controllers, three ledgers, two gateways, four engines. Routes of the proxy are named
-/// `A-B` for the link that node A dials to node B, and `engine-N` for the way to engine N.
+/// Three controllers, three ledgers, two gateways and four engines. The proxy route for the link
+/// from node A to node B is named `A-B`, the route to engine N `engine-N`.
 class Fleet {
  public:
   Fleet();
@@ -38,57 +38,60 @@
 
   void startNode(Node& node, const std::vector<std::string>& flags = {});
   void startEmulator();
-  void stopEmulator() { emulator_->kill(); }
-  /// Fault of a route: pass, cut, black_hole, swallow_requests, swallow_answers, reset_after.
+  void stopEmulator() { m_emulator->kill(); }
+  /// Sets the fault of a route: pass, cut, black_hole, swallow_requests, swallow_answers or
+  /// reset_after (resets the connection after `bytes` bytes).
   void setFault(const std::string& route, const std::string& fault, std::uint64_t bytes = 0);
-  /// Sets the fault on both links between two nodes.
-  void setFaultBetween(const Node& one, const Node& other, const std::string& fault);
+  /// Sets the fault on the links between two nodes in both directions.
+  void setLinkFault(const Node& one, const Node& other, const std::string& fault);
 
-  [[nodiscard]] std::vector<Node>& controllers() { return controllers_; }
-  [[nodiscard]] std::vector<Node>& ledgers() { return ledgers_; }
-  [[nodiscard]] std::vector<Node>& gateways() { return gateways_; }
-  /// The controller that may answer, once there is one.
+  [[nodiscard]] std::vector<Node>& controllers() { return m_controllers; }
+  [[nodiscard]] std::vector<Node>& ledgers() { return m_ledgers; }
+  [[nodiscard]] std::vector<Node>& gateways() { return m_gateways; }
+  /// Waits for a controller that can serve reads and returns it.
   [[nodiscard]] Node& leader();
-  [[nodiscard]] Json status(const Node& controller) const;
-  [[nodiscard]] std::string folderOf(const Node& node) const { return folder_ + "/" + node.folder; }
+  [[nodiscard]] Json controllerStatus(const Node& controller) const;
+  [[nodiscard]] std::string directoryOf(const Node& node) const {
+    return m_folder + "/" + node.folder;
+  }
 
-  // Operators.
-  /// POST to the leader, repeated until it is answered with something else than 421 or 503.
-  HttpAnswer control(const std::string& path, const Json& body);
-  /// Sets a value on a settings node; returns the answer.
-  HttpAnswer set(const std::string& path, const std::string& key, const Json& value);
+  // Calls of operators.
+  /// Posts to the controllers until one responds with a status other than 421 and 503.
+  HttpResponse control(const std::string& path, const Json& body);
+  /// Sets a value at a path of the settings tree and returns the response.
+  HttpResponse setSetting(const std::string& path, const std::string& key, const Json& value);
 
-  // Callers and trainers.
-  [[nodiscard]] HttpAnswer complete(const Node& gateway, const Json& body,
-                                    const std::string& key = "") const;
-  /// Submits a batch of samples with the given lengths, repeated until it is accepted.
+  // Calls of callers and trainers.
+  [[nodiscard]] HttpResponse requestCompletion(const Node& gateway, const Json& body,
+                                               const std::string& key = "") const;
+  /// Submits a batch of samples with the given lengths; retries until it is accepted.
   void submitBatch(const std::string& name, const std::vector<std::uint32_t>& lengths,
                    std::uint64_t trainerVersion = 0);
-  /// Reads and checks the whole batch; returns the oldest version among its samples.
-  std::uint64_t readWholeBatch(const std::string& name, std::size_t samples);
+  /// Reads and checks all samples of a batch; returns the oldest version among them.
+  std::uint64_t readFullBatch(const std::string& name, std::size_t samples);
   void publishWeights(std::uint64_t version);
-  /// The emulator's record of what ran.
-  [[nodiscard]] Json engineRecord() const;
-  HttpAnswer emulatorAdmin(const std::string& path) const;
+  /// Returns the emulator's record of executed requests.
+  [[nodiscard]] Json executionRecord() const;
+  HttpResponse postToEmulator(const std::string& path) const;
 
  private:
   Node makeNode(const std::string& role, std::uint32_t number);
   std::uint16_t addRoute(const std::string& name, std::uint16_t target);
   void writeSettings(const Node& node);
-  HttpAnswer fromAnyGateway(HttpCall request);
+  HttpResponse callAnyGateway(HttpRequest request);
 
-  std::string folder_;
-  std::uint16_t proxy_port_ = 0;
-  std::uint16_t platform_port_ = 0;
-  std::uint16_t emulator_admin_port_ = 0;
-  std::vector<std::uint16_t> engine_ports_;
-  std::vector<std::uint16_t> announced_ports_;
-  std::unique_ptr<Process> proxy_;
-  std::unique_ptr<Process> emulator_;
-  std::vector<Node> controllers_;
-  std::vector<Node> ledgers_;
-  std::vector<Node> gateways_;
-  std::uint64_t request_number_ = 0;
+  std::string m_folder;
+  std::uint16_t m_proxyPort = 0;
+  std::uint16_t m_platformPort = 0;
+  std::uint16_t m_emulatorAdminPort = 0;
+  std::vector<std::uint16_t> m_enginePorts;
+  std::vector<std::uint16_t> m_advertisedPorts;
+  std::unique_ptr<Process> m_proxy;
+  std::unique_ptr<Process> m_emulator;
+  std::vector<Node> m_controllers;
+  std::vector<Node> m_ledgers;
+  std::vector<Node> m_gateways;
+  std::uint64_t m_lastRequestNumber = 0;
 };
 
 }  // namespace tackpick::test
--- a/test/integration/process.cpp
+++ b/test/integration/process.cpp
@@ -17,7 +17,7 @@
 namespace tackpick::test {
 namespace {
 
-std::string buildFolder() {
+std::string buildDirectory() {
   const char* folder = std::getenv("TACKPICK_BUILD");
   return folder == nullptr ? "build" : folder;
 }
@@ -46,16 +46,16 @@
 
 Process::Process(const std::string& program, const std::vector<std::string>& arguments,
                  const std::string& logFile) {
-  const std::string path = buildFolder() + "/" + program;
+  const std::string path = buildDirectory() + "/" + program;
   std::vector<char*> argv{const_cast<char*>(path.c_str())};
   for (const std::string& argument : arguments) {
     argv.push_back(const_cast<char*>(argument.c_str()));
   }
   argv.push_back(nullptr);
-  pid_ = fork();
-  cr_assert_geq(pid_, 0, "cannot start %s", path.c_str());
-  if (pid_ == 0) {
-    // It ends with the test, also when the test fails.
+  m_pid = fork();
+  cr_assert_geq(m_pid, 0, "cannot start %s", path.c_str());
+  if (m_pid == 0) {
+    // Kills the child when the test process exits, even if the test fails.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     constexpr mode_t kMode = 0644;
     const int log = open(logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, kMode);
@@ -69,8 +69,8 @@
 Process::~Process() { kill(); }
 
 void Process::signal(int number) const {
-  if (!ended_) {
-    ::kill(pid_, number);
+  if (!m_exited) {
+    ::kill(m_pid, number);
   }
 }
 
@@ -81,21 +81,21 @@
 }
 
 int Process::wait() {
-  if (!ended_) {
-    waitpid(pid_, &status_, 0);
-    ended_ = true;
+  if (!m_exited) {
+    waitpid(m_pid, &m_status, 0);
+    m_exited = true;
   }
-  return WIFEXITED(status_) ? WEXITSTATUS(status_) : -WTERMSIG(status_);
+  return WIFEXITED(m_status) ? WEXITSTATUS(m_status) : -WTERMSIG(m_status);
 }
 
-bool Process::hasRestarted() {
-  ended_ = ended_ || waitpid(pid_, &status_, WNOHANG) == pid_;
-  return ended_;
+bool Process::hasExited() {
+  m_exited = m_exited || waitpid(m_pid, &m_status, WNOHANG) == m_pid;
+  return m_exited;
 }
 
 std::uint16_t reservePort() {
-  // The socket stays bound, so that no other process nor outgoing connection gets the port. A
-  // listener that allows reuse can bind it all the same, because this socket does not listen.
+  // The socket stays bound but does not listen: no other process or outgoing connection gets the
+  // port, while a listener with SO_REUSEADDR can still bind it.
   const int reservation = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -108,15 +108,15 @@
   return ntohs(address.sin_port);
 }
 
-HttpAnswer call(const HttpCall& request) {
+HttpResponse sendRequest(const HttpRequest& request) {
   CURL* easy = curl_easy_init();
-  HttpAnswer answer = callOn(easy, request);
+  HttpResponse response = sendRequestOn(easy, request);
   curl_easy_cleanup(easy);
-  return answer;
+  return response;
 }
 
-HttpAnswer callOn(void* connection, const HttpCall& request) {
-  HttpAnswer answer;
+HttpResponse sendRequestOn(void* connection, const HttpRequest& request) {
+  HttpResponse response;
   CURL* easy = connection;
   curl_easy_reset(easy);
   curl_slist* headers = curl_slist_append(nullptr, "Expect:");
@@ -139,25 +139,26 @@
     curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(request.body.size()));
   }
   curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, collectBody);
-  curl_easy_setopt(easy, CURLOPT_WRITEDATA, &answer.body);
+  curl_easy_setopt(easy, CURLOPT_WRITEDATA, &response.body);
   curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, collectHeader);
-  curl_easy_setopt(easy, CURLOPT_HEADERDATA, &answer.headers);
+  curl_easy_setopt(easy, CURLOPT_HEADERDATA, &response.headers);
   if (curl_easy_perform(easy) == CURLE_OK) {
     long status = 0;
     curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
-    answer.status = static_cast<int>(status);
+    response.status = static_cast<int>(status);
   }
   curl_slist_free_all(headers);
-  return answer;
+  return response;
 }
 
 void waitUntil(const std::function<bool()>& condition, const std::string& what) {
-  constexpr auto kLimit = std::chrono::seconds(120);
-  constexpr auto kPause = std::chrono::milliseconds(20);
-  const auto end = std::chrono::steady_clock::now() + kLimit;
+  constexpr auto kTimeout = std::chrono::seconds(120);
+  constexpr auto kPollInterval = std::chrono::milliseconds(20);
+  const auto deadline = std::chrono::steady_clock::now() + kTimeout;
   while (!condition()) {
-    cr_assert(std::chrono::steady_clock::now() < end, "never came about: %s", what.c_str());
-    std::this_thread::sleep_for(kPause);
+    cr_assert(std::chrono::steady_clock::now() < deadline, "timed out waiting for: %s",
+              what.c_str());
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
--- a/test/integration/process.h
+++ b/test/integration/process.h
@@ -13,7 +13,7 @@
 
 namespace tackpick::test {
 
-/// A program of the build folder, started by the test and ended with it.
+/// Child process running a program of the build directory. The destructor kills it.
 class Process {
  public:
   Process(const std::string& program, const std::vector<std::string>& arguments,
@@ -23,28 +23,28 @@
   Process& operator=(const Process&) = delete;
 
   void signal(int number) const;
-  /// Kills it and waits for its end.
+  /// Kills the process and waits until it has exited.
   void kill();
-  /// Waits for its end; the exit code, or minus the signal's number.
+  /// Waits until the process has exited; returns its exit code, or the negated signal number.
   int wait();
-  [[nodiscard]] bool hasRestarted();
+  [[nodiscard]] bool hasExited();
 
  private:
-  pid_t pid_ = 0;
-  bool ended_ = false;
-  int status_ = 0;
+  pid_t m_pid = 0;
+  bool m_exited = false;
+  int m_status = 0;
 };
 
-/// A port of the operating system's choice, kept for this test until it ends.
+/// Returns a free port, which stays reserved until the test process exits.
 [[nodiscard]] std::uint16_t reservePort();
 
-struct HttpAnswer {
-  int status = 0;  ///< zero: no whole answer
+struct HttpResponse {
+  int status = 0;  ///< zero: no complete response
   std::string body;
   std::map<std::string, std::string> headers;  ///< names in lower case
 };
 
-struct HttpCall {
+struct HttpRequest {
   std::string method = "GET";
   std::string url;
   std::string body = {};
@@ -53,12 +53,12 @@
   long timeoutSeconds = 60;
 };
 
-[[nodiscard]] HttpAnswer call(const HttpCall& request);
-/// The same on a curl handle, which keeps its connection for the next call.
-[[nodiscard]] HttpAnswer callOn(void* connection, const HttpCall& request);
+[[nodiscard]] HttpResponse sendRequest(const HttpRequest& request);
+/// Sends a request on a curl handle, which keeps its connection open for the next request.
+[[nodiscard]] HttpResponse sendRequestOn(void* connection, const HttpRequest& request);
 
-/// Polls until the condition holds; fails the test when it never does. The verdict depends on the
-/// condition only: the limit is far beyond any healthy run.
+/// Polls until the condition holds; fails the test after a timeout far longer than any healthy run
+/// needs.
 void waitUntil(const std::function<bool()>& condition, const std::string& what);
 
 }  // namespace tackpick::test
--- a/test/integration/soak_clients.h
+++ b/test/integration/soak_clients.h
@@ -1,5 +1,5 @@
 /// \file
-/// The callers of a soak: each runs on a thread of its own and checks what it is told.
+/// Clients of a soak test. Each runs on its own thread and checks the responses that it receives.
 #pragma once
 
 #include <atomic>
@@ -13,13 +13,13 @@
 #include <vector>
 
 #include "base/random.h"
-#include "integration/self_formed_cluster.h"
-#include "integration/stand_in_engine.h"
+#include "integration/fake_engine.h"
+#include "integration/test_cluster.h"
 
 namespace tackpick::test {
 
-/// The first thing that went wrong; shared by all threads of a soak.
-class Problem {
+/// The first failure of a soak. Thread-safe.
+class FirstFailure {
  public:
   void report(const std::string& what);
   [[nodiscard]] std::string text() const;
@@ -29,9 +29,8 @@
   std::string m_text;
 };
 
-/// Addresses that callers may use, as they last stood in the operators' list. Shared by all
-/// threads of a soak.
-class AddressBook {
+/// Addresses of the controllers and gateways that clients may use. Thread-safe.
+class EndpointList {
  public:
   void set(std::vector<std::string> controllers, std::vector<std::string> gateways);
   [[nodiscard]] std::string controller(base::Random& random) const;
@@ -43,91 +42,90 @@
   std::vector<std::string> m_gateways;
 };
 
-/// Runs a step again and again until it is destroyed.
-class Repeating {
+/// Runs a step repeatedly on its own thread until it is destroyed.
+class RepeatingThread {
  public:
-  explicit Repeating(std::function<void()> step);
-  ~Repeating();
-  Repeating(const Repeating&) = delete;
-  Repeating& operator=(const Repeating&) = delete;
+  explicit RepeatingThread(std::function<void()> step);
+  ~RepeatingThread();
+  RepeatingThread(const RepeatingThread&) = delete;
+  RepeatingThread& operator=(const RepeatingThread&) = delete;
 
  private:
   std::atomic<bool> m_stopping = false;
   std::thread m_thread;
 };
 
-/// What the callers of a soak share.
+/// Objects that all clients of a soak share.
 struct SoakContext {
-  const SelfFormedCluster& cluster;
-  const AddressBook& addresses;
-  Problem& problem;
+  const TestCluster& cluster;
+  const EndpointList& addresses;
+  FirstFailure& failure;
 };
 
-/// Changes the configuration and reads it back: a read is never older than what was accepted before
-/// it was asked for.
+/// Replaces the configuration and reads it. Checks that a read returns no older version than the
+/// last one accepted before it.
 class Operator {
  public:
   Operator(SoakContext context, std::uint64_t seed) : m_context(context), m_random(seed) {}
 
   void step();
-  [[nodiscard]] std::uint64_t accepted() const { return m_accepted; }
+  [[nodiscard]] std::uint64_t acceptedVersion() const { return m_acceptedVersion; }
 
  private:
-  /// True when the newest version was accepted.
-  bool change();
-  void read();
+  /// Returns whether the newest version was accepted.
+  bool replaceConfiguration();
+  void readConfiguration();
 
   const SoakContext m_context;
   base::SeededRandom m_random;
   std::uint64_t m_version = 2;
-  std::atomic<std::uint64_t> m_accepted = 0;
+  std::atomic<std::uint64_t> m_acceptedVersion = 0;
 };
 
-/// Publishes weights of its model, now and then two versions at once, submits a batch that allows
-/// the newest two, reads it whole and ends it. A batch that was accepted is there from then on, a
-/// position that was read stays as it is, and no text comes from weights that are too old or that
-/// were never published.
+/// Publishes weights of its model and submits a batch that allows the newest two versions. Checks
+/// that an accepted batch exists, that results keep their positions and that they stem from
+/// allowed, published versions.
 class Trainer {
  public:
-  /// `key`: of the tenant whose batches these are.
+  /// `key`: API key of the tenant that submits the batches.
   Trainer(SoakContext context, std::string model, std::string key, std::uint64_t seed)
       : m_context(context), m_model(std::move(model)), m_key(std::move(key)), m_random(seed) {}
 
   void step();
-  /// Batches read whole.
-  [[nodiscard]] std::size_t whole() const { return m_whole; }
+  /// Returns the number of batches that were read completely.
+  [[nodiscard]] std::size_t completedBatches() const { return m_completedBatches; }
 
  private:
   void publish();
   void submit();
-  void read();
+  void readResults();
   void checkVersions(const runtime::Json& result);
-  HttpAnswer callGateway(const std::string& method, const std::string& path,
-                         const std::string& body, const std::string& id);
+  HttpResponse callGateway(const std::string& method, const std::string& path,
+                           const std::string& body, const std::string& id);
 
   const SoakContext m_context;
   const std::string m_model;
   const std::string m_key;
   base::SeededRandom m_random;
-  std::uint64_t m_published = 1;  ///< newest version that was accepted
-  std::uint64_t m_toPublish = 0;  ///< versions before the next batch
-  std::uint64_t m_minimum = 1;    ///< of the batch under way
-  std::string m_name = {};        ///< of the batch under way; empty: none
-  bool m_acceptedBatch = false;
-  std::uint64_t m_batches = 0;
-  std::map<std::size_t, std::string> m_seen;  ///< results by position
-  std::atomic<std::size_t> m_whole = 0;
+  std::uint64_t m_publishedVersion = 1;   ///< newest accepted version
+  std::uint64_t m_versionsToPublish = 0;  ///< versions to publish before the next batch
+  std::uint64_t m_minVersion = 1;         ///< oldest version that the current batch allows
+  std::string m_batchName = {};           ///< current batch; empty: none
+  bool m_batchAccepted = false;
+  std::uint64_t m_batchCount = 0;
+  std::map<std::size_t, std::string> m_resultsByPosition;
+  std::atomic<std::size_t> m_completedBatches = 0;
 };
 
-/// Sends one request after the other on one connection to each gateway, which it keeps until the
-/// gateway closes it. An answer belongs to its request and is whole.
-class KeptCaller {
+/// Sends requests over one kept-alive connection to each gateway. Checks that each response is
+/// complete and belongs to its request.
+class KeepAliveCaller {
  public:
-  explicit KeptCaller(SoakContext context, std::uint64_t seed)
+  explicit KeepAliveCaller(SoakContext context, std::uint64_t seed)
       : m_context(context), m_random(seed) {}
-  ~KeptCaller();
-  KeptCaller(const KeptCaller&) = delete;
-  KeptCaller& operator=(const KeptCaller&) = delete;
+  ~KeepAliveCaller();
+  KeepAliveCaller(const KeepAliveCaller&) = delete;
+  KeepAliveCaller& operator=(const KeepAliveCaller&) = delete;
 
   void step();
   [[nodiscard]] std::size_t served() const { return m_served; }
@@ -140,43 +138,42 @@
   std::atomic<std::size_t> m_served = 0;
 };
 
-/// Sends one request that ends each engine that runs it, again and again, under another id and at
-/// any gateway.
-class EndingCaller {
+/// Repeats a request that crashes engines, each time under a new id and at a random gateway.
+class CrashingCaller {
  public:
-  EndingCaller(SoakContext context, std::uint64_t seed) : m_context(context), m_random(seed) {}
+  CrashingCaller(SoakContext context, std::uint64_t seed) : m_context(context), m_random(seed) {}
 
   void step();
 
  private:
   const SoakContext m_context;
   base::SeededRandom m_random;
-  std::uint64_t m_tries = 0;
+  std::uint64_t m_attempts = 0;
 };
 
-/// Sends the heartbeats of an engine that may start again under its name.
-class EngineLife {
+/// Engine that restarts under its name after a crash, and sends its heartbeats.
+class RestartableEngine {
  public:
-  EngineLife(SoakContext context, std::string name, std::uint64_t seed);
+  RestartableEngine(SoakContext context, std::string name, std::uint64_t seed);
 
   void step();
-  /// The engine dies, and another life of it begins at another port.
+  /// Replaces the engine by a new incarnation at another port.
   void restart();
-  /// Lives that a request has ended.
-  [[nodiscard]] std::size_t endedByRequests() const { return m_endedByRequests; }
+  /// Returns how many incarnations were crashed by requests.
+  [[nodiscard]] std::size_t crashCount() const { return m_crashCount; }
 
  private:
-  void beginLife();
+  void startIncarnation();
 
   const SoakContext m_context;
   const std::string m_name;
   base::SeededRandom m_random;
-  EngineBehaviour m_behaviour;  ///< drawn once: engines differ
+  FakeEngineOptions m_options;  ///< random for each engine
   std::mutex m_mutex;
-  std::unique_ptr<StandInEngine> m_engine;
-  std::uint64_t m_born = 1;
+  std::unique_ptr<FakeEngine> m_engine;
+  std::uint64_t m_startTime = 1;
   std::uint64_t m_sequence = 0;
-  std::atomic<std::size_t> m_endedByRequests = 0;
+  std::atomic<std::size_t> m_crashCount = 0;
 };
 
 }  // namespace tackpick::test
