--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// tackpick-capacity: what each role costs as the fleet grows. The daemon's own modules run for
-/// hundreds of hollow gateways and thousands of hollow engines in one process, without token
-/// traffic. Prints one table a slope; --data FOLDER also writes columns for the plots.
+/// tackpick-capacity: measures the cost of each role as the cluster grows. Simulates up to
+/// thousands of gateways and engines without token traffic in one process, using the daemon's own
+/// modules. Prints one table for each benchmark; --data FOLDER also writes the columns for the
+/// plots.
 #include <malloc.h>
 
 #include <algorithm>
@@ -36,7 +37,7 @@
 constexpr std::size_t kLedger = 1;
 constexpr std::size_t kGateway = 2;
 
-/// A table on standard output and, when a folder is given, a file of columns.
+/// Prints a table to standard output and, if a folder is given, writes its columns to a file.
 class Table {
  public:
   Table(const std::string& title, const std::string& name, const std::string& folder,
@@ -51,39 +52,42 @@
     }
     std::cout << std::endl;
     if (!folder.empty()) {
-      file_.open(folder + "/" + name + ".txt");
+      m_file.open(folder + "/" + name + ".txt");
     }
   }
 
   void row(const std::vector<double>& values) {
     std::ostringstream line;
-    std::ostringstream plain;
+    std::ostringstream dataLine;
     constexpr int kDigits = 4;
     for (const double value : values) {
       line << ' ' << std::setprecision(kDigits) << value << " |";
-      plain << value << ' ';
+      dataLine << value << ' ';
     }
     std::cout << "|" << line.str() << std::endl;
-    if (file_.is_open()) {
-      file_ << plain.str() << std::endl;
+    if (m_file.is_open()) {
+      m_file << dataLine.str() << std::endl;
     }
   }
 
  private:
-  std::ofstream file_;
+  std::ofstream m_file;
 };
 
-double percentile(std::vector<double> values, double share) {
+/// Returns the given quantile (0 to 1) of the values; zero if there are none.
+double percentile(std::vector<double> values, double quantile) {
   if (values.empty()) {
     return 0.0;
   }
   std::sort(values.begin(), values.end());
-  return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
+  return values[static_cast<std::size_t>(quantile * static_cast<double>(values.size() - 1))];
 }
 
-/// A fleet without callers and trainers; one operator changes the root now and then.
-SimulationOptions hollowFleet(std::uint32_t gateways, std::uint32_t engines, double changesPerDay) {
-  constexpr double kNever = 1e9;
+/// Returns the options of a cluster without callers and trainers, in which one operator changes the
+/// root settings node.
+SimulationOptions idleClusterOptions(std::uint32_t gateways, std::uint32_t engines,
+                                     double changesPerDay) {
+  constexpr double kNoChangeInterval = 1e9;
   SimulationOptions options;
   options.gateways = gateways;
   options.engines = engines;
@@ -91,7 +95,7 @@
   options.load.requestsPerSecond = 1e-6;
   options.load.trainers = 0;
   options.load.operators = 1;
-  const double interval = changesPerDay > 0 ? kSecondsPerDay / changesPerDay : kNever;
+  const double interval = changesPerDay > 0 ? kSecondsPerDay / changesPerDay : kNoChangeInterval;
   options.load.changeInterval = base::milliseconds(static_cast<std::int64_t>(interval * 1000.0));
   options.gateway.readersPerEngine = 2;
   options.warmUp = base::seconds(3);
@@ -105,12 +109,13 @@
   return world.run();
 }
 
-/// Share of one core, in percent, that one node of a role takes.
-double corePercent(const RoleCost& meter, double nodes, double seconds) {
+/// Returns the CPU usage of one node of a role, in percent of one core.
+double cpuPercent(const RoleCost& meter, double nodes, double seconds) {
   return static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond / seconds / nodes *
          kPercent;
 }
 
+/// Returns the bytes that one node of a role sends and receives per second.
 double bytesPerSecond(const RoleCost& meter, double nodes, double seconds) {
   const auto bytes =
       static_cast<double>(RoleCost::total(meter.sent) + RoleCost::total(meter.received));
@@ -118,20 +123,20 @@
 }
 
 void measureGateways(const std::string& folder) {
-  Table table("Gateways (10 engines, 17,000 changes a day)", "gateways", folder,
+  Table table("Gateways (10 engines, 17,000 changes per day)", "gateways", folder,
               {"gateways", "controller core % (mean of 3)", "controller B/s", "gateway core %",
                "gateway B/s", "in force p50 ms", "in force p99 ms"});
   for (const std::uint32_t gateways : {1U, 10U, 50U, 100U, 200U, 340U}) {
-    SimulationOptions options = hollowFleet(gateways, 10, kChangesPerDay);
+    SimulationOptions options = idleClusterOptions(gateways, 10, kChangesPerDay);
     options.faultTime = base::seconds(60);
     const RunResult result = runOnce(options);
     const double seconds = base::toSeconds(options.faultTime);
     constexpr double kMedian = 0.5;
     constexpr double kTail = 0.99;
     table.row({static_cast<double>(gateways),
-               corePercent(result.meters[kController], options.controllers, seconds),
+               cpuPercent(result.meters[kController], options.controllers, seconds),
                bytesPerSecond(result.meters[kController], options.controllers, seconds),
-               corePercent(result.meters[kGateway], gateways, seconds),
+               cpuPercent(result.meters[kGateway], gateways, seconds),
                bytesPerSecond(result.meters[kGateway], gateways, seconds),
                percentile(result.figures.changeSeconds, kMedian) * kMillisPerSecond,
                percentile(result.figures.changeSeconds, kTail) * kMillisPerSecond});
@@ -140,47 +145,47 @@
 
 void measureChanges(const std::string& folder) {
   Table table("Settings changes (50 gateways, 10 engines)", "changes", folder,
-              {"changes a day", "controller core %", "controller B/s", "gateway core %",
+              {"changes per day", "controller core %", "controller B/s", "gateway core %",
                "gateway B/s", "accepted"});
   for (const double factor : {0.0, 1.0, 3.0, 10.0}) {
-    SimulationOptions options = hollowFleet(50, 10, kChangesPerDay * factor);
+    SimulationOptions options = idleClusterOptions(50, 10, kChangesPerDay * factor);
     options.faultTime = base::seconds(60);
     const RunResult result = runOnce(options);
     const double seconds = base::toSeconds(options.faultTime);
     table.row({kChangesPerDay * factor,
-               corePercent(result.meters[kController], options.controllers, seconds),
+               cpuPercent(result.meters[kController], options.controllers, seconds),
                bytesPerSecond(result.meters[kController], options.controllers, seconds),
-               corePercent(result.meters[kGateway], options.gateways, seconds),
+               cpuPercent(result.meters[kGateway], options.gateways, seconds),
                bytesPerSecond(result.meters[kGateway], options.gateways, seconds),
                static_cast<double>(result.figures.changesAccepted)});
   }
 }
 
 void measureEngines(const std::string& folder) {
-  Table table("Engines (each read by 2 gateways; 20 gateways, so 10% of the engines each)",
+  Table table("Engines (each polled by 2 gateways; 20 gateways, so 10% of the engines each)",
               "engines", folder,
               {"engines", "controller core %", "controller B/s", "gateway core %", "gateway B/s",
-               "engine reads/s a gateway"});
+               "engine polls/s per gateway"});
   for (const std::uint32_t engines : {10U, 100U, 500U, 1500U, 4500U}) {
-    SimulationOptions options = hollowFleet(20, engines, 0);
+    SimulationOptions options = idleClusterOptions(20, engines, 0);
     options.faultTime = base::seconds(5);
     const RunResult result = runOnce(options);
     const double seconds = base::toSeconds(options.faultTime);
-    const double reads =
+    const double pollsPerSecond =
         static_cast<double>(result.meters[kGateway].engineReads) / seconds / options.gateways;
     table.row({static_cast<double>(engines),
-               corePercent(result.meters[kController], options.controllers, seconds),
+               cpuPercent(result.meters[kController], options.controllers, seconds),
                bytesPerSecond(result.meters[kController], options.controllers, seconds),
-               corePercent(result.meters[kGateway], options.gateways, seconds),
-               bytesPerSecond(result.meters[kGateway], options.gateways, seconds), reads});
+               cpuPercent(result.meters[kGateway], options.gateways, seconds),
+               bytesPerSecond(result.meters[kGateway], options.gateways, seconds), pollsPerSecond});
   }
 }
 
 void measureRollouts(const std::string& folder) {
-  Table table("New weights on all engines (2 GB an engine, store of 200 GB/s)", "rollouts", folder,
+  Table table("New weights on all engines (2 GB per engine, store of 200 GB/s)", "rollouts", folder,
               {"engines", "publish to last engine s", "controller core %", "controller B/s"});
   for (const std::uint32_t engines : {100U, 500U, 1500U, 4500U}) {
-    SimulationOptions options = hollowFleet(4, engines, 0);
+    SimulationOptions options = idleClusterOptions(4, engines, 0);
     options.storeBytesPerSecond = 200'000'000'000;
     options.controller.rollout.concurrentLoads = 400;
     options.load.trainers = 1;
@@ -195,7 +200,7 @@
     const double seconds = base::toSeconds(options.faultTime);
     table.row({static_cast<double>(engines),
                result.figures.rolloutSeconds.empty() ? -1.0 : result.figures.rolloutSeconds.front(),
-               corePercent(result.meters[kController], options.controllers, seconds),
+               cpuPercent(result.meters[kController], options.controllers, seconds),
                bytesPerSecond(result.meters[kController], options.controllers, seconds)});
   }
 }
@@ -243,8 +248,8 @@
 }
 
 void measureLedgers(const std::string& folder) {
-  Table table("Ledger samples (one group; 300 tokens a sample)", "ledgers", folder,
-              {"samples", "snapshot bytes", "heap bytes", "us a sample (submit, lease, commit)",
+  Table table("Ledger samples (one group; 300 tokens per sample)", "ledgers", folder,
+              {"samples", "snapshot bytes", "heap bytes", "us per sample (submit, lease, commit)",
                "snapshot ms"});
   for (const std::uint32_t samples : {256U, 2048U, 18'432U}) {
     constexpr std::uint32_t kTokens = 300;
@@ -289,9 +294,10 @@
 
 void measureLedgerGroup(const std::string& folder) {
   Table table("A ledger group under a trainer (3 replicas, per committed sample)", "ledger-group",
-              folder, {"samples a batch", "ledger core ms a sample", "ledger bytes a sample"});
+              folder,
+              {"samples per batch", "ledger core ms per sample", "ledger bytes per sample"});
   for (const std::uint32_t samples : {64U, 256U, 1024U}) {
-    SimulationOptions options = hollowFleet(4, 40, 0);
+    SimulationOptions options = idleClusterOptions(4, 40, 0);
     options.load.trainers = 1;
     options.load.samplesPerBatch = samples;
     options.load.maxSampleTokens = 300;
@@ -307,7 +313,8 @@
   }
 }
 
-struct Slope {
+/// A measured series; `folder` is where its data file is written, empty for none.
+struct Benchmark {
   std::string name;
   void (*measure)(const std::string& folder);
 };
@@ -315,27 +322,28 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::vector<Slope> slopes = {
+  const std::vector<Benchmark> benchmarks = {
       {"workloads", measureWorkloads},      {"ledgers", measureLedgers},
       {"ledger-group", measureLedgerGroup}, {"gateways", measureGateways},
       {"changes", measureChanges},          {"engines", measureEngines},
       {"rollouts", measureRollouts}};
-  cxxopts::Options parser("tackpick-capacity", "Measures what each role costs as the fleet grows");
+  cxxopts::Options parser("tackpick-capacity",
+                          "Measures the cost of each role as the cluster grows");
   parser.add_options()("only",
-                       "one slope: workloads, ledgers, ledger-group, gateways, changes, "
+                       "benchmark to run: workloads, ledgers, ledger-group, gateways, changes, "
                        "engines, rollouts",
                        cxxopts::value<std::string>()->default_value(""))(
-      "data", "folder for the plots' columns", cxxopts::value<std::string>()->default_value(""))(
-      "help", "print this");
+      "data", "folder for the data files of the plots",
+      cxxopts::value<std::string>()->default_value(""))("help", "print this help");
   const auto parsed = parser.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << parser.help();
     return 0;
   }
   const std::string only = parsed["only"].as<std::string>();
-  for (const Slope& slope : slopes) {
-    if (only.empty() || only == slope.name) {
-      slope.measure(parsed["data"].as<std::string>());
+  for (const Benchmark& benchmark : benchmarks) {
+    if (only.empty() || only == benchmark.name) {
+      benchmark.measure(parsed["data"].as<std::string>());
     }
   }
   return 0;
--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a gateway's call for items costs the ledgers' leader, by queued items and engines, and what
-/// a plan of the queue costs.
+/// Measures the duration of lease requests and of queue plans at the ledgers' leader by number of
+/// queued items and engines.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -20,11 +20,11 @@
 constexpr std::uint32_t kSlots = 6;
 constexpr std::uint32_t kSlotsPerGateway = 24;
 constexpr std::uint32_t kCallsPerGateway = 40;
-constexpr std::uint32_t kRoom = 1000000;
+constexpr std::uint32_t kUnlimitedSlots = 1000000;
 
 std::string modelName(std::uint32_t index) { return "model" + std::to_string(index % kModels); }
 
-jobs::JobState stateWith(std::uint32_t items) {
+jobs::JobState makeState(std::uint32_t items) {
   jobs::JobState state;
   for (std::uint32_t first = 0; first < items; first += kItemsPerJob) {
     const std::uint32_t number = first / kItemsPerJob;
@@ -53,19 +53,19 @@
   return engines;
 }
 
-jobs::FreeSlots roomFor(std::uint32_t placesOfEachModel) {
-  jobs::FreeSlots room;
+jobs::FreeSlots makeFreeSlots(std::uint32_t slotsPerModel) {
+  jobs::FreeSlots freeSlots;
   for (std::uint32_t model = 0; model < kModels; ++model) {
-    room.add(modelName(model), 1, placesOfEachModel);
+    freeSlots.add(modelName(model), 1, slotsPerModel);
   }
-  return room;
+  return freeSlots;
 }
 
-/// Mean microseconds of a call in which a gateway renews what it holds and asks for more; before
-/// each its oldest item is done, so that a place has become free.
+/// Returns the mean duration in microseconds of a request in which a gateway renews its leases and
+/// asks for more items. Before each request the gateway's oldest item finishes and frees a slot.
 double measure(std::uint32_t items, std::uint32_t engines) {
   constexpr std::uint32_t kZones = 5;
-  const jobs::JobState state = stateWith(items);
+  const jobs::JobState state = makeState(items);
   base::TimePoint now{base::seconds(1)};
   jobs::ItemLeases leases(base::milliseconds(1500), base::milliseconds(5));
   leases.reset(1, now, base::Duration{0});
@@ -74,41 +74,43 @@
   }
   leases.setEngines(makeEngines(engines, kZones));
   const std::uint32_t gateways = std::max(kZones, engines * kSlots / kSlotsPerGateway);
-  const jobs::FreeSlots room = roomFor(kRoom);
+  const jobs::FreeSlots freeSlots = makeFreeSlots(kUnlimitedSlots);
   std::vector<std::vector<jobs::HeldItem>> held(gateways);
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   for (std::uint32_t call = 0; call < gateways * kCallsPerGateway; ++call) {
     const std::uint32_t index = call % gateways;
     const base::NodeId gateway = base::makeNodeId(index + 1, 1);
     now += base::microseconds(126000 / gateways);
-    std::vector<jobs::HeldItem>& own = held[index];
-    if (!own.empty()) {
-      own.erase(own.begin());
+    std::vector<jobs::HeldItem>& heldItems = held[index];
+    if (!heldItems.empty()) {
+      heldItems.erase(heldItems.begin());
     }
-    (void)leases.renew(gateway, own, state, now);
-    leases.giveBack(gateway, own, state);
+    (void)leases.renew(gateway, heldItems, state, now);
+    leases.giveBack(gateway, heldItems, state);
     leases.onLeaseRequest(gateway, "zone" + std::to_string(index % kZones), true, now);
-    for (const jobs::GrantedItem& granted : leases.lease(gateway, room, state, now)) {
-      own.push_back({granted.key, granted.engine});
+    for (const jobs::GrantedItem& granted : leases.lease(gateway, freeSlots, state, now)) {
+      heldItems.push_back({granted.key, granted.engine});
     }
   }
-  const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begun;
-  return took.count() / (gateways * kCallsPerGateway);
+  const std::chrono::duration<double, std::micro> elapsed =
+      std::chrono::steady_clock::now() - start;
+  return elapsed.count() / (gateways * kCallsPerGateway);
 }
 
+/// Duration of a plan in microseconds.
 struct PlanCost {
-  double mean = 0;  ///< microseconds
+  double mean = 0;
   double worst = 0;
 };
 
-/// Plans one after the other, while the engines are full but for what one gateway in a hundred gave
-/// back.
+/// Measures plans of the queue while all engines are full except for the slots that one gateway in
+/// a hundred has released.
 PlanCost measurePlans(std::uint32_t items, std::uint32_t engines, jobs::SchedulerPolicy policy) {
   constexpr std::uint32_t kPlans = 100;
-  constexpr std::uint32_t kGivingBack = 100;
+  constexpr std::uint32_t kGatewaysPerRelease = 100;
   const std::uint32_t slots = engines * (kSlots + 1);
   const std::uint32_t gateways = slots / kSlotsPerGateway;
-  const jobs::JobState state = stateWith(items + slots);
+  const jobs::JobState state = makeState(items + slots);
   base::TimePoint now{base::seconds(1)};
   jobs::ItemLeases leases(base::seconds(1000), base::milliseconds(5), policy);
   leases.reset(1, now, base::Duration{0});
@@ -116,35 +118,36 @@
     leases.addJob(id, job, now);
   }
   leases.setEngines(makeEngines(engines, 1));
-  const jobs::FreeSlots room = roomFor(kSlotsPerGateway / kModels);
+  const jobs::FreeSlots freeSlots = makeFreeSlots(kSlotsPerGateway / kModels);
   for (std::uint32_t number = 1; number <= gateways; ++number) {
     leases.onLeaseRequest(base::makeNodeId(number, 1), "zone0", true, now);
-    (void)leases.lease(base::makeNodeId(number, 1), room, state, now);
+    (void)leases.lease(base::makeNodeId(number, 1), freeSlots, state, now);
   }
   PlanCost cost;
   std::uint32_t next = 0;
   for (std::uint32_t plan = 0; plan < kPlans; ++plan) {
     now += base::milliseconds(5);
-    std::vector<base::NodeId> free;
-    for (std::uint32_t i = 0; i <= gateways / kGivingBack; ++i) {
-      free.push_back(base::makeNodeId(next++ % gateways + 1, 1));
-      leases.giveBack(free.back(), {}, state);
+    std::vector<base::NodeId> releasing;
+    for (std::uint32_t i = 0; i <= gateways / kGatewaysPerRelease; ++i) {
+      releasing.push_back(base::makeNodeId(next++ % gateways + 1, 1));
+      leases.giveBack(releasing.back(), {}, state);
     }
-    const auto begun = std::chrono::steady_clock::now();
-    (void)leases.lease(free.front(), room, state, now);
-    const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begun;
-    cost.mean += took.count() / kPlans;
-    cost.worst = std::max(cost.worst, took.count());
-    for (const base::NodeId gateway : free) {
-      (void)leases.lease(gateway, room, state, now);
+    const auto start = std::chrono::steady_clock::now();
+    (void)leases.lease(releasing.front(), freeSlots, state, now);
+    const std::chrono::duration<double, std::micro> elapsed =
+        std::chrono::steady_clock::now() - start;
+    cost.mean += elapsed.count() / kPlans;
+    cost.worst = std::max(cost.worst, elapsed.count());
+    for (const base::NodeId gateway : releasing) {
+      (void)leases.lease(gateway, freeSlots, state, now);
     }
   }
   return cost;
 }
 
 void printPlans(const char* name, jobs::SchedulerPolicy policy) {
-  std::printf("\nmicroseconds a plan, %s: mean (worst)\n%8s %18s %18s %18s\n", name, "items", "100",
-              "1000", "10000");
+  std::printf("\nmicroseconds per plan, %s: mean (worst)\n%8s %18s %18s %18s\n", name, "items",
+              "100", "1000", "10000");
   for (const std::uint32_t items : {1000U, 10000U}) {
     std::printf("%8u", items);
     for (const std::uint32_t engines : {100U, 1000U, 10000U}) {
@@ -158,8 +161,8 @@
 }  // namespace
 
 int main() {
-  std::printf("microseconds a call, plans included\n%8s %8s %8s %8s\n", "items", "30", "300",
-              "3000");
+  std::printf("microseconds per lease request, plans included\n%8s %8s %8s %8s\n", "items", "30",
+              "300", "3000");
   for (const std::uint32_t items : {100U, 1000U, 10000U}) {
     std::printf("%8u %8.1f %8.1f %8.1f\n", items, measure(items, 30), measure(items, 300),
                 measure(items, 3000));
--- a/bench/placement/main.cpp
+++ b/bench/placement/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What placing an item costs the ledgers' leader, by engines.
+/// Measures the duration of item placement at the ledgers' leader by number of engines.
 #include <chrono>
 #include <cstdio>
 #include <string>
@@ -20,22 +20,23 @@
 constexpr base::Duration kPlanInterval = base::milliseconds(20);
 constexpr base::Duration kReportInterval = base::milliseconds(500);
 
+/// Mean durations in microseconds.
 struct Costs {
-  double placeUs = 0;
-  double planUs = 0;  ///< before the first placement of a plan
-  double reportUs = 0;
+  double placementUs = 0;  ///< one placement
+  double planUs = 0;       ///< new loads and the first placement for each model
+  double reportUs = 0;     ///< one report of all event intervals
 };
 
 class Timer {
  public:
-  [[nodiscard]] double micros() const {
-    const std::chrono::duration<double, std::micro> took =
-        std::chrono::steady_clock::now() - m_begun;
-    return took.count();
+  [[nodiscard]] double microseconds() const {
+    const std::chrono::duration<double, std::micro> elapsed =
+        std::chrono::steady_clock::now() - m_start;
+    return elapsed.count();
   }
 
  private:
-  std::chrono::steady_clock::time_point m_begun = std::chrono::steady_clock::now();
+  std::chrono::steady_clock::time_point m_start = std::chrono::steady_clock::now();
 };
 
 std::vector<jobs::PlacementEngine> makeEngines(std::uint32_t count) {
@@ -49,7 +50,7 @@
   return engines;
 }
 
-std::map<std::string, jobs::EventIntervalReport> makeReports(std::uint32_t engines) {
+std::map<std::string, jobs::EventIntervalReport> makeEventIntervalReports(std::uint32_t engines) {
   constexpr double kFastMs = 40;
   constexpr double kSlowMs = 90;
   std::map<std::string, jobs::EventIntervalReport> reports;
@@ -59,7 +60,7 @@
   return reports;
 }
 
-jobs::ItemRequirements requirementsOf(std::uint32_t item) {
+jobs::ItemRequirements makeRequirements(std::uint32_t item) {
   constexpr std::uint32_t kMaxEvents = 150;
   return {"model" + std::to_string(item % kModels), 1, 1.0 + item % kMaxEvents,
           base::milliseconds(7500)};
@@ -69,44 +70,46 @@
   jobs::EnginePlacement placement;
   base::TimePoint now{base::seconds(100)};
   placement.setEngines(makeEngines(engines));
-  const auto reports = makeReports(engines);
+  const auto reports = makeEventIntervalReports(engines);
   base::TimePoint reportedAt{};
-  double reportsUs = 0;
-  double plansUs = 0;
-  double placesUs = 0;
-  std::uint32_t told = 0;
+  double totalReportUs = 0;
+  double totalPlanUs = 0;
+  double totalPlacementUs = 0;
+  std::uint32_t reportCount = 0;
   for (std::uint32_t plan = 0; plan < kPlans; ++plan) {
     now += kPlanInterval;
     if (now - reportedAt >= kReportInterval) {
       reportedAt = now;
-      const Timer timer;
+      const Timer reportTimer;
       placement.recordEventIntervals(reports, now);
-      reportsUs += timer.micros();
-      ++told;
+      totalReportUs += reportTimer.microseconds();
+      ++reportCount;
     }
-    const Timer planning;
+    const Timer planTimer;
     placement.setLoads({}, now);
     for (std::uint32_t model = 0; model < kModels; ++model) {
-      (void)placement.place(requirementsOf(model));
+      (void)placement.place(makeRequirements(model));
     }
-    plansUs += planning.micros();
-    const Timer placing;
+    totalPlanUs += planTimer.microseconds();
+    const Timer placementTimer;
     for (std::uint32_t item = 0; item < kItemsPerPlan; ++item) {
-      (void)placement.place(requirementsOf(item));
+      (void)placement.place(makeRequirements(item));
     }
-    placesUs += placing.micros();
+    totalPlacementUs += placementTimer.microseconds();
   }
-  return {placesUs / (kPlans * kItemsPerPlan), plansUs / kPlans, reportsUs / told};
+  return {totalPlacementUs / (kPlans * kItemsPerPlan), totalPlanUs / kPlans,
+          totalReportUs / reportCount};
 }
 
 }  // namespace
 
 int main() {
   std::printf("microseconds\n%8s %10s %14s %20s\n", "engines", "an item", "a plan's begin",
-              "reports of all paces");
+              "interval reports");
   for (const std::uint32_t engines : {100U, 1000U, 10000U}) {
     const Costs costs = measure(engines);
-    std::printf("%8u %10.2f %14.1f %20.1f\n", engines, costs.placeUs, costs.planUs, costs.reportUs);
+    std::printf("%8u %10.2f %14.1f %20.1f\n", engines, costs.placementUs, costs.planUs,
+                costs.reportUs);
   }
   return 0;
 }
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// tackpick-policy: compares scheduling policies in the simulator, both users' profiles, the same
-/// seeds for each. Prints one line a profile and policy, with the spread over the seeds.
+/// tackpick-policy: compares scheduling policies in the simulator on both deployment profiles with
+/// the same seeds. Prints one table row for each profile and policy, with the spread over the
+/// seeds.
 #include <algorithm>
 #include <cxxopts.hpp>
 #include <fstream>
@@ -23,6 +24,7 @@
 
 using Configure = void (*)(SimulationOptions&);
 
+/// A profile or policy; `configure` applies it to the options.
 struct NamedOptions {
   std::string name;
   Configure configure;
@@ -55,9 +57,9 @@
   options.load.trainingTime = base::milliseconds(3500);
 }
 
-void current(SimulationOptions& /*options*/) {}
+void currentPolicy(SimulationOptions& /*options*/) {}
 
-void baseline(SimulationOptions& options) {
+void baselinePolicy(SimulationOptions& options) {
   options.gateway.queue.fifo = true;
   options.gateway.selector.policy = routing::SelectionPolicy::kRoundRobin;
   options.gateway.resumePartial = false;
@@ -80,39 +82,39 @@
   options.faults.failSwap = base::seconds(5);
 }
 
-/// The value below which the given share lies.
-double percentile(std::vector<double> values, double share) {
+/// Returns the given quantile (0 to 1) of the values; zero if there are none.
+double percentile(std::vector<double> values, double quantile) {
   if (values.empty()) {
     return 0.0;
   }
   std::sort(values.begin(), values.end());
   const auto last = static_cast<double>(values.size() - 1);
-  return values[static_cast<std::size_t>(share * last)];
+  return values[static_cast<std::size_t>(quantile * last)];
 }
 
-/// Mean and extremes of one figure over the seeds.
+/// Mean, minimum and maximum of a metric over the seeds.
 struct Spread {
   double mean = 0.0;
-  double least = 0.0;
-  double most = 0.0;
+  double min = 0.0;
+  double max = 0.0;
 };
 
-Spread spreadOf(const std::vector<RunResult>& results,
-                const std::function<double(const RunResult&)>& figure) {
+Spread computeSpread(const std::vector<RunResult>& results,
+                     const std::function<double(const RunResult&)>& metric) {
   Spread spread;
   for (std::size_t i = 0; i < results.size(); ++i) {
-    const double value = figure(results[i]);
+    const double value = metric(results[i]);
     spread.mean += value / static_cast<double>(results.size());
-    spread.least = i == 0 ? value : std::min(spread.least, value);
-    spread.most = i == 0 ? value : std::max(spread.most, value);
+    spread.min = i == 0 ? value : std::min(spread.min, value);
+    spread.max = i == 0 ? value : std::max(spread.max, value);
   }
   return spread;
 }
 
 std::string toText(const Spread& spread, int digits) {
   std::ostringstream text;
-  text << std::fixed << std::setprecision(digits) << spread.mean << " (" << spread.least << "-"
-       << spread.most << ")";
+  text << std::fixed << std::setprecision(digits) << spread.mean << " (" << spread.min << "-"
+       << spread.max << ")";
   return text.str();
 }
 
@@ -132,39 +134,42 @@
   return results;
 }
 
-double firstTokenMillis(const RunResult& result, double share) {
+/// Returns a quantile of the time to first token in milliseconds.
+double firstTokenMillis(const RunResult& result, double quantile) {
   constexpr double kMillisPerSecond = 1000.0;
-  return percentile(result.figures.firstTokenSeconds, share) * kMillisPerSecond;
+  return percentile(result.figures.firstTokenSeconds, quantile) * kMillisPerSecond;
 }
 
 void print(const std::string& profile, const std::string& policy,
            const std::vector<RunResult>& results) {
   constexpr double kMedian = 0.5;
   constexpr double kTail = 0.99;
-  std::size_t broken = 0;
+  std::size_t violations = 0;
   for (const RunResult& result : results) {
-    broken += result.violations.size();
+    violations += result.violations.size();
   }
-  const Spread idle = spreadOf(results, [](const RunResult& r) { return r.trainerIdle; });
-  const Spread stale = spreadOf(results, [](const RunResult& r) { return r.meanStaleness; });
-  const Spread batch = spreadOf(
+  const Spread idle = computeSpread(results, [](const RunResult& r) { return r.trainerIdle; });
+  const Spread staleness =
+      computeSpread(results, [](const RunResult& r) { return r.meanStaleness; });
+  const Spread batch = computeSpread(
       results, [](const RunResult& r) { return percentile(r.figures.batchSeconds, kMedian); });
-  const Spread samples = spreadOf(
+  const Spread samples = computeSpread(
       results, [](const RunResult& r) { return static_cast<double>(r.figures.samplesDelivered); });
-  const Spread first =
-      spreadOf(results, [](const RunResult& r) { return firstTokenMillis(r, kMedian); });
-  const Spread late =
-      spreadOf(results, [](const RunResult& r) { return firstTokenMillis(r, kTail); });
-  const Spread wasted = spreadOf(results, [](const RunResult& r) {
+  const Spread firstTokenP50 =
+      computeSpread(results, [](const RunResult& r) { return firstTokenMillis(r, kMedian); });
+  const Spread firstTokenP99 =
+      computeSpread(results, [](const RunResult& r) { return firstTokenMillis(r, kTail); });
+  const Spread wasted = computeSpread(results, [](const RunResult& r) {
     return r.figures.tokensReceived == 0 ? 0.0
                                          : static_cast<double>(r.figures.tokensDiscarded) /
                                                static_cast<double>(r.figures.tokensReceived);
   });
-  const Spread busy = spreadOf(results, [](const RunResult& r) { return r.busyShare; });
+  const Spread utilization = computeSpread(results, [](const RunResult& r) { return r.busyShare; });
   std::cout << "| " << profile << " | " << policy << " | " << toText(idle, 3) << " | "
-            << toText(stale, 2) << " | " << toText(batch, 2) << " | " << toText(samples, 0) << " | "
-            << toText(first, 0) << " | " << toText(late, 0) << " | " << toText(wasted, 3) << " | "
-            << toText(busy, 2) << " | " << broken << " |" << std::endl;
+            << toText(staleness, 2) << " | " << toText(batch, 2) << " | " << toText(samples, 0)
+            << " | " << toText(firstTokenP50, 0) << " | " << toText(firstTokenP99, 0) << " | "
+            << toText(wasted, 3) << " | " << toText(utilization, 2) << " | " << violations << " |"
+            << std::endl;
 }
 
 }  // namespace
@@ -174,7 +179,7 @@
   parser.add_options()("seeds", "seeds 1 to N",
                        cxxopts::value<std::uint64_t>()->default_value("5"))(
       "seconds", "simulated seconds of load", cxxopts::value<int>()->default_value("60"))(
-      "help", "print this");
+      "help", "print this help");
   const auto parsed = parser.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << parser.help();
@@ -183,12 +188,12 @@
   const std::vector<NamedOptions> profiles = {{"zoekwerk", zoekwerk},
                                               {"strait-ferry", straitFerry}};
   const std::vector<NamedOptions> policies = {
-      {"baseline", baseline},        {"current", current},
+      {"baseline", baselinePolicy},  {"current", currentPolicy},
       {"no hedge", noHedge},         {"no longest-first", noLongestFirst},
       {"no resume", noResume},       {"no rollouts", noRollouts},
       {"baseline, faults", nullptr}, {"current, faults", engineFaults}};
   std::cout << "| profile | policy | trainer idle | staleness mean | batch s p50 | samples | "
-               "first token ms p50 | p99 | wasted share | busy share | broken |\n"
+               "first token ms p50 | p99 | wasted share | utilization | violations |\n"
                "|---|---|---|---|---|---|---|---|---|---|---|\n";
   for (const NamedOptions& profile : profiles) {
     for (const NamedOptions& policy : policies) {
@@ -198,7 +203,7 @@
       options.load.operators = 0;
       profile.configure(options);
       if (policy.configure == nullptr) {
-        baseline(options);
+        baselinePolicy(options);
         engineFaults(options);
       } else {
         policy.configure(options);
--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a turn of LoadScheduler costs the controllers' leader, by engines that follow a model.
+/// Measures the duration of LoadScheduler::step() at the controllers' leader by number of engines.
 #include <chrono>
 #include <cstdio>
 #include <string>
@@ -15,8 +15,8 @@
 constexpr int kModels = 6;
 constexpr std::uint32_t kSlots = 8;
 constexpr int kSteps = 6;
-constexpr int kTurnsPerStep = 40;
-constexpr base::Duration kTurn = base::milliseconds(50);
+constexpr int kSchedulerStepsPerVersion = 40;
+constexpr base::Duration kStepInterval = base::milliseconds(50);
 
 std::string modelName(int index) { return "model" + std::to_string(index % kModels); }
 
@@ -24,9 +24,9 @@
   (void)state.apply(1, base::encode(command));
 }
 
-/// Engines in three zones, the same number for each model.
-struct Fleet {
-  explicit Fleet(int engineCount) {
+/// Engines in three zones, evenly assigned to the models.
+struct EngineFleet {
+  explicit EngineFleet(int engineCount) {
     directory::Configuration configuration;
     configuration.version = 1;
     configuration.services = {{"s", "/health", 10, 4, {}}};
@@ -51,46 +51,48 @@
   directory::EngineAssignments assignments;
 };
 
-/// Mean microseconds of a turn in which engines load for the steps of six trainers.
+/// Returns the mean duration of LoadScheduler::step() in microseconds, while the engines load the
+/// versions that the trainers of all models publish step by step.
 double measure(int engineCount, directory::LoadOrder order) {
-  Fleet fleet(engineCount);
+  EngineFleet fleet(engineCount);
   directory::LoadSchedulerSettings settings;
   settings.loadOrder = order;
-  // Each engine follows a model: none is on standby.
+  // All engines are assigned to a model, none is on standby.
   settings.assignments.wanted.minEngines = static_cast<std::size_t>(engineCount);
-  directory::LoadScheduler orders(settings);
-  orders.reset({}, fleet.assignments);
+  directory::LoadScheduler scheduler(settings);
+  scheduler.reset({}, fleet.assignments);
   base::TimePoint now{base::seconds(100)};
   const auto items = static_cast<std::uint32_t>(engineCount) * kSlots / kModels;
-  std::chrono::duration<double, std::micro> spent{0};
+  std::chrono::duration<double, std::micro> elapsed{0};
   for (std::uint64_t step = 2; step < 2 + kSteps; ++step) {
-    jobs::OpenJobsByModel works;
+    jobs::OpenJobsByModel openJobs;
     for (int i = 0; i < kModels; ++i) {
       apply(fleet.state, directory::PublishVersion{modelName(i), step});
-      works[modelName(i)].push_back({modelName(i) + "-" + std::to_string(step), step - 1, items,
-                                     items / 4, base::Duration{0}, base::seconds(7)});
+      openJobs[modelName(i)].push_back({modelName(i) + "-" + std::to_string(step), step - 1, items,
+                                        items / 4, base::Duration{0}, base::seconds(7)});
     }
-    orders.setOpenJobs(works, now);
-    for (int turn = 0; turn < kTurnsPerStep; ++turn) {
+    scheduler.setOpenJobs(openJobs, now);
+    for (int turn = 0; turn < kSchedulerStepsPerVersion; ++turn) {
       for (auto& [id, engine] : fleet.engines) {
         engine.lastSeenAt = now;
       }
-      const auto begun = std::chrono::steady_clock::now();
-      const auto given = orders.step(fleet.state, fleet.engines, {}, 1, now);
-      spent += std::chrono::steady_clock::now() - begun;
-      for (const directory::LoadCommand& loaded : given) {
-        fleet.engines[loaded.instance].versions[loaded.model] = loaded.version;
+      const auto start = std::chrono::steady_clock::now();
+      const auto commands = scheduler.step(fleet.state, fleet.engines, {}, 1, now);
+      elapsed += std::chrono::steady_clock::now() - start;
+      for (const directory::LoadCommand& command : commands) {
+        fleet.engines[command.instance].versions[command.model] = command.version;
       }
-      now += kTurn;
+      now += kStepInterval;
     }
   }
-  return spent.count() / (kSteps * kTurnsPerStep);
+  return elapsed.count() / (kSteps * kSchedulerStepsPerVersion);
 }
 
 }  // namespace
 
 int main() {
-  std::printf("microseconds a turn\n%8s %14s %8s\n", "engines", "oldest first", "by need");
+  std::printf("microseconds per scheduler step\n%8s %14s %8s\n", "engines", "oldest first",
+              "by need");
   for (const int engines : {100, 1000, 10000}) {
     std::printf("%8d %14.0f %8.0f\n", engines, measure(engines, directory::LoadOrder::kOldestFirst),
                 measure(engines, directory::LoadOrder::kByNeed));
