--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -38,7 +38,7 @@
 
 def metric(node, name):
     """Returns the value of a metric of a node, or 0 if it is missing."""
-    with urllib.request.urlopen(f"http://127.0.0.1:{node.http}/metrics", timeout=5) as response:
+    with urllib.request.urlopen(f"http://127.0.0.1:{node.http_port}/metrics", timeout=5) as response:
         for line in response.read().decode().splitlines():
             if line.startswith(f"tackpick_{name} "):
                 return float(line.split()[1])
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,6 +1,6 @@
-"""Runs callers and trainers against a whole fleet on loopback, with one fault if asked for.
+"""Runs callers and trainers against a local fleet on loopback, optionally with a fault.
 
-Exits non-zero when anything was lost, doubled, stale or mislabelled.
+Exits with a non-zero status if a result was lost, duplicated, stale or labelled with a wrong version.
 """
 
 import argparse
@@ -17,8 +17,8 @@
 FAULTS = ["none", "kill-gateway", "kill-engine", "kill-controller", "kill-ledger", "swap"]
 
 
-def cause_fault(fleet, fault):
-    """Brings about the fault and, after a while, the repair."""
+def inject_fault(fleet, fault):
+    """Injects the fault and repairs it some seconds later."""
     if fault == "kill-gateway":
         print("fault: a gateway is killed", flush=True)
         Fleet.kill(fleet.gateways[0].process)
@@ -49,7 +49,7 @@
 
 
 def main():
-    """Parses the options and runs."""
+    """Parses the options and runs the demo."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--profile", choices=["zoekwerk", "strait-ferry"], default="zoekwerk")
     parser.add_argument("--seconds", type=float, default=20)
@@ -60,24 +60,24 @@
     options = parser.parse_args()
     folder = tempfile.mkdtemp(prefix="tackpick-demo-")
     fleet = Fleet(folder, options.profile)
-    load = None
+    load_process = None
     try:
         print(f"starting 3 controllers, 3 ledgers, 2 gateways, {fleet.profile['engines']} engines "
               f"in {', '.join(fleet.profile['zones'])}", flush=True)
         fleet.start()
-        print("offering load", flush=True)
-        load = subprocess.Popen(fleet.load_command(options.seconds, options.report, options.seed))
+        print("applying load", flush=True)
+        load_process = subprocess.Popen(fleet.load_command(options.seconds, options.report, options.seed))
         if options.fault != "none":
             time.sleep(options.seconds / 4)
-            cause_fault(fleet, options.fault)
-        code = load.wait(timeout=options.seconds + 150)
+            inject_fault(fleet, options.fault)
+        code = load_process.wait(timeout=options.seconds + 150)
         if code != 0:
             options.keep = True
         return code
     finally:
-        if load is not None and load.poll() is None:
-            load.kill()
-            load.wait()
+        if load_process is not None and load_process.poll() is None:
+            load_process.kill()
+            load_process.wait()
         fleet.stop()
         if options.keep:
             print("logs and data: " + folder)
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,6 +1,6 @@
-"""Starts, breaks and stops a whole fleet on loopback. Used by scripts/demo and the benches.
+"""Starts and stops a local fleet on loopback and injects faults. Used by scripts/demo and bench/gateway.py.
 
-Every process is started here and ended here by its process id; all files live under one folder.
+Only processes started by this module are stopped, and all files are written to one folder.
 """
 
 import hashlib
@@ -34,64 +34,64 @@
 }
 
 
-RESERVATIONS = []
+RESERVED_SOCKETS = []
 
 
-def free_port():
-    """A port of the system's choice, kept for this program.
+def reserve_port():
+    """Returns a free port, which stays reserved until this program exits.
 
-    The socket stays bound, so no other program gets the port; a listener that allows reuse can
-    bind it all the same, because this socket does not listen.
+    The socket stays bound but does not listen: no other program gets the port, while a listener
+    with SO_REUSEADDR can still bind it.
     """
     reservation = socket.socket()
     reservation.bind(("127.0.0.1", 0))
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    RESERVATIONS.append(reservation)
+    RESERVED_SOCKETS.append(reservation)
     return reservation.getsockname()[1]
 
 
 def wait_until(condition, what, seconds=30):
-    """Polls until the condition holds; raises after the given time."""
+    """Polls until the condition holds; raises RuntimeError after the timeout."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         if condition():
             return
         time.sleep(0.05)
-    raise RuntimeError("gave up waiting for " + what)
+    raise RuntimeError("timed out waiting for " + what)
 
 
 def http_ok(url):
-    """True when the URL answers 200."""
+    """Whether a GET request to the URL returns status 200."""
     try:
-        with urllib.request.urlopen(url, timeout=1) as answer:
-            return answer.status == 200
+        with urllib.request.urlopen(url, timeout=1) as response:
+            return response.status == 200
     except (urllib.error.URLError, OSError):
         return False
 
 
 def post(url, body=None):
-    """Posts JSON and returns the decoded answer."""
+    """Posts JSON and returns the decoded response body."""
     data = json.dumps(body or {}).encode()
-    with urllib.request.urlopen(urllib.request.Request(url, data=data, method="POST"), timeout=5) as answer:
-        return json.loads(answer.read() or b"{}")
+    with urllib.request.urlopen(urllib.request.Request(url, data=data, method="POST"), timeout=5) as response:
+        return json.loads(response.read() or b"{}")
 
 
 class Node:
-    """A tackpickd process and where it listens."""
+    """A tackpickd process, its ports and its folder."""
 
     def __init__(self, number, roles, zone, folder):
         self.number = number
         self.roles = roles
         self.zone = zone
         self.folder = folder
-        self.internal = free_port()
-        self.http = free_port()
+        self.internal_port = reserve_port()
+        self.http_port = reserve_port()
         self.process = None
         self.log = os.path.join(folder, "log.txt")
 
 
 class Fleet:
-    """Controllers, ledgers, gateways, emulators and the proxy between the zones."""
+    """Controllers, ledgers, gateways, engine emulators and the proxy that adds network delays."""
 
     def __init__(self, folder, profile="zoekwerk", controllers=3, ledgers=3, gateways=2,
                  build="build", emulator_flags=(), gateway_settings=None, zone_delays=True):
@@ -106,29 +106,29 @@
         self.proxy_admin = None
         self.emulators = []
         self.emulator_ports = []
-        self.platform_port = free_port()
+        self.platform_port = reserve_port()
         os.makedirs(folder, exist_ok=True)
         zones = self.profile["zones"]
-        numbers = iter(range(1, 1000))
+        node_numbers = iter(range(1, 1000))
 
-        def make(count, roles):
-            return [Node(next(numbers), roles, zones[i % len(zones)],
+        def make_nodes(count, roles):
+            return [Node(next(node_numbers), roles, zones[i % len(zones)],
                          os.path.join(folder, f"{roles[0]}-{i + 1}")) for i in range(count)]
 
-        self.controllers = make(controllers, ["controller"])
-        self.ledgers = make(ledgers, ["ledger"])
-        self.gateways = make(gateways, ["gateway"])
+        self.controllers = make_nodes(controllers, ["controller"])
+        self.ledgers = make_nodes(ledgers, ["ledger"])
+        self.gateways = make_nodes(gateways, ["gateway"])
         self.key_file = os.path.join(folder, "cluster.key")
         with open(self.key_file, "w", encoding="utf-8") as key:
             key.write("a shared key for the local fleet only\n")
 
     @property
     def nodes(self):
-        """All tackpickd processes."""
+        """All tackpickd nodes."""
         return self.controllers + self.ledgers + self.gateways
 
     def start(self):
-        """Starts everything and waits until gateways serve all engines."""
+        """Starts all processes and waits until the gateways are ready and all engines are listed."""
         if self.zone_delays:
             self._start_proxy()
         self._start_emulators()
@@ -138,42 +138,42 @@
             self.start_node(node, "--init")
         for node in self.gateways:
             self.start_node(node)
-        wait_until(lambda: any(self._leads(node) for node in self.controllers), "a controller to lead")
-        self.ctl("apply", "-f", os.path.join(ROOT, "deploy", self.profile_name))
+        wait_until(lambda: any(self._is_leader(node) for node in self.controllers), "a leading controller")
+        self.run_ctl("apply", "-f", os.path.join(ROOT, "deploy", self.profile_name))
         tenant = self.profile["tenant"]
-        self.ctl("token", "add", CALLER_TOKEN, "--role", "caller", "--tenant", tenant)
-        self.ctl("token", "add", TRAINER_TOKEN, "--role", "trainer", "--tenant", tenant)
-        wait_until(lambda: all(self.ready(node) for node in self.gateways), "gateways to be ready")
-        wait_until(lambda: len(json.loads(self.ctl("engines", "-o", "json"))) >= self.profile["engines"],
+        self.run_ctl("token", "add", CALLER_TOKEN, "--role", "caller", "--tenant", tenant)
+        self.run_ctl("token", "add", TRAINER_TOKEN, "--role", "trainer", "--tenant", tenant)
+        wait_until(lambda: all(self.is_ready(node) for node in self.gateways), "the gateways to be ready")
+        wait_until(lambda: len(json.loads(self.run_ctl("engines", "-o", "json"))) >= self.profile["engines"],
                    "all engines to be listed")
         time.sleep(0.5)
 
     def _start_proxy(self):
-        """One proxy process adds the zones' distance to every internal link."""
-        port = free_port()
+        """Starts the proxy that adds the network delay to every internal link."""
+        port = reserve_port()
         log = open(os.path.join(self.folder, "proxy.txt"), "w", encoding="utf-8")
         self.proxy = subprocess.Popen(
             [os.path.join(self.build, "tackpick-faultproxy"), "--admin-port", str(port)],
             stdout=log, stderr=log)
         self.proxy_admin = f"http://127.0.0.1:{port}"
-        wait_until(lambda: http_ok(self.proxy_admin + "/healthz"), "the proxy")
+        wait_until(lambda: http_ok(self.proxy_admin + "/healthz"), "the fault proxy")
 
-    def _route(self, source, target):
-        """The port by which `source` reaches `target`."""
+    def _add_proxy_route(self, source, target):
+        """Returns the port at which `source` reaches `target`, through the proxy if there is one."""
         if not self.zone_delays:
-            return target.internal
+            return target.internal_port
         delay = self.profile["zone_delay_us"] if source.zone != target.zone else 50
-        answer = post(self.proxy_admin + "/routes", {
+        response = post(self.proxy_admin + "/routes", {
             "name": f"{source.number}-{target.number}", "host": "127.0.0.1",
-            "port": target.internal, "delay_us": delay})
-        return answer["port"]
+            "port": target.internal_port, "delay_us": delay})
+        return response["port"]
 
     def set_fault(self, source, target, fault):
-        """Sets a fault on the link from one node to another: pass, cut, black_hole."""
+        """Sets the fault of the link from `source` to `target`: pass, cut or black_hole."""
         post(f"{self.proxy_admin}/routes/{source.number}-{target.number}", {"fault": fault})
 
     def _start_emulators(self):
-        """Two emulator processes share the engines, so that one can be killed."""
+        """Starts two emulator processes with half of the engines each, so that one can be killed."""
         total = self.profile["engines"]
         first_half = total // 2
         for index, (first, count) in enumerate([(1, first_half), (first_half + 1, total - first_half)]):
@@ -182,7 +182,7 @@
             self.start_emulator(index, first, count)
 
     def start_emulator(self, index, first=None, count=None):
-        """Starts, or restarts, an emulator process."""
+        """Starts or restarts an emulator process."""
         total = self.profile["engines"]
         first_half = total // 2
         if first is None:
@@ -208,15 +208,15 @@
         os.makedirs(node.folder, exist_ok=True)
         lines = [
             "cluster: local", f"node: {node.number}", f"zone: {node.zone}", "data_folder: data",
-            "key_file: ../cluster.key", f"internal: 127.0.0.1:{node.internal}",
-            f"http: 127.0.0.1:{node.http}", f"roles: [{', '.join(node.roles)}]",
+            "key_file: ../cluster.key", f"internal: 127.0.0.1:{node.internal_port}",
+            f"http: 127.0.0.1:{node.http_port}", f"roles: [{', '.join(node.roles)}]",
             f"machine_list: http://127.0.0.1:{self.platform_port}/machines",
             f"operator_token_hash: {hashlib.sha256(OPERATOR_TOKEN.encode()).hexdigest()}",
             f"controllers: {{group: 1, nodes: {[n.number for n in self.controllers]}}}",
             "ledgers:", f"  - {{group: 101, nodes: {[n.number for n in self.ledgers]}}}", "peers:"]
         for peer in self.controllers + self.ledgers:
             if peer is not node:
-                lines.append(f"  - {{node: {peer.number}, address: '127.0.0.1:{self._route(node, peer)}'}}")
+                lines.append(f"  - {{node: {peer.number}, address: '127.0.0.1:{self._add_proxy_route(node, peer)}'}}")
         if "gateway" in node.roles:
             lines.append("gateway:")
             lines += [f"  {key}: {value}" for key, value in self.gateway_settings.items()] or ["  {}"]
@@ -230,31 +230,31 @@
             [os.path.join(self.build, "tackpickd"), "--settings",
              os.path.join(node.folder, "settings.yaml"), *flags], stdout=log, stderr=log)
 
-    def ready(self, node):
-        """True when the process serves its roles."""
-        return http_ok(f"http://127.0.0.1:{node.http}/readyz")
+    def is_ready(self, node):
+        """Whether the node reports that it is ready."""
+        return http_ok(f"http://127.0.0.1:{node.http_port}/readyz")
 
     def status(self, node):
-        """The controller's own view, or nothing."""
-        request = urllib.request.Request(f"http://127.0.0.1:{node.http}/v1/control/status",
+        """Returns the status that a controller reports, or None if it is unreachable."""
+        request = urllib.request.Request(f"http://127.0.0.1:{node.http_port}/v1/control/status",
                                          headers={"Authorization": "Bearer " + OPERATOR_TOKEN})
         try:
-            with urllib.request.urlopen(request, timeout=1) as answer:
-                return json.load(answer)
+            with urllib.request.urlopen(request, timeout=1) as response:
+                return json.load(response)
         except (urllib.error.URLError, OSError):
             return None
 
-    def _leads(self, node):
+    def _is_leader(self, node):
         status = self.status(node)
         return bool(status and status["can_read"])
 
     def leader(self):
-        """The controller that leads, or nothing."""
-        return next((node for node in self.controllers if self._leads(node)), None)
+        """Returns the leading controller, or None."""
+        return next((node for node in self.controllers if self._is_leader(node)), None)
 
-    def ctl(self, *arguments):
-        """Runs tackpickctl and returns what it printed."""
-        urls = ",".join(f"http://127.0.0.1:{node.http}" for node in self.controllers)
+    def run_ctl(self, *arguments):
+        """Runs tackpickctl and returns its output."""
+        urls = ",".join(f"http://127.0.0.1:{node.http_port}" for node in self.controllers)
         result = subprocess.run(
             [os.path.join(self.build, "tackpickctl"), "--controllers", urls, *arguments],
             env=dict(os.environ, TACKPICK_TOKEN=OPERATOR_TOKEN), capture_output=True, text=True,
@@ -264,11 +264,11 @@
         return result.stdout
 
     def gateway_urls(self):
-        """URLs of all gateways, separated by commas."""
-        return ",".join(f"http://127.0.0.1:{node.http}" for node in self.gateways)
+        """Returns the URLs of all gateways, separated by commas."""
+        return ",".join(f"http://127.0.0.1:{node.http_port}" for node in self.gateways)
 
     def load_command(self, seconds, report, seed=1, scale=1.0):
-        """The command line of tackpick-load for this fleet."""
+        """Returns the command line of tackpick-load for this fleet."""
         admins = ",".join(f"http://127.0.0.1:{ports['admin']}" for ports in self.emulator_ports)
         return [os.path.join(self.build, "tackpick-load"), "--gateways", self.gateway_urls(),
                 "--caller-token", CALLER_TOKEN, "--trainer-token", TRAINER_TOKEN,
@@ -278,12 +278,12 @@
 
     @staticmethod
     def kill(process):
-        """Ends a process at once, as a crash would."""
+        """Kills a process without a graceful shutdown."""
         process.kill()
         process.wait()
 
     def stop(self):
-        """Stops everything that was started, politely first."""
+        """Terminates all processes; kills those that do not exit in time."""
         processes = [node.process for node in self.gateways + self.ledgers + self.controllers]
         processes += self.emulators + [self.proxy]
         for process in processes:
