--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -93,7 +93,7 @@
   options.load.operators = 1;
   const double interval = changesPerDay > 0 ? kSecondsPerDay / changesPerDay : kNever;
   options.load.changeInterval = base::milliseconds(static_cast<std::int64_t>(interval * 1000.0));
-  options.gateway.readersPerEngine = 2;
+  options.gateway.gatewaysPerEngine = 2;
   options.warmUp = base::seconds(3);
   options.faultTime = base::seconds(20);
   options.settleTime = base::seconds(1);
@@ -190,7 +190,7 @@
     options.load.trainerPublishesOnce = true;
     options.warmUp = base::seconds(1);
     options.faultTime = base::seconds(60);
-    options.gateway.readInterval = base::seconds(2);
+    options.gateway.pollInterval = base::seconds(2);
     const RunResult result = runOnce(options);
     const double seconds = base::toSeconds(options.faultTime);
     table.row({static_cast<double>(engines),
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -60,19 +60,19 @@
 void baseline(SimulationOptions& options) {
   options.gateway.queue.fifo = true;
   options.gateway.selector.policy = routing::SelectionPolicy::kRoundRobin;
-  options.gateway.resumePartial = false;
-  options.gateway.hedgeTail = false;
+  options.gateway.resumePartialOutput = false;
+  options.gateway.hedgeSlowSamplesEnabled = false;
   options.gateway.longestFirst = false;
   options.ledger.limits.longestFirst = false;
 }
 
-void noHedge(SimulationOptions& options) { options.gateway.hedgeTail = false; }
+void noHedge(SimulationOptions& options) { options.gateway.hedgeSlowSamplesEnabled = false; }
 void noLongestFirst(SimulationOptions& options) {
   options.gateway.longestFirst = false;
   options.ledger.limits.longestFirst = false;
 }
 
-void noResume(SimulationOptions& options) { options.gateway.resumePartial = false; }
+void noResume(SimulationOptions& options) { options.gateway.resumePartialOutput = false; }
 void noRollouts(SimulationOptions& options) { options.load.trainers = 0; }
 
 void engineFaults(SimulationOptions& options) {
--- a/src/config/process_settings.cpp
+++ b/src/config/process_settings.cpp
@@ -98,34 +98,34 @@
   constexpr std::int64_t kMaxSamples = 1'000'000;
   MappingReader reader(node, "gateway", problems);
   gateway::GatewaySettings& gateway = settings.gateway;
-  gateway.hedgeTail = reader.flag("hedge_tail", gateway.hedgeTail);
-  gateway.resumePartial = reader.flag("resume_partial", gateway.resumePartial);
+  gateway.hedgeSlowSamplesEnabled = reader.flag("hedge_tail", gateway.hedgeSlowSamplesEnabled);
+  gateway.resumePartialOutput = reader.flag("resume_partial", gateway.resumePartialOutput);
   gateway.longestFirst = reader.flag("longest_first", gateway.longestFirst);
   const bool baseline = reader.flag("baseline_policy", false);
   gateway.queue.fifo = baseline;
-  gateway.selector.policy =
-      baseline ? routing::SelectionPolicy::kRoundRobin : routing::SelectionPolicy::kBalanced;
-  gateway.readersPerEngine = static_cast<std::uint32_t>(
-      reader.integer("readers_per_engine", gateway.readersPerEngine, 0, kLargestGroup));
-  gateway.maximumSamples = static_cast<std::uint32_t>(
-      reader.integer("maximum_samples", gateway.maximumSamples, 1, kMaxSamples));
-  gateway.sampleReserve = static_cast<std::uint32_t>(
-      reader.integer("sample_reserve", gateway.sampleReserve, 0, kMaxSamples));
+  gateway.selector.policy = baseline ? routing::SelectionPolicy::kRoundRobin
+                                     : routing::SelectionPolicy::kPowerOfTwoChoices;
+  gateway.gatewaysPerEngine = static_cast<std::uint32_t>(
+      reader.integer("readers_per_engine", gateway.gatewaysPerEngine, 0, kLargestGroup));
+  gateway.maxLeasedSamples = static_cast<std::uint32_t>(
+      reader.integer("maximum_samples", gateway.maxLeasedSamples, 1, kMaxSamples));
+  gateway.samplePrefetch = static_cast<std::uint32_t>(
+      reader.integer("sample_reserve", gateway.samplePrefetch, 0, kMaxSamples));
   gateway.retryRatio = reader.number("retry_ratio", gateway.retryRatio, 0.0, 1.0);
   const auto toMillis = [](base::Duration duration) { return duration.count() / 1000; };
   gateway.stallTimeout = base::milliseconds(
       reader.integer("stall_timeout_ms", toMillis(gateway.stallTimeout), 1, kMaxMillis));
-  gateway.readInterval = base::milliseconds(
-      reader.integer("read_interval_ms", toMillis(gateway.readInterval), 1, kMaxMillis));
-  gateway.queue.starvationLimit = base::milliseconds(reader.integer(
-      "starvation_limit_ms", toMillis(gateway.queue.starvationLimit), 1, kMaxMillis));
-  if (baseline && reader.has("hedge_tail") && gateway.hedgeTail) {
+  gateway.pollInterval = base::milliseconds(
+      reader.integer("read_interval_ms", toMillis(gateway.pollInterval), 1, kMaxMillis));
+  gateway.queue.starvationTimeout = base::milliseconds(reader.integer(
+      "starvation_limit_ms", toMillis(gateway.queue.starvationTimeout), 1, kMaxMillis));
+  if (baseline && reader.has("hedge_tail") && gateway.hedgeSlowSamplesEnabled) {
     reader.problem("hedge_tail", "clashes with baseline_policy, which has no tail handling");
   }
   if (baseline) {
-    gateway.hedgeTail = false;
+    gateway.hedgeSlowSamplesEnabled = false;
     gateway.longestFirst = false;
-    gateway.resumePartial = false;
+    gateway.resumePartialOutput = false;
   }
   const YAML::Node peers = reader.child("peers");
   if (peers.IsDefined()) {
--- a/src/gateway/actions.cpp
+++ b/src/gateway/actions.cpp
@@ -3,7 +3,7 @@
 namespace tackpick::gateway {
 namespace {
 
-struct RecordedAnswer {
+struct RecordedResponse {
   std::vector<engine::Token> tokens;
   std::vector<ledger::VersionSpan> spans;
   std::string finishReason;
@@ -46,21 +46,21 @@
   return "unknown";
 }
 
-base::Bytes encodeAnswer(const CompleteRequest& answer) {
+base::Bytes encodeResponse(const CompleteRequest& completion) {
   return base::encode(
-      RecordedAnswer{answer.answer.tokens, answer.answer.spans, answer.finishReason});
+      RecordedResponse{completion.answer.tokens, completion.answer.spans, completion.finishReason});
 }
 
-std::optional<CompleteRequest> decodeAnswer(const base::Bytes& bytes) {
-  auto recorded = base::decode<RecordedAnswer>(bytes);
+std::optional<CompleteRequest> decodeResponse(const base::Bytes& bytes) {
+  auto recorded = base::decode<RecordedResponse>(bytes);
   if (!recorded) {
     return std::nullopt;
   }
-  CompleteRequest answer;
-  answer.answer.tokens = std::move(recorded->tokens);
-  answer.answer.spans = std::move(recorded->spans);
-  answer.finishReason = std::move(recorded->finishReason);
-  return answer;
+  CompleteRequest completion;
+  completion.answer.tokens = std::move(recorded->tokens);
+  completion.answer.spans = std::move(recorded->spans);
+  completion.finishReason = std::move(recorded->finishReason);
+  return completion;
 }
 
 }  // namespace tackpick::gateway
--- a/src/gateway/actions.h
+++ b/src/gateway/actions.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a Gateway asks its driver to do.
+/// Actions that a Gateway returns for its owner to carry out.
 #pragma once
 
 #include <cstdint>
@@ -8,46 +8,48 @@
 #include <variant>
 #include <vector>
 
-#include "gateway/job.h"
+#include "gateway/task.h"
 #include "transport/internal_messages.h"
 
 namespace tackpick::gateway {
 
-/// Why a request ended without a whole answer.
+/// Reason why a request ended without a complete answer.
 enum class RejectionReason : std::uint8_t {
-  kInvalid,  ///< the request breaks a rule
+  kInvalid,  ///< the request is malformed or exceeds a limit
   kUnknownWorkload,
   kRateLimited,
   kInFlightLimited,
-  kOverloaded,  ///< the expected wait is too long
-  kStopping,    ///< this gateway is being stopped
-  kNoLease,     ///< this gateway may not serve: it has lost the controllers
+  kOverloaded,  ///< the expected or actual wait in the queue exceeds the limit
+  kStopping,    ///< this gateway is draining
+  kNoLease,     ///< this gateway holds no serving lease from the controllers
   kDeadline,
-  kAlreadyClaimed,  ///< a not-repeatable request with this key was seen before
-  kKeyReused,       ///< the idempotency key belongs to another request
-  kEngineFailed,    ///< engines failed and the request may not be tried again
+  kAlreadyClaimed,  ///< a not-repeatable request with this key may have run
+  kKeyReused,       ///< the idempotency key was used for another request
+  kEngineFailed,    ///< an engine failed and the request cannot be retried
   kLedgerUnavailable,
 };
 
-/// Name used in answers and metrics.
+/// Returns the name used in responses and metrics.
 [[nodiscard]] std::string_view toString(RejectionReason reason);
 
+/// Sends a generation request to an engine.
 struct StartAttempt {
   base::EngineId engine;
   engine::GenerateRequest request;
 };
 
+/// Cancels a running attempt on its engine.
 struct CancelAttempt {
   base::EngineId engine;
   base::AttemptId attempt;
 };
 
-/// Read the engine's load report and cache events.
+/// Requests the status and the cache events of an engine.
 struct PollEngine {
   base::EngineId engine;
 };
 
-/// Tokens for a caller that asked for a stream.
+/// Sends tokens to a caller that requested a stream.
 struct StreamTokens {
   base::CallerId caller;
   std::uint32_t offset = 0;
@@ -55,19 +57,20 @@
   std::vector<engine::Token> tokens;
 };
 
-/// The whole answer.
+/// Sends the complete answer to a caller.
 struct CompleteRequest {
   base::CallerId caller;
   VersionedTokens answer;
   std::string finishReason;
 };
 
-/// A not-repeatable request had completed before: the same answer again.
+/// Sends the recorded answer of a not-repeatable request that completed earlier.
 struct ReplayResponse {
   base::CallerId caller;
-  base::Bytes answer;  ///< as recorded by encodeAnswer()
+  base::Bytes answer;  ///< encoded by encodeResponse()
 };
 
+/// Ends a caller's request with an error.
 struct RejectRequest {
   base::CallerId caller;
   RejectionReason reason = RejectionReason::kInvalid;
@@ -79,13 +82,15 @@
 using Action = std::variant<StartAttempt, CancelAttempt, PollEngine, StreamTokens, CompleteRequest,
                             ReplayResponse, RejectRequest>;
 
+/// Actions and outgoing messages that accumulated since the last call of Gateway::takeActions().
 struct GatewayActions {
   std::vector<Action> actions;
   transport::Outbox messages;
 };
 
-/// An answer as kept in the ledger for repeats.
-[[nodiscard]] base::Bytes encodeAnswer(const CompleteRequest& answer);
-[[nodiscard]] std::optional<CompleteRequest> decodeAnswer(const base::Bytes& bytes);
+/// Serializes an answer for the ledger, which keeps it for repeated requests.
+[[nodiscard]] base::Bytes encodeResponse(const CompleteRequest& completion);
+/// Parses a recorded answer; std::nullopt if the bytes are malformed. The caller id is not set.
+[[nodiscard]] std::optional<CompleteRequest> decodeResponse(const base::Bytes& bytes);
 
 }  // namespace tackpick::gateway
--- a/src/gateway/control_view.cpp
+++ b/src/gateway/control_view.cpp
@@ -6,27 +6,28 @@
 namespace tackpick::gateway {
 
 void ControlView::tick(base::TimePoint now, transport::Outbox& outbox) {
-  if (now - last_sent_at_ < settings_.watchInterval) {
+  if (now - m_lastRequestAt < settings_.watchInterval) {
     return;
   }
-  const bool unresponsive = now - last_answer_at_ > settings_.watchInterval * 2;
+  const bool unresponsive = now - m_lastResponseAt > settings_.watchInterval * 2;
   if (unresponsive) {
     leader_ = {};
-    ++turn_;
+    ++m_nextController;
   }
   sendRequest(now, outbox);
 }
 
 void ControlView::sendRequest(base::TimePoint now, transport::Outbox& outbox) {
-  constexpr std::size_t kRememberedRequests = 64;
-  last_sent_at_ = now;
+  constexpr std::size_t kMaxTrackedRequests = 64;
+  m_lastRequestAt = now;
   ++sequence_;
-  sent_at_[sequence_] = now;
-  if (sent_at_.size() > kRememberedRequests) {
-    sent_at_.erase(sent_at_.begin());
+  m_requestSentAt[sequence_] = now;
+  if (m_requestSentAt.size() > kMaxTrackedRequests) {
+    m_requestSentAt.erase(m_requestSentAt.begin());
   }
   const base::NodeId to =
-      leader_.valid() ? leader_ : settings_.controllers.at(turn_ % settings_.controllers.size());
+      leader_.valid() ? leader_
+                      : settings_.controllers.at(m_nextController % settings_.controllers.size());
   outbox.push_back(
       {to, transport::WatchRequest{settings_.incarnation, sequence_, revision_, false}});
 }
@@ -37,34 +38,34 @@
     return false;
   }
   leader_ = from;
-  last_answer_at_ = now;
+  m_lastResponseAt = now;
   const bool changed = applyDelta(response.delta);
-  const auto sent = sent_at_.find(response.sequence);
-  if (sent != sent_at_.end() && response.delta.to <= revision_) {
+  const auto sent = m_requestSentAt.find(response.sequence);
+  if (sent != m_requestSentAt.end() && response.delta.to <= revision_) {
     constexpr int kWholePercent = 100;
-    const base::Duration usable =
+    const base::Duration effectiveLease =
         response.lease * (kWholePercent - settings_.clockDriftPercent) / kWholePercent;
-    lease_end_ = std::max(lease_end_, sent->second + usable);
+    lease_end_ = std::max(lease_end_, sent->second + effectiveLease);
   }
   if (changed) {
-    // Acknowledge at once: somebody may be waiting for this revision to be in force.
+    // Acknowledge without delay: a client may be waiting until this revision is in force.
     sendRequest(now, outbox);
   }
   return changed;
 }
 
 bool ControlView::applyDelta(const control::ControlDelta& delta) {
-  const bool older = delta.to <= revision_ && !settings_.mutants.acceptOlderRevision;
-  if (older || (!delta.full && delta.from > revision_)) {
+  const bool isStale = delta.to <= revision_ && !settings_.mutants.acceptStaleRevision;
+  if (isStale || (!delta.full && delta.from > revision_)) {
     return false;
   }
   if (delta.full) {
-    tree_ = {};
+    m_settingsTree = {};
     weights_.clear();
     credentials_.clear();
   }
   for (const control::SettingsNode& node : delta.nodes) {
-    tree_.put(node);
+    m_settingsTree.put(node);
   }
   for (const control::WeightsRecord& record : delta.weights) {
     weights_[record.model] = record;
@@ -82,13 +83,13 @@
     leader_ = redirect.leader;
   } else if (leader_ == from) {
     leader_ = {};
-    ++turn_;
+    ++m_nextController;
   } else if (!leader_.valid()) {
-    ++turn_;
+    ++m_nextController;
   }
 }
 
-void ControlView::leave(base::TimePoint /*now*/, transport::Outbox& outbox) {
+void ControlView::releaseLease(base::TimePoint /*now*/, transport::Outbox& outbox) {
   lease_end_ = {};
   for (const base::NodeId controller : settings_.controllers) {
     outbox.push_back(
--- a/src/gateway/control_view.h
+++ b/src/gateway/control_view.h
@@ -1,5 +1,5 @@
 /// \file
-/// The configuration in force in one gateway, and its serving lease.
+/// Configuration in force in one gateway, and its serving lease.
 #pragma once
 
 #include <map>
@@ -13,59 +13,64 @@
 
 namespace tackpick::gateway {
 
-/// Knobs of ControlView.
+/// Settings of ControlView.
 struct ControlViewSettings {
   base::Incarnation incarnation;
   std::vector<base::NodeId> controllers;
   base::Duration watchInterval = base::milliseconds(400);
-  int clockDriftPercent = 2;
+  int clockDriftPercent = 2;  ///< maximum drift; the lease is shortened by it
 
   struct Mutants {
     bool serveWithoutLease = false;
-    bool acceptOlderRevision = false;
+    bool acceptStaleRevision = false;  ///< apply deltas that lead to an earlier revision
   } mutants;
 };
 
-/// Watches the controllers. The revision only goes up. Serving is allowed only while the lease
-/// runs, counted on this gateway's clock from the sending of the request that it answers, so a
-/// gateway that was cut off or frozen stops by itself.
+/// Watches the controllers for configuration changes. The revision never decreases. The gateway may
+/// serve only while its lease is valid. The lease starts when the watch request was sent, by the
+/// clock of this gateway, so a partitioned or suspended gateway stops serving without a message.
 class ControlView {
  public:
   explicit ControlView(ControlViewSettings settings) : settings_(std::move(settings)) {}
 
+  /// Sends a watch request when the interval has passed; tries the next controller when the
+  /// current one is unresponsive.
   void tick(base::TimePoint now, transport::Outbox& outbox);
-  /// Takes a response or push. Returns true when the configuration changed.
+  /// Applies a response or a push of a controller. Returns whether the configuration changed.
   bool onWatchResponse(base::NodeId from, const transport::WatchResponse& response,
                        base::TimePoint now, transport::Outbox& outbox);
   void onRedirect(base::NodeId from, const transport::WatchRedirect& redirect);
-  /// Gives the lease back at a planned stop.
-  void leave(base::TimePoint now, transport::Outbox& outbox);
+  /// Returns the serving lease to the controllers after draining.
+  void releaseLease(base::TimePoint now, transport::Outbox& outbox);
 
   [[nodiscard]] bool canServe(base::TimePoint now) const {
     return now < lease_end_ || settings_.mutants.serveWithoutLease;
   }
   [[nodiscard]] base::Revision revision() const { return revision_; }
-  [[nodiscard]] const control::SettingsTree& settings() const { return tree_; }
+  [[nodiscard]] const control::SettingsTree& settings() const { return m_settingsTree; }
+  /// Returns the published weights version of a model; invalid if the model is unknown.
   [[nodiscard]] base::WeightsVersion publishedVersion(const std::string& model) const;
-  /// The live credential with this token hash.
+  /// Returns the credential with this token hash, or null if there is none or it was removed.
   [[nodiscard]] const control::CredentialRecord* credential(const std::string& tokenHash) const;
 
  private:
   void sendRequest(base::TimePoint now, transport::Outbox& outbox);
+  /// Returns whether the revision changed. Ignores deltas that are stale or that leave a gap.
   bool applyDelta(const control::ControlDelta& delta);
 
   const ControlViewSettings settings_;
   base::Revision revision_;
-  control::SettingsTree tree_;
+  control::SettingsTree m_settingsTree;
   std::map<std::string, control::WeightsRecord> weights_;
   std::map<std::string, control::CredentialRecord> credentials_;
 
   base::NodeId leader_;
-  std::size_t turn_ = 0;
+  std::size_t m_nextController =
+      0;  ///< index modulo the number of controllers; used without leader
   std::uint64_t sequence_ = 0;
-  std::map<std::uint64_t, base::TimePoint> sent_at_;
-  base::TimePoint last_sent_at_{};
-  base::TimePoint last_answer_at_{};
+  std::map<std::uint64_t, base::TimePoint> m_requestSentAt;  ///< by sequence
+  base::TimePoint m_lastRequestAt{};
+  base::TimePoint m_lastResponseAt{};
   base::TimePoint lease_end_{};
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,8 +5,8 @@
 namespace tackpick::gateway {
 namespace {
 
-/// Call numbers of two runs of a gateway never meet.
-base::CallId firstCall(const GatewaySettings& settings, std::uint64_t stream) {
+/// Returns the first call id of a client. Different runs of a gateway use different call ids.
+base::CallId initialCallId(const GatewaySettings& settings, std::uint64_t stream) {
   return {base::mix(base::mix(settings.self.value, settings.incarnation.value), stream)};
 }
 
@@ -15,7 +15,7 @@
   view.incarnation = settings.incarnation;
   view.controllers = settings.controllers;
   view.watchInterval = settings.watchInterval;
-  view.mutants = settings.viewMutants;
+  view.mutants = settings.controlViewMutants;
   return view;
 }
 
@@ -32,73 +32,73 @@
 Gateway::Gateway(GatewaySettings settings, base::Random& random, base::TimePoint now)
     : settings_(std::move(settings)),
       random_(random),
-      view_(viewSettings(settings_)),
+      m_controlView(viewSettings(settings_)),
       engines_(settings_.engines),
       selector_(settings_.selector, random),
       outliers_(settings_.outliers),
       queue_(settings_.queue),
-      retry_budget_(settings_.retryRatio, settings_.retryReserve),
-      control_(clientSettings(settings_.controlGroup, settings_.controllers),
-               firstCall(settings_, settings_.controlGroup.value)),
+      retry_budget_(settings_.retryRatio, settings_.retryBurst),
+      m_controllerClient(clientSettings(settings_.controlGroup, settings_.controllers),
+                         initialCallId(settings_, settings_.controlGroup.value)),
       started_at_(now),
-      rate_at_(now) {
+      m_rateMeasuredAt(now) {
   for (const LedgerGroup& group : settings_.ledgers) {
-    LedgerLink link;
-    link.client = std::make_unique<consensus::GroupClient>(
-        clientSettings(group.group, group.replicas), firstCall(settings_, group.group.value));
-    ledgers_.push_back(std::move(link));
+    LedgerGroupState groupState;
+    groupState.client = std::make_unique<consensus::GroupClient>(
+        clientSettings(group.group, group.replicas), initialCallId(settings_, group.group.value));
+    ledgers_.push_back(std::move(groupState));
   }
 }
 
 void Gateway::onMessage(base::NodeId from, const transport::InternalMessage& message,
                         base::TimePoint now) {
   if (const auto* response = std::get_if<transport::WatchResponse>(&message)) {
-    const base::Revision before = view_.revision();
-    view_.onWatchResponse(from, *response, now, actions_.messages);
+    const base::Revision before = m_controlView.revision();
+    m_controlView.onWatchResponse(from, *response, now, actions_.messages);
     if (response->delta.to >= before) {
-      engines_.apply(withOwnEngines(response->delta));
+      engines_.apply(filterEngines(response->delta));
     }
     dispatch(now);
   } else if (const auto* redirect = std::get_if<transport::WatchRedirect>(&message)) {
-    view_.onRedirect(from, *redirect);
-  } else if (const auto* answer = std::get_if<transport::CommandResponse>(&message)) {
-    if (answer->group == control_.group()) {
-      control_.onResponse(*answer, now, actions_.messages);
+    m_controlView.onRedirect(from, *redirect);
+  } else if (const auto* commandResponse = std::get_if<transport::CommandResponse>(&message)) {
+    if (commandResponse->group == m_controllerClient.group()) {
+      m_controllerClient.onResponse(*commandResponse, now, actions_.messages);
       return;
     }
-    for (LedgerLink& link : ledgers_) {
-      if (link.client->group() == answer->group) {
-        link.client->onResponse(*answer, now, actions_.messages);
+    for (LedgerGroupState& groupState : ledgers_) {
+      if (groupState.client->group() == commandResponse->group) {
+        groupState.client->onResponse(*commandResponse, now, actions_.messages);
       }
     }
   }
 }
 
 void Gateway::tick(base::TimePoint now) {
-  if (!left_) {
-    view_.tick(now, actions_.messages);
+  if (!m_leaseReleased) {
+    m_controlView.tick(now, actions_.messages);
   }
-  control_.tick(now, actions_.messages);
-  for (LedgerLink& link : ledgers_) {
-    link.client->tick(now, actions_.messages);
+  m_controllerClient.tick(now, actions_.messages);
+  for (LedgerGroupState& groupState : ledgers_) {
+    groupState.client->tick(now, actions_.messages);
   }
   pollEngines(now);
-  expireJobs(now);
+  expireTasks(now);
   leaseSamples(now);
   dispatch(now);
   hedgeSlowSamples(now);
   constexpr base::Duration kRateInterval = base::milliseconds(500);
-  if (now - rate_at_ >= kRateInterval) {
-    constexpr double kWeight = 0.3;
-    const double rate = static_cast<double>(counters_.tokensReceived - tokens_at_rate_) /
-                        base::toSeconds(now - rate_at_);
-    tokens_per_second_ += kWeight * (rate - tokens_per_second_);
-    tokens_at_rate_ = counters_.tokensReceived;
-    rate_at_ = now;
+  if (now - m_rateMeasuredAt >= kRateInterval) {
+    constexpr double kSmoothingFactor = 0.3;
+    const double rate = static_cast<double>(counters_.tokensReceived - m_rateBaseTokens) /
+                        base::toSeconds(now - m_rateMeasuredAt);
+    tokens_per_second_ += kSmoothingFactor * (rate - tokens_per_second_);
+    m_rateBaseTokens = counters_.tokensReceived;
+    m_rateMeasuredAt = now;
   }
-  if (draining_ && isDrained() && !left_) {
-    left_ = true;
-    view_.leave(now, actions_.messages);
+  if (draining_ && isDrained() && !m_leaseReleased) {
+    m_leaseReleased = true;
+    m_controlView.releaseLease(now, actions_.messages);
   }
 }
 
@@ -107,26 +107,26 @@
     return;
   }
   draining_ = true;
-  returnWaitingSamples(now);
-  if (settings_.mutants.dropOnDrain) {
-    std::vector<JobId> running;
-    for (const auto& [id, job] : jobs_) {
-      if (job.caller) {
+  returnQueuedSamples(now);
+  if (settings_.mutants.abortOnDrain) {
+    std::vector<TaskId> running;
+    for (const auto& [id, task] : m_tasks) {
+      if (task.caller) {
         running.push_back(id);
       }
     }
-    for (const JobId id : running) {
-      giveUp(jobs_.at(id), RejectionReason::kStopping, "stopping", now);
+    for (const TaskId id : running) {
+      failTask(m_tasks.at(id), RejectionReason::kStopping, "stopping", now);
     }
   }
 }
 
 bool Gateway::isDrained() const {
-  if (!draining_ || !jobs_.empty()) {
+  if (!draining_ || !m_tasks.empty()) {
     return false;
   }
-  for (const LedgerLink& link : ledgers_) {
-    if (link.client->outstanding() > 0) {
+  for (const LedgerGroupState& groupState : ledgers_) {
+    if (groupState.client->outstanding() > 0) {
       return false;
     }
   }
@@ -136,13 +136,13 @@
 void Gateway::callLedger(const base::BatchId& batch, transport::CommandKind kind,
                          base::Bytes payload, base::TimePoint now,
                          consensus::GroupClient::Callback callback) {
-  callGroup(*ledgerFor(base::hashBytes(batch.value)).client, kind, std::move(payload), now,
+  callGroup(*ledgerByHash(base::hashBytes(batch.value)).client, kind, std::move(payload), now,
             std::move(callback));
 }
 
 void Gateway::callControllers(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
                               consensus::GroupClient::Callback callback) {
-  callGroup(control_, kind, std::move(payload), now, std::move(callback));
+  callGroup(m_controllerClient, kind, std::move(payload), now, std::move(callback));
 }
 
 void Gateway::callGroup(consensus::GroupClient& client, transport::CommandKind kind,
@@ -151,31 +151,31 @@
   client.call(kind, std::move(payload), now, actions_.messages, std::move(callback));
 }
 
-Gateway::LedgerLink& Gateway::ledgerFor(std::uint64_t hash) {
+Gateway::LedgerGroupState& Gateway::ledgerByHash(std::uint64_t hash) {
   return ledgers_.at(hash % ledgers_.size());
 }
 
-Gateway::LedgerLink& Gateway::ledgerOf(base::GroupId group) {
-  for (LedgerLink& link : ledgers_) {
-    if (link.client->group() == group) {
-      return link;
+Gateway::LedgerGroupState& Gateway::ledgerByGroup(base::GroupId group) {
+  for (LedgerGroupState& groupState : ledgers_) {
+    if (groupState.client->group() == group) {
+      return groupState;
     }
   }
   return ledgers_.front();
 }
 
-void Gateway::refuse(const RejectRequest& refusal) {
-  if (refusal.verdict == base::Verdict::kNotRun) {
+void Gateway::reject(const RejectRequest& rejection) {
+  if (rejection.verdict == base::Verdict::kNotRun) {
     ++counters_.requestsRefusedNotRun;
   } else {
     ++counters_.requestsIndeterminate;
   }
-  actions_.actions.emplace_back(refusal);
+  actions_.actions.emplace_back(rejection);
 }
 
-std::uint64_t Gateway::uniqueNumber() {
-  ++counter_;
-  return base::mix(base::mix(settings_.self.value, settings_.incarnation.value), counter_);
+std::uint64_t Gateway::nextUniqueId() {
+  ++m_lastId;
+  return base::mix(base::mix(settings_.self.value, settings_.incarnation.value), m_lastId);
 }
 
 }  // namespace tackpick::gateway
--- a/src/gateway/gateway_dispatch.cpp
+++ b/src/gateway/gateway_dispatch.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gateway: the queue, the choice of engines, hedges, and reading engines.
+/// Gateway: queueing, engine selection, hedging, and polling of engines.
 #include <algorithm>
 
 #include "engine/content.h"
@@ -8,39 +8,39 @@
 namespace tackpick::gateway {
 namespace {
 
-/// Urgent classes may preempt lower ones on a full engine.
-constexpr std::uint32_t kUrgentPriorityLimit = 3;
+/// Requests with a priority number below this may preempt others on a full engine.
+constexpr std::uint32_t kPreemptingPriorityLimit = 3;
 
 }  // namespace
 
-void Gateway::enqueue(Job& job, base::TimePoint now) {
+void Gateway::enqueue(Task& task, base::TimePoint now) {
   routing::DispatchQueue::Entry entry;
-  entry.job = job.id;
-  entry.priority = job.priority;
-  entry.workload = job.workload;
+  entry.task = task.id;
+  entry.priority = task.priority;
+  entry.workload = task.workload;
   const std::uint32_t predicted =
-      job.sample ? job.sample->expectedTokens
-                 : length_estimates_.expected(job.workload, job.prompt, job.maximumTokens);
-  const auto done = static_cast<std::uint32_t>(job.partial.tokens.size());
+      task.sample ? task.sample->expectedTokens
+                  : length_estimates_.expected(task.workload, task.prompt, task.maximumTokens);
+  const auto done = static_cast<std::uint32_t>(task.partialOutput.tokens.size());
   entry.expectedTokens = std::max<std::uint32_t>(predicted > done ? predicted - done : 1, 1);
-  entry.longestFirst = job.sample.has_value() && settings_.longestFirst;
+  entry.longestFirst = task.sample.has_value() && settings_.longestFirst;
   entry.enqueuedAt = now;
   queue_.push(entry);
-  job.queued = true;
+  task.queued = true;
 }
 
 void Gateway::dispatch(base::TimePoint now) {
-  if (!view_.canServe(now)) {
+  if (!m_controlView.canServe(now)) {
     return;
   }
   bool progressed = true;
   while (progressed && queue_.size() > 0) {
     progressed = false;
     for (const routing::DispatchQueue::Entry& entry : queue_.candidates(now)) {
-      Job& job = jobs_.at(entry.job);
-      if (tryDispatch(job, false, now)) {
-        queue_.dispatched(entry.job, now);
-        job.queued = false;
+      Task& task = m_tasks.at(entry.task);
+      if (tryDispatch(task, false, now)) {
+        queue_.removeDispatched(entry.task, now);
+        task.queued = false;
         progressed = true;
         break;
       }
@@ -48,117 +48,118 @@
   }
 }
 
-bool Gateway::tryDispatch(Job& job, bool isHedge, base::TimePoint now) {
-  routing::EngineDemand demand;
-  demand.model = job.model;
-  demand.minimumVersion = job.minimumVersion;
-  demand.excluded = job.refusedBy;
-  demand.urgent = job.caller.has_value() && job.priority < kUrgentPriorityLimit;
-  if (job.caller) {
-    demand.prefixBlocks = engine::prefixBlocks(job.prompt);
+bool Gateway::tryDispatch(Task& task, bool isHedge, base::TimePoint now) {
+  routing::SelectionCriteria criteria;
+  criteria.model = task.model;
+  criteria.minimumVersion = task.minimumVersion;
+  criteria.excluded = task.excludedEngines;
+  criteria.mayPreempt = task.caller.has_value() && task.priority < kPreemptingPriorityLimit;
+  if (task.caller) {
+    criteria.prefixBlocks = engine::prefixBlocks(task.prompt);
   }
-  for (const Attempt& running : job.attempts) {
-    demand.excluded.insert(running.engine);
+  for (const Attempt& running : task.attempts) {
+    criteria.excluded.insert(running.engine);
   }
-  auto engine = selector_.select(engines_, outliers_, demand, now);
-  if (!engine && !job.refusedBy.empty() && !isHedge) {
-    // Every other engine is unfit: those that failed before are better than none.
-    job.refusedBy.clear();
-    demand.excluded.clear();
-    engine = selector_.select(engines_, outliers_, demand, now);
+  auto engine = selector_.select(engines_, outliers_, criteria, now);
+  if (!engine && !task.excludedEngines.empty() && !isHedge) {
+    // No other engine is available: retry the engines that rejected or failed the task.
+    task.excludedEngines.clear();
+    criteria.excluded.clear();
+    engine = selector_.select(engines_, outliers_, criteria, now);
   }
   if (!engine) {
     return false;
   }
   Attempt attempt;
-  attempt.id = {uniqueNumber()};
+  attempt.id = {nextUniqueId()};
   attempt.engine = *engine;
   attempt.startedAt = now;
-  attempt.progressAt = now;
+  attempt.lastProgressAt = now;
   attempt.isHedge = isHedge;
-  attempt.output = isHedge ? job.attempts.front().output : job.partial;
-  attempt.resumedFrom = static_cast<std::uint32_t>(attempt.output.tokens.size());
+  attempt.output = isHedge ? task.attempts.front().output : task.partialOutput;
+  attempt.resumeOffset = static_cast<std::uint32_t>(attempt.output.tokens.size());
 
   StartAttempt start;
   start.engine = *engine;
   start.request.attempt = attempt.id;
-  start.request.model = job.model;
-  start.request.prompt = job.prompt;
-  start.request.seed = job.seed;
-  start.request.maximumTokens = job.maximumTokens;
-  start.request.resumeFrom = attempt.resumedFrom;
-  start.request.priority = job.priority;
-  start.request.minimumVersion = job.minimumVersion;
-  start.request.notRepeatable = job.caller && job.caller->notRepeatable;
+  start.request.model = task.model;
+  start.request.prompt = task.prompt;
+  start.request.seed = task.seed;
+  start.request.maximumTokens = task.maximumTokens;
+  start.request.resumeFrom = attempt.resumeOffset;
+  start.request.priority = task.priority;
+  start.request.minimumVersion = task.minimumVersion;
+  start.request.notRepeatable = task.caller && task.caller->notRepeatable;
 
-  if (job.attemptCount == 0) {
+  if (task.attemptCount == 0) {
     retry_budget_.onFirstAttempt();
   }
-  ++job.attemptCount;
+  ++task.attemptCount;
   ++counters_.attemptsStarted;
   engines_.onDispatch(*engine);
-  job_by_attempt_[attempt.id] = job.id;
-  job.attempts.push_back(std::move(attempt));
+  m_taskByAttempt[attempt.id] = task.id;
+  task.attempts.push_back(std::move(attempt));
   actions_.actions.emplace_back(std::move(start));
   return true;
 }
 
 void Gateway::hedgeSlowSamples(base::TimePoint now) {
-  if (!settings_.hedgeTail || queue_.size() > 0 || !view_.canServe(now)) {
+  if (!settings_.hedgeSlowSamplesEnabled || queue_.size() > 0 || !m_controlView.canServe(now)) {
     return;
   }
-  for (auto& [id, job] : jobs_) {
-    if (!job.sample || !job.hedgingAllowed || job.finishing || job.attempts.size() != 1 ||
-        now - job.attempts.front().startedAt < settings_.hedgeAfter) {
+  for (auto& [id, task] : m_tasks) {
+    if (!task.sample || !task.hedgingAllowed || task.outcomeDecided || task.attempts.size() != 1 ||
+        now - task.attempts.front().startedAt < settings_.hedgeDelay) {
       continue;
     }
-    const auto capacity = engines_.capacity(job.model, now);
+    const auto capacity = engines_.capacity(task.model, now);
     const auto busy = static_cast<double>(capacity.load);
-    if (busy > settings_.hedgeIdleShare * static_cast<double>(capacity.slots)) {
+    if (busy > settings_.maxHedgeUtilization * static_cast<double>(capacity.slots)) {
       return;
     }
-    // Engines differ little in speed, so a second run of a sample that makes progress only wastes
-    // tokens: see docs/BENCHMARKS.md.
-    const bool unresponsive = now - job.attempts.front().progressAt > settings_.hedgeAfter;
-    if (unresponsive && tryDispatch(job, true, now)) {
+    // Hedge only samples without progress: engines differ little in speed, so a second attempt of a
+    // sample that makes progress only wastes tokens.
+    const bool unresponsive = now - task.attempts.front().lastProgressAt > settings_.hedgeDelay;
+    if (unresponsive && tryDispatch(task, true, now)) {
       ++counters_.attemptsHedged;
     }
   }
 }
 
-bool Gateway::isReaderOf(base::EngineId engine) const {
-  if (settings_.readersPerEngine == 0 || settings_.peers.size() <= settings_.readersPerEngine) {
+bool Gateway::usesEngine(base::EngineId engine) const {
+  if (settings_.gatewaysPerEngine == 0 || settings_.peers.size() <= settings_.gatewaysPerEngine) {
     return true;
   }
-  const std::uint64_t own = base::mix(engine.value, settings_.self.value);
-  const auto stronger =
-      std::count_if(settings_.peers.begin(), settings_.peers.end(),
-                    [&](base::NodeId peer) { return base::mix(engine.value, peer.value) > own; });
-  return static_cast<std::uint32_t>(stronger) < settings_.readersPerEngine;
+  const std::uint64_t ownWeight = base::mix(engine.value, settings_.self.value);
+  const auto higherRanked = std::count_if(
+      settings_.peers.begin(), settings_.peers.end(),
+      [&](base::NodeId peer) { return base::mix(engine.value, peer.value) > ownWeight; });
+  return static_cast<std::uint32_t>(higherRanked) < settings_.gatewaysPerEngine;
 }
 
-control::ControlDelta Gateway::withOwnEngines(const control::ControlDelta& delta) const {
-  control::ControlDelta own;
-  own.from = delta.from;
-  own.to = delta.to;
-  own.full = delta.full;
+control::ControlDelta Gateway::filterEngines(const control::ControlDelta& delta) const {
+  control::ControlDelta filtered;
+  filtered.from = delta.from;
+  filtered.to = delta.to;
+  filtered.full = delta.full;
   for (const control::EngineRecord& record : delta.engines) {
-    if (isReaderOf(record.engine)) {
-      own.engines.push_back(record);
+    if (usesEngine(record.engine)) {
+      filtered.engines.push_back(record);
     }
   }
-  return own;
+  return filtered;
 }
 
 void Gateway::pollEngines(base::TimePoint now) {
-  std::erase_if(read_at_, [&](const auto& entry) { return engines_.find(entry.first) == nullptr; });
+  std::erase_if(m_lastPolledAt,
+                [&](const auto& entry) { return engines_.find(entry.first) == nullptr; });
   for (const auto& [id, entry] : engines_.entries()) {
-    base::TimePoint& readAt = read_at_[id];
-    if (now - readAt < settings_.readInterval) {
+    base::TimePoint& lastPolledAt = m_lastPolledAt[id];
+    if (now - lastPolledAt < settings_.pollInterval) {
       continue;
     }
-    readAt = now;
-    engines_.onReadSent(id, now);
+    lastPolledAt = now;
+    engines_.onPollSent(id, now);
     actions_.actions.emplace_back(PollEngine{id});
   }
 }
--- a/src/gateway/gateway_samples.cpp
+++ b/src/gateway/gateway_samples.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gateway: samples leased from the ledgers, and their commit.
+/// Gateway: lease and commit of samples.
 #include <algorithm>
 
 #include "gateway/gateway.h"
@@ -8,13 +8,13 @@
 
 using control::SettingKey;
 
-std::uint32_t Gateway::wantedSamples(base::TimePoint now) const {
+std::uint32_t Gateway::samplesToLease(base::TimePoint now) const {
   std::uint32_t waiting = 0;
-  std::uint32_t held = 0;
-  for (const auto& [id, job] : jobs_) {
-    if (job.sample) {
-      ++held;
-      waiting += job.queued ? 1 : 0;
+  std::uint32_t heldSamples = 0;
+  for (const auto& [id, task] : m_tasks) {
+    if (task.sample) {
+      ++heldSamples;
+      waiting += task.queued ? 1 : 0;
     }
   }
   std::uint64_t freeSlots = 0;
@@ -24,134 +24,140 @@
       freeSlots += entry.status.slots - std::min(entry.status.slots, load);
     }
   }
-  const auto target = static_cast<std::uint32_t>(freeSlots) + settings_.sampleReserve;
-  const std::uint32_t wanted = target - std::min(target, waiting);
-  return std::min(wanted, settings_.maximumSamples - std::min(settings_.maximumSamples, held));
+  const auto target = static_cast<std::uint32_t>(freeSlots) + settings_.samplePrefetch;
+  const std::uint32_t sampleCount = target - std::min(target, waiting);
+  return std::min(sampleCount,
+                  settings_.maxLeasedSamples - std::min(settings_.maxLeasedSamples, heldSamples));
 }
 
 void Gateway::leaseSamples(base::TimePoint now) {
-  const bool mayLease = !draining_ && view_.canServe(now);
-  for (LedgerLink& link : ledgers_) {
-    if (link.held > 0 && now - link.heardAt >= settings_.heartbeatInterval) {
-      link.heardAt = now;
-      callGroup(*link.client, transport::CommandKind::kQuery,
+  const bool mayLease = !draining_ && m_controlView.canServe(now);
+  for (LedgerGroupState& groupState : ledgers_) {
+    if (groupState.heldSamples > 0 &&
+        now - groupState.lastContactAt >= settings_.heartbeatInterval) {
+      groupState.lastContactAt = now;
+      callGroup(*groupState.client, transport::CommandKind::kQuery,
                 base::encode(ledger::LedgerQuery{
                     ledger::GatewayHeartbeat{settings_.self, settings_.incarnation}}),
                 now, [](const base::Bytes*, base::TimePoint) {});
     }
-    // A group that had nothing is asked less often.
-    const auto interval = link.empty ? settings_.leaseInterval * 3 : settings_.leaseInterval;
-    if (!mayLease || link.leaseOutstanding || now - link.leasedAt < interval) {
+    // Request samples less often from a group that had none.
+    const auto interval =
+        groupState.lastLeaseEmpty ? settings_.leaseInterval * 3 : settings_.leaseInterval;
+    if (!mayLease || groupState.leaseInFlight || now - groupState.lastLeaseSentAt < interval) {
       continue;
     }
-    const std::uint32_t wanted = wantedSamples(now);
-    if (wanted == 0) {
+    const std::uint32_t sampleCount = samplesToLease(now);
+    if (sampleCount == 0) {
       continue;
     }
-    link.leaseOutstanding = true;
-    link.leasedAt = now;
-    link.heardAt = now;
+    groupState.leaseInFlight = true;
+    groupState.lastLeaseSentAt = now;
+    groupState.lastContactAt = now;
     ledger::LeaseSamples lease;
     lease.gateway = settings_.self;
     lease.incarnation = settings_.incarnation;
-    lease.request = ++link.leaseRequest;
-    lease.maximum = wanted;
-    callGroup(*link.client, transport::CommandKind::kCommand,
-              base::encode(ledger::LedgerOperation{lease}), now,
-              [this, group = link.client->group()](const base::Bytes* result, base::TimePoint at) {
-                onLeaseResult(group, result, at);
-              });
+    lease.request = ++groupState.leaseSequence;
+    lease.maximum = sampleCount;
+    callGroup(
+        *groupState.client, transport::CommandKind::kCommand,
+        base::encode(ledger::LedgerOperation{lease}), now,
+        [this, group = groupState.client->group()](const base::Bytes* result, base::TimePoint at) {
+          onLeaseResult(group, result, at);
+        });
   }
 }
 
 void Gateway::onLeaseResult(base::GroupId group, const base::Bytes* result, base::TimePoint now) {
-  LedgerLink& link = ledgerOf(group);
-  link.leaseOutstanding = false;
+  LedgerGroupState& groupState = ledgerByGroup(group);
+  groupState.leaseInFlight = false;
   const auto decoded =
       result == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*result);
   if (!decoded) {
-    // The outcome is unknown: asking again under the same number gives the same samples.
-    --link.leaseRequest;
+    // The outcome is unknown: repeating the request with the same number returns the same samples.
+    --groupState.leaseSequence;
     return;
   }
-  link.empty = decoded->leased.empty();
+  groupState.lastLeaseEmpty = decoded->leased.empty();
   for (const ledger::LeasedSample& sample : decoded->leased) {
-    createSampleJob(group, sample, now);
+    createSampleTask(group, sample, now);
   }
   if (draining_) {
-    returnWaitingSamples(now);
+    returnQueuedSamples(now);
   }
   dispatch(now);
 }
 
-void Gateway::createSampleJob(base::GroupId group, const ledger::LeasedSample& sample,
-                              base::TimePoint now) {
-  const control::SettingsTree& tree = view_.settings();
-  Job job;
-  job.id = {++counter_};
-  job.sample = sample;
-  job.ledgerGroup = group;
-  job.workload = sample.workload;
-  job.model = sample.model;
-  job.prompt = sample.sample.prompt;
-  job.seed = sample.sample.seed;
-  job.maximumTokens = sample.sample.maximumTokens;
-  job.priority =
+void Gateway::createSampleTask(base::GroupId group, const ledger::LeasedSample& sample,
+                               base::TimePoint now) {
+  const control::SettingsTree& tree = m_controlView.settings();
+  Task task;
+  task.id = {++m_lastId};
+  task.sample = sample;
+  task.ledgerGroup = group;
+  task.workload = sample.workload;
+  task.model = sample.model;
+  task.prompt = sample.sample.prompt;
+  task.seed = sample.sample.seed;
+  task.maximumTokens = sample.sample.maximumTokens;
+  task.priority =
       static_cast<std::uint32_t>(tree.integer(sample.workload.value, SettingKey::kPriority));
-  job.minimumVersion = sample.minimumVersion;
-  job.hedgingAllowed = tree.flag(sample.workload.value, SettingKey::kHedging);
-  job.arrivedAt = now;
+  task.minimumVersion = sample.minimumVersion;
+  task.hedgingAllowed = tree.flag(sample.workload.value, SettingKey::kHedging);
+  task.arrivedAt = now;
   ++counters_.samplesLeased;
-  ++ledgerOf(group).held;
-  Job& stored = jobs_.emplace(job.id, std::move(job)).first->second;
+  ++ledgerByGroup(group).heldSamples;
+  Task& stored = m_tasks.emplace(task.id, std::move(task)).first->second;
   enqueue(stored, now);
 }
 
-void Gateway::commitSample(Job& job, ledger::SampleResult result, base::TimePoint now) {
+void Gateway::commitSample(Task& task, ledger::SampleResult result, base::TimePoint now) {
   ledger::CommitSample commit;
-  commit.batch = job.sample->batch;
-  commit.fence = job.sample->fence;
+  commit.batch = task.sample->batch;
+  commit.fence = task.sample->fence;
   commit.result = std::move(result);
-  sendCommit(job.id, base::encode(ledger::LedgerOperation{std::move(commit)}), now);
+  sendCommit(task.id, base::encode(ledger::LedgerOperation{std::move(commit)}), now);
 }
 
-void Gateway::sendCommit(JobId id, const base::Bytes& command, base::TimePoint now) {
-  const auto found = jobs_.find(id);
-  if (found == jobs_.end()) {
+void Gateway::sendCommit(TaskId id, const base::Bytes& command, base::TimePoint now) {
+  const auto found = m_tasks.find(id);
+  if (found == m_tasks.end()) {
     return;
   }
-  consensus::GroupClient& client = *ledgerOf(found->second.ledgerGroup).client;
+  consensus::GroupClient& client = *ledgerByGroup(found->second.ledgerGroup).client;
   callGroup(client, transport::CommandKind::kCommand, command, now,
-            [this, id, command](const base::Bytes* answer, base::TimePoint at) {
-              const auto decoded =
-                  answer == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*answer);
+            [this, id, command](const base::Bytes* commandResult, base::TimePoint at) {
+              const auto decoded = commandResult == nullptr
+                                       ? std::nullopt
+                                       : base::decode<ledger::LedgerResult>(*commandResult);
               if (!decoded) {
-                sendCommit(id, command, at);  // unclear: committing again is harmless
+                sendCommit(id, command, at);  // outcome unknown; a repeated commit has no effect
                 return;
               }
               if (decoded->status == ledger::LedgerStatus::kOk) {
                 ++counters_.samplesCommitted;
               } else if (decoded->status == ledger::LedgerStatus::kTooOld) {
-                ++counters_.samplesTooOld;
+                ++counters_.samplesStale;
               }
-              removeJob(id);
+              removeTask(id);
             });
 }
 
-void Gateway::returnWaitingSamples(base::TimePoint now) {
-  std::vector<JobId> waiting;
-  for (const auto& [id, job] : jobs_) {
-    if (job.sample && job.attempts.empty() && !job.finishing) {
+void Gateway::returnQueuedSamples(base::TimePoint now) {
+  std::vector<TaskId> waiting;
+  for (const auto& [id, task] : m_tasks) {
+    if (task.sample && task.attempts.empty() && !task.outcomeDecided) {
       waiting.push_back(id);
     }
   }
-  for (const JobId id : waiting) {
-    const Job& job = jobs_.at(id);
-    const ledger::ReturnSample give{job.sample->batch, job.sample->sample.index, job.sample->fence};
-    callGroup(*ledgerOf(job.ledgerGroup).client, transport::CommandKind::kCommand,
-              base::encode(ledger::LedgerOperation{give}), now,
+  for (const TaskId id : waiting) {
+    const Task& task = m_tasks.at(id);
+    const ledger::ReturnSample returnSample{task.sample->batch, task.sample->sample.index,
+                                            task.sample->fence};
+    callGroup(*ledgerByGroup(task.ledgerGroup).client, transport::CommandKind::kCommand,
+              base::encode(ledger::LedgerOperation{returnSample}), now,
               [](const base::Bytes*, base::TimePoint) {});
-    removeJob(id);
+    removeTask(id);
   }
 }
 
--- a/src/gateway/job.h
+++ b/src/gateway/task.h
@@ -1,5 +1,5 @@
 /// \file
-/// A unit of work inside a gateway: a caller's request or a leased sample.
+/// Unit of work of a gateway: a caller's request or a leased sample.
 #pragma once
 
 #include <optional>
@@ -16,29 +16,29 @@
 
 namespace tackpick::gateway {
 
-using routing::JobId;
+using routing::TaskId;
 
-/// Tokens with the versions that produced them.
+/// Tokens with the weights versions that produced them.
 struct VersionedTokens {
   std::vector<engine::Token> tokens;
   std::vector<ledger::VersionSpan> spans;
 
   /// Appends tokens produced under one version.
-  void append(base::WeightsVersion version, const std::vector<engine::Token>& more);
+  void append(base::WeightsVersion version, const std::vector<engine::Token>& newTokens);
 };
 
-/// One dispatch of a job to an engine. It begins with the tokens that earlier attempts left.
+/// One dispatch of a task to an engine.
 struct Attempt {
   base::AttemptId id;
   base::EngineId engine;
   base::TimePoint startedAt{};
-  base::TimePoint progressAt{};
-  std::uint32_t resumedFrom = 0;
+  base::TimePoint lastProgressAt{};
+  std::uint32_t resumeOffset = 0;  ///< number of tokens kept from earlier attempts
   bool isHedge = false;
-  VersionedTokens output;
+  VersionedTokens output;  ///< includes the tokens kept from earlier attempts
 };
 
-/// What a caller asked for.
+/// Request of a caller.
 struct CallerRequest {
   base::CallerId id;
   base::TenantName tenant;
@@ -46,22 +46,22 @@
   std::string prompt;
   std::uint64_t seed = 0;
   std::uint32_t maximumTokens = 0;
-  base::Duration deadline{0};  ///< from arrival; zero: the workload's default
+  base::Duration deadline{0};  ///< relative to arrival; zero: default of the workload
   bool stream = false;
   bool notRepeatable = false;
   base::IdempotencyKey key;  ///< required when not repeatable
 };
 
-/// State of a not-repeatable request's claim.
+/// State of the claim of a not-repeatable request.
 enum class ClaimState { kNone, kRequested, kHeld };
 
-/// Owned by Gateway. At any time a job is waiting in the queue, or has attempts, or both a hedge
-/// and none in the queue, or is being claimed or recorded.
-struct Job {
-  JobId id;
+/// Caller's request or leased sample. A task is being claimed, queued, waiting for a retry, running
+/// (with a second attempt if hedged), or having its outcome recorded. Owned by Gateway.
+struct Task {
+  TaskId id;
   std::optional<CallerRequest> caller;         ///< set for callers' requests
   std::optional<ledger::LeasedSample> sample;  ///< set for samples
-  base::GroupId ledgerGroup;                   ///< of the sample or claim
+  base::GroupId ledgerGroup;                   ///< group of the sample or of the claim
   base::WorkloadPath workload;
   std::string model;
   std::string prompt;
@@ -71,18 +71,18 @@
   base::WeightsVersion minimumVersion;
   bool hedgingAllowed = false;
   base::TimePoint arrivedAt{};
-  base::TimePoint deadline{};       ///< callers only
-  base::TimePoint queueDeadline{};  ///< callers only: give up waiting in the queue
-  base::TimePoint retryAt{};        ///< waits outside the queue until then
+  base::TimePoint deadline{};        ///< callers' requests only
+  base::TimePoint queueDeadline{};   ///< callers' requests only: latest time of the first dispatch
+  base::TimePoint retryNotBefore{};  ///< earliest time at which a waiting retry is queued
 
-  base::Verdict verdict = base::Verdict::kNotRun;  ///< over all attempts so far
-  VersionedTokens partial;                         ///< what ended attempts left
+  base::Verdict verdict = base::Verdict::kNotRun;  ///< combined over all attempts
+  VersionedTokens partialOutput;                   ///< longest output of ended attempts
   std::vector<Attempt> attempts;
   std::uint32_t attemptCount = 0;
-  std::set<base::EngineId> refusedBy;
+  std::set<base::EngineId> excludedEngines;  ///< rejected, failed or stalled this task
   std::uint32_t streamedTokens = 0;
   bool queued = false;
-  bool finishing = false;  ///< the outcome is decided and is being recorded
+  bool outcomeDecided = false;  ///< the outcome is final and is being recorded
   ClaimState claim = ClaimState::kNone;
   std::uint64_t claimant = 0;
 };
--- a/src/routing/dispatch_queue.cpp
+++ b/src/routing/dispatch_queue.cpp
@@ -6,113 +6,115 @@
 namespace tackpick::routing {
 
 void DispatchQueue::push(const Entry& entry) {
-  Stored stored;
-  stored.entry = entry;
-  stored.rank.arrival = ++arrivals_;
+  QueuedEntry queuedEntry;
+  queuedEntry.entry = entry;
+  queuedEntry.sortKey.sequence = ++m_lastSequence;
   if (entry.longestFirst) {
-    stored.rank.shortness = std::numeric_limits<std::uint32_t>::max() - entry.expectedTokens;
+    queuedEntry.sortKey.inverseLength =
+        std::numeric_limits<std::uint32_t>::max() - entry.expectedTokens;
   }
   PriorityClass& priorityClass = classes_[entry.priority];
-  const double level = leastServed(priorityClass);
+  const double minServed = minServedTokens(priorityClass);
   WorkloadQueue& queue = priorityClass.workloads[entry.workload];
-  if (queue.jobs.empty()) {
-    queue.served = std::max(queue.served, level);
+  if (queue.tasks.empty()) {
+    queue.servedTokens = std::max(queue.servedTokens, minServed);
   }
-  queue.jobs[stored.rank] = entry.job;
-  priorityClass.waitingTokens += entry.expectedTokens;
-  by_arrival_[stored.rank.arrival] = entry.job;
-  entries_[entry.job] = stored;
+  queue.tasks[queuedEntry.sortKey] = entry.task;
+  priorityClass.queuedTokens += entry.expectedTokens;
+  m_bySequence[queuedEntry.sortKey.sequence] = entry.task;
+  entries_[entry.task] = queuedEntry;
 }
 
-double DispatchQueue::leastServed(const PriorityClass& priorityClass) const {
-  double least = std::numeric_limits<double>::max();
+double DispatchQueue::minServedTokens(const PriorityClass& priorityClass) const {
+  double minServed = std::numeric_limits<double>::max();
   for (const auto& [workload, queue] : priorityClass.workloads) {
-    if (!queue.jobs.empty()) {
-      least = std::min(least, queue.served);
+    if (!queue.tasks.empty()) {
+      minServed = std::min(minServed, queue.servedTokens);
     }
   }
-  return least == std::numeric_limits<double>::max() ? 0.0 : least;
+  return minServed == std::numeric_limits<double>::max() ? 0.0 : minServed;
 }
 
 std::vector<DispatchQueue::Entry> DispatchQueue::candidates(base::TimePoint now) const {
   std::vector<Entry> ordered;
-  if (by_arrival_.empty()) {
+  if (m_bySequence.empty()) {
     return ordered;
   }
-  const Entry& oldest = entries_.at(by_arrival_.begin()->second).entry;
+  const Entry& oldest = entries_.at(m_bySequence.begin()->second).entry;
   if (settings_.fifo) {
     return {oldest};
   }
-  const bool starved = now - oldest.enqueuedAt >= settings_.starvationLimit &&
-                       since_starved_dispatch_ + 1 >= settings_.starvationShare;
+  const bool starved = now - oldest.enqueuedAt >= settings_.starvationTimeout &&
+                       m_dispatchesSinceStarved + 1 >= settings_.dispatchesPerStarved;
   if (starved) {
     ordered.push_back(oldest);
   }
   for (const auto& [priority, priorityClass] : classes_) {
     std::vector<const WorkloadQueue*> queues;
     for (const auto& [workload, queue] : priorityClass.workloads) {
-      if (!queue.jobs.empty()) {
+      if (!queue.tasks.empty()) {
         queues.push_back(&queue);
       }
     }
     std::stable_sort(queues.begin(), queues.end(),
                      [](const WorkloadQueue* left, const WorkloadQueue* right) {
-                       return left->served < right->served;
+                       return left->servedTokens < right->servedTokens;
                      });
     for (const WorkloadQueue* queue : queues) {
-      ordered.push_back(entries_.at(queue->jobs.begin()->second).entry);
+      ordered.push_back(entries_.at(queue->tasks.begin()->second).entry);
     }
   }
   return ordered;
 }
 
-void DispatchQueue::dispatched(JobId job, base::TimePoint now) {
-  const auto found = entries_.find(job);
+void DispatchQueue::removeDispatched(TaskId task, base::TimePoint now) {
+  const auto found = entries_.find(task);
   if (found == entries_.end()) {
     return;
   }
-  const Stored stored = found->second;
-  // Under overload everybody has waited long: only the turn of the oldest one counts as its turn.
-  const bool isOldest = by_arrival_.begin()->second == job;
-  const bool starved = isOldest && now - stored.entry.enqueuedAt >= settings_.starvationLimit &&
-                       since_starved_dispatch_ + 1 >= settings_.starvationShare;
-  since_starved_dispatch_ = starved ? 0 : since_starved_dispatch_ + 1;
-  classes_[stored.entry.priority].workloads[stored.entry.workload].served +=
-      stored.entry.expectedTokens;
-  erase(stored);
+  const QueuedEntry queuedEntry = found->second;
+  // Under overload many tasks exceed the timeout: only a dispatch of the oldest one counts.
+  const bool isOldest = m_bySequence.begin()->second == task;
+  const bool starved = isOldest &&
+                       now - queuedEntry.entry.enqueuedAt >= settings_.starvationTimeout &&
+                       m_dispatchesSinceStarved + 1 >= settings_.dispatchesPerStarved;
+  m_dispatchesSinceStarved = starved ? 0 : m_dispatchesSinceStarved + 1;
+  classes_[queuedEntry.entry.priority].workloads[queuedEntry.entry.workload].servedTokens +=
+      queuedEntry.entry.expectedTokens;
+  erase(queuedEntry);
 }
 
-void DispatchQueue::remove(JobId job) {
-  const auto found = entries_.find(job);
+void DispatchQueue::remove(TaskId task) {
+  const auto found = entries_.find(task);
   if (found != entries_.end()) {
-    erase(Stored(found->second));
+    erase(QueuedEntry(found->second));
   }
 }
 
-void DispatchQueue::erase(const Stored& stored) {
-  PriorityClass& priorityClass = classes_[stored.entry.priority];
-  priorityClass.workloads[stored.entry.workload].jobs.erase(stored.rank);
-  priorityClass.waitingTokens -= stored.entry.expectedTokens;
-  by_arrival_.erase(stored.rank.arrival);
-  entries_.erase(stored.entry.job);
+void DispatchQueue::erase(const QueuedEntry& queuedEntry) {
+  PriorityClass& priorityClass = classes_[queuedEntry.entry.priority];
+  priorityClass.workloads[queuedEntry.entry.workload].tasks.erase(queuedEntry.sortKey);
+  priorityClass.queuedTokens -= queuedEntry.entry.expectedTokens;
+  m_bySequence.erase(queuedEntry.sortKey.sequence);
+  entries_.erase(queuedEntry.entry.task);
 }
 
-std::uint64_t DispatchQueue::tokensAhead(std::uint32_t priority) const {
+std::uint64_t DispatchQueue::queuedTokensAhead(std::uint32_t priority) const {
   std::uint64_t tokens = 0;
-  for (const auto& [level, priorityClass] : classes_) {
-    if (level > priority && !settings_.fifo) {
+  for (const auto& [otherPriority, priorityClass] : classes_) {
+    if (otherPriority > priority && !settings_.fifo) {
       break;
     }
-    tokens += priorityClass.waitingTokens;
+    tokens += priorityClass.queuedTokens;
   }
   return tokens;
 }
 
-std::optional<DispatchQueue::Entry> DispatchQueue::lowestWaiting() const {
+std::optional<DispatchQueue::Entry> DispatchQueue::lastOfLowestPriority() const {
   for (auto it = classes_.rbegin(); it != classes_.rend(); ++it) {
     for (const auto& [workload, queue] : it->second.workloads) {
-      if (!queue.jobs.empty()) {
-        return entries_.at(queue.jobs.rbegin()->second).entry;
+      if (!queue.tasks.empty()) {
+        return entries_.at(queue.tasks.rbegin()->second).entry;
       }
     }
   }
--- a/src/routing/dispatch_queue.h
+++ b/src/routing/dispatch_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// The order in which waiting jobs are dispatched.
+/// Queue that determines the dispatch order of tasks.
 #pragma once
 
 #include <cstdint>
@@ -15,29 +15,29 @@
 
 namespace tackpick::routing {
 
-/// A caller's request or a sample, inside one gateway.
-using JobId = base::NumericId<struct JobTag>;
+/// Identifies a caller's request or a sample within one gateway.
+using TaskId = base::NumericId<struct TaskTag>;
 
-/// Knobs of DispatchQueue.
+/// Settings of DispatchQueue.
 struct DispatchQueueSettings {
-  /// A job that has waited this long goes before all classes, but at most one in
-  /// `starvationShare` dispatches is spent this way.
-  base::Duration starvationLimit = base::seconds(20);
-  std::uint32_t starvationShare = 10;
-  /// One queue in order of arrival, for comparison.
+  /// Time in the queue after which a task precedes all priority classes.
+  base::Duration starvationTimeout = base::seconds(20);
+  /// At most one in this many dispatches goes to a task that exceeded `starvationTimeout`.
+  std::uint32_t dispatchesPerStarved = 10;
+  /// Use one queue in order of arrival, for comparison.
   bool fifo = false;
 };
 
-/// Strict between priority classes, fair between the workloads of a class, longest expected job
-/// first within a workload when it asks for that, else first come first served. Fairness: the
-/// workload that was given the fewest expected tokens goes next; one that was idle starts level
-/// with the least served.
+/// Queue with strict priority between classes and fair sharing between the workloads of a class.
+/// Within a workload, tasks with `longestFirst` are ordered by expected length, others by arrival.
+/// The workload with the fewest dispatched tokens is next; a workload that was idle starts with the
+/// minimum over the workloads with queued tasks.
 class DispatchQueue {
  public:
   explicit DispatchQueue(DispatchQueueSettings settings) : settings_(settings) {}
 
   struct Entry {
-    JobId job;
+    TaskId task;
     std::uint32_t priority = 0;
     base::WorkloadPath workload;
     std::uint32_t expectedTokens = 1;
@@ -46,48 +46,49 @@
   };
 
   void push(const Entry& entry);
-  /// Jobs in dispatch order, one per workload: the candidates to try now. A candidate that no
-  /// engine can take does not hold up the others.
+  /// Returns the next task of each workload, in dispatch order. If no engine can run a task, the
+  /// caller tries the next one.
   [[nodiscard]] std::vector<Entry> candidates(base::TimePoint now) const;
-  /// Removes a job that was dispatched, and charges its workload.
-  void dispatched(JobId job, base::TimePoint now);
-  /// Removes a job without charging it.
-  void remove(JobId job);
+  /// Removes a dispatched task and charges its expected tokens to its workload.
+  void removeDispatched(TaskId task, base::TimePoint now);
+  /// Removes a task without charging it.
+  void remove(TaskId task);
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
-  /// Expected tokens of the waiting jobs that would go before a new one of `priority`.
-  [[nodiscard]] std::uint64_t tokensAhead(std::uint32_t priority) const;
-  /// The lowest class that has a job waiting for longer than `wait`, and that job.
-  [[nodiscard]] std::optional<Entry> lowestWaiting() const;
+  /// Returns the expected tokens of the queued tasks that precede a new task of `priority`.
+  [[nodiscard]] std::uint64_t queuedTokensAhead(std::uint32_t priority) const;
+  /// Returns the last task of a workload in the lowest priority class; std::nullopt if empty.
+  [[nodiscard]] std::optional<Entry> lastOfLowestPriority() const;
 
  private:
-  /// Sorts the jobs of one workload.
-  struct Rank {
-    std::uint32_t shortness = 0;  ///< lower goes first
-    std::uint64_t arrival = 0;
-    auto operator<=>(const Rank&) const = default;
+  /// Order of the tasks of one workload.
+  struct SortKey {
+    std::uint32_t inverseLength = 0;  ///< zero for tasks ordered by arrival
+    std::uint64_t sequence = 0;
+    auto operator<=>(const SortKey&) const = default;
   };
   struct WorkloadQueue {
-    std::map<Rank, JobId> jobs;
-    double served = 0.0;  ///< expected tokens dispatched, for fairness
+    std::map<SortKey, TaskId> tasks;
+    double servedTokens = 0.0;  ///< expected tokens of the dispatched tasks
   };
   struct PriorityClass {
     std::map<base::WorkloadPath, WorkloadQueue> workloads;
-    std::uint64_t waitingTokens = 0;
+    std::uint64_t queuedTokens = 0;
   };
-  struct Stored {
+  struct QueuedEntry {
     Entry entry;
-    Rank rank;
+    SortKey sortKey;
   };
 
-  void erase(const Stored& stored);
-  [[nodiscard]] double leastServed(const PriorityClass& priorityClass) const;
+  void erase(const QueuedEntry& queuedEntry);
+  /// Returns the minimum of `servedTokens` over the workloads with queued tasks.
+  [[nodiscard]] double minServedTokens(const PriorityClass& priorityClass) const;
 
   const DispatchQueueSettings settings_;
   std::map<std::uint32_t, PriorityClass> classes_;
-  std::map<JobId, Stored> entries_;
-  std::map<std::uint64_t, JobId> by_arrival_;
-  std::uint64_t arrivals_ = 0;
-  std::uint32_t since_starved_dispatch_ = 0;
+  std::map<TaskId, QueuedEntry> entries_;
+  std::map<std::uint64_t, TaskId> m_bySequence;
+  std::uint64_t m_lastSequence = 0;
+  std::uint32_t m_dispatchesSinceStarved = 0;
 };
 
 }  // namespace tackpick::routing
--- a/src/routing/engine_selector.cpp
+++ b/src/routing/engine_selector.cpp
@@ -6,62 +6,63 @@
 
 std::optional<base::EngineId> EngineSelector::select(const EngineTable& table,
                                                      const OutlierDetector& outliers,
-                                                     const EngineDemand& demand,
+                                                     const SelectionCriteria& criteria,
                                                      base::TimePoint now) {
-  std::vector<const EngineEntry*> usable;
+  std::vector<const EngineEntry*> candidates;
   for (const auto& [id, entry] : table.entries()) {
-    if (table.isEligible(entry, demand.model, demand.minimumVersion, now) &&
-        !outliers.isEjected(id, now) && !demand.excluded.contains(id) &&
-        hasFreeSlot(entry, outliers, demand)) {
-      usable.push_back(&entry);
+    if (table.isEligible(entry, criteria.model, criteria.minimumVersion, now) &&
+        !outliers.isEjected(id, now) && !criteria.excluded.contains(id) &&
+        hasFreeSlot(entry, outliers, criteria)) {
+      candidates.push_back(&entry);
     }
   }
-  if (usable.empty()) {
+  if (candidates.empty()) {
     return std::nullopt;
   }
   if (settings_.policy == SelectionPolicy::kRoundRobin) {
-    return usable[turn_++ % usable.size()]->record.engine;
+    return candidates[m_nextRoundRobin++ % candidates.size()]->record.engine;
   }
-  // Two random choices keep many gateways with equally old reports from all choosing the engine
-  // that looked emptiest; the engine with the best cached prefix joins as a third.
-  std::vector<const EngineEntry*> drawn = {usable[random_.below(usable.size())],
-                                           usable[random_.below(usable.size())]};
-  if (!demand.prefixBlocks.empty()) {
-    drawn.push_back(*std::min_element(usable.begin(), usable.end(),
-                                      [&](const EngineEntry* left, const EngineEntry* right) {
-                                        return cost(*left, demand) < cost(*right, demand);
-                                      }));
+  // Two random choices prevent gateways with equally outdated reports from all selecting the same
+  // engine. The engine with the lowest cost is a third choice if the prompt may be cached.
+  std::vector<const EngineEntry*> finalists = {candidates[random_.below(candidates.size())],
+                                               candidates[random_.below(candidates.size())]};
+  if (!criteria.prefixBlocks.empty()) {
+    finalists.push_back(*std::min_element(candidates.begin(), candidates.end(),
+                                          [&](const EngineEntry* left, const EngineEntry* right) {
+                                            return cost(*left, criteria) < cost(*right, criteria);
+                                          }));
   }
-  const auto best = std::min_element(drawn.begin(), drawn.end(),
+  const auto best = std::min_element(finalists.begin(), finalists.end(),
                                      [&](const EngineEntry* left, const EngineEntry* right) {
-                                       return cost(*left, demand) < cost(*right, demand);
+                                       return cost(*left, criteria) < cost(*right, criteria);
                                      });
   return (*best)->record.engine;
 }
 
 bool EngineSelector::hasFreeSlot(const EngineEntry& entry, const OutlierDetector& outliers,
-                                 const EngineDemand& demand) const {
-  if (outliers.onProbation(entry.record.engine) && entry.inFlight > 0) {
+                                 const SelectionCriteria& criteria) const {
+  if (outliers.isHalfOpen(entry.record.engine) && entry.inFlight > 0) {
     return false;
   }
-  const double allowed = entry.status.slots * (demand.urgent ? settings_.urgentOvercommit : 1.0);
-  return EngineTable::load(entry) < allowed;
+  const double maxLoad =
+      entry.status.slots * (criteria.mayPreempt ? settings_.preemptOvercommit : 1.0);
+  return EngineTable::load(entry) < maxLoad;
 }
 
-double EngineSelector::cost(const EngineEntry& entry, const EngineDemand& demand) const {
+double EngineSelector::cost(const EngineEntry& entry, const SelectionCriteria& criteria) const {
   const double slots = std::max<std::uint32_t>(entry.status.slots, 1);
   double cost = EngineTable::load(entry) / slots;
   if (entry.record.zone != settings_.zone) {
-    cost += settings_.zonePenalty;
+    cost += settings_.crossZonePenalty;
   }
-  if (!demand.prefixBlocks.empty()) {
+  if (!criteria.prefixBlocks.empty()) {
     std::size_t matched = 0;
-    while (matched < demand.prefixBlocks.size() &&
-           entry.cachedBlocks.contains(demand.prefixBlocks[matched])) {
+    while (matched < criteria.prefixBlocks.size() &&
+           entry.cachedBlocks.contains(criteria.prefixBlocks[matched])) {
       ++matched;
     }
-    cost -= settings_.affinityBonus * static_cast<double>(matched) /
-            static_cast<double>(demand.prefixBlocks.size());
+    cost -= settings_.prefixAffinityBonus * static_cast<double>(matched) /
+            static_cast<double>(criteria.prefixBlocks.size());
   }
   return cost;
 }
--- a/src/routing/engine_selector.h
+++ b/src/routing/engine_selector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Chooses the engine for a job.
+/// Selection of the engine for a task.
 #pragma once
 
 #include <optional>
@@ -12,52 +12,53 @@
 
 namespace tackpick::routing {
 
-/// How engines are chosen.
+/// Policy by which engines are selected.
 enum class SelectionPolicy {
-  kBalanced,    ///< two random choices, prefix affinity, zone cost
-  kRoundRobin,  ///< in turn, for comparison
+  kPowerOfTwoChoices,  ///< lowest cost of two random engines
+  kRoundRobin,         ///< for comparison
 };
 
-/// Knobs of EngineSelector.
+/// Settings of EngineSelector.
 struct SelectorSettings {
-  SelectionPolicy policy = SelectionPolicy::kBalanced;
-  std::string zone;  ///< of this gateway
-  /// A foreign zone costs as much as this share of an engine's slots being busy.
-  double zonePenalty = 0.05;
-  /// A whole cached prompt is worth this share of an engine's slots.
-  double affinityBonus = 0.25;
-  /// Urgent work may go to an engine loaded up to this multiple of its slots.
-  double urgentOvercommit = 2.0;
+  SelectionPolicy policy = SelectionPolicy::kPowerOfTwoChoices;
+  std::string zone;  ///< zone of this gateway
+  /// Cost of an engine in another zone, as a share of busy slots.
+  double crossZonePenalty = 0.05;
+  /// Cost reduction for a completely cached prompt, as a share of busy slots.
+  double prefixAffinityBonus = 0.25;
+  /// Maximum load of an engine for preempting tasks, as a multiple of its slots.
+  double preemptOvercommit = 2.0;
 };
 
-/// What an engine must satisfy for a job.
-struct EngineDemand {
+/// Criteria for the selection of an engine.
+struct SelectionCriteria {
   std::string model;
   base::WeightsVersion minimumVersion;
-  std::vector<std::uint64_t> prefixBlocks;
-  std::set<base::EngineId> excluded;  ///< engines already tried
-  bool urgent = false;                ///< may preempt: a full engine will do
+  std::vector<std::uint64_t> prefixBlocks;  ///< block hashes of the prompt; empty if not used
+  std::set<base::EngineId> excluded;        ///< engines that already ran or rejected the task
+  bool mayPreempt = false;                  ///< the task may be sent to a full engine
 };
 
-/// Stateless but for randomness and the turn of round robin.
+/// Selects an engine by load, zone and cached prompt prefixes.
 class EngineSelector {
  public:
   EngineSelector(SelectorSettings settings, base::Random& random)
       : settings_(std::move(settings)), random_(random) {}
 
+  /// Returns the selected engine; std::nullopt if no eligible engine has capacity.
   [[nodiscard]] std::optional<base::EngineId> select(const EngineTable& table,
                                                      const OutlierDetector& outliers,
-                                                     const EngineDemand& demand,
+                                                     const SelectionCriteria& criteria,
                                                      base::TimePoint now);
 
  private:
   [[nodiscard]] bool hasFreeSlot(const EngineEntry& entry, const OutlierDetector& outliers,
-                                 const EngineDemand& demand) const;
-  [[nodiscard]] double cost(const EngineEntry& entry, const EngineDemand& demand) const;
+                                 const SelectionCriteria& criteria) const;
+  [[nodiscard]] double cost(const EngineEntry& entry, const SelectionCriteria& criteria) const;
 
   const SelectorSettings settings_;
   base::Random& random_;
-  std::uint64_t turn_ = 0;
+  std::uint64_t m_nextRoundRobin = 0;
 };
 
 }  // namespace tackpick::routing
--- a/src/routing/engine_table.cpp
+++ b/src/routing/engine_table.cpp
@@ -40,35 +40,35 @@
     return;
   }
   EngineEntry& entry = found->second;
-  const base::TimePoint trueAt = now - status.age;
-  const bool newRun = entry.hasStatus && status.incarnation > entry.status.incarnation;
+  const base::TimePoint measuredAt = now - status.age;
+  const bool restarted = entry.hasStatus && status.incarnation > entry.status.incarnation;
   if (entry.hasStatus && status.incarnation < entry.status.incarnation) {
     return;
   }
-  if (newRun) {
+  if (restarted) {
     entry.cachedBlocks.clear();
     entry.draining = entry.record.draining && entry.record.incarnation >= status.incarnation;
   }
-  if (!entry.hasStatus || newRun || trueAt >= entry.statusAt) {
-    entry.statusAt = trueAt;
-    entry.sinceStatus = std::min(entry.sinceStatus, entry.inFlight);
-    // What was dispatched during the report's lag is not in its figures; half of the recent
-    // dispatches is a fair guess, and the own in-flight count bounds the error.
-    entry.sinceStatus /= 2;
+  if (!entry.hasStatus || restarted || measuredAt >= entry.statusMeasuredAt) {
+    entry.statusMeasuredAt = measuredAt;
+    entry.dispatchedSinceStatus = std::min(entry.dispatchedSinceStatus, entry.inFlight);
+    // The report does not include attempts dispatched during its delay. Half of the recent
+    // dispatches is an approximation; the in-flight count of this gateway limits the error.
+    entry.dispatchedSinceStatus /= 2;
   }
   entry.status = status;
   entry.hasStatus = true;
-  if (entry.readSentAt) {
-    entry.confirmedAt = std::max(entry.confirmedAt, *entry.readSentAt);
-    entry.readSentAt.reset();
+  if (entry.pollSentAt) {
+    entry.lastConfirmedAt = std::max(entry.lastConfirmedAt, *entry.pollSentAt);
+    entry.pollSentAt.reset();
   }
   entry.draining = entry.draining || status.draining;
 }
 
-void EngineTable::onReadSent(base::EngineId engine, base::TimePoint now) {
+void EngineTable::onPollSent(base::EngineId engine, base::TimePoint now) {
   const auto found = entries_.find(engine);
-  if (found != entries_.end() && !found->second.readSentAt) {
-    found->second.readSentAt = now;
+  if (found != entries_.end() && !found->second.pollSentAt) {
+    found->second.pollSentAt = now;
   }
 }
 
@@ -76,11 +76,11 @@
   const auto found = entries_.find(engine);
   if (found != entries_.end()) {
     ++found->second.inFlight;
-    ++found->second.sinceStatus;
+    ++found->second.dispatchedSinceStatus;
   }
 }
 
-void EngineTable::onEnd(base::EngineId engine) {
+void EngineTable::onAttemptFinished(base::EngineId engine) {
   const auto found = entries_.find(engine);
   if (found != entries_.end() && found->second.inFlight > 0) {
     --found->second.inFlight;
@@ -99,11 +99,12 @@
   }
 }
 
-void EngineTable::onCacheGap(base::EngineId engine) {
+void EngineTable::onCacheEventsLost(base::EngineId engine) {
   const auto found = entries_.find(engine);
-  constexpr std::size_t kTrustedBlocks = 8192;
-  // A lost event leaves a wrong hint, never a wrong answer; only an overgrown table is dropped.
-  if (found != entries_.end() && found->second.cachedBlocks.size() > kTrustedBlocks) {
+  constexpr std::size_t kMaxTrackedBlocks = 8192;
+  // Lost events make the cache hints inaccurate but never change an answer, so the table is cleared
+  // only when it is too large.
+  if (found != entries_.end() && found->second.cachedBlocks.size() > kMaxTrackedBlocks) {
     found->second.cachedBlocks.clear();
   }
 }
@@ -123,11 +124,12 @@
   if (settings_.mutants.ignoreDraining) {
     return true;
   }
-  return !isDraining(entry) && now - entry.confirmedAt < settings_.statusTimeout;
+  return !isDraining(entry) && now - entry.lastConfirmedAt < settings_.statusTimeout;
 }
 
 std::uint32_t EngineTable::load(const EngineEntry& entry) {
-  const std::uint32_t reported = entry.status.running + entry.status.waiting + entry.sinceStatus;
+  const std::uint32_t reported =
+      entry.status.running + entry.status.waiting + entry.dispatchedSinceStatus;
   return std::max(reported, entry.inFlight);
 }
 
--- a/src/routing/engine_table.h
+++ b/src/routing/engine_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a gateway knows of the engines, and whether one may get new work.
+/// Status of the engines as seen by one gateway.
 #pragma once
 
 #include <map>
@@ -16,56 +16,57 @@
 
 namespace tackpick::routing {
 
-/// Knobs of EngineTable.
+/// Settings of EngineTable.
 struct EngineTableSettings {
-  /// An engine whose status is older gets no new work: it may have been told to leave.
+  /// Maximum age of the status of an engine that gets new work; an older status may miss that the
+  /// engine is draining.
   base::Duration statusTimeout = base::milliseconds(2500);
 
   struct Mutants {
-    bool ignoreDraining = false;  ///< dispatch to draining engines, and on old status
+    bool ignoreDraining = false;  ///< dispatch to draining engines and with outdated status
   } mutants;
 };
 
-/// One engine as a gateway knows it.
+/// State of one engine as seen by a gateway.
 struct EngineEntry {
   control::EngineRecord record;
   engine::EngineStatus status;
   bool hasStatus = false;
-  base::TimePoint statusAt{};     ///< when the figures in `status` were true
-  base::TimePoint confirmedAt{};  ///< the engine answered for itself no earlier than this
-  std::optional<base::TimePoint> readSentAt;  ///< of the oldest read without an answer
-  bool draining = false;                      ///< by list or own flag; sticky for this incarnation
-  std::uint32_t inFlight = 0;                 ///< own attempts running
-  std::uint32_t sinceStatus = 0;              ///< own attempts begun after `statusAt`
-  std::set<std::uint64_t> cachedBlocks;       ///< as far as cache events told
+  base::TimePoint statusMeasuredAt{};         ///< time of the figures in `status`
+  base::TimePoint lastConfirmedAt{};          ///< the engine was reachable at this time or later
+  std::optional<base::TimePoint> pollSentAt;  ///< oldest unanswered poll
+  bool draining = false;                      ///< stays set until the next incarnation
+  std::uint32_t inFlight = 0;                 ///< running attempts of this gateway
+  std::uint32_t dispatchedSinceStatus = 0;    ///< estimated attempts that `status` does not include
+  std::set<std::uint64_t> cachedBlocks;       ///< according to the received cache events
 };
 
-/// Union of the machine list (through the control state), the engine's own flag and operators'
-/// drains. Owned by the gateway's thread.
+/// Combines the registered engines, their status reports, and draining requested by the machine
+/// list, the engine or an operator. Owned by the thread of the gateway.
 class EngineTable {
  public:
   explicit EngineTable(EngineTableSettings settings) : settings_(settings) {}
 
   void apply(const control::ControlDelta& delta);
   void onStatus(const engine::EngineStatus& status, base::TimePoint now);
-  /// The engine is asked for its status. Its answer is dated by the question: it may have lain
-  /// unread while this process was frozen.
-  void onReadSent(base::EngineId engine, base::TimePoint now);
+  /// Records that a poll was sent. The response is dated by the time of the poll, because it may
+  /// have been received long before this process read it.
+  void onPollSent(base::EngineId engine, base::TimePoint now);
   void onDispatch(base::EngineId engine);
-  void onEnd(base::EngineId engine);
+  void onAttemptFinished(base::EngineId engine);
   void onCacheEvent(base::EngineId engine, const engine::CacheEvent& event);
-  /// Events were lost: what was known of the cache may be wrong.
-  void onCacheGap(base::EngineId engine);
+  /// Handles a gap in the cache events: `cachedBlocks` may be inaccurate.
+  void onCacheEventsLost(base::EngineId engine);
 
-  /// May this engine get new work of `model` under at least `minimumVersion`?
+  /// Whether this engine may get new work of `model` with at least `minimumVersion`.
   [[nodiscard]] bool isEligible(const EngineEntry& entry, const std::string& model,
                                 base::WeightsVersion minimumVersion, base::TimePoint now) const;
   [[nodiscard]] bool isDraining(const EngineEntry& entry) const;
-  /// Sequences the engine is thought to hold now, including own ones it has not reported yet.
+  /// Returns the estimated number of attempts on the engine, including those not yet reported.
   [[nodiscard]] static std::uint32_t load(const EngineEntry& entry);
   [[nodiscard]] const EngineEntry* find(base::EngineId engine) const;
   [[nodiscard]] const std::map<base::EngineId, EngineEntry>& entries() const { return entries_; }
-  /// Slots of all engines that may serve `model`, and the load on them.
+  /// Slots and load of the eligible engines of a model.
   struct Capacity {
     std::uint64_t slots = 0;
     std::uint64_t load = 0;
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Takes failing and stalled engines out of service for a while.
+/// Temporary ejection of failing and stalled engines.
 #pragma once
 
 #include <cstdint>
@@ -10,39 +10,39 @@
 
 namespace tackpick::routing {
 
-/// Knobs of OutlierDetector.
+/// Settings of OutlierDetector.
 struct OutlierSettings {
   std::uint32_t consecutiveFailures = 3;
-  base::Duration firstEjection = base::seconds(1);
+  base::Duration baseEjectionTime = base::seconds(1);
   base::Duration maxEjection = base::seconds(30);
-  /// An engine that fails again within this time after its return stays out longer.
-  base::Duration probation = base::seconds(10);
+  /// Time after an ejection within which a further failure doubles the ejection time.
+  base::Duration ejectionResetInterval = base::seconds(10);
 };
 
-/// Consecutive failures eject an engine; each ejection in a row doubles its length. After its
-/// return an engine gets one request at a time until one succeeds.
+/// Ejects an engine after consecutive failures, with exponential backoff. After an ejection the
+/// engine is half open: it gets one request at a time until one succeeds.
 class OutlierDetector {
  public:
   explicit OutlierDetector(OutlierSettings settings) : settings_(settings) {}
 
   void onSuccess(base::EngineId engine);
   void onFailure(base::EngineId engine, base::TimePoint now);
-  void forget(base::EngineId engine) { records_.erase(engine); }
+  void remove(base::EngineId engine) { m_engines.erase(engine); }
   [[nodiscard]] bool isEjected(base::EngineId engine, base::TimePoint now) const;
-  /// True after an ejection, until a request succeeds.
-  [[nodiscard]] bool onProbation(base::EngineId engine) const;
+  /// Whether the engine was ejected and no request has succeeded since.
+  [[nodiscard]] bool isHalfOpen(base::EngineId engine) const;
   [[nodiscard]] std::size_t ejectedCount(base::TimePoint now) const;
 
  private:
-  struct Record {
+  struct EngineHealth {
     std::uint32_t failures = 0;
-    std::uint32_t ejections = 0;
+    std::uint32_t ejections = 0;  ///< exponent of the backoff
     base::TimePoint ejectedUntil{};
-    bool probation = false;
+    bool halfOpen = false;
   };
 
   const OutlierSettings settings_;
-  std::map<base::EngineId, Record> records_;
+  std::map<base::EngineId, EngineHealth> m_engines;
 };
 
 }  // namespace tackpick::routing
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,31 +1,31 @@
 /// \file
-/// A bound on retries, so that failing engines do not multiply the load.
+/// Limit on retries, so that failing engines do not multiply the load.
 #pragma once
 
 #include <algorithm>
 
 namespace tackpick::routing {
 
-/// Each first attempt earns a share of a retry; each retry spends one.
+/// Token bucket for retries: a first attempt adds `ratio` tokens and a retry takes one.
 class RetryBudget {
  public:
-  /// `ratio`: retries per first attempt in the long run; `reserve`: retries available at once.
-  RetryBudget(double ratio, double reserve) : ratio_(ratio), reserve_(reserve), level_(reserve) {}
+  /// `ratio`: average number of retries per first attempt; `burst`: maximum number of tokens.
+  RetryBudget(double ratio, double burst) : ratio_(ratio), m_burst(burst), m_tokens(burst) {}
 
-  void onFirstAttempt() { level_ = std::min(reserve_, level_ + ratio_); }
-  /// Spends a retry; false when the budget is used up.
-  bool spend() {
-    if (level_ < 1.0) {
+  void onFirstAttempt() { m_tokens = std::min(m_burst, m_tokens + ratio_); }
+  /// Takes a token for a retry; false if the budget is exhausted.
+  bool tryAcquire() {
+    if (m_tokens < 1.0) {
       return false;
     }
-    level_ -= 1.0;
+    m_tokens -= 1.0;
     return true;
   }
 
  private:
   double ratio_;
-  double reserve_;
-  double level_;
+  double m_burst;
+  double m_tokens;
 };
 
 }  // namespace tackpick::routing
--- a/src/routing/token_bucket.h
+++ b/src/routing/token_bucket.h
@@ -1,5 +1,5 @@
 /// \file
-/// Rate limit.
+/// Rate limiter.
 #pragma once
 
 #include <algorithm>
@@ -8,47 +8,47 @@
 
 namespace tackpick::routing {
 
-/// Admits `rate` per second on average and `burst` at once.
+/// Token bucket that admits `rate` requests per second on average and `burst` at once.
 class TokenBucket {
  public:
   TokenBucket(double rate, double burst, base::TimePoint now)
-      : rate_(rate), burst_(burst), level_(burst), updated_at_(now) {}
+      : rate_(rate), burst_(burst), m_tokens(burst), updated_at_(now) {}
 
-  /// Changes the limits; keeps the level.
+  /// Changes the limits; keeps the tokens up to the new `burst`.
   void configure(double rate, double burst) {
     rate_ = rate;
     burst_ = burst;
-    level_ = std::min(level_, burst);
+    m_tokens = std::min(m_tokens, burst);
   }
 
-  /// Takes one; false when there is none.
-  bool take(base::TimePoint now) {
+  /// Takes a token; false if none is available.
+  bool tryAcquire(base::TimePoint now) {
     refill(now);
-    if (level_ < 1.0) {
+    if (m_tokens < 1.0) {
       return false;
     }
-    level_ -= 1.0;
+    m_tokens -= 1.0;
     return true;
   }
 
-  /// How long until one will be there.
-  [[nodiscard]] base::Duration untilNext(base::TimePoint now) {
+  /// Returns the time until a token is available.
+  [[nodiscard]] base::Duration timeUntilAvailable(base::TimePoint now) {
     refill(now);
     constexpr double kMicrosecondsPerSecond = 1e6;
-    const double missing = std::max(0.0, 1.0 - level_);
+    const double deficit = std::max(0.0, 1.0 - m_tokens);
     return base::Duration(
-        static_cast<base::Duration::rep>(missing / rate_ * kMicrosecondsPerSecond));
+        static_cast<base::Duration::rep>(deficit / rate_ * kMicrosecondsPerSecond));
   }
 
  private:
   void refill(base::TimePoint now) {
-    level_ = std::min(burst_, level_ + rate_ * base::toSeconds(now - updated_at_));
+    m_tokens = std::min(burst_, m_tokens + rate_ * base::toSeconds(now - updated_at_));
     updated_at_ = now;
   }
 
   double rate_;
   double burst_;
-  double level_;
+  double m_tokens;
   base::TimePoint updated_at_;
 };
 
--- a/src/runtime/caller_api.cpp
+++ b/src/runtime/caller_api.cpp
@@ -130,7 +130,7 @@
   callers_[call.id] = {responder, call.stream, false};
   responder->onClosed([this, id = call.id] {
     callers_.erase(id);
-    daemon_.gateway()->onCallerGone(id, daemon_.now());
+    daemon_.gateway()->onCallerDisconnected(id, daemon_.now());
     daemon_.wake();
   });
   daemon_.gateway()->onCallerRequest(call, daemon_.now());
@@ -161,7 +161,7 @@
   if (caller.responder->unsentBytes() > kMaximumUnsentBytes) {
     caller.responder->endStream();
     callers_.erase(found);
-    daemon_.gateway()->onCallerGone(tokens.caller, daemon_.now());
+    daemon_.gateway()->onCallerDisconnected(tokens.caller, daemon_.now());
     return;
   }
   // Written by hand: this is the hot path of a stream.
@@ -202,7 +202,7 @@
 }
 
 void CallerApi::execute(const gateway::ReplayResponse& repeat) {
-  const auto answer = gateway::decodeAnswer(repeat.answer);
+  const auto answer = gateway::decodeResponse(repeat.answer);
   const auto found = callers_.find(repeat.caller);
   if (!answer || found == callers_.end()) {
     return;
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -403,7 +403,7 @@
   stop_deadline_ = now() + kMaxStop;
   logEvent(EventId::kProcessStopping, "");
   if (gateway_) {
-    logEvent(EventId::kDrainBegun, "jobs=" + std::to_string(gateway_->jobCount()));
+    logEvent(EventId::kDrainBegun, "jobs=" + std::to_string(gateway_->taskCount()));
     gateway_->beginDrain(now());
   }
   if (controller_) {
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -45,9 +45,9 @@
   count("tokens_wasted_total", "tokens received and not used", counters.tokensDiscarded);
   count("samples_leased_total", "samples leased from ledgers", counters.samplesLeased);
   count("samples_committed_total", "samples committed first", counters.samplesCommitted);
-  count("samples_too_old_total", "samples refused by the staleness bound", counters.samplesTooOld);
+  count("samples_too_old_total", "samples refused by the staleness bound", counters.samplesStale);
   writer.gauge("jobs", "requests and samples in this gateway",
-               static_cast<double>(gateway.jobCount()));
+               static_cast<double>(gateway.taskCount()));
   writer.gauge("jobs_queued", "jobs waiting for an engine",
                static_cast<double>(gateway.queuedCount()));
   writer.gauge("configuration_revision", "revision in force",
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -377,7 +377,7 @@
     reply(answer->caller, std::move(whole));
   } else if (const auto* repeat = std::get_if<gateway::ReplayResponse>(&action)) {
     CallerReply repeated;
-    if (const auto decoded = gateway::decodeAnswer(repeat->answer)) {
+    if (const auto decoded = gateway::decodeResponse(repeat->answer)) {
       repeated.answer = {decoded->answer.tokens, decoded->answer.spans};
     } else {
       environment_.observations.broken(Promise::kWholeAnswer, "an unreadable recorded answer");
--- a/test/routing/routing_test.cpp
+++ b/test/routing/routing_test.cpp
@@ -13,10 +13,10 @@
 
 constexpr base::TimePoint kStart{base::seconds(100)};
 
-routing::DispatchQueue::Entry entryOf(std::uint64_t job, std::uint32_t priority,
-                                      const std::string& workload, std::uint32_t tokens) {
+routing::DispatchQueue::Entry makeEntry(std::uint64_t task, std::uint32_t priority,
+                                        const std::string& workload, std::uint32_t tokens) {
   routing::DispatchQueue::Entry entry;
-  entry.job = {job};
+  entry.task = {task};
   entry.priority = priority;
   entry.workload = {workload};
   entry.expectedTokens = tokens;
@@ -25,13 +25,13 @@
 }
 
 std::uint64_t dispatchNext(routing::DispatchQueue& queue, base::TimePoint now) {
-  const routing::JobId job = queue.candidates(now).front().job;
-  queue.dispatched(job, now);
-  return job.value;
+  const routing::TaskId task = queue.candidates(now).front().task;
+  queue.removeDispatched(task, now);
+  return task.value;
 }
 
-/// A table of two engines of one model with fresh status.
-routing::EngineTable tableOfTwo() {
+/// Returns a table with two engines of one model and current status.
+routing::EngineTable makeTwoEngineTable() {
   routing::EngineTable table({});
   tackpick::control::ControlDelta delta;
   for (const std::uint64_t id : {1U, 2U}) {
@@ -50,7 +50,7 @@
     status.model = "m";
     status.activeVersion = {id};
     status.slots = 4;
-    table.onReadSent({id}, kStart);
+    table.onPollSent({id}, kStart);
     table.onStatus(status, kStart);
   }
   return table;
@@ -60,31 +60,32 @@
 
 Test(token_bucket, admits_the_burst_and_then_the_rate) {
   routing::TokenBucket bucket(10.0, 2.0, kStart);
-  cr_assert(bucket.take(kStart));
-  cr_assert(bucket.take(kStart));
-  cr_assert_not(bucket.take(kStart));
-  cr_assert_eq(bucket.untilNext(kStart).count(), base::Duration(base::milliseconds(100)).count());
-  cr_assert(bucket.take(kStart + base::milliseconds(100)));
+  cr_assert(bucket.tryAcquire(kStart));
+  cr_assert(bucket.tryAcquire(kStart));
+  cr_assert_not(bucket.tryAcquire(kStart));
+  cr_assert_eq(bucket.timeUntilAvailable(kStart).count(),
+               base::Duration(base::milliseconds(100)).count());
+  cr_assert(bucket.tryAcquire(kStart + base::milliseconds(100)));
 }
 
 Test(retry_budget, bounds_retries_by_first_attempts) {
   routing::RetryBudget budget(0.5, 1.0);
-  cr_assert(budget.spend());
-  cr_assert_not(budget.spend());
+  cr_assert(budget.tryAcquire());
+  cr_assert_not(budget.tryAcquire());
   budget.onFirstAttempt();
-  cr_assert_not(budget.spend());
+  cr_assert_not(budget.tryAcquire());
   budget.onFirstAttempt();
-  cr_assert(budget.spend());
+  cr_assert(budget.tryAcquire());
 }
 
 Test(dispatch_queue, higher_classes_go_first_and_nobody_starves) {
   routing::DispatchQueue queue({});
-  queue.push(entryOf(1, 5, "t/slow", 10));
-  for (std::uint64_t job = 2; job < 40; ++job) {
-    queue.push(entryOf(job, 0, "t/fast", 10));
+  queue.push(makeEntry(1, 5, "t/slow", 10));
+  for (std::uint64_t task = 2; task < 40; ++task) {
+    queue.push(makeEntry(task, 0, "t/fast", 10));
   }
   cr_assert_neq(dispatchNext(queue, kStart), 1U);
-  // After the limit, one dispatch in ten goes to the job that waited.
+  // After the starvation timeout, one dispatch in ten goes to the oldest task.
   const base::TimePoint late = kStart + base::seconds(21);
   bool served = false;
   for (int i = 0; i < 12 && !served; ++i) {
@@ -96,20 +97,20 @@
 Test(dispatch_queue, workloads_of_a_class_share_by_tokens) {
   routing::DispatchQueue queue({});
   for (std::uint64_t i = 0; i < 10; ++i) {
-    queue.push(entryOf(100 + i, 1, "t/long", 30));
-    queue.push(entryOf(200 + i, 1, "t/short", 10));
+    queue.push(makeEntry(100 + i, 1, "t/long", 30));
+    queue.push(makeEntry(200 + i, 1, "t/short", 10));
   }
-  std::size_t shortJobs = 0;
+  std::size_t shortTasks = 0;
   for (int i = 0; i < 8; ++i) {
-    shortJobs += dispatchNext(queue, kStart) >= 200 ? 1 : 0;
+    shortTasks += dispatchNext(queue, kStart) >= 200 ? 1 : 0;
   }
-  cr_assert_eq(shortJobs, 6U, "three short ones for each long one");
+  cr_assert_eq(shortTasks, 6U, "three short tasks for each long one");
 }
 
 Test(dispatch_queue, longest_first_within_a_workload) {
   routing::DispatchQueue queue({});
   for (const std::uint32_t tokens : {5U, 50U, 20U}) {
-    auto entry = entryOf(tokens, 1, "t/w", tokens);
+    auto entry = makeEntry(tokens, 1, "t/w", tokens);
     entry.longestFirst = true;
     queue.push(entry);
   }
@@ -128,51 +129,52 @@
   cr_assert(outliers.isEjected(engine, kStart));
   const base::TimePoint back = kStart + base::milliseconds(1001);
   cr_assert_not(outliers.isEjected(engine, back));
-  cr_assert(outliers.onProbation(engine));
+  cr_assert(outliers.isHalfOpen(engine));
   outliers.onSuccess(engine);
-  cr_assert_not(outliers.onProbation(engine));
+  cr_assert_not(outliers.isHalfOpen(engine));
 }
 
-Test(engine_selector, respects_versions_leaving_and_old_status) {
+Test(engine_selector, respects_versions_draining_and_status_age) {
   base::SeededRandom random(1);
-  routing::EngineTable table = tableOfTwo();
+  routing::EngineTable table = makeTwoEngineTable();
   routing::EngineSelector selector({}, random);
   const routing::OutlierDetector outliers({});
-  routing::EngineDemand demand;
-  demand.model = "m";
-  demand.minimumVersion = {2};
-  cr_assert_eq(selector.select(table, outliers, demand, kStart)->value, 2U);
-  demand.minimumVersion = {3};
-  cr_assert_not(selector.select(table, outliers, demand, kStart).has_value());
-  demand.minimumVersion = {};
-  cr_assert(selector.select(table, outliers, demand, kStart).has_value());
-  cr_assert_not(selector.select(table, outliers, demand, kStart + base::seconds(3)).has_value(),
-                "an engine unheard for seconds may have been told to leave");
+  routing::SelectionCriteria criteria;
+  criteria.model = "m";
+  criteria.minimumVersion = {2};
+  cr_assert_eq(selector.select(table, outliers, criteria, kStart)->value, 2U);
+  criteria.minimumVersion = {3};
+  cr_assert_not(selector.select(table, outliers, criteria, kStart).has_value());
+  criteria.minimumVersion = {};
+  cr_assert(selector.select(table, outliers, criteria, kStart).has_value());
+  cr_assert_not(selector.select(table, outliers, criteria, kStart + base::seconds(3)).has_value(),
+                "an engine with outdated status may be draining");
   tackpick::engine::EngineStatus draining = table.find({1})->status;
   draining.draining = true;
   table.onStatus(draining, kStart);
   draining.draining = false;
-  table.onStatus(draining, kStart);  // flaps back
+  table.onStatus(draining, kStart);  // the flag is reset
   for (int i = 0; i < 20; ++i) {
-    cr_assert_eq(selector.select(table, outliers, demand, kStart)->value, 2U, "leaving is sticky");
+    cr_assert_eq(selector.select(table, outliers, criteria, kStart)->value, 2U,
+                 "draining is sticky");
   }
 }
 
-// Found by scenario everything, seed 34: a gateway that had been frozen took the answer to a
-// question of before for fresh, and gave work to an engine that had begun to leave meanwhile.
-Test(engine_table, answer_is_as_old_as_its_question) {
-  routing::EngineTable table = tableOfTwo();
+// Guards against a suspended gateway treating the response to an old poll as current and sending
+// work to an engine that has begun draining since.
+Test(engine_table, status_is_dated_by_its_poll) {
+  routing::EngineTable table = makeTwoEngineTable();
   const auto eligible = [&](base::TimePoint now) {
     return table.isEligible(*table.find({1}), "m", {1}, now);
   };
   cr_assert(eligible(kStart));
-  table.onReadSent({1}, kStart + base::seconds(1));
-  const base::TimePoint woken = kStart + base::seconds(9);
-  table.onReadSent({1}, woken);
+  table.onPollSent({1}, kStart + base::seconds(1));
+  const base::TimePoint resumedAt = kStart + base::seconds(9);
+  table.onPollSent({1}, resumedAt);
   tackpick::engine::EngineStatus status = table.find({1})->status;
-  table.onStatus(status, woken);
-  cr_assert_not(eligible(woken), "the answer may be to the question of eight seconds ago");
-  table.onReadSent({1}, woken);
-  table.onStatus(status, woken);
-  cr_assert(eligible(woken));
+  table.onStatus(status, resumedAt);
+  cr_assert_not(eligible(resumedAt), "the response may belong to the poll of eight seconds ago");
+  table.onPollSent({1}, resumedAt);
+  table.onStatus(status, resumedAt);
+  cr_assert(eligible(resumedAt));
 }
