--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -245,7 +245,7 @@
     std::uint64_t runs = 0;
     for (const auto& engine : engines_) {
       doubled += engine->notRepeatableRunTwice();
-      runs += engine->model().runs().size();
+      runs += engine->model().executions().size();
       if (std::to_string(engine->settings().id.value) != wanted && wanted != "all") {
         continue;
       }
@@ -267,7 +267,7 @@
   void addNotRepeatableRuns(runtime::Json& record) const {
     record["not_repeatable_runs"] = runtime::Json::array();
     for (const auto& engine : engines_) {
-      for (const auto& [attempt, run] : engine->model().runs()) {
+      for (const auto& [attempt, run] : engine->model().executions()) {
         if (run.notRepeatable) {
           record["not_repeatable_runs"].push_back(run.prompt + "#" + std::to_string(run.seed));
         }
--- a/apps/load/trainers.cpp
+++ b/apps/load/trainers.cpp
@@ -53,8 +53,8 @@
     Sample sample;
     sample.maximumTokens = static_cast<std::uint32_t>(workload_.maxTokens);
     sample.seed = (batch_number_ << 20U) + i;
-    sample.prompt =
-        engine::aroundDirective(tokens) + workload_.name + " prompt " + std::to_string(prompt);
+    sample.prompt = engine::approximateLengthDirective(tokens) + workload_.name + " prompt " +
+                    std::to_string(prompt);
     batch.samples.push_back(std::move(sample));
   }
   batch.deliveries.assign(batch.samples.size(), 0);
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -63,13 +63,13 @@
   options.gateway.resumePartialOutput = false;
   options.gateway.hedgeSlowSamplesEnabled = false;
   options.gateway.longestFirst = false;
-  options.ledger.limits.longestFirst = false;
+  options.ledger.state.longestFirst = false;
 }
 
 void noHedge(SimulationOptions& options) { options.gateway.hedgeSlowSamplesEnabled = false; }
 void noLongestFirst(SimulationOptions& options) {
   options.gateway.longestFirst = false;
-  options.ledger.limits.longestFirst = false;
+  options.ledger.state.longestFirst = false;
 }
 
 void noResume(SimulationOptions& options) { options.gateway.resumePartialOutput = false; }
--- a/src/emulator/emulated_engine.cpp
+++ b/src/emulator/emulated_engine.cpp
@@ -46,7 +46,7 @@
             handle(request, responder);
           }) {
   if (settings_.recordRuns) {
-    model_.recordRuns();
+    model_.enableExecutionRecords();
   }
 }
 
@@ -104,13 +104,13 @@
     responder->respond(kBadRequest, jsonHeaders(), Json{{"error", problem}}.dump());
     return;
   }
-  responder->respond(kOk, jsonHeaders(), runtime::toJson(model_.order(parsed, clock_.now())));
+  responder->respond(kOk, jsonHeaders(), runtime::toJson(model_.execute(parsed, clock_.now())));
 }
 
 void EmulatedEngine::load(const http::Request& request,
                           const std::shared_ptr<http::Responder>& responder) {
   runtime::EngineReport report;
-  report.status = model_.report(clock_.now());
+  report.status = model_.loadReport(clock_.now());
   const std::uint64_t after = numberOr(request.queryValue("cache_after"), 0);
   report.cacheEvents = model_.cacheEventsAfter(after, clock_.now());
   report.cacheSequence = report.cacheEvents.empty() ? after : report.cacheEvents.back().sequence;
@@ -178,7 +178,7 @@
 std::uint64_t EmulatedEngine::notRepeatableRunTwice() const {
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> counts;
   std::uint64_t doubled = 0;
-  for (const auto& [attempt, run] : model_.runs()) {
+  for (const auto& [attempt, run] : model_.executions()) {
     if (run.notRepeatable && ++counts[{run.prompt, run.seed}] > 1) {
       ++doubled;
     }
--- a/src/engine/content.cpp
+++ b/src/engine/content.cpp
@@ -9,12 +9,12 @@
 namespace tackpick::engine {
 namespace {
 
-constexpr std::string_view kDirectiveStart = "[[tokens=";
-constexpr std::string_view kAroundStart = "[[around=";
-constexpr std::string_view kDirectiveEnd = "]]";
+constexpr std::string_view kExactLengthPrefix = "[[tokens=";
+constexpr std::string_view kApproximateLengthPrefix = "[[around=";
+constexpr std::string_view kDirectiveSuffix = "]]";
 
-/// The number in a directive at the start of the prompt.
-std::optional<std::uint32_t> directedTokens(std::string_view prompt, std::string_view start) {
+/// Returns the number in the directive at the start of the prompt; std::nullopt if there is none.
+std::optional<std::uint32_t> parseDirective(std::string_view prompt, std::string_view start) {
   std::uint32_t tokens = 0;
   if (!prompt.starts_with(start)) {
     return std::nullopt;
@@ -31,9 +31,9 @@
 Token syntheticToken(std::uint64_t promptHash, std::uint64_t seed, base::WeightsVersion version,
                      std::uint32_t position) {
   constexpr std::uint64_t kVocabulary = 65'536;
-  const std::uint64_t drawn =
+  const std::uint64_t tokenHash =
       base::mix(base::mix(promptHash, seed), base::mix(version.value, position));
-  return static_cast<Token>(drawn % kVocabulary);
+  return static_cast<Token>(tokenHash % kVocabulary);
 }
 
 Token syntheticToken(std::string_view prompt, std::uint64_t seed, base::WeightsVersion version,
@@ -42,41 +42,43 @@
 }
 
 std::string lengthDirective(std::uint32_t tokens) {
-  return std::string(kDirectiveStart) + std::to_string(tokens) + std::string(kDirectiveEnd);
+  return std::string(kExactLengthPrefix) + std::to_string(tokens) + std::string(kDirectiveSuffix);
 }
 
-std::string aroundDirective(std::uint32_t tokens) {
-  return std::string(kAroundStart) + std::to_string(tokens) + std::string(kDirectiveEnd);
+std::string approximateLengthDirective(std::uint32_t tokens) {
+  return std::string(kApproximateLengthPrefix) + std::to_string(tokens) +
+         std::string(kDirectiveSuffix);
 }
 
 std::uint32_t syntheticLength(std::string_view prompt, std::uint64_t seed) {
-  if (const auto tokens = directedTokens(prompt, kDirectiveStart)) {
+  if (const auto tokens = parseDirective(prompt, kExactLengthPrefix)) {
     return *tokens;
   }
-  if (const auto usual = directedTokens(prompt, kAroundStart)) {
-    constexpr double kLeast = 0.75;
-    constexpr double kSpread = 0.5;
+  if (const auto approximateLength = parseDirective(prompt, kApproximateLengthPrefix)) {
+    constexpr double kMinFactor = 0.75;
+    constexpr double kFactorRange = 0.5;
     base::SeededRandom random(base::mix(promptHash(prompt), seed));
-    const double share = kLeast + kSpread * random.uniform();
-    return std::max(1U, static_cast<std::uint32_t>(*usual * share));
+    const double factor = kMinFactor + kFactorRange * random.uniform();
+    return std::max(1U, static_cast<std::uint32_t>(*approximateLength * factor));
   }
-  constexpr double kShortest = 8.0;
+  constexpr double kMinLength = 8.0;
   constexpr double kTailIndex = 1.3;
-  constexpr double kLongest = 4096.0;
+  constexpr double kMaxLength = 4096.0;
   base::SeededRandom random(base::mix(promptHash(prompt), seed));
-  return static_cast<std::uint32_t>(std::min(random.pareto(kShortest, kTailIndex), kLongest));
+  return static_cast<std::uint32_t>(std::min(random.pareto(kMinLength, kTailIndex), kMaxLength));
 }
 
-std::uint32_t promptTokens(std::string_view prompt) {
-  const std::size_t bytesPerToken = kBlockBytes / kBlockTokens;
+std::uint32_t promptTokenCount(std::string_view prompt) {
+  const std::size_t bytesPerToken = kCacheBlockBytes / kCacheBlockTokens;
   return static_cast<std::uint32_t>((prompt.size() + bytesPerToken - 1) / bytesPerToken);
 }
 
-std::vector<std::uint64_t> prefixBlocks(std::string_view prompt) {
+std::vector<std::uint64_t> prefixBlockHashes(std::string_view prompt) {
   std::vector<std::uint64_t> blocks;
   std::uint64_t hash = 0;
-  for (std::size_t start = 0; start + kBlockBytes <= prompt.size(); start += kBlockBytes) {
-    hash = base::hashBytes(prompt.substr(start, kBlockBytes), hash);
+  for (std::size_t start = 0; start + kCacheBlockBytes <= prompt.size();
+       start += kCacheBlockBytes) {
+    hash = base::hashBytes(prompt.substr(start, kCacheBlockBytes), hash);
     blocks.push_back(hash);
   }
   return blocks;
--- a/src/engine/content.h
+++ b/src/engine/content.h
@@ -1,6 +1,6 @@
 /// \file
-/// The text that emulated engines produce: a pure function of prompt, seed, weights and position,
-/// so that a checker can recompute every answer and every label.
+/// Synthetic output of emulated engines. It is a pure function of prompt, seed, weights version and
+/// position, so a checker can recompute every token and verify its version.
 #pragma once
 
 #include <string>
@@ -11,30 +11,31 @@
 
 namespace tackpick::engine {
 
-/// The token at `position` of the answer to (prompt, seed) under `version`.
+/// Returns the token at `position` of the answer to a prompt and seed under `version`.
 [[nodiscard]] Token syntheticToken(std::string_view prompt, std::uint64_t seed,
                                    base::WeightsVersion version, std::uint32_t position);
-/// Same, from a hash of the prompt made by promptHash().
+/// Overload that takes the result of promptHash() instead of the prompt.
 [[nodiscard]] Token syntheticToken(std::uint64_t promptHash, std::uint64_t seed,
                                    base::WeightsVersion version, std::uint32_t position);
 [[nodiscard]] std::uint64_t promptHash(std::string_view prompt);
 
-/// How many tokens the model produces before it stops by itself. A prompt that begins with the
-/// directive `[[tokens=N]]` asks for exactly N; otherwise the length depends on prompt and seed.
+/// Returns the number of tokens of the complete answer. A prompt that begins with `[[tokens=N]]`
+/// gets exactly N tokens, one that begins with `[[around=N]]` between 3/4 N and 5/4 N by the seed.
+/// For other prompts the length depends on prompt and seed.
 [[nodiscard]] std::uint32_t syntheticLength(std::string_view prompt, std::uint64_t seed);
-/// `[[around=N]]` asks for three quarters to five quarters of N, by the seed: answers to one prompt
-/// resemble each other in length.
-/// The directives for syntheticLength().
+/// Returns the directive `[[tokens=N]]` of syntheticLength().
 [[nodiscard]] std::string lengthDirective(std::uint32_t tokens);
-[[nodiscard]] std::string aroundDirective(std::uint32_t tokens);
-
-/// Tokens a prompt takes in the engine's context.
-[[nodiscard]] std::uint32_t promptTokens(std::string_view prompt);
-/// Hashes of the prompt's whole cache blocks; each covers all the text before it.
-[[nodiscard]] std::vector<std::uint64_t> prefixBlocks(std::string_view prompt);
-
-/// Bytes of prompt in one cache block, and tokens that such a block stands for.
-inline constexpr std::size_t kBlockBytes = 64;
-inline constexpr std::uint32_t kBlockTokens = 16;
+/// Returns the directive `[[around=N]]` of syntheticLength().
+[[nodiscard]] std::string approximateLengthDirective(std::uint32_t tokens);
+
+/// Returns the number of tokens of a prompt.
+[[nodiscard]] std::uint32_t promptTokenCount(std::string_view prompt);
+/// Returns the hashes of the complete cache blocks of a prompt. Each hash covers the text up to the
+/// end of its block.
+[[nodiscard]] std::vector<std::uint64_t> prefixBlockHashes(std::string_view prompt);
+
+/// Size of a cache block in bytes of the prompt and in tokens.
+inline constexpr std::size_t kCacheBlockBytes = 64;
+inline constexpr std::uint32_t kCacheBlockTokens = 16;
 
 }  // namespace tackpick::engine
--- a/src/engine/engine_commands.h
+++ b/src/engine/engine_commands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Fenced orders that controllers give engines.
+/// Fenced commands of controllers to engines.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +14,38 @@
 enum class EngineCommandKind : std::uint8_t {
   kLoadModel,
   kLoadAdapter,
-  kPrepareWeights,   ///< fetch a version from the weight store beside the active one
+  kPrepareWeights,   ///< load a version while the active one remains in use
   kActivateWeights,  ///< swap to a prepared version
   kSetRole,
 };
 
-/// An engine refuses an order whose fence is lower than the highest it has seen, so a controller
-/// that was replaced without knowing it cannot command anything.
+/// Command of a controller to an engine. The engine rejects a command whose fence is lower than the
+/// highest it has received, so a controller that has been replaced cannot change it.
 struct EngineCommand {
   base::Fence fence;
   EngineCommandKind kind = EngineCommandKind::kPrepareWeights;
-  std::string model;    ///< kLoadModel
-  std::string adapter;  ///< kLoadAdapter
+  std::string model;    ///< used by kLoadModel
+  std::string adapter;  ///< used by kLoadAdapter
   base::WeightsVersion version;
   EngineRole role = EngineRole::kMixed;
 };
 
-/// An order with the engine it is for.
+/// Command with its destination.
 struct OutgoingEngineCommand {
   base::EngineId engine;
-  EngineCommand order;
+  EngineCommand command;
 };
 
 enum class EngineCommandStatus : std::uint8_t {
-  kAccepted,     ///< carried out or begun; repeating it is harmless
-  kStaleFence,   ///< a newer controller has given orders
-  kNotPrepared,  ///< activation of a version that is not loaded
-  kFailed,       ///< the swap failed partway: the engine is out of service
+  kAccepted,     ///< executed or started; repeating it has no effect
+  kStaleFence,   ///< a newer controller has sent commands
+  kNotPrepared,  ///< the version to activate is not loaded
+  kFailed,       ///< the last swap failed; the engine is out of service
 };
 
 struct EngineCommandReply {
   EngineCommandStatus status = EngineCommandStatus::kAccepted;
-  EngineStatus state;  ///< after the order
+  EngineStatus state;  ///< after the command
 };
 
 }  // namespace tackpick::engine
--- a/src/engine/engine_simulator.cpp
+++ b/src/engine/engine_simulator.cpp
@@ -15,23 +15,23 @@
       settings_(std::move(settings)),
       store_(store),
       random_(random),
-      cache_(settings_.cacheBlocks),
-      active_(settings_.initialVersion) {
-  history_.push_back({now, status()});
+      cache_(settings_.cacheCapacityBlocks),
+      m_activeVersion(settings_.initialVersion) {
+  m_statusHistory.push_back({now, status()});
 }
 
 std::optional<std::string> EngineSimulator::submit(const GenerateRequest& request,
                                                    base::TimePoint now) {
-  if (leaving_) {
+  if (m_draining) {
     return "leaving";
   }
   if (request.model != settings_.model) {
     return "model not loaded";
   }
-  if (!active_.valid()) {
+  if (!m_activeVersion.valid()) {
     return "weights unknown after a failed swap";
   }
-  if (active_ < request.minimumVersion) {
+  if (m_activeVersion < request.minimumVersion) {
     return "weights too old";
   }
   if (waiting_.size() >= settings_.maxQueuedRequests) {
@@ -40,13 +40,14 @@
   Sequence sequence;
   sequence.request = request;
   sequence.promptHash = promptHash(request.prompt);
-  sequence.length = std::min(syntheticLength(request.prompt, request.seed), request.maximumTokens);
-  sequence.produced = request.resumeFrom;
-  if (record_runs_) {
-    runs_[request.attempt.value] = {request.prompt, request.seed, request.notRepeatable, 0};
+  sequence.outputLength =
+      std::min(syntheticLength(request.prompt, request.seed), request.maximumTokens);
+  sequence.generatedTokens = request.resumeFrom;
+  if (m_recordExecutions) {
+    m_executions[request.attempt.value] = {request.prompt, request.seed, request.notRepeatable, 0};
   }
   waiting_.push_back(std::move(sequence));
-  if (!step_ends_at_ && !swapping_to_.valid()) {
+  if (!step_ends_at_ && !m_swapTarget.valid()) {
     startStep(now);
   }
   return std::nullopt;
@@ -62,12 +63,12 @@
 
 std::optional<base::TimePoint> EngineSimulator::nextStepAt() const {
   std::optional<base::TimePoint> next = step_ends_at_;
-  const auto consider = [&](base::TimePoint at) { next = next ? std::min(*next, at) : at; };
-  if (preparing_.valid()) {
-    consider(prepared_at_);
+  const auto updateNext = [&](base::TimePoint at) { next = next ? std::min(*next, at) : at; };
+  if (m_preparingVersion.valid()) {
+    updateNext(m_preparedAt);
   }
-  if (swapping_to_.valid() && !step_ends_at_) {
-    consider(swap_ends_at_);
+  if (m_swapTarget.valid() && !step_ends_at_) {
+    updateNext(swap_ends_at_);
   }
   return next;
 }
@@ -77,66 +78,67 @@
     if (*next > now) {
       break;
     }
-    if (preparing_.valid() && prepared_at_ <= *next) {
-      prepared_ = std::exchange(preparing_, {});
+    if (m_preparingVersion.valid() && m_preparedAt <= *next) {
+      m_preparedVersion = std::exchange(m_preparingVersion, {});
     }
     if (step_ends_at_ && *step_ends_at_ <= *next) {
       step_ends_at_.reset();
       finishStep(output);
     }
-    if (swapping_to_.valid()) {
+    if (m_swapTarget.valid()) {
       if (!step_ends_at_ && swap_ends_at_ <= *next) {
         finishSwap(*next, output);
       }
     }
-    if (!step_ends_at_ && !swapping_to_.valid()) {
+    if (!step_ends_at_ && !m_swapTarget.valid()) {
       startStep(*next);
     }
-    history_.push_back({*next, status()});
+    m_statusHistory.push_back({*next, status()});
   }
-  while (history_.size() > 1 && history_[1].at + settings_.loadReportLag <= now) {
-    history_.pop_front();
+  while (m_statusHistory.size() > 1 && m_statusHistory[1].at + settings_.loadReportDelay <= now) {
+    m_statusHistory.pop_front();
   }
 }
 
 void EngineSimulator::admit(base::TimePoint now) {
   preempt();
   while (!waiting_.empty() && running_.size() < settings_.slots) {
-    const auto best = std::min_element(waiting_.begin(), waiting_.end(),
-                                       [](const Sequence& left, const Sequence& right) {
-                                         return left.request.priority < right.request.priority;
-                                       });
-    Sequence sequence = std::move(*best);
-    waiting_.erase(best);
-    const auto blocks = prefixBlocks(sequence.request.prompt);
-    const auto matched = static_cast<std::uint32_t>(cache_.match(blocks));
-    const std::uint32_t context = promptTokens(sequence.request.prompt) + sequence.produced;
-    sequence.uncachedTokens = context - std::min(context, matched * kBlockTokens);
+    const auto highestPriority = std::min_element(
+        waiting_.begin(), waiting_.end(), [](const Sequence& left, const Sequence& right) {
+          return left.request.priority < right.request.priority;
+        });
+    Sequence sequence = std::move(*highestPriority);
+    waiting_.erase(highestPriority);
+    const auto blocks = prefixBlockHashes(sequence.request.prompt);
+    const auto matched = static_cast<std::uint32_t>(cache_.lookupPrefix(blocks));
+    const std::uint32_t context =
+        promptTokenCount(sequence.request.prompt) + sequence.generatedTokens;
+    sequence.uncachedTokens = context - std::min(context, matched * kCacheBlockTokens);
     sequence.prefilled = false;
     std::vector<CacheEvent> events;
     cache_.store(blocks, events);
-    publish(events, now);
+    publishCacheEvents(events, now);
     running_.push_back(std::move(sequence));
   }
 }
 
 void EngineSimulator::preempt() {
-  const auto lowestFirst = [](const Sequence& left, const Sequence& right) {
+  const auto byPriority = [](const Sequence& left, const Sequence& right) {
     return left.request.priority < right.request.priority;
   };
   if (waiting_.empty() || running_.size() < settings_.slots) {
     return;
   }
-  const auto urgent = std::min_element(waiting_.begin(), waiting_.end(), lowestFirst);
-  const auto victim = std::max_element(running_.begin(), running_.end(), lowestFirst);
-  if (urgent->request.priority < victim->request.priority) {
+  const auto highestWaiting = std::min_element(waiting_.begin(), waiting_.end(), byPriority);
+  const auto victim = std::max_element(running_.begin(), running_.end(), byPriority);
+  if (highestWaiting->request.priority < victim->request.priority) {
     waiting_.push_back(std::move(*victim));
     running_.erase(victim);
   }
 }
 
 void EngineSimulator::startStep(base::TimePoint now) {
-  if (!active_.valid()) {
+  if (!m_activeVersion.valid()) {
     return;
   }
   admit(now);
@@ -157,21 +159,21 @@
 void EngineSimulator::finishStep(EngineOutput& output) {
   for (Sequence& sequence : running_) {
     const GenerateRequest& request = sequence.request;
-    if (sequence.produced < sequence.length) {
-      if (sequence.chunk.version != active_) {
-        flushChunk(sequence, output);  // it was preempted across a swap
+    if (sequence.generatedTokens < sequence.outputLength) {
+      if (sequence.chunk.version != m_activeVersion) {
+        flushChunk(sequence, output);  // weights were swapped while it was preempted
       }
       if (sequence.chunk.tokens.empty()) {
-        sequence.chunk = {request.attempt, sequence.produced, active_, {}};
+        sequence.chunk = {request.attempt, sequence.generatedTokens, m_activeVersion, {}};
       }
-      sequence.chunk.tokens.push_back(
-          syntheticToken(sequence.promptHash, request.seed, active_, sequence.produced));
-      ++sequence.produced;
-      if (record_runs_) {
-        ++runs_[request.attempt.value].producedTokens;
+      sequence.chunk.tokens.push_back(syntheticToken(sequence.promptHash, request.seed,
+                                                     m_activeVersion, sequence.generatedTokens));
+      ++sequence.generatedTokens;
+      if (m_recordExecutions) {
+        ++m_executions[request.attempt.value].producedTokens;
       }
     }
-    const bool finished = sequence.produced >= sequence.length;
+    const bool finished = sequence.generatedTokens >= sequence.outputLength;
     if (finished || sequence.chunk.tokens.size() >= settings_.tokensPerChunk) {
       flushChunk(sequence, output);
     }
@@ -180,14 +182,16 @@
       end.attempt = request.attempt;
       end.kind = EndKind::kFinished;
       end.verdict = base::Verdict::kRan;
-      end.totalTokens = sequence.produced;
-      const bool stopped = syntheticLength(request.prompt, request.seed) <= request.maximumTokens;
-      end.finishReason = stopped ? "stop" : "length";
+      end.totalTokens = sequence.generatedTokens;
+      const bool reachedNaturalEnd =
+          syntheticLength(request.prompt, request.seed) <= request.maximumTokens;
+      end.finishReason = reachedNaturalEnd ? "stop" : "length";
       output.ends.push_back(std::move(end));
     }
   }
-  std::erase_if(running_,
-                [](const Sequence& sequence) { return sequence.produced >= sequence.length; });
+  std::erase_if(running_, [](const Sequence& sequence) {
+    return sequence.generatedTokens >= sequence.outputLength;
+  });
 }
 
 void EngineSimulator::flushChunk(Sequence& sequence, EngineOutput& output) {
@@ -196,36 +200,36 @@
   }
 }
 
-EngineCommandReply EngineSimulator::order(const EngineCommand& order, base::TimePoint now) {
+EngineCommandReply EngineSimulator::execute(const EngineCommand& command, base::TimePoint now) {
   EngineCommandReply reply;
-  if (order.fence < highest_fence_ && !settings_.acceptLowerFence) {
+  if (command.fence < highest_fence_ && !settings_.acceptStaleFence) {
     reply.status = EngineCommandStatus::kStaleFence;
     reply.state = status();
     return reply;
   }
-  highest_fence_ = order.fence;
-  switch (order.kind) {
+  highest_fence_ = command.fence;
+  switch (command.kind) {
     case EngineCommandKind::kPrepareWeights:
-      if (prepared_ != order.version && preparing_ != order.version) {
-        preparing_ = order.version;
-        prepared_at_ = store_.fetch(settings_.weightBytes, now);
+      if (m_preparedVersion != command.version && m_preparingVersion != command.version) {
+        m_preparingVersion = command.version;
+        m_preparedAt = store_.fetch(settings_.weightBytes, now);
       }
       break;
     case EngineCommandKind::kActivateWeights:
-      if (active_ == order.version || swapping_to_ == order.version) {
+      if (m_activeVersion == command.version || m_swapTarget == command.version) {
         break;
       }
-      if (prepared_ != order.version) {
+      if (m_preparedVersion != command.version) {
         reply.status = EngineCommandStatus::kNotPrepared;
         break;
       }
-      activate(order.version, now);
+      startSwap(command.version, now);
       break;
     case EngineCommandKind::kLoadModel:
-      settings_.model = order.model;
+      settings_.model = command.model;
       break;
     case EngineCommandKind::kSetRole:
-      role_ = order.role;
+      role_ = command.role;
       break;
     case EngineCommandKind::kLoadAdapter:
       break;
@@ -237,8 +241,8 @@
   return reply;
 }
 
-void EngineSimulator::activate(base::WeightsVersion version, base::TimePoint now) {
-  swapping_to_ = version;
+void EngineSimulator::startSwap(base::WeightsVersion version, base::TimePoint now) {
+  m_swapTarget = version;
   const base::TimePoint from = step_ends_at_ ? std::max(now, *step_ends_at_) : now;
   swap_ends_at_ = from + settings_.swapDuration;
 }
@@ -249,16 +253,17 @@
   }
   const bool fails =
       std::exchange(fail_next_swap_, false) || random_.chance(settings_.swapFailureRate);
-  const base::WeightsVersion target = std::exchange(swapping_to_, {});
+  const base::WeightsVersion target = std::exchange(m_swapTarget, {});
   last_swap_failed_ = fails;
   if (fails) {
-    // Half of the weights are replaced: no stamp would be true, so nothing is produced.
-    active_ = {};
-    prepared_ = {};
+    // The weights are a mixture of versions: no version label would be correct, so no tokens are
+    // generated.
+    m_activeVersion = {};
+    m_preparedVersion = {};
     failAll(output);
     return;
   }
-  active_ = target;
+  m_activeVersion = target;
 }
 
 void EngineSimulator::failAll(EngineOutput& output) {
@@ -267,7 +272,7 @@
     end.attempt = sequence.request.attempt;
     end.kind = EndKind::kFailed;
     end.verdict = base::Verdict::kMayHaveRun;
-    end.totalTokens = sequence.produced;
+    end.totalTokens = sequence.generatedTokens;
     end.message = "weight swap failed";
     output.ends.push_back(std::move(end));
   };
@@ -282,10 +287,10 @@
   status.engine = id_;
   status.incarnation = incarnation_;
   status.model = settings_.model;
-  status.activeVersion = active_;
-  status.preparedVersion = prepared_;
+  status.activeVersion = m_activeVersion;
+  status.preparedVersion = m_preparedVersion;
   status.role = role_;
-  status.draining = leaving_;
+  status.draining = m_draining;
   status.slots = settings_.slots;
   status.running = static_cast<std::uint32_t>(running_.size());
   status.waiting = static_cast<std::uint32_t>(waiting_.size());
@@ -294,29 +299,31 @@
   return status;
 }
 
-EngineStatus EngineSimulator::report(base::TimePoint now) {
-  EngineStatus late = history_.front().status;
-  // The engine's own flags and versions are read at once; only the load figures lag.
+EngineStatus EngineSimulator::loadReport(base::TimePoint now) {
+  EngineStatus delayed = m_statusHistory.front().status;
+  // Flags and versions are current; only the load figures are delayed.
   const EngineStatus current = status();
-  late.draining = current.draining;
-  late.activeVersion = current.activeVersion;
-  late.preparedVersion = current.preparedVersion;
-  late.age = std::min(now - history_.front().at, settings_.loadReportLag);
-  if (running_.empty() && waiting_.empty() && now - history_.back().at >= settings_.loadReportLag) {
-    late.running = 0;
-    late.waiting = 0;
+  delayed.draining = current.draining;
+  delayed.activeVersion = current.activeVersion;
+  delayed.preparedVersion = current.preparedVersion;
+  delayed.age = std::min(now - m_statusHistory.front().at, settings_.loadReportDelay);
+  if (running_.empty() && waiting_.empty() &&
+      now - m_statusHistory.back().at >= settings_.loadReportDelay) {
+    delayed.running = 0;
+    delayed.waiting = 0;
   }
-  return late;
+  return delayed;
 }
 
-void EngineSimulator::publish(const std::vector<CacheEvent>& events, base::TimePoint now) {
-  constexpr std::size_t kKeptEvents = 1024;
+void EngineSimulator::publishCacheEvents(const std::vector<CacheEvent>& events,
+                                         base::TimePoint now) {
+  constexpr std::size_t kMaxCacheEvents = 1024;
   for (const CacheEvent& event : events) {
-    ++cache_sequence_;
-    if (!random_.chance(settings_.cacheEventLoss)) {
-      cache_events_.push_back({now + settings_.cacheEventLag, {cache_sequence_, event}});
+    ++m_lastCacheEventSequence;
+    if (!random_.chance(settings_.cacheEventLossRate)) {
+      cache_events_.push_back({now + settings_.cacheEventDelay, {m_lastCacheEventSequence, event}});
     }
-    if (cache_events_.size() > kKeptEvents) {
+    if (cache_events_.size() > kMaxCacheEvents) {
       cache_events_.pop_front();
     }
   }
@@ -325,9 +332,9 @@
 std::vector<SequencedCacheEvent> EngineSimulator::cacheEventsAfter(std::uint64_t sequence,
                                                                    base::TimePoint now) const {
   std::vector<SequencedCacheEvent> due;
-  for (const DatedCacheEvent& dated : cache_events_) {
-    if (dated.visibleAt <= now && dated.event.sequence > sequence) {
-      due.push_back(dated.event);
+  for (const DelayedCacheEvent& delayedEvent : cache_events_) {
+    if (delayedEvent.visibleAt <= now && delayedEvent.event.sequence > sequence) {
+      due.push_back(delayedEvent.event);
     }
   }
   return due;
@@ -336,8 +343,8 @@
 CacheExport EngineSimulator::exportCache(const std::string& prompt) {
   constexpr std::uint64_t kBytesPerBlock = 2'097'152;
   CacheExport exported;
-  exported.blocks = prefixBlocks(prompt);
-  exported.blocks.resize(cache_.match(exported.blocks));
+  exported.blocks = prefixBlockHashes(prompt);
+  exported.blocks.resize(cache_.lookupPrefix(exported.blocks));
   exported.bytes = exported.blocks.size() * kBytesPerBlock;
   return exported;
 }
@@ -345,7 +352,7 @@
 void EngineSimulator::importCache(const CacheExport& exported, base::TimePoint now) {
   std::vector<CacheEvent> events;
   cache_.store(exported.blocks, events);
-  publish(events, now);
+  publishCacheEvents(events, now);
 }
 
 }  // namespace tackpick::engine
--- a/src/engine/engine_simulator.h
+++ b/src/engine/engine_simulator.h
@@ -1,5 +1,5 @@
 /// \file
-/// A model engine, emulated: the same code serves tackpick-emulator and the simulator.
+/// Model of an engine, used by tackpick-emulator and the simulator.
 #pragma once
 
 #include <deque>
@@ -19,80 +19,79 @@
 
 namespace tackpick::engine {
 
-/// Knobs of EngineSimulator. Times are those of a small model; a fast engine for benches sets them
-/// near zero.
+/// Settings of EngineSimulator. The default durations correspond to a small model.
 struct EngineSimulatorSettings {
   std::string model = "default";
-  std::uint32_t slots = 16;              ///< sequences decoded together
-  std::uint32_t maxQueuedRequests = 64;  ///< beyond it a request is refused, not run
+  std::uint32_t slots = 16;              ///< maximum number of running sequences
+  std::uint32_t maxQueuedRequests = 64;  ///< further requests are rejected
   base::Duration stepBaseDuration = base::milliseconds(6);
   base::Duration stepDurationPerSequence = base::microseconds(250);
   base::Duration prefillDurationPerToken = base::microseconds(30);
   std::uint32_t tokensPerChunk = 4;
-  std::size_t cacheBlocks = 4096;
-  base::Duration loadReportLag = base::milliseconds(150);
-  base::Duration cacheEventLag = base::milliseconds(300);
-  double cacheEventLoss = 0.02;  ///< share of cache events that never come
+  std::size_t cacheCapacityBlocks = 4096;
+  base::Duration loadReportDelay = base::milliseconds(150);
+  base::Duration cacheEventDelay = base::milliseconds(300);
+  double cacheEventLossRate = 0.02;  ///< share of cache events that are lost
   std::uint64_t weightBytes = 2'000'000'000;
   base::Duration swapDuration = base::milliseconds(120);
-  double swapFailureRate = 0.0;  ///< share of swaps that fail partway
+  double swapFailureRate = 0.0;  ///< share of swaps that fail
   base::WeightsVersion initialVersion{1};
-  bool acceptLowerFence = false;  ///< a deliberate fault, used only by the simulator
+  bool acceptStaleFence = false;  ///< execute commands with a stale fence (mutant)
 };
 
-/// A sequence of cache events with a position, so that a reader can notice gaps.
+/// Cache event with its sequence number, by which a reader detects lost events.
 struct SequencedCacheEvent {
   std::uint64_t sequence = 0;
   CacheEvent event;
 };
 
-/// Everything an engine emitted.
+/// Output of an engine.
 struct EngineOutput {
   std::vector<Chunk> chunks;
   std::vector<AttemptEnd> ends;
 };
 
-/// Blocks of a prompt, exported from one engine to be imported by another.
+/// Cached blocks of a prompt, exported for import by another engine.
 struct CacheExport {
   std::vector<std::uint64_t> blocks;
   std::uint64_t bytes = 0;
 };
 
-/// What the engine itself knows of a request it ran, for checkers.
-struct RunRecord {
+/// Record of an attempt that the engine ran, for checkers.
+struct ExecutionRecord {
   std::string prompt;
   std::uint64_t seed = 0;
   bool notRepeatable = false;
   std::uint32_t producedTokens = 0;
 };
 
-/// Continuous batching: all running sequences gain a token per step; a step takes longer the more
-/// run, and longer still while prompts are read. Higher priorities preempt lower ones. Weights
-/// swap between steps. Deterministic; owned by one thread.
+/// Simulates an engine with continuous batching. Each step generates one token per running
+/// sequence; its duration depends on the number of sequences and on prefill. Higher priorities
+/// preempt lower ones. Weights are swapped between steps. Deterministic; owned by one thread.
 class EngineSimulator {
  public:
   EngineSimulator(base::EngineId id, base::Incarnation incarnation,
                   EngineSimulatorSettings settings, WeightStore& store, base::Random& random,
                   base::TimePoint now);
 
-  /// Takes a request, or refuses it: then nothing was run and the reason is returned.
+  /// Queues a request. Returns the reason if it is rejected, in which case it does not run.
   std::optional<std::string> submit(const GenerateRequest& request, base::TimePoint now);
   void cancel(base::AttemptId attempt);
-  /// Runs the model up to `now`.
+  /// Simulates up to `now` and appends the output.
   void advance(base::TimePoint now, EngineOutput& output);
-  /// When advance() will next have something to do; nothing when idle.
+  /// Returns the time of the next event that advance() handles; std::nullopt if idle.
   [[nodiscard]] std::optional<base::TimePoint> nextStepAt() const;
 
-  EngineCommandReply order(const EngineCommand& order, base::TimePoint now);
-  /// The engine's own flag: from now on it refuses new work.
-  void startDraining() { leaving_ = true; }
+  EngineCommandReply execute(const EngineCommand& command, base::TimePoint now);
+  /// Sets the draining flag; new requests are rejected from now on.
+  void startDraining() { m_draining = true; }
   void failNextSwap() { fail_next_swap_ = true; }
 
-  /// The load report as a reader gets it now: late.
-  [[nodiscard]] EngineStatus report(base::TimePoint now);
-  /// The state without lag.
+  /// Returns the status as a poll sees it: the load figures are delayed.
+  [[nodiscard]] EngineStatus loadReport(base::TimePoint now);
+  /// Returns the current status.
   [[nodiscard]] EngineStatus status() const;
-  /// Cache events after `sequence` that are due; late, and with gaps.
+  /// Returns the visible cache events after `sequence`. Events are delayed and some are lost.
   [[nodiscard]] std::vector<SequencedCacheEvent> cacheEventsAfter(std::uint64_t sequence,
                                                                   base::TimePoint now) const;
   [[nodiscard]] CacheExport exportCache(const std::string& prompt);
@@ -100,25 +99,27 @@
 
   [[nodiscard]] base::EngineId id() const { return id_; }
   [[nodiscard]] base::Incarnation incarnation() const { return incarnation_; }
-  [[nodiscard]] const std::unordered_map<std::uint64_t, RunRecord>& runs() const { return runs_; }
-  /// Keeps a record of every attempt in runs(); off by default because it grows.
-  void recordRuns() { record_runs_ = true; }
+  [[nodiscard]] const std::unordered_map<std::uint64_t, ExecutionRecord>& executions() const {
+    return m_executions;
+  }
+  /// Keeps a record of every attempt in executions(); its size is not limited.
+  void enableExecutionRecords() { m_recordExecutions = true; }
 
  private:
   struct Sequence {
     GenerateRequest request;
     std::uint64_t promptHash = 0;
-    std::uint32_t length = 0;    ///< tokens of the whole answer
-    std::uint32_t produced = 0;  ///< position of the next token
+    std::uint32_t outputLength = 0;     ///< number of tokens of the complete answer
+    std::uint32_t generatedTokens = 0;  ///< position of the next token
     std::uint32_t uncachedTokens = 0;
     bool prefilled = false;
     Chunk chunk;  ///< tokens not yet emitted
   };
-  struct DatedStatus {
+  struct TimestampedStatus {
     base::TimePoint at{};
     EngineStatus status;
   };
-  struct DatedCacheEvent {
+  struct DelayedCacheEvent {
     base::TimePoint visibleAt{};
     SequencedCacheEvent event;
   };
@@ -130,8 +131,8 @@
   void flushChunk(Sequence& sequence, EngineOutput& output);
   void finishSwap(base::TimePoint now, EngineOutput& output);
   void failAll(EngineOutput& output);
-  void publish(const std::vector<CacheEvent>& events, base::TimePoint now);
-  void activate(base::WeightsVersion version, base::TimePoint now);
+  void publishCacheEvents(const std::vector<CacheEvent>& events, base::TimePoint now);
+  void startSwap(base::WeightsVersion version, base::TimePoint now);
 
   const base::EngineId id_;
   const base::Incarnation incarnation_;
@@ -140,27 +141,27 @@
   base::Random& random_;
   PrefixCache cache_;
   EngineRole role_ = EngineRole::kMixed;
-  bool leaving_ = false;
+  bool m_draining = false;
 
   std::vector<Sequence> running_;
   std::deque<Sequence> waiting_;
   std::optional<base::TimePoint> step_ends_at_;
 
   base::Fence highest_fence_;
-  base::WeightsVersion active_;
-  base::WeightsVersion prepared_;
-  base::WeightsVersion preparing_;
-  base::TimePoint prepared_at_{};
-  base::WeightsVersion swapping_to_;
+  base::WeightsVersion m_activeVersion;
+  base::WeightsVersion m_preparedVersion;
+  base::WeightsVersion m_preparingVersion;
+  base::TimePoint m_preparedAt{};
+  base::WeightsVersion m_swapTarget;
   base::TimePoint swap_ends_at_{};
   bool fail_next_swap_ = false;
   bool last_swap_failed_ = false;
 
-  std::deque<DatedStatus> history_;
-  std::deque<DatedCacheEvent> cache_events_;
-  std::uint64_t cache_sequence_ = 0;
-  bool record_runs_ = false;
-  std::unordered_map<std::uint64_t, RunRecord> runs_;
+  std::deque<TimestampedStatus> m_statusHistory;
+  std::deque<DelayedCacheEvent> cache_events_;
+  std::uint64_t m_lastCacheEventSequence = 0;
+  bool m_recordExecutions = false;
+  std::unordered_map<std::uint64_t, ExecutionRecord> m_executions;
 };
 
 }  // namespace tackpick::engine
--- a/src/engine/engine_status.h
+++ b/src/engine/engine_status.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an engine reports of itself.
+/// Status of an engine.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace tackpick::engine {
 
-/// Which work an engine takes; changed by order.
+/// Kind of work that an engine accepts; set by command.
 enum class EngineRole : std::uint8_t { kMixed, kPrefillOnly, kDecodeOnly };
 
-/// A load report. It lags: the figures are those of `age` before it was sent.
+/// Status report of an engine. The load figures were measured `age` before the report was sent.
 struct EngineStatus {
   base::EngineId engine;
   base::Incarnation incarnation;
   std::string model;
-  base::WeightsVersion activeVersion;    ///< none while a failed swap leaves it unknown
-  base::WeightsVersion preparedVersion;  ///< loaded beside the active one
+  base::WeightsVersion activeVersion;    ///< invalid while unknown after a failed swap
+  base::WeightsVersion preparedVersion;  ///< loaded but not active
   EngineRole role = EngineRole::kMixed;
-  bool draining = false;  ///< the engine's own flag
+  bool draining = false;  ///< the engine rejects new requests
   std::uint32_t slots = 0;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
--- a/src/engine/generation.h
+++ b/src/engine/generation.h
@@ -1,5 +1,5 @@
 /// \file
-/// Requests to an engine and the stream that comes back.
+/// Requests to an engine and the streamed response.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 using Token = std::uint32_t;
 
-/// One attempt to generate. `resumeFrom` tokens are already known to the asker and are not
-/// produced again.
+/// Request to generate an answer. Generation starts at position `resumeFrom`; the client already
+/// has the tokens before it.
 struct GenerateRequest {
   base::AttemptId attempt;
   std::string model;
@@ -22,34 +22,37 @@
   std::uint64_t seed = 0;
   std::uint32_t maximumTokens = 0;
   std::uint32_t resumeFrom = 0;
-  std::uint32_t priority = 0;           ///< 0 goes first
-  base::WeightsVersion minimumVersion;  ///< the engine refuses when its active version is older
-  bool notRepeatable = false;           ///< engines record it, for checkers
+  std::uint32_t priority = 0;  ///< 0 is the highest
+  base::WeightsVersion
+      minimumVersion;          ///< an engine with an older active version rejects the request
+  bool notRepeatable = false;  ///< recorded by emulated engines, for checkers
 };
 
 /// Consecutive tokens of one attempt, all produced under `version`.
 struct Chunk {
   base::AttemptId attempt;
-  std::uint32_t offset = 0;  ///< position of the first token in the whole answer
+  std::uint32_t offset = 0;  ///< position of the first token in the complete answer
   base::WeightsVersion version;
   std::vector<Token> tokens;
 };
 
+/// How an attempt ended.
 enum class EndKind : std::uint8_t {
-  kFinished,   ///< whole; `totalTokens` counts from the answer's start
-  kRefused,    ///< the engine says that it ran nothing
-  kCancelled,  ///< on our order
-  kFailed,     ///< the engine gave up partway
-  kLost,       ///< the connection broke; `verdict` says whether a byte of the request went out
+  kFinished,   ///< complete; `totalTokens` includes the tokens before `resumeFrom`
+  kRejected,   ///< the engine rejected the request and did not run it
+  kCancelled,  ///< cancelled by the client
+  kFailed,     ///< the engine failed after it started the request
+  kLost,       ///< connection lost; `verdict` is kNotRun if no byte of the request was sent
 };
 
+/// Last event of an attempt.
 struct AttemptEnd {
   base::AttemptId attempt;
   EndKind kind = EndKind::kLost;
   base::Verdict verdict = base::Verdict::kMayHaveRun;
   std::uint32_t totalTokens = 0;
   std::string finishReason;  ///< "stop" or "length" when finished
-  std::string message;       ///< why it was refused or lost
+  std::string message;       ///< reason of a rejection, failure or loss
 };
 
 }  // namespace tackpick::engine
--- a/src/engine/prefix_cache.cpp
+++ b/src/engine/prefix_cache.cpp
@@ -2,14 +2,14 @@
 
 namespace tackpick::engine {
 
-std::size_t PrefixCache::match(const std::vector<std::uint64_t>& blocks) {
+std::size_t PrefixCache::lookupPrefix(const std::vector<std::uint64_t>& blocks) {
   std::size_t matched = 0;
   for (const std::uint64_t block : blocks) {
     const auto found = blocks_.find(block);
     if (found == blocks_.end()) {
       break;
     }
-    order_.splice(order_.begin(), order_, found->second);
+    m_lru.splice(m_lru.begin(), m_lru, found->second);
     ++matched;
   }
   return matched;
@@ -20,13 +20,13 @@
     if (blocks_.contains(block)) {
       continue;
     }
-    order_.push_front(block);
-    blocks_[block] = order_.begin();
+    m_lru.push_front(block);
+    blocks_[block] = m_lru.begin();
     events.push_back({CacheEventKind::kStored, block});
-    while (order_.size() > capacity_) {
-      events.push_back({CacheEventKind::kEvicted, order_.back()});
-      blocks_.erase(order_.back());
-      order_.pop_back();
+    while (m_lru.size() > capacity_) {
+      events.push_back({CacheEventKind::kEvicted, m_lru.back()});
+      blocks_.erase(m_lru.back());
+      m_lru.pop_back();
     }
   }
 }
--- a/src/engine/weight_store.h
+++ b/src/engine/weight_store.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's weight store as its readers see it: a shared, limited rate.
+/// Model of the weight store of the platform.
 #pragma once
 
 #include <algorithm>
@@ -9,23 +9,24 @@
 
 namespace tackpick::engine {
 
-/// Serves fetches one after another at a fixed total rate.
+/// Processes fetches sequentially at a fixed rate.
 class WeightStore {
  public:
-  /// `bytesPerSecond` is the rate over all readers.
+  /// `bytesPerSecond` is the total rate for all engines.
   explicit WeightStore(std::uint64_t bytesPerSecond) : bytes_per_second_(bytesPerSecond) {}
 
-  /// Begins a fetch; returns when it will be complete.
+  /// Starts a fetch and returns its completion time.
   base::TimePoint fetch(std::uint64_t bytes, base::TimePoint now) {
     constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
-    const auto micros = bytes * kMicrosecondsPerSecond / bytes_per_second_;
-    free_at_ = std::max(free_at_, now) + base::Duration(static_cast<base::Duration::rep>(micros));
-    return free_at_;
+    const auto fetchMicroseconds = bytes * kMicrosecondsPerSecond / bytes_per_second_;
+    m_busyUntil = std::max(m_busyUntil, now) +
+                  base::Duration(static_cast<base::Duration::rep>(fetchMicroseconds));
+    return m_busyUntil;
   }
 
  private:
   std::uint64_t bytes_per_second_;
-  base::TimePoint free_at_{};
+  base::TimePoint m_busyUntil{};
 };
 
 }  // namespace tackpick::engine
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -14,7 +14,7 @@
 #include "gateway/actions.h"
 #include "gateway/control_view.h"
 #include "gateway/task.h"
-#include "ledger/length_estimates.h"
+#include "ledger/length_estimator.h"
 #include "routing/dispatch_queue.h"
 #include "routing/engine_selector.h"
 #include "routing/engine_table.h"
@@ -235,7 +235,7 @@
   routing::OutlierDetector outliers_;
   routing::DispatchQueue queue_;
   routing::RetryBudget retry_budget_;
-  ledger::LengthEstimates length_estimates_;  ///< from the answers to callers' requests
+  ledger::LengthEstimator m_lengthEstimator;  ///< from the answers to callers' requests
   consensus::GroupClient m_controllerClient;
   std::vector<LedgerGroupState> ledgers_;
 
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -145,9 +145,9 @@
   claim.key = request.key;
   claim.requestHash = base::mix(base::hashBytes(request.prompt, request.maximumTokens),
                                 base::hashBytes(request.workload.value));
-  claim.claimant = nextUniqueId();
+  claim.claimId = nextUniqueId();
   task.claim = ClaimState::kRequested;
-  task.claimant = claim.claimant;
+  task.claimId = claim.claimId;
   LedgerGroupState& groupState =
       ledgerByHash(base::hashBytes(request.key.value, base::hashBytes(request.tenant.value)));
   task.ledgerGroup = groupState.client->group();
@@ -166,7 +166,7 @@
   ledger::RecordOutcome record;
   record.tenant = claim.tenant;
   record.key = claim.key;
-  record.claimant = claim.claimant;
+  record.claimId = claim.claimId;
   record.outcome = ledger::ClaimOutcome::kNotRun;
   LedgerGroupState& groupState =
       ledgerByHash(base::hashBytes(claim.key.value, base::hashBytes(claim.tenant.value)));
@@ -181,7 +181,7 @@
       result == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*result);
   const base::CallerId caller = task.caller->id;
   if (!decoded) {
-    // The request was not dispatched, and no other request shares this claimant number.
+    // The request was not dispatched, and no other request shares this claimId number.
     reject({caller, RejectionReason::kLedgerUnavailable, base::Verdict::kNotRun,
             "the claim could not be registered", base::seconds(2)});
     removeTask(id);
@@ -193,11 +193,11 @@
     dispatch(now);
     return;
   }
-  if (decoded->status == ledger::LedgerStatus::kRefused &&
+  if (decoded->status == ledger::LedgerStatus::kRejected &&
       decoded->outcome == ledger::ClaimOutcome::kCompleted) {
     ++counters_.requestsCompleted;
     actions_.actions.emplace_back(ReplayResponse{caller, decoded->answer});
-  } else if (decoded->status == ledger::LedgerStatus::kRefused) {
+  } else if (decoded->status == ledger::LedgerStatus::kRejected) {
     reject({caller, RejectionReason::kAlreadyClaimed, base::Verdict::kMayHaveRun,
             "a request with this idempotency key may have run", base::Duration{0}});
   } else {
--- a/src/gateway/gateway_attempts.cpp
+++ b/src/gateway/gateway_attempts.cpp
@@ -54,7 +54,7 @@
   const auto attempt = std::find_if(task->attempts.begin(), task->attempts.end(),
                                     [&](const Attempt& a) { return a.id == end.attempt; });
   const base::EngineId engine = attempt->engine;
-  if (end.kind != engine::EndKind::kRefused) {
+  if (end.kind != engine::EndKind::kRejected) {
     const bool notSent =
         end.kind == engine::EndKind::kLost && end.verdict == base::Verdict::kNotRun;
     const base::Verdict attemptVerdict =
@@ -80,7 +80,7 @@
     dispatch(now);
     return;
   }
-  if (end.kind == engine::EndKind::kRefused) {
+  if (end.kind == engine::EndKind::kRejected) {
     task->excludedEngines.insert(engine);
   } else if (end.kind != engine::EndKind::kCancelled) {
     task->excludedEngines.insert(engine);
@@ -160,7 +160,7 @@
     removeAttempt(task, task.attempts.front().id, true, now);
   }
   if (task.caller) {
-    length_estimates_.observe(task.workload, task.prompt, output.tokens.size());
+    m_lengthEstimator.observe(task.workload, task.prompt, output.tokens.size());
   }
   if (task.sample) {
     ledger::SampleResult result;
@@ -214,7 +214,7 @@
   ledger::RecordOutcome record;
   record.tenant = task.caller->tenant;
   record.key = task.caller->key;
-  record.claimant = task.claimant;
+  record.claimId = task.claimId;
   record.outcome = outcome;
   record.answer = std::move(response);
   consensus::GroupClient& client = *ledgerByGroup(task.ledgerGroup).client;
--- a/src/gateway/gateway_dispatch.cpp
+++ b/src/gateway/gateway_dispatch.cpp
@@ -20,7 +20,7 @@
   entry.workload = task.workload;
   const std::uint32_t predicted =
       task.sample ? task.sample->expectedTokens
-                  : length_estimates_.expected(task.workload, task.prompt, task.maximumTokens);
+                  : m_lengthEstimator.estimate(task.workload, task.prompt, task.maximumTokens);
   const auto done = static_cast<std::uint32_t>(task.partialOutput.tokens.size());
   entry.expectedTokens = std::max<std::uint32_t>(predicted > done ? predicted - done : 1, 1);
   entry.longestFirst = task.sample.has_value() && settings_.longestFirst;
@@ -55,7 +55,7 @@
   criteria.excluded = task.excludedEngines;
   criteria.mayPreempt = task.caller.has_value() && task.priority < kPreemptingPriorityLimit;
   if (task.caller) {
-    criteria.prefixBlocks = engine::prefixBlocks(task.prompt);
+    criteria.prefixBlockHashes = engine::prefixBlockHashes(task.prompt);
   }
   for (const Attempt& running : task.attempts) {
     criteria.excluded.insert(running.engine);
--- a/src/gateway/gateway_samples.cpp
+++ b/src/gateway/gateway_samples.cpp
@@ -57,7 +57,7 @@
     ledger::LeaseSamples lease;
     lease.gateway = settings_.self;
     lease.incarnation = settings_.incarnation;
-    lease.request = ++groupState.leaseSequence;
+    lease.sequence = ++groupState.leaseSequence;
     lease.maximum = sampleCount;
     callGroup(
         *groupState.client, transport::CommandKind::kCommand,
@@ -136,7 +136,7 @@
               }
               if (decoded->status == ledger::LedgerStatus::kOk) {
                 ++counters_.samplesCommitted;
-              } else if (decoded->status == ledger::LedgerStatus::kTooOld) {
+              } else if (decoded->status == ledger::LedgerStatus::kStaleVersion) {
                 ++counters_.samplesStale;
               }
               removeTask(id);
--- a/src/gateway/task.h
+++ b/src/gateway/task.h
@@ -84,7 +84,7 @@
   bool queued = false;
   bool outcomeDecided = false;  ///< the outcome is final and is being recorded
   ClaimState claim = ClaimState::kNone;
-  std::uint64_t claimant = 0;
+  std::uint64_t claimId = 0;
 };
 
 }  // namespace tackpick::gateway
--- a/src/ledger/batch.cpp
+++ b/src/ledger/batch.cpp
@@ -26,57 +26,56 @@
 }
 
 Batch::Batch(const SubmitBatch& submission, std::uint64_t contentHash,
-             const LengthEstimates* estimates)
+             const LengthEstimator* lengthEstimator)
     : id_(submission.batch),
       workload_(submission.workload),
       model_(submission.model),
-      minimum_version_(submission.minimumVersion),
+      m_minimumVersion(submission.minimumVersion),
       content_hash_(contentHash) {
   samples_.resize(submission.samples.size());
-  for (const SampleSpec& specification : submission.samples) {
-    Sample& sample = samples_.at(specification.index);
-    sample.specification = specification;
-    if (estimates != nullptr) {
-      sample.expectedTokens =
-          estimates->expected(workload_, specification.prompt, specification.maximumTokens);
+  for (const SampleSpec& spec : submission.samples) {
+    Sample& sample = samples_.at(spec.index);
+    sample.spec = spec;
+    if (lengthEstimator != nullptr) {
+      sample.expectedTokens = lengthEstimator->estimate(workload_, spec.prompt, spec.maximumTokens);
     }
-    pending_.insert(pendingAt(specification.index));
+    pending_.insert(makePending(spec.index));
   }
 }
 
-void Batch::lease(const SampleHolder& holder, std::uint32_t maximum,
+void Batch::lease(const LeaseHolder& holder, std::uint32_t maximum,
                   std::vector<LeasedSample>& leased) {
   while (!pending_.empty() && leased.size() < maximum) {
     const std::uint32_t index = pending_.begin()->index;
     pending_.erase(pending_.begin());
     leases_[index] = holder;
     ++samples_[index].fence;
-    leased.push_back(describe(index));
+    leased.push_back(leasedSample(index));
   }
 }
 
-LeasedSample Batch::describe(std::uint32_t index) const {
+LeasedSample Batch::leasedSample(std::uint32_t index) const {
   LeasedSample lease;
   lease.batch = id_;
   lease.workload = workload_;
   lease.model = model_;
-  lease.minimumVersion = minimum_version_;
+  lease.minimumVersion = m_minimumVersion;
   lease.fence = samples_[index].fence;
-  lease.remaining = static_cast<std::uint32_t>(samples_.size() - order_.size());
+  lease.remaining = static_cast<std::uint32_t>(samples_.size() - m_commitOrder.size());
   lease.expectedTokens = samples_[index].expectedTokens;
-  lease.sample = samples_[index].specification;
+  lease.sample = samples_[index].spec;
   return lease;
 }
 
-bool Batch::isHeldBy(std::uint32_t index, const SampleHolder& holder) const {
-  const auto held = leases_.find(index);
-  return held != leases_.end() && held->second == holder;
+bool Batch::isLeasedTo(std::uint32_t index, const LeaseHolder& holder) const {
+  const auto found = leases_.find(index);
+  return found != leases_.end() && found->second == holder;
 }
 
-void Batch::release(const SampleHolder& holder) {
+void Batch::releaseLeases(const LeaseHolder& holder) {
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (it->second == holder) {
-      pending_.insert(pendingAt(it->first));
+      pending_.insert(makePending(it->first));
       it = leases_.erase(it);
     } else {
       ++it;
@@ -84,13 +83,13 @@
   }
 }
 
-LedgerStatus Batch::giveBack(std::uint32_t index, std::uint64_t fence) {
-  const auto held = leases_.find(index);
-  if (held == leases_.end() || samples_[index].fence != fence) {
-    return LedgerStatus::kAlreadyDone;
+LedgerStatus Batch::returnLease(std::uint32_t index, std::uint64_t fence) {
+  const auto found = leases_.find(index);
+  if (found == leases_.end() || samples_[index].fence != fence) {
+    return LedgerStatus::kAlreadyApplied;
   }
-  leases_.erase(held);
-  pending_.insert(pendingAt(index));
+  leases_.erase(found);
+  pending_.insert(makePending(index));
   return LedgerStatus::kOk;
 }
 
@@ -101,54 +100,54 @@
     return LedgerStatus::kInvalid;
   }
   Sample& sample = samples_[index];
-  if (sample.committed && !mutants.commitTwice) {
-    return LedgerStatus::kAlreadyDone;
+  if (sample.committed && !mutants.acceptSecondCommit) {
+    return LedgerStatus::kAlreadyApplied;
   }
-  if (oldestVersion(commit.result.spans) < minimum_version_ && !mutants.skipVersionCheck) {
-    giveBack(index, commit.fence);
-    return LedgerStatus::kTooOld;
+  if (oldestVersion(commit.result.spans) < m_minimumVersion && !mutants.skipVersionCheck) {
+    returnLease(index, commit.fence);
+    return LedgerStatus::kStaleVersion;
   }
   sample.committed = true;
   sample.result = commit.result;
-  pending_.erase(pendingAt(index));
+  pending_.erase(makePending(index));
   leases_.erase(index);
-  order_.push_back(index);
+  m_commitOrder.push_back(index);
   return LedgerStatus::kOk;
 }
 
 LedgerStatus Batch::acknowledge(std::uint32_t cursor) {
-  if (cursor > order_.size()) {
+  if (cursor > m_commitOrder.size()) {
     return LedgerStatus::kInvalid;
   }
-  if (cursor <= acknowledged_) {
-    return LedgerStatus::kAlreadyDone;
+  if (cursor <= m_acknowledgedCursor) {
+    return LedgerStatus::kAlreadyApplied;
   }
-  for (std::uint32_t position = acknowledged_; position < cursor; ++position) {
-    Sample& sample = samples_[order_[position]];
+  for (std::uint32_t position = m_acknowledgedCursor; position < cursor; ++position) {
+    Sample& sample = samples_[m_commitOrder[position]];
     sample.result = {};
-    sample.specification.prompt.clear();
+    sample.spec.prompt.clear();
   }
-  acknowledged_ = cursor;
+  m_acknowledgedCursor = cursor;
   return LedgerStatus::kOk;
 }
 
-void Batch::tighten(base::WeightsVersion minimumVersion) {
-  minimum_version_ = std::max(minimum_version_, minimumVersion);
+void Batch::raiseMinimumVersion(base::WeightsVersion minimumVersion) {
+  m_minimumVersion = std::max(m_minimumVersion, minimumVersion);
 }
 
 ReadResult Batch::read(std::uint32_t cursor, std::uint32_t maximum) const {
   ReadResult result;
   result.total = static_cast<std::uint32_t>(samples_.size());
-  result.committed = static_cast<std::uint32_t>(order_.size());
-  if (cursor < acknowledged_) {
+  result.committed = static_cast<std::uint32_t>(m_commitOrder.size());
+  if (cursor < m_acknowledgedCursor) {
     result.status = LedgerStatus::kExpired;
-    result.cursor = acknowledged_;
+    result.cursor = m_acknowledgedCursor;
     return result;
   }
   result.status = LedgerStatus::kOk;
   result.cursor = cursor;
-  while (result.cursor < order_.size() && result.samples.size() < maximum) {
-    result.samples.push_back(samples_[order_[result.cursor]].result);
+  while (result.cursor < m_commitOrder.size() && result.samples.size() < maximum) {
+    result.samples.push_back(samples_[m_commitOrder[result.cursor]].result);
     ++result.cursor;
   }
   return result;
@@ -159,19 +158,19 @@
   summary.batch = id_;
   summary.workload = workload_;
   summary.total = static_cast<std::uint32_t>(samples_.size());
-  summary.committed = static_cast<std::uint32_t>(order_.size());
+  summary.committed = static_cast<std::uint32_t>(m_commitOrder.size());
   summary.leased = static_cast<std::uint32_t>(leases_.size());
-  summary.acknowledged = acknowledged_;
-  summary.minimumVersion = minimum_version_;
+  summary.acknowledged = m_acknowledgedCursor;
+  summary.minimumVersion = m_minimumVersion;
   return summary;
 }
 
-std::set<SampleHolder> Batch::holders() const {
-  std::set<SampleHolder> holders;
+std::set<LeaseHolder> Batch::leaseHolders() const {
+  std::set<LeaseHolder> leaseHolders;
   for (const auto& [index, holder] : leases_) {
-    holders.insert(holder);
+    leaseHolders.insert(holder);
   }
-  return holders;
+  return leaseHolders;
 }
 
 }  // namespace tackpick::ledger
--- a/src/ledger/claims.cpp
+++ b/src/ledger/claim_store.cpp
@@ -1,8 +1,8 @@
-#include "ledger/claims.h"
+#include "ledger/claim_store.h"
 
 namespace tackpick::ledger {
 
-LedgerResult Claims::claim(const ClaimRequest& request, std::uint64_t wallSeconds) {
+LedgerResult ClaimStore::claim(const ClaimRequest& request, std::uint64_t wallClockSeconds) {
   LedgerResult result;
   const auto [entry, added] = claims_.try_emplace(Key{request.tenant, request.key});
   Claim& claim = entry->second;
@@ -11,43 +11,44 @@
     result.message = "the idempotency key was used for another request";
     return result;
   }
-  const bool free = added || claim.outcome == ClaimOutcome::kNotRun;
-  if (free) {
-    claim = {request.requestHash, request.claimant, wallSeconds, ClaimOutcome::kUnknown, {}};
+  const bool claimable = added || claim.outcome == ClaimOutcome::kNotRun;
+  if (claimable) {
+    claim = {request.requestHash, request.claimId, wallClockSeconds, ClaimOutcome::kUnknown, {}};
     result.status = LedgerStatus::kOk;
     return result;
   }
-  if (claim.claimant == request.claimant && claim.outcome == ClaimOutcome::kUnknown) {
-    result.status = LedgerStatus::kOk;  // the same call, resent after its answer was lost
+  if (claim.claimId == request.claimId && claim.outcome == ClaimOutcome::kUnknown) {
+    result.status = LedgerStatus::kOk;  // the same call, resent after its response was lost
     return result;
   }
-  result.status = LedgerStatus::kRefused;
+  result.status = LedgerStatus::kRejected;
   result.outcome = claim.outcome;
   result.answer = claim.answer;
   return result;
 }
 
-LedgerResult Claims::record(const RecordOutcome& outcome, std::uint64_t wallSeconds) {
+LedgerResult ClaimStore::record(const RecordOutcome& outcome, std::uint64_t wallClockSeconds) {
   LedgerResult result;
   const auto found = claims_.find(Key{outcome.tenant, outcome.key});
-  if (found == claims_.end() || found->second.claimant != outcome.claimant) {
+  if (found == claims_.end() || found->second.claimId != outcome.claimId) {
     result.status = LedgerStatus::kNotFound;
     return result;
   }
   Claim& claim = found->second;
   if (claim.outcome != ClaimOutcome::kUnknown) {
-    result.status = LedgerStatus::kAlreadyDone;
+    result.status = LedgerStatus::kAlreadyApplied;
     return result;
   }
   claim.outcome = outcome.outcome;
   claim.answer = outcome.answer;
-  claim.touchedAt = wallSeconds;
+  claim.updatedAt = wallClockSeconds;
   result.status = LedgerStatus::kOk;
   return result;
 }
 
-void Claims::dropOlderThan(std::uint64_t wallSeconds) {
-  std::erase_if(claims_, [&](const auto& entry) { return entry.second.touchedAt < wallSeconds; });
+void ClaimStore::removeOlderThan(std::uint64_t wallClockSeconds) {
+  std::erase_if(claims_,
+                [&](const auto& entry) { return entry.second.updatedAt < wallClockSeconds; });
 }
 
 }  // namespace tackpick::ledger
--- a/src/ledger/claims.h
+++ b/src/ledger/claim_store.h
@@ -1,5 +1,5 @@
 /// \file
-/// Claims of not-repeatable requests: at most one dispatch per tenant and idempotency key.
+/// Claims of not-repeatable requests.
 #pragma once
 
 #include <map>
@@ -8,13 +8,16 @@
 
 namespace tackpick::ledger {
 
-/// Deterministic part of the ledger's state.
-class Claims {
+/// Claims by tenant and idempotency key, with recorded outcomes; ensures that a not-repeatable
+/// request is dispatched at most once. Part of the replicated state. Deterministic.
+class ClaimStore {
  public:
-  LedgerResult claim(const ClaimRequest& request, std::uint64_t wallSeconds);
-  LedgerResult record(const RecordOutcome& outcome, std::uint64_t wallSeconds);
-  /// Forgets claims last touched before `wallSeconds`.
-  void dropOlderThan(std::uint64_t wallSeconds);
+  /// Grants the claim if the key is new or its request did not run; else returns the known outcome.
+  LedgerResult claim(const ClaimRequest& request, std::uint64_t wallClockSeconds);
+  /// Records the outcome of a granted claim; the first outcome is final.
+  LedgerResult record(const RecordOutcome& outcome, std::uint64_t wallClockSeconds);
+  /// Removes claims last updated before `wallClockSeconds`.
+  void removeOlderThan(std::uint64_t wallClockSeconds);
   [[nodiscard]] std::size_t size() const { return claims_.size(); }
 
   template <class Archive>
@@ -35,14 +38,14 @@
   };
   struct Claim {
     std::uint64_t requestHash = 0;
-    std::uint64_t claimant = 0;
-    std::uint64_t touchedAt = 0;  ///< wall clock, seconds
+    std::uint64_t claimId = 0;
+    std::uint64_t updatedAt = 0;  ///< wall clock, seconds
     ClaimOutcome outcome = ClaimOutcome::kUnknown;
     base::Bytes answer;
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(requestHash, claimant, touchedAt, outcome, answer);
+      archive(requestHash, claimId, updatedAt, outcome, answer);
     }
   };
 
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -7,7 +7,7 @@
 Ledger::Ledger(base::NodeId self, base::GroupId group, LedgerSettings settings,
                consensus::LogStore& log, base::Random& random, base::TimePoint now)
     : settings_(settings),
-      state_(settings.limits),
+      state_(settings.state),
       replica_(self, group, settings.replica, log, state_, random, now) {}
 
 void Ledger::handle(base::NodeId from, const transport::RaftEnvelope& message,
@@ -21,7 +21,7 @@
     const auto query = base::decode<LedgerQuery>(message.payload);
     const auto* heartbeat = query ? std::get_if<GatewayHeartbeat>(&*query) : nullptr;
     if (heartbeat != nullptr) {
-      last_heard_[{heartbeat->gateway, heartbeat->incarnation}] = now;
+      m_lastContactAt[{heartbeat->gateway, heartbeat->incarnation}] = now;
     }
     replica_.handle(from, message, now);
     return;
@@ -31,10 +31,10 @@
     return;
   }
   if (const auto* lease = std::get_if<LeaseSamples>(&*operation)) {
-    last_heard_[{lease->gateway, lease->incarnation}] = now;
+    m_lastContactAt[{lease->gateway, lease->incarnation}] = now;
   }
   transport::CommandRequest stamped = message;
-  stamped.payload = base::encode(LedgerCommand{wall_seconds_, std::move(*operation)});
+  stamped.payload = base::encode(LedgerCommand{m_wallClockSeconds, std::move(*operation)});
   replica_.handle(from, stamped, now);
 }
 
@@ -43,32 +43,34 @@
   replica_.handle(from, message, now);
 }
 
-void Ledger::tick(base::TimePoint now, std::uint64_t wallSeconds) {
-  wall_seconds_ = wallSeconds;
+void Ledger::tick(base::TimePoint now, std::uint64_t wallClockSeconds) {
+  m_wallClockSeconds = wallClockSeconds;
   replica_.tick(now);
   constexpr base::Duration kCheckInterval = base::milliseconds(250);
-  if (now - checked_at_ >= kCheckInterval) {
-    checked_at_ = now;
-    releaseSilentHolders(now);
+  if (now - m_lastHolderCheckAt >= kCheckInterval) {
+    m_lastHolderCheckAt = now;
+    releaseTimedOutHolders(now);
   }
 }
 
-void Ledger::releaseSilentHolders(base::TimePoint now) {
+void Ledger::releaseTimedOutHolders(base::TimePoint now) {
   if (!replica_.canRead(now)) {
-    last_heard_.clear();
+    m_lastContactAt.clear();
     return;
   }
-  const std::set<SampleHolder> holders = state_.holders();
-  std::erase_if(last_heard_, [&](const auto& entry) { return !holders.contains(entry.first); });
-  for (const SampleHolder& holder : holders) {
-    // A new leader has heard nobody yet and gives everyone the whole timeout.
-    const auto [heard, added] = last_heard_.try_emplace(holder, now);
-    if (now - heard->second < settings_.gatewayTimeout) {
+  const std::set<LeaseHolder> leaseHolders = state_.leaseHolders();
+  std::erase_if(m_lastContactAt,
+                [&](const auto& entry) { return !leaseHolders.contains(entry.first); });
+  for (const LeaseHolder& holder : leaseHolders) {
+    // A new leader has no times of contact and starts the timeout of each holder now.
+    const auto [lastContact, added] = m_lastContactAt.try_emplace(holder, now);
+    if (now - lastContact->second < settings_.gatewayTimeout) {
       continue;
     }
-    const LedgerCommand command{wall_seconds_, ReleaseLeases{holder.gateway, holder.incarnation}};
+    const LedgerCommand command{m_wallClockSeconds,
+                                ReleaseLeases{holder.gateway, holder.incarnation}};
     replica_.propose(base::encode(command), now, [](const base::Bytes*, auto) {});
-    heard->second = now;
+    lastContact->second = now;
   }
 }
 
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,5 +1,5 @@
 /// \file
-/// The ledger role: a replica of one ledger group, which also watches that lease holders live.
+/// Ledger role: a replica of one ledger group.
 #pragma once
 
 #include <map>
@@ -9,15 +9,16 @@
 
 namespace tackpick::ledger {
 
-/// Knobs of a Ledger.
+/// Settings of Ledger.
 struct LedgerSettings {
   consensus::ReplicaSettings replica;
-  LedgerLimits limits;
-  /// A gateway unresponsive for this long loses its samples. Safe at any value, because the first
-  /// commit wins; too short a value runs samples twice.
+  LedgerStateSettings state;
+  /// Time without contact after which a gateway loses its leases. A short timeout may run samples
+  /// twice, but never delivers one twice, because the first commit wins.
   base::Duration gatewayTimeout = base::seconds(3);
 };
 
+/// Replica of a ledger group. The leader also releases the leases of unresponsive gateways.
 /// Deterministic; owned by one thread.
 class Ledger {
  public:
@@ -25,11 +26,13 @@
          base::Random& random, base::TimePoint now);
 
   void handle(base::NodeId from, const transport::RaftEnvelope& message, base::TimePoint now);
-  /// Clients send a LedgerOperation as payload; the leader adds its wall clock.
+  /// Handles a command or query of a client. The payload of a command is a LedgerOperation, to
+  /// which the wall clock is added.
   void handle(base::NodeId from, const transport::CommandRequest& message, base::TimePoint now);
   void handle(base::NodeId from, const transport::MembershipRequest& message, base::TimePoint now);
-  /// `wallSeconds` is the wall clock, used for retention only.
-  void tick(base::TimePoint now, std::uint64_t wallSeconds);
+  /// `wallClockSeconds` is used for retention only.
+  void tick(base::TimePoint now, std::uint64_t wallClockSeconds);
+  /// Ends an iteration of the event loop and returns the messages to send.
   [[nodiscard]] transport::Outbox finish(base::TimePoint now);
 
   [[nodiscard]] const LedgerState& state() const { return state_; }
@@ -37,15 +40,15 @@
   [[nodiscard]] consensus::Replica& replica() { return replica_; }
 
  private:
-  void releaseSilentHolders(base::TimePoint now);
+  void releaseTimedOutHolders(base::TimePoint now);
 
   const LedgerSettings settings_;
   LedgerState state_;
   consensus::Replica replica_;
-  std::uint64_t wall_seconds_ = 0;
-  /// When each gateway run was last heard, while leading.
-  std::map<SampleHolder, base::TimePoint> last_heard_;
-  base::TimePoint checked_at_{};
+  std::uint64_t m_wallClockSeconds = 0;
+  /// Time of the last contact with each gateway run; cleared while not leading.
+  std::map<LeaseHolder, base::TimePoint> m_lastContactAt;
+  base::TimePoint m_lastHolderCheckAt{};
 };
 
 }  // namespace tackpick::ledger
--- a/src/ledger/ledger_commands.h
+++ b/src/ledger/ledger_commands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commands and queries of a ledger group: batches, sample leases, delivery, claims.
+/// Commands and queries of a ledger group.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace tackpick::ledger {
 
-/// Tokens [first, first + count) were produced under `version`.
+/// Weights version under which the tokens [first, first + count) were generated.
 struct VersionSpan {
   base::WeightsVersion version;
   std::uint32_t first = 0;
@@ -27,7 +27,7 @@
   }
 };
 
-/// A sample to be produced.
+/// Specification of a sample to generate.
 struct SampleSpec {
   std::uint32_t index = 0;
   std::string prompt;
@@ -40,7 +40,7 @@
   }
 };
 
-/// A sample as an engine produced it. The spans cover every token.
+/// Generated sample. The spans cover every token.
 struct SampleResult {
   std::uint32_t index = 0;
   std::vector<std::uint32_t> tokens;
@@ -53,17 +53,17 @@
   }
 };
 
-/// Oldest version among the spans; none when there are none.
+/// Returns the oldest version of the spans; invalid if there are no spans.
 [[nodiscard]] base::WeightsVersion oldestVersion(const std::vector<VersionSpan>& spans);
-/// True when the spans are adjacent, start at zero and cover exactly `tokenCount` tokens.
+/// Whether the spans are contiguous, start at zero and cover exactly `tokenCount` tokens.
 [[nodiscard]] bool spansCoverTokens(const std::vector<VersionSpan>& spans, std::size_t tokenCount);
 
-/// Repeating it with the same content is harmless; with other content it is refused.
+/// Submits a batch. Repeating it with the same samples has no effect; other samples are a conflict.
 struct SubmitBatch {
   base::BatchId batch;
   base::WorkloadPath workload;
   std::string model;
-  base::WeightsVersion minimumVersion;  ///< fixed now from the agreed staleness bound
+  base::WeightsVersion minimumVersion;  ///< derived from the staleness limit at submission
   std::vector<SampleSpec> samples;
 
   template <class Archive>
@@ -72,7 +72,7 @@
   }
 };
 
-/// Raises the minimum version of a batch that is still running.
+/// Raises the minimum version of an unfinished batch.
 struct RaiseMinimumVersion {
   base::BatchId batch;
   base::WeightsVersion minimumVersion;
@@ -83,20 +83,20 @@
   }
 };
 
-/// A gateway asks for samples to run, and at the same time says that it is alive.
+/// Request of a gateway for samples to run; also counts as a heartbeat.
 struct LeaseSamples {
   base::NodeId gateway;
   base::Incarnation incarnation;
-  std::uint64_t request = 0;  ///< rises; repeating the latest gives the same samples again
+  std::uint64_t sequence = 0;  ///< ascending; resending the latest returns the same samples
   std::uint32_t maximum = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(gateway, incarnation, request, maximum);
+    archive(gateway, incarnation, sequence, maximum);
   }
 };
 
-/// Takes back all leases of a gateway run that became unresponsive. Proposed by the leading ledger.
+/// Releases all leases of an unresponsive gateway run. Proposed by the leader of the ledger group.
 struct ReleaseLeases {
   base::NodeId gateway;
   base::Incarnation incarnation;
@@ -107,7 +107,7 @@
   }
 };
 
-/// Gives one sample back, for example because the gateway is stopping.
+/// Returns the lease of one sample, for example because the gateway is draining.
 struct ReturnSample {
   base::BatchId batch;
   std::uint32_t index = 0;
@@ -119,7 +119,7 @@
   }
 };
 
-/// The first commit of a sample wins.
+/// Commits the result of a sample. The first commit wins.
 struct CommitSample {
   base::BatchId batch;
   std::uint64_t fence = 0;
@@ -131,7 +131,7 @@
   }
 };
 
-/// The trainer holds everything before `cursor`; it is never delivered again.
+/// Confirms that the trainer has received the samples before `cursor`; their results are removed.
 struct AcknowledgeSamples {
   base::BatchId batch;
   std::uint32_t cursor = 0;
@@ -142,36 +142,38 @@
   }
 };
 
-/// Registers a not-repeatable request before it is dispatched.
+/// Claims the idempotency key of a not-repeatable request before dispatch.
 struct ClaimRequest {
   base::TenantName tenant;
   base::IdempotencyKey key;
   std::uint64_t requestHash = 0;
-  std::uint64_t claimant = 0;  ///< unique to this arrival; tells a resent call from a second claim
+  std::uint64_t claimId =
+      0;  ///< unique per request; distinguishes a resent call from a second claim
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(tenant, key, requestHash, claimant);
+    archive(tenant, key, requestHash, claimId);
   }
 };
 
-/// How a claimed request ended.
+/// Outcome of a claimed request.
 enum class ClaimOutcome : std::uint8_t {
-  kUnknown,    ///< dispatched or about to be; it may have run
-  kNotRun,     ///< certainly did not run: the key may be claimed again
-  kCompleted,  ///< ran; `answer` is what the caller got
+  kUnknown,    ///< it may have run or may still run
+  kNotRun,     ///< it did not run; the key may be claimed again
+  kCompleted,  ///< it ran; the answer is recorded
 };
 
+/// Records the outcome of a claimed request.
 struct RecordOutcome {
   base::TenantName tenant;
   base::IdempotencyKey key;
-  std::uint64_t claimant = 0;
+  std::uint64_t claimId = 0;
   ClaimOutcome outcome = ClaimOutcome::kUnknown;
   base::Bytes answer;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(tenant, key, claimant, outcome, answer);
+    archive(tenant, key, claimId, outcome, answer);
   }
 };
 
@@ -179,36 +181,36 @@
     std::variant<SubmitBatch, RaiseMinimumVersion, LeaseSamples, ReleaseLeases, ReturnSample,
                  CommitSample, AcknowledgeSamples, ClaimRequest, RecordOutcome>;
 
-/// `wallSeconds` is the proposing leader's wall clock; it only drives retention.
+/// Replicated command. `wallClockSeconds` is the wall clock of the leader, used for retention only.
 struct LedgerCommand {
-  std::uint64_t wallSeconds = 0;
+  std::uint64_t wallClockSeconds = 0;
   LedgerOperation operation;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(wallSeconds, operation);
+    archive(wallClockSeconds, operation);
   }
 };
 
 enum class LedgerStatus : std::uint8_t {
   kOk,
-  kAlreadyDone,  ///< an earlier equal command had this effect
+  kAlreadyApplied,  ///< the effect was already in place
   kNotFound,
-  kConflict,  ///< same name, other content
-  kTooOld,    ///< a version span lies under the batch's minimum
+  kConflict,      ///< same batch or key with other content
+  kStaleVersion,  ///< a weights version is below the minimum of the batch
   kInvalid,
-  kRefused,  ///< the claim is taken; `outcome` says what is known
-  kExpired,  ///< the batch was dropped after delivery
+  kRejected,  ///< the key is claimed (see `outcome`), or the gateway run is outdated
+  kExpired,   ///< the batch or the results were removed after acknowledgement
 };
 
-/// A sample handed to a gateway.
+/// Sample leased to a gateway.
 struct LeasedSample {
   base::BatchId batch;
   base::WorkloadPath workload;
   std::string model;
   base::WeightsVersion minimumVersion;
   std::uint64_t fence = 0;
-  std::uint32_t remaining = 0;       ///< samples of the batch not yet committed
+  std::uint32_t remaining = 0;       ///< uncommitted samples of the batch
   std::uint32_t expectedTokens = 0;  ///< estimated from earlier samples
   SampleSpec sample;
 
@@ -231,7 +233,7 @@
   }
 };
 
-/// Reads committed samples from `cursor` on, in commit order.
+/// Reads committed samples in commit order, starting at `cursor`.
 struct ReadSamples {
   base::BatchId batch;
   std::uint32_t cursor = 0;
@@ -248,7 +250,7 @@
   void serialize(Archive& /*archive*/) {}
 };
 
-/// A gateway that holds samples says that it is alive.
+/// Heartbeat of a gateway that holds samples.
 struct GatewayHeartbeat {
   base::NodeId gateway;
   base::Incarnation incarnation;
@@ -264,7 +266,7 @@
 struct ReadResult {
   LedgerStatus status = LedgerStatus::kNotFound;
   std::vector<SampleResult> samples;
-  std::uint32_t cursor = 0;  ///< where the next read continues
+  std::uint32_t cursor = 0;  ///< start of the next read
   std::uint32_t total = 0;
   std::uint32_t committed = 0;
 
--- a/src/ledger/ledger_state.cpp
+++ b/src/ledger/ledger_state.cpp
@@ -8,15 +8,15 @@
 namespace tackpick::ledger {
 namespace {
 
-LedgerResult withStatus(LedgerStatus status, std::string message = {}) {
+LedgerResult makeResult(LedgerStatus status, std::string message = {}) {
   LedgerResult result;
   result.status = status;
   result.message = std::move(message);
   return result;
 }
 
-/// What is wrong with a submission; empty when nothing is.
-std::string checkSubmission(const SubmitBatch& submission) {
+/// Returns why a submission is invalid; empty if it is valid.
+std::string validateSubmission(const SubmitBatch& submission) {
   std::vector<bool> seen(submission.samples.size());
   for (const SampleSpec& sample : submission.samples) {
     if (sample.index >= seen.size() || seen[sample.index]) {
@@ -32,173 +32,175 @@
 base::Bytes LedgerState::apply(consensus::LogIndex /*index*/, const base::Bytes& command) {
   const auto decoded = base::decode<LedgerCommand>(command);
   if (!decoded) {
-    return base::encode(withStatus(LedgerStatus::kInvalid, "unreadable command"));
+    return base::encode(makeResult(LedgerStatus::kInvalid, "unreadable command"));
   }
-  content_.wallSeconds = std::max(content_.wallSeconds, decoded->wallSeconds);
-  forgetOld();
+  m_data.wallClockSeconds = std::max(m_data.wallClockSeconds, decoded->wallClockSeconds);
+  pruneExpired();
   return base::encode(
       std::visit([this](const auto& typed) { return applyOperation(typed); }, decoded->operation));
 }
 
 LedgerResult LedgerState::applyOperation(const SubmitBatch& command) {
-  // The minimum version is left out: a resend may find newer weights published.
+  // The hash excludes the minimum version, which may be newer when a submission is resent.
   const std::uint64_t hash = base::hashBytes(base::encode(command.samples));
-  if (const Batch* known = find(command.batch)) {
-    const bool same = known->contentHash() == hash;
-    return withStatus(same ? LedgerStatus::kAlreadyDone : LedgerStatus::kConflict);
+  if (const Batch* existing = find(command.batch)) {
+    const bool same = existing->contentHash() == hash;
+    return makeResult(same ? LedgerStatus::kAlreadyApplied : LedgerStatus::kConflict);
   }
-  const auto delivered = content_.delivered.find(command.batch);
-  if (delivered != content_.delivered.end()) {
+  const auto delivered = m_data.delivered.find(command.batch);
+  if (delivered != m_data.delivered.end()) {
     const bool same = delivered->second.contentHash == hash;
-    return withStatus(same ? LedgerStatus::kAlreadyDone : LedgerStatus::kConflict);
+    return makeResult(same ? LedgerStatus::kAlreadyApplied : LedgerStatus::kConflict);
   }
-  if (std::string problem = checkSubmission(command); !problem.empty()) {
-    return withStatus(LedgerStatus::kInvalid, std::move(problem));
+  if (std::string problem = validateSubmission(command); !problem.empty()) {
+    return makeResult(LedgerStatus::kInvalid, std::move(problem));
   }
-  content_.batches.emplace(
-      command.batch, Batch(command, hash, limits_.longestFirst ? &content_.lengths : nullptr));
-  content_.arrival.push_back(command.batch);
-  return withStatus(LedgerStatus::kOk);
+  m_data.batches.emplace(
+      command.batch,
+      Batch(command, hash, m_settings.longestFirst ? &m_data.lengthEstimator : nullptr));
+  m_data.submissionOrder.push_back(command.batch);
+  return makeResult(LedgerStatus::kOk);
 }
 
 LedgerResult LedgerState::applyOperation(const RaiseMinimumVersion& command) {
   Batch* batch = find(command.batch);
   if (batch == nullptr) {
-    return missing(command.batch);
+    return notFoundResult(command.batch);
   }
-  batch->tighten(command.minimumVersion);
-  return withStatus(LedgerStatus::kOk);
+  batch->raiseMinimumVersion(command.minimumVersion);
+  return makeResult(LedgerStatus::kOk);
 }
 
 LedgerResult LedgerState::applyOperation(const LeaseSamples& command) {
-  LatestLease& latest = content_.latestLeases[command.gateway];
-  if (command.incarnation < latest.incarnation) {
-    return withStatus(LedgerStatus::kRefused, "an earlier run of this gateway");
-  }
-  if (command.incarnation > latest.incarnation) {
-    releaseHolder({command.gateway, latest.incarnation});
-    latest = {command.incarnation, 0, {}};
-  }
-  if (command.request <= latest.request) {
-    return repeatLease(command, latest);
-  }
-  LedgerResult result = withStatus(LedgerStatus::kOk);
-  latest.request = command.request;
-  latest.granted.clear();
-  const SampleHolder holder{command.gateway, command.incarnation};
-  for (const base::BatchId& id : content_.arrival) {
+  LastLeaseResponse& lastResponse = m_data.lastLeaseResponses[command.gateway];
+  if (command.incarnation < lastResponse.incarnation) {
+    return makeResult(LedgerStatus::kRejected, "an earlier run of this gateway");
+  }
+  if (command.incarnation > lastResponse.incarnation) {
+    releaseLeasesOf({command.gateway, lastResponse.incarnation});
+    lastResponse = {command.incarnation, 0, {}};
+  }
+  if (command.sequence <= lastResponse.sequence) {
+    return resendLease(command, lastResponse);
+  }
+  LedgerResult result = makeResult(LedgerStatus::kOk);
+  lastResponse.sequence = command.sequence;
+  lastResponse.leasedSamples.clear();
+  const LeaseHolder holder{command.gateway, command.incarnation};
+  for (const base::BatchId& id : m_data.submissionOrder) {
     if (result.leased.size() >= command.maximum) {
       break;
     }
     find(id)->lease(holder, command.maximum, result.leased);
   }
   for (const LeasedSample& leased : result.leased) {
-    latest.granted.push_back({leased.batch, leased.sample.index});
+    lastResponse.leasedSamples.push_back({leased.batch, leased.sample.index});
   }
   return result;
 }
 
-LedgerResult LedgerState::repeatLease(const LeaseSamples& command,
-                                      const LatestLease& latest) const {
-  if (command.request < latest.request) {
-    return withStatus(LedgerStatus::kAlreadyDone);
+LedgerResult LedgerState::resendLease(const LeaseSamples& command,
+                                      const LastLeaseResponse& lastResponse) const {
+  if (command.sequence < lastResponse.sequence) {
+    return makeResult(LedgerStatus::kAlreadyApplied);
   }
-  LedgerResult result = withStatus(LedgerStatus::kOk);
-  const SampleHolder holder{command.gateway, command.incarnation};
-  for (const SampleName& name : latest.granted) {
-    const auto batch = content_.batches.find(name.batch);
-    if (batch != content_.batches.end() && batch->second.isHeldBy(name.index, holder)) {
-      result.leased.push_back(batch->second.describe(name.index));
+  LedgerResult result = makeResult(LedgerStatus::kOk);
+  const LeaseHolder holder{command.gateway, command.incarnation};
+  for (const SampleKey& name : lastResponse.leasedSamples) {
+    const auto batch = m_data.batches.find(name.batch);
+    if (batch != m_data.batches.end() && batch->second.isLeasedTo(name.index, holder)) {
+      result.leased.push_back(batch->second.leasedSample(name.index));
     }
   }
   return result;
 }
 
 LedgerResult LedgerState::applyOperation(const ReleaseLeases& command) {
-  releaseHolder({command.gateway, command.incarnation});
-  return withStatus(LedgerStatus::kOk);
+  releaseLeasesOf({command.gateway, command.incarnation});
+  return makeResult(LedgerStatus::kOk);
 }
 
-void LedgerState::releaseHolder(const SampleHolder& holder) {
-  for (auto& [id, batch] : content_.batches) {
-    batch.release(holder);
+void LedgerState::releaseLeasesOf(const LeaseHolder& holder) {
+  for (auto& [id, batch] : m_data.batches) {
+    batch.releaseLeases(holder);
   }
 }
 
 LedgerResult LedgerState::applyOperation(const ReturnSample& command) {
   Batch* batch = find(command.batch);
-  return batch == nullptr ? missing(command.batch)
-                          : withStatus(batch->giveBack(command.index, command.fence));
+  return batch == nullptr ? notFoundResult(command.batch)
+                          : makeResult(batch->returnLease(command.index, command.fence));
 }
 
 LedgerResult LedgerState::applyOperation(const CommitSample& command) {
   Batch* batch = find(command.batch);
   if (batch == nullptr) {
-    return missing(command.batch);
+    return notFoundResult(command.batch);
   }
-  const LedgerStatus status = batch->commit(command, limits_.batchMutants);
+  const LedgerStatus status = batch->commit(command, m_settings.batchMutants);
   if (status == LedgerStatus::kOk) {
-    const LeasedSample sample = batch->describe(command.result.index);
-    content_.lengths.observe(sample.workload, sample.sample.prompt, command.result.tokens.size());
+    const LeasedSample sample = batch->leasedSample(command.result.index);
+    m_data.lengthEstimator.observe(sample.workload, sample.sample.prompt,
+                                   command.result.tokens.size());
   }
-  return withStatus(status);
+  return makeResult(status);
 }
 
 LedgerResult LedgerState::applyOperation(const AcknowledgeSamples& command) {
   Batch* batch = find(command.batch);
   if (batch == nullptr) {
-    return missing(command.batch);
+    return notFoundResult(command.batch);
   }
-  LedgerResult result = withStatus(batch->acknowledge(command.cursor));
-  if (batch->isDelivered()) {
-    content_.delivered[command.batch] = {batch->contentHash(), batch->summary().total,
-                                         content_.wallSeconds};
-    content_.batches.erase(command.batch);
-    std::erase(content_.arrival, command.batch);
+  LedgerResult result = makeResult(batch->acknowledge(command.cursor));
+  if (batch->isFullyAcknowledged()) {
+    m_data.delivered[command.batch] = {batch->contentHash(), batch->summary().total,
+                                       m_data.wallClockSeconds};
+    m_data.batches.erase(command.batch);
+    std::erase(m_data.submissionOrder, command.batch);
   }
   return result;
 }
 
 LedgerResult LedgerState::applyOperation(const ClaimRequest& command) {
-  LedgerResult result = content_.claims.claim(command, content_.wallSeconds);
-  if (limits_.mutants.grantEveryClaim && result.status == LedgerStatus::kRefused) {
-    return withStatus(LedgerStatus::kOk);
+  LedgerResult result = m_data.claims.claim(command, m_data.wallClockSeconds);
+  if (m_settings.mutants.grantDuplicateClaims && result.status == LedgerStatus::kRejected) {
+    return makeResult(LedgerStatus::kOk);
   }
   return result;
 }
 
 LedgerResult LedgerState::applyOperation(const RecordOutcome& command) {
-  return content_.claims.record(command, content_.wallSeconds);
+  return m_data.claims.record(command, m_data.wallClockSeconds);
 }
 
 Batch* LedgerState::find(const base::BatchId& batch) {
-  const auto found = content_.batches.find(batch);
-  return found == content_.batches.end() ? nullptr : &found->second;
+  const auto found = m_data.batches.find(batch);
+  return found == m_data.batches.end() ? nullptr : &found->second;
 }
 
-LedgerResult LedgerState::missing(const base::BatchId& batch) const {
-  return content_.delivered.contains(batch)
-             ? withStatus(LedgerStatus::kExpired, "the batch was delivered")
-             : withStatus(LedgerStatus::kNotFound, "no such batch");
+LedgerResult LedgerState::notFoundResult(const base::BatchId& batch) const {
+  return m_data.delivered.contains(batch)
+             ? makeResult(LedgerStatus::kExpired, "the batch was delivered")
+             : makeResult(LedgerStatus::kNotFound, "no such batch");
 }
 
-void LedgerState::forgetOld() {
+void LedgerState::pruneExpired() {
   constexpr std::uint64_t kPruneInterval = 60;
-  if (content_.wallSeconds < content_.prunedAt + kPruneInterval ||
-      content_.wallSeconds < limits_.retentionSeconds) {
+  if (m_data.wallClockSeconds < m_data.lastPrunedAt + kPruneInterval ||
+      m_data.wallClockSeconds < m_settings.retentionSeconds) {
     return;
   }
-  content_.prunedAt = content_.wallSeconds;
-  const std::uint64_t oldest = content_.wallSeconds - limits_.retentionSeconds;
-  content_.claims.dropOlderThan(oldest);
-  std::erase_if(content_.delivered,
+  m_data.lastPrunedAt = m_data.wallClockSeconds;
+  const std::uint64_t oldest = m_data.wallClockSeconds - m_settings.retentionSeconds;
+  m_data.claims.removeOlderThan(oldest);
+  std::erase_if(m_data.delivered,
                 [&](const auto& entry) { return entry.second.deliveredAt < oldest; });
 }
 
-std::set<SampleHolder> LedgerState::holders() const {
-  std::set<SampleHolder> all;
-  for (const auto& [id, batch] : content_.batches) {
-    all.merge(batch.holders());
+std::set<LeaseHolder> LedgerState::leaseHolders() const {
+  std::set<LeaseHolder> all;
+  for (const auto& [id, batch] : m_data.batches) {
+    all.merge(batch.leaseHolders());
   }
   return all;
 }
@@ -209,14 +211,14 @@
     return {};
   }
   if (const auto* read = std::get_if<ReadSamples>(&*decoded)) {
-    const auto found = content_.batches.find(read->batch);
-    if (found != content_.batches.end()) {
+    const auto found = m_data.batches.find(read->batch);
+    if (found != m_data.batches.end()) {
       return base::encode(
-          found->second.read(read->cursor, std::min(read->maximum, limits_.samplesPerRead)));
+          found->second.read(read->cursor, std::min(read->maximum, m_settings.samplesPerRead)));
     }
     ReadResult result;
-    const auto delivered = content_.delivered.find(read->batch);
-    if (delivered != content_.delivered.end()) {
+    const auto delivered = m_data.delivered.find(read->batch);
+    if (delivered != m_data.delivered.end()) {
       result.status = LedgerStatus::kExpired;
       result.total = delivered->second.total;
       result.committed = result.total;
@@ -228,16 +230,16 @@
     return {};
   }
   BatchList list;
-  for (const auto& [id, batch] : content_.batches) {
+  for (const auto& [id, batch] : m_data.batches) {
     list.batches.push_back(batch.summary());
   }
   return base::encode(list);
 }
 
-base::Bytes LedgerState::takeSnapshot() const { return base::encode(content_); }
+base::Bytes LedgerState::takeSnapshot() const { return base::encode(m_data); }
 
 void LedgerState::loadSnapshot(const base::Bytes& snapshot) {
-  content_ = base::decode<Content>(snapshot).value_or(Content{});
+  m_data = base::decode<ReplicatedData>(snapshot).value_or(ReplicatedData{});
 }
 
 }  // namespace tackpick::ledger
--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The replicated state of one ledger group.
+/// Replicated state of one ledger group.
 #pragma once
 
 #include <map>
@@ -7,42 +7,42 @@
 
 #include "consensus/state_machine.h"
 #include "ledger/batch.h"
-#include "ledger/claims.h"
+#include "ledger/claim_store.h"
 
 namespace tackpick::ledger {
 
-/// Knobs of LedgerState; part of the replicated behaviour, so the same on every replica.
-struct LedgerLimits {
-  /// A claim or the name of a delivered batch is remembered this long after its last change.
+/// Settings of LedgerState; must be equal on all replicas of a group.
+struct LedgerStateSettings {
+  /// Time after the last change for which claims and the ids of delivered batches are kept.
   std::uint64_t retentionSeconds = 86'400;
   std::uint32_t samplesPerRead = 256;
-  /// Lease the samples expected to run longest first; else by index, for comparison.
+  /// Lease samples in descending order of expected length; if false, by index (for comparison).
   bool longestFirst = true;
   Batch::Mutants batchMutants;
 
   struct Mutants {
-    bool grantEveryClaim = false;  ///< a second claim of the same key is granted too
+    bool grantDuplicateClaims = false;  ///< grant a second claim of the same key
   } mutants;
 };
 
-/// Deterministic. Batches live until their trainer has acknowledged every sample; of delivered
-/// batches only the name remains, for the retention.
+/// Batches, claims and length estimates of a ledger group. A batch is kept until its trainer has
+/// acknowledged every sample; its id is kept for the retention time. Deterministic.
 class LedgerState final : public consensus::StateMachine {
  public:
-  explicit LedgerState(LedgerLimits limits = {}) : limits_(limits) {}
+  explicit LedgerState(LedgerStateSettings settings = {}) : m_settings(settings) {}
 
   base::Bytes apply(consensus::LogIndex index, const base::Bytes& command) override;
   [[nodiscard]] base::Bytes query(const base::Bytes& query) const override;
   [[nodiscard]] base::Bytes takeSnapshot() const override;
   void loadSnapshot(const base::Bytes& snapshot) override;
 
-  /// Every gateway run that holds a sample.
-  [[nodiscard]] std::set<SampleHolder> holders() const;
-  [[nodiscard]] std::size_t batchCount() const { return content_.batches.size(); }
-  [[nodiscard]] std::size_t claimCount() const { return content_.claims.size(); }
+  /// Returns the gateway runs that hold leases.
+  [[nodiscard]] std::set<LeaseHolder> leaseHolders() const;
+  [[nodiscard]] std::size_t batchCount() const { return m_data.batches.size(); }
+  [[nodiscard]] std::size_t claimCount() const { return m_data.claims.size(); }
 
  private:
-  /// What is kept of a delivered batch.
+  /// Record of a batch that was completely acknowledged.
   struct DeliveredBatch {
     std::uint64_t contentHash = 0;
     std::uint32_t total = 0;
@@ -53,8 +53,8 @@
       archive(contentHash, total, deliveredAt);
     }
   };
-  /// Names one sample of one batch.
-  struct SampleName {
+  /// Identifies a sample.
+  struct SampleKey {
     base::BatchId batch;
     std::uint32_t index = 0;
 
@@ -63,30 +63,33 @@
       archive(batch, index);
     }
   };
-  /// The latest request for samples of a gateway, with its answer for a repeat.
-  struct LatestLease {
+  /// Latest lease request of a gateway and the samples leased for it, kept to answer a resent
+  /// request.
+  struct LastLeaseResponse {
     base::Incarnation incarnation;
-    std::uint64_t request = 0;
-    std::vector<SampleName> granted;
+    std::uint64_t sequence = 0;
+    std::vector<SampleKey> leasedSamples;
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(incarnation, request, granted);
+      archive(incarnation, sequence, leasedSamples);
     }
   };
-  struct Content {
-    std::uint64_t wallSeconds = 0;  ///< the highest seen; never goes back
-    std::uint64_t prunedAt = 0;
+  /// Data that replicas share; the content of a snapshot.
+  struct ReplicatedData {
+    std::uint64_t wallClockSeconds = 0;  ///< maximum of all commands; never decreases
+    std::uint64_t lastPrunedAt = 0;      ///< wall clock, seconds
     std::map<base::BatchId, Batch> batches;
-    std::vector<base::BatchId> arrival;  ///< batches with pending samples are leased in this order
+    std::vector<base::BatchId> submissionOrder;  ///< order in which batches are leased
     std::map<base::BatchId, DeliveredBatch> delivered;
-    std::map<base::NodeId, LatestLease> latestLeases;
-    Claims claims;
-    LengthEstimates lengths;
+    std::map<base::NodeId, LastLeaseResponse> lastLeaseResponses;
+    ClaimStore claims;
+    LengthEstimator lengthEstimator;
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(wallSeconds, prunedAt, batches, arrival, delivered, latestLeases, claims, lengths);
+      archive(wallClockSeconds, lastPrunedAt, batches, submissionOrder, delivered,
+              lastLeaseResponses, claims, lengthEstimator);
     }
   };
 
@@ -100,14 +103,17 @@
   LedgerResult applyOperation(const ClaimRequest& command);
   LedgerResult applyOperation(const RecordOutcome& command);
   [[nodiscard]] Batch* find(const base::BatchId& batch);
-  [[nodiscard]] LedgerResult missing(const base::BatchId& batch) const;
-  [[nodiscard]] LedgerResult repeatLease(const LeaseSamples& command,
-                                         const LatestLease& latest) const;
-  void releaseHolder(const SampleHolder& holder);
-  void forgetOld();
-
-  LedgerLimits limits_;
-  Content content_;
+  /// Returns kExpired for a delivered batch and kNotFound for an unknown one.
+  [[nodiscard]] LedgerResult notFoundResult(const base::BatchId& batch) const;
+  /// Returns the samples of the latest lease request that its holder still holds.
+  [[nodiscard]] LedgerResult resendLease(const LeaseSamples& command,
+                                         const LastLeaseResponse& lastResponse) const;
+  void releaseLeasesOf(const LeaseHolder& holder);
+  /// Removes claims and ids of delivered batches whose retention time has passed.
+  void pruneExpired();
+
+  LedgerStateSettings m_settings;
+  ReplicatedData m_data;
 };
 
 }  // namespace tackpick::ledger
--- a/src/roles/role_set.cpp
+++ b/src/roles/role_set.cpp
@@ -3,7 +3,7 @@
 namespace tackpick::roles {
 namespace {
 
-/// For messages that name a replication group.
+/// Passes a message to the roles that belong to its replication group.
 template <typename Message>
 void deliverToGroup(const RoleSet& roles, base::NodeId from, const Message& message,
                     base::TimePoint now) {
--- a/src/roles/role_set.h
+++ b/src/roles/role_set.h
@@ -1,5 +1,5 @@
 /// \file
-/// The roles that one process plays, and which of them a message is for.
+/// Roles of a process, and dispatch of messages to them.
 #pragma once
 
 #include <vector>
@@ -10,14 +10,15 @@
 
 namespace tackpick::roles {
 
-/// Null and empty where the process does not play a role. The owner keeps the objects alive.
+/// Roles of a process; null or empty if it does not have a role. Does not own the roles.
 struct RoleSet {
   control::Controller* controller = nullptr;
   std::vector<ledger::Ledger*> ledgers;
   gateway::Gateway* gateway = nullptr;
 };
 
-/// Hands a message of another process to the role that it is for; others are dropped.
+/// Passes a message of another process to its role. Ignores the message if the process does not
+/// have this role.
 void deliver(const RoleSet& roles, base::NodeId from, const transport::InternalMessage& message,
              base::TimePoint now);
 
--- a/src/routing/engine_selector.cpp
+++ b/src/routing/engine_selector.cpp
@@ -26,7 +26,7 @@
   // engine. The engine with the lowest cost is a third choice if the prompt may be cached.
   std::vector<const EngineEntry*> finalists = {candidates[random_.below(candidates.size())],
                                                candidates[random_.below(candidates.size())]};
-  if (!criteria.prefixBlocks.empty()) {
+  if (!criteria.prefixBlockHashes.empty()) {
     finalists.push_back(*std::min_element(candidates.begin(), candidates.end(),
                                           [&](const EngineEntry* left, const EngineEntry* right) {
                                             return cost(*left, criteria) < cost(*right, criteria);
@@ -55,14 +55,14 @@
   if (entry.record.zone != settings_.zone) {
     cost += settings_.crossZonePenalty;
   }
-  if (!criteria.prefixBlocks.empty()) {
+  if (!criteria.prefixBlockHashes.empty()) {
     std::size_t matched = 0;
-    while (matched < criteria.prefixBlocks.size() &&
-           entry.cachedBlocks.contains(criteria.prefixBlocks[matched])) {
+    while (matched < criteria.prefixBlockHashes.size() &&
+           entry.cachedBlocks.contains(criteria.prefixBlockHashes[matched])) {
       ++matched;
     }
     cost -= settings_.prefixAffinityBonus * static_cast<double>(matched) /
-            static_cast<double>(criteria.prefixBlocks.size());
+            static_cast<double>(criteria.prefixBlockHashes.size());
   }
   return cost;
 }
--- a/src/routing/engine_selector.h
+++ b/src/routing/engine_selector.h
@@ -34,9 +34,9 @@
 struct SelectionCriteria {
   std::string model;
   base::WeightsVersion minimumVersion;
-  std::vector<std::uint64_t> prefixBlocks;  ///< block hashes of the prompt; empty if not used
-  std::set<base::EngineId> excluded;        ///< engines that already ran or rejected the task
-  bool mayPreempt = false;                  ///< the task may be sent to a full engine
+  std::vector<std::uint64_t> prefixBlockHashes;  ///< block hashes of the prompt; empty if not used
+  std::set<base::EngineId> excluded;             ///< engines that already ran or rejected the task
+  bool mayPreempt = false;                       ///< the task may be sent to a full engine
 };
 
 /// Selects an engine by load, zone and cached prompt prefixes.
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -220,7 +220,7 @@
     for (const engine::OutgoingEngineCommand& order : actions.orders) {
       const control::EngineRecord& record = controller_->state().engines().at(order.engine);
       engine_link_->setAddress(order.engine, record.host, record.port);
-      engine_link_->sendLoadCommand(order.engine, order.order);
+      engine_link_->sendLoadCommand(order.engine, order.command);
     }
     sendAll(actions.messages);
   }
--- a/src/runtime/engine_json.cpp
+++ b/src/runtime/engine_json.cpp
@@ -69,7 +69,7 @@
 
 const std::vector<std::pair<engine::EndKind, std::string>>& endNames() {
   static const std::vector<std::pair<engine::EndKind, std::string>> kNames = {
-      {engine::EndKind::kFinished, "finished"},   {engine::EndKind::kRefused, "refused"},
+      {engine::EndKind::kFinished, "finished"},   {engine::EndKind::kRejected, "refused"},
       {engine::EndKind::kCancelled, "cancelled"}, {engine::EndKind::kFailed, "failed"},
       {engine::EndKind::kLost, "lost"},
   };
--- a/src/runtime/engine_link.cpp
+++ b/src/runtime/engine_link.cpp
@@ -74,7 +74,7 @@
   const bool refused = body.is_object() && body.contains("ran") && body["ran"].is_boolean() &&
                        !body["ran"].get<bool>();
   if (refused) {
-    end.kind = engine::EndKind::kRefused;
+    end.kind = engine::EndKind::kRejected;
     end.verdict = base::Verdict::kNotRun;
     end.message = body.value("error", "refused");
   }
--- a/src/runtime/trainer_api.cpp
+++ b/src/runtime/trainer_api.cpp
@@ -14,7 +14,7 @@
 int statusOf(ledger::LedgerStatus status) {
   switch (status) {
     case ledger::LedgerStatus::kOk:
-    case ledger::LedgerStatus::kAlreadyDone:
+    case ledger::LedgerStatus::kAlreadyApplied:
       return kOk;
     case ledger::LedgerStatus::kNotFound:
       return kNotFound;
@@ -22,9 +22,9 @@
       return kGone;
     case ledger::LedgerStatus::kConflict:
       return kConflict;
-    case ledger::LedgerStatus::kTooOld:
+    case ledger::LedgerStatus::kStaleVersion:
     case ledger::LedgerStatus::kInvalid:
-    case ledger::LedgerStatus::kRefused:
+    case ledger::LedgerStatus::kRejected:
       return kUnprocessable;
   }
   return kUnprocessable;
@@ -196,7 +196,7 @@
         }
         const int status = statusOf(decoded->status);
         if (status == kOk) {
-          const bool repeated = decoded->status == ledger::LedgerStatus::kAlreadyDone;
+          const bool repeated = decoded->status == ledger::LedgerStatus::kAlreadyApplied;
           responder->respond(kAccepted, jsonHeaders(), Json{{"repeated", repeated}}.dump());
         } else {
           respondError(*responder, status, "refused", decoded->message);
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -48,7 +48,7 @@
   Plan plan;
   plan.sent.prompt =
       engine::lengthDirective(tokens) +
-      std::string(engine::kBlockBytes, static_cast<char>('a' + random.below(kPrefixes))) +
+      std::string(engine::kCacheBlockBytes, static_cast<char>('a' + random.below(kPrefixes))) +
       " request " + std::to_string(++number_);
   plan.sent.seed = number_;
   plan.sent.notRepeatable = notRepeatable;
--- a/src/simulation/engine_host.cpp
+++ b/src/simulation/engine_host.cpp
@@ -26,7 +26,7 @@
   ++incarnation_.value;
   model_.emplace(id_, incarnation_, environment_.options.engine, store_, environment_.random,
                  environment_.loop.now());
-  model_->recordRuns();
+  model_->enableExecutionRecords();
   cache_sequences_.clear();
   publishEntry();
 }
@@ -93,7 +93,7 @@
   advance();
   environment_.observations.onWorkGiven(id_, incarnation_);
   if (const auto problem = model_->submit(request, environment_.loop.now())) {
-    end.kind = engine::EndKind::kRefused;
+    end.kind = engine::EndKind::kRejected;
     end.message = *problem;
     sendEnd(gateway, end);
     return;
@@ -116,7 +116,7 @@
     return;
   }
   advance();
-  const engine::EngineStatus status = model_->report(environment_.loop.now());
+  const engine::EngineStatus status = model_->loadReport(environment_.loop.now());
   std::uint64_t& sequence = cache_sequences_[gateway.node];
   const auto events = model_->cacheEventsAfter(sequence, environment_.loop.now());
   sequence = events.empty() ? sequence : events.back().sequence;
@@ -131,7 +131,7 @@
     return;
   }
   advance();
-  const engine::EngineCommandReply reply = model_->order(order, environment_.loop.now());
+  const engine::EngineCommandReply reply = model_->execute(order, environment_.loop.now());
   observeVersion();
   schedule();
   environment_.network.sendOrdered(machine_, controller.node->machine(), [controller, reply] {
--- a/src/simulation/node_host.cpp
+++ b/src/simulation/node_host.cpp
@@ -420,7 +420,7 @@
 
 void NodeHost::sendLoadCommand(const engine::OutgoingEngineCommand& addressed) {
   EngineHost* engine = environment_.engine(addressed.engine);
-  const auto deliver = [engine, run = ProcessRun{this, epoch_}, order = addressed.order] {
+  const auto deliver = [engine, run = ProcessRun{this, epoch_}, order = addressed.command] {
     engine->order(run, order);
   };
   const base::Duration longest = environment_.options.maxOrderDelay;
--- a/src/simulation/observations.cpp
+++ b/src/simulation/observations.cpp
@@ -97,7 +97,7 @@
 }
 
 void Observations::onEngineRuns(const engine::EngineSimulator& model) {
-  for (const auto& [attempt, run] : model.runs()) {
+  for (const auto& [attempt, run] : model.executions()) {
     ++figures_.engineRuns;
     const auto found = prompts_.find(run.prompt);
     if (found != prompts_.end()) {
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -78,8 +78,8 @@
     const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.maxSampleTokens);
     ledger::SampleSpec sample;
     sample.index = index;
-    sample.prompt = engine::aroundDirective(static_cast<std::uint32_t>(tokens)) + "sample " +
-                    std::to_string(prompt);
+    sample.prompt = engine::approximateLengthDirective(static_cast<std::uint32_t>(tokens)) +
+                    "sample " + std::to_string(prompt);
     sample.seed = batch_number_ * 1000 + index;
     sample.maximumTokens = static_cast<std::uint32_t>(load.maxSampleTokens);
     if (traced != nullptr) {
--- a/test/engine/engine_simulator_test.cpp
+++ b/test/engine/engine_simulator_test.cpp
@@ -33,7 +33,7 @@
     command.kind = kind;
     command.version = {version};
     command.fence = fence;
-    return model.order(command, now);
+    return model.execute(command, now);
   }
 
   base::SeededRandom random{1};
@@ -68,10 +68,10 @@
   fixture.model.cancel({2});
   const engine::EngineOutput output = fixture.runUntil(kStart + base::seconds(5));
   cr_assert_eq(output.chunks.front().offset, 6U);
-  cr_assert_eq(output.ends.size(), 1U, "the cancelled one ends silently");
+  cr_assert_eq(output.ends.size(), 1U, "no end is reported for a cancelled attempt");
 }
 
-Test(engine_simulator, lower_fences_are_refused) {
+Test(engine_simulator, stale_fences_are_rejected) {
   EngineFixture fixture;
   using Kind = engine::EngineCommandKind;
   cr_assert(fixture.order(Kind::kPrepareWeights, 2, {3, 1}, kStart).status ==
--- a/test/ledger/ledger_state_test.cpp
+++ b/test/ledger/ledger_state_test.cpp
@@ -39,11 +39,11 @@
 
 }  // namespace
 
-Test(ledger_state, first_commit_wins_and_places_never_change) {
+Test(ledger_state, first_commit_wins_and_order_is_stable) {
   LedgerFixture fixture;
   fixture.submit(2);
   cr_assert(fixture.commit(1, 1, 11) == ledger::LedgerStatus::kOk);
-  cr_assert(fixture.commit(1, 1, 22) == ledger::LedgerStatus::kAlreadyDone);
+  cr_assert(fixture.commit(1, 1, 22) == ledger::LedgerStatus::kAlreadyApplied);
   cr_assert(fixture.commit(0, 1, 33) == ledger::LedgerStatus::kOk);
   const ledger::ReadResult all = fixture.read(0);
   cr_assert_eq(all.samples.size(), 2U);
@@ -51,11 +51,11 @@
   cr_assert_eq(fixture.read(1).samples[0].tokens[0], 33U);
 }
 
-Test(ledger_state, commit_under_the_bound_is_refused_and_leased_again) {
+Test(ledger_state, stale_commit_is_rejected_and_sample_leased_again) {
   LedgerFixture fixture;
   fixture.submit(1, 5);
   cr_assert_eq(fixture.apply(ledger::LeaseSamples{{1}, {1}, 1, 10}).leased.size(), 1U);
-  cr_assert(fixture.commit(0, 4, 1) == ledger::LedgerStatus::kTooOld);
+  cr_assert(fixture.commit(0, 4, 1) == ledger::LedgerStatus::kStaleVersion);
   cr_assert_eq(fixture.apply(ledger::LeaseSamples{{2}, {1}, 1, 10}).leased.size(), 1U);
   cr_assert(fixture.commit(0, 5, 1) == ledger::LedgerStatus::kOk);
 }
@@ -69,7 +69,7 @@
   cr_assert_eq(again.leased.size(), 2U);
   cr_assert_eq(first.leased[0].sample.index, again.leased[0].sample.index);
   const auto restarted = fixture.apply(ledger::LeaseSamples{{1}, {2}, 1, 10});
-  cr_assert_eq(restarted.leased.size(), 4U, "the earlier run's samples are free again");
+  cr_assert_eq(restarted.leased.size(), 4U, "the samples of the earlier run are pending again");
 }
 
 Test(ledger_state, samples_expected_to_run_longest_are_leased_first) {
@@ -101,13 +101,13 @@
   cr_assert_eq(fixture.state_.batchCount(), 0U);
 }
 
-Test(ledger_state, one_claim_a_key_until_it_certainly_did_not_run) {
+Test(ledger_state, key_is_claimable_again_only_after_not_run) {
   LedgerFixture fixture;
   const ledger::ClaimRequest first{{"t"}, {"key"}, 1, 100};
   const ledger::ClaimRequest second{{"t"}, {"key"}, 1, 200};
   cr_assert(fixture.apply(first).status == ledger::LedgerStatus::kOk);
   cr_assert(fixture.apply(first).status == ledger::LedgerStatus::kOk, "a resent call");
-  cr_assert(fixture.apply(second).status == ledger::LedgerStatus::kRefused);
+  cr_assert(fixture.apply(second).status == ledger::LedgerStatus::kRejected);
   const ledger::ClaimRequest other{{"t"}, {"key"}, 2, 300};
   cr_assert(fixture.apply(other).status == ledger::LedgerStatus::kConflict);
   fixture.apply(ledger::RecordOutcome{{"t"}, {"key"}, 100, ledger::ClaimOutcome::kNotRun, {}});
@@ -127,7 +127,7 @@
   restored.state_.loadSnapshot(fixture.state_.takeSnapshot());
   cr_assert_eq(restored.read(0).samples.size(), 1U);
   cr_assert_eq(restored.state_.claimCount(), 1U);
-  constexpr std::uint64_t kTwoDaysLater = 1000 + 2 * 86'400;
-  restored.apply(ledger::RaiseMinimumVersion{{"t/b"}, {1}}, kTwoDaysLater);
+  constexpr std::uint64_t kAfterRetention = 1000 + 2 * 86'400;
+  restored.apply(ledger::RaiseMinimumVersion{{"t/b"}, {1}}, kAfterRetention);
   cr_assert_eq(restored.state_.claimCount(), 0U);
 }
