--- a/src/config/process_settings.cpp
+++ b/src/config/process_settings.cpp
@@ -98,34 +98,34 @@
   constexpr std::int64_t kMaxSamples = 1'000'000;
   MappingReader reader(node, "gateway", errors);
   gateway::GatewaySettings& gateway = settings.gateway;
-  gateway.hedgeTail = reader.getBool("hedge_tail", gateway.hedgeTail);
-  gateway.resumePartial = reader.getBool("resume_partial", gateway.resumePartial);
+  gateway.hedgeSlowSamplesEnabled = reader.getBool("hedge_tail", gateway.hedgeSlowSamplesEnabled);
+  gateway.resumePartialOutput = reader.getBool("resume_partial", gateway.resumePartialOutput);
   gateway.longestFirst = reader.getBool("longest_first", gateway.longestFirst);
   const bool useBaselinePolicy = reader.getBool("baseline_policy", false);
   gateway.queue.fifo = useBaselinePolicy;
   gateway.selector.policy = useBaselinePolicy ? routing::SelectionPolicy::kRoundRobin
-                                              : routing::SelectionPolicy::kBalanced;
-  gateway.readersPerEngine = static_cast<std::uint32_t>(
-      reader.getInteger("readers_per_engine", gateway.readersPerEngine, 0, kMaxGroupNumber));
-  gateway.maximumSamples = static_cast<std::uint32_t>(
-      reader.getInteger("maximum_samples", gateway.maximumSamples, 1, kMaxSamples));
-  gateway.sampleReserve = static_cast<std::uint32_t>(
-      reader.getInteger("sample_reserve", gateway.sampleReserve, 0, kMaxSamples));
+                                              : routing::SelectionPolicy::kPowerOfTwoChoices;
+  gateway.gatewaysPerEngine = static_cast<std::uint32_t>(
+      reader.getInteger("readers_per_engine", gateway.gatewaysPerEngine, 0, kMaxGroupNumber));
+  gateway.maxLeasedSamples = static_cast<std::uint32_t>(
+      reader.getInteger("maximum_samples", gateway.maxLeasedSamples, 1, kMaxSamples));
+  gateway.samplePrefetch = static_cast<std::uint32_t>(
+      reader.getInteger("sample_reserve", gateway.samplePrefetch, 0, kMaxSamples));
   gateway.retryRatio = reader.getDouble("retry_ratio", gateway.retryRatio, 0.0, 1.0);
   const auto toMillis = [](base::Duration duration) { return duration.count() / 1000; };
   gateway.stallTimeout = base::milliseconds(
       reader.getInteger("stall_timeout_ms", toMillis(gateway.stallTimeout), 1, kMaxMillis));
-  gateway.readInterval = base::milliseconds(
-      reader.getInteger("read_interval_ms", toMillis(gateway.readInterval), 1, kMaxMillis));
-  gateway.queue.starvationLimit = base::milliseconds(reader.getInteger(
-      "starvation_limit_ms", toMillis(gateway.queue.starvationLimit), 1, kMaxMillis));
-  if (useBaselinePolicy && reader.has("hedge_tail") && gateway.hedgeTail) {
+  gateway.pollInterval = base::milliseconds(
+      reader.getInteger("read_interval_ms", toMillis(gateway.pollInterval), 1, kMaxMillis));
+  gateway.queue.starvationTimeout = base::milliseconds(reader.getInteger(
+      "starvation_limit_ms", toMillis(gateway.queue.starvationTimeout), 1, kMaxMillis));
+  if (useBaselinePolicy && reader.has("hedge_tail") && gateway.hedgeSlowSamplesEnabled) {
     reader.addError("hedge_tail", "conflicts with baseline_policy, which does not hedge");
   }
   if (useBaselinePolicy) {
-    gateway.hedgeTail = false;
+    gateway.hedgeSlowSamplesEnabled = false;
     gateway.longestFirst = false;
-    gateway.resumePartial = false;
+    gateway.resumePartialOutput = false;
   }
   const YAML::Node peers = reader.child("peers");
   if (peers.IsDefined()) {
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -221,7 +221,7 @@
     for (const engine::OutgoingEngineCommand& order : actions.engineCommands) {
       const control::EngineRecord& record = controller_->state().engines().at(order.engine);
       engine_link_->setAddress(order.engine, record.host, record.port);
-      engine_link_->sendLoadCommand(order.engine, order.order);
+      engine_link_->sendLoadCommand(order.engine, order.command);
     }
     sendAll(actions.messages);
   }
@@ -404,7 +404,7 @@
   stop_deadline_ = now() + kMaxStop;
   logEvent(EventId::kProcessStopping, "");
   if (gateway_) {
-    logEvent(EventId::kDrainBegun, "jobs=" + std::to_string(gateway_->jobCount()));
+    logEvent(EventId::kDrainBegun, "jobs=" + std::to_string(gateway_->taskCount()));
     gateway_->beginDrain(now());
   }
   if (controller_) {
