--- a/apps/load/answer_checker.cpp
+++ b/apps/load/answer_checker.cpp
@@ -2,8 +2,8 @@
 
 namespace tackpick::load {
 
-ReceivedAnswer readAnswer(const runtime::Json& tokens, const runtime::Json& weights) {
-  ReceivedAnswer answer;
+ReceivedResponse readAnswer(const runtime::Json& tokens, const runtime::Json& weights) {
+  ReceivedResponse answer;
   for (const runtime::Json& token : tokens) {
     answer.tokens.push_back(token.get<engine::Token>());
   }
--- a/apps/load/answer_checker.h
+++ b/apps/load/answer_checker.h
@@ -2,16 +2,17 @@
 /// Reads answers out of JSON for checking.
 #pragma once
 
-#include "checking/answer_check.h"
+#include "checking/response_check.h"
 #include "runtime/json.h"
 
 namespace tackpick::load {
 
 using checking::hasCorrectVersions;
-using checking::isWhole;
-using checking::ReceivedAnswer;
+using checking::hasExpectedLength;
+using checking::ReceivedResponse;
 
 /// Reads `token_ids` and `weights` of an answer or sample.
-[[nodiscard]] ReceivedAnswer readAnswer(const runtime::Json& tokens, const runtime::Json& weights);
+[[nodiscard]] ReceivedResponse readAnswer(const runtime::Json& tokens,
+                                          const runtime::Json& weights);
 
 }  // namespace tackpick::load
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -158,7 +158,7 @@
   ++report_.requestsAnsweredWhole;
   report_.totalMillis.push_back(base::toMilliseconds(clock_.now() - call.startedAt));
   const bool right = call.endCount == call.answer.tokens.size() &&
-                     isWhole(call.answer, call.prompt, call.seed, call.maximumTokens) &&
+                     hasExpectedLength(call.answer, call.prompt, call.seed, call.maximumTokens) &&
                      hasCorrectVersions(call.answer, call.prompt, call.seed);
   if (!right) {
     ++report_.answersWrong;
--- a/apps/load/callers.h
+++ b/apps/load/callers.h
@@ -44,7 +44,7 @@
     base::TimePoint sentAt{};
     bool firstTokenSeen = false;
     runtime::EventStreamParser parser;
-    ReceivedAnswer answer;
+    ReceivedResponse answer;
     bool ended = false;   ///< the end of the stream with its count arrived
     bool failed = false;  ///< the stream carried an error
     std::string verdict;
--- a/apps/load/trainers.cpp
+++ b/apps/load/trainers.cpp
@@ -140,8 +140,8 @@
     ++report_.samplesDuplicated;
   }
   const Sample& expected = batch.samples[index];
-  const ReceivedAnswer answer = readAnswer(sample["token_ids"], sample["weights"]);
-  if (!isWhole(answer, expected.prompt, expected.seed, expected.maximumTokens) ||
+  const ReceivedResponse answer = readAnswer(sample["token_ids"], sample["weights"]);
+  if (!hasExpectedLength(answer, expected.prompt, expected.seed, expected.maximumTokens) ||
       !hasCorrectVersions(answer, expected.prompt, expected.seed)) {
     ++report_.samplesMislabelled;
   }
--- a/apps/sim/main.cpp
+++ b/apps/sim/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// tackpick-sim: runs the daemon's own modules in virtual time under faults. See docs/PROOFS.md.
+/// tackpick-sim: runs the modules of tackpickd under faults in virtual time. See docs/PROOFS.md.
 #include <atomic>
 #include <cxxopts.hpp>
 #include <fstream>
@@ -16,20 +16,20 @@
 using tackpick::simulation::RunResult;
 using tackpick::simulation::Scenario;
 
-constexpr int kUsage = 2;
+constexpr int kUsageError = 2;
 
-/// Seeds A-B, both included.
+/// Range of seeds; both ends are included.
 struct SeedRange {
   std::uint64_t first = 1;
   std::uint64_t last = 100;
 };
 
-/// What is to be run.
-struct RunRequest {
+/// Options of a command.
+struct RunOptions {
   const Scenario* scenario = nullptr;
   const Mutant* mutant = nullptr;
   SeedRange seeds;
-  unsigned jobs = 1;
+  unsigned threadCount = 1;
   bool stopAtFailure = false;
 };
 
@@ -45,29 +45,30 @@
   return seeds.first <= seeds.last ? std::optional(seeds) : std::nullopt;
 }
 
-/// Runs the seeds on several threads; each world is on one. Results come in order of seed.
-std::vector<RunResult> runSeeds(const RunRequest& request) {
-  std::atomic<std::uint64_t> next{request.seeds.first};
+/// Runs the seeds on several threads, each simulation on one of them. Returns the results in the
+/// order of the seeds.
+std::vector<RunResult> runSeeds(const RunOptions& options) {
+  std::atomic<std::uint64_t> next{options.seeds.first};
   std::atomic<bool> failed{false};
   std::mutex mutex;
   std::map<std::uint64_t, RunResult> results;
-  const auto work = [&] {
-    while (!(failed && request.stopAtFailure)) {
+  const auto runWorker = [&] {
+    while (!(failed && options.stopAtFailure)) {
       const std::uint64_t seed = next++;
-      if (seed > request.seeds.last) {
+      if (seed > options.seeds.last) {
         return;
       }
       RunResult result =
-          tackpick::simulation::runScenario(*request.scenario, request.mutant, seed, nullptr);
+          tackpick::simulation::runScenario(*options.scenario, options.mutant, seed, nullptr);
       failed = failed || !result.violations.empty();
       const std::lock_guard<std::mutex> lock(mutex);
       results.emplace(seed, std::move(result));
     }
   };
   std::vector<std::thread> threads;
-  threads.reserve(request.jobs);
-  for (unsigned i = 0; i < request.jobs; ++i) {
-    threads.emplace_back(work);
+  threads.reserve(options.threadCount);
+  for (unsigned i = 0; i < options.threadCount; ++i) {
+    threads.emplace_back(runWorker);
   }
   for (std::thread& thread : threads) {
     thread.join();
@@ -84,33 +85,34 @@
   for (const auto& violation : result.violations) {
     std::cout << "  seed " << result.seed << " at "
               << tackpick::base::toSeconds(violation.at.time_since_epoch())
-              << " s: " << tackpick::simulation::toString(violation.promise) << ": "
+              << " s: " << tackpick::simulation::toString(violation.invariant) << ": "
               << violation.what << '\n';
   }
 }
 
-std::string figuresAsJson(const RunResult& result) {
-  const auto& figures = result.figures;
+std::string statisticsToJson(const RunResult& result) {
+  const auto& statistics = result.statistics;
   std::ostringstream text;
   text << "{\"seed\":" << result.seed << ",\"history_hash\":\"" << std::hex << result.historyHash
        << std::dec << "\",\"simulated_seconds\":" << tackpick::base::toSeconds(result.simulated)
        << ",\"violations\":" << result.violations.size()
-       << ",\"requests_sent\":" << figures.requestsSent
-       << ",\"requests_answered\":" << figures.requestsCompleted
-       << ",\"requests_not_run\":" << figures.requestsNotRun
-       << ",\"requests_unclear\":" << figures.requestsIndeterminate
-       << ",\"connections_lost\":" << figures.connectionsLost
-       << ",\"samples_delivered\":" << figures.samplesDelivered
-       << ",\"batches_delivered\":" << figures.batchesDelivered
-       << ",\"changes_accepted\":" << figures.changesAccepted
-       << ",\"versions_published\":" << figures.versionsPublished << ",\"kills\":" << figures.kills
-       << ",\"engine_runs\":" << figures.engineRuns << ",\"trainer_idle\":" << result.trainerIdle
+       << ",\"requests_sent\":" << statistics.requestsSent
+       << ",\"requests_answered\":" << statistics.requestsCompleted
+       << ",\"requests_not_run\":" << statistics.requestsNotRun
+       << ",\"requests_unclear\":" << statistics.requestsIndeterminate
+       << ",\"connections_lost\":" << statistics.connectionsLost
+       << ",\"samples_delivered\":" << statistics.samplesDelivered
+       << ",\"batches_delivered\":" << statistics.batchesDelivered
+       << ",\"changes_accepted\":" << statistics.changesAccepted
+       << ",\"versions_published\":" << statistics.versionsPublished
+       << ",\"kills\":" << statistics.kills << ",\"engine_runs\":" << statistics.engineExecutions
+       << ",\"trainer_idle\":" << result.trainerIdleFraction
        << ",\"mean_staleness\":" << result.meanStaleness << "}";
   return text.str();
 }
 
-int run(const RunRequest& request, const std::string& jsonFile) {
-  const std::vector<RunResult> results = runSeeds(request);
+int run(const RunOptions& options, const std::string& jsonFile) {
+  const std::vector<RunResult> results = runSeeds(options);
   std::size_t failed = 0;
   std::uint64_t hash = 0;
   double simulated = 0.0;
@@ -123,10 +125,10 @@
   if (!jsonFile.empty()) {
     std::ofstream json(jsonFile);
     for (const RunResult& result : results) {
-      json << figuresAsJson(result) << '\n';
+      json << statisticsToJson(result) << '\n';
     }
   }
-  std::cout << request.scenario->name << ": " << simulated << " simulated seconds, history "
+  std::cout << options.scenario->name << ": " << simulated << " simulated seconds, history "
             << std::hex << hash << std::dec << '\n'
             << results.size() - failed << " passed, " << failed << " failed\n";
   return failed == 0 ? 0 : 1;
@@ -134,107 +136,109 @@
 
 int list() {
   for (const Scenario& scenario : tackpick::simulation::scenarios()) {
-    std::cout << std::left << std::setw(20) << scenario.name << scenario.provokes << '\n';
+    std::cout << std::left << std::setw(20) << scenario.name << scenario.description << '\n';
   }
   std::cout << '\n';
   for (const Mutant& mutant : tackpick::simulation::mutants()) {
     std::cout << std::left << std::setw(26) << mutant.name << std::setw(18) << mutant.scenario
-              << "breaks: " << mutant.breaks << '\n';
+              << "breaks: " << mutant.description << '\n';
   }
   return 0;
 }
 
-int replay(const RunRequest& request, bool trace) {
+int replay(const RunOptions& options, bool trace) {
   const RunResult result = tackpick::simulation::runScenario(
-      *request.scenario, request.mutant, request.seeds.first, trace ? &std::cout : nullptr);
+      *options.scenario, options.mutant, options.seeds.first, trace ? &std::cout : nullptr);
   printViolations(result);
-  std::cout << figuresAsJson(result) << '\n';
+  std::cout << statisticsToJson(result) << '\n';
   return result.violations.empty() ? 0 : 1;
 }
 
-/// Runs every mutant in its scenario until a seed catches it.
-int runMutants(RunRequest request) {
-  std::size_t missed = 0;
-  std::size_t caught = 0;
-  request.stopAtFailure = true;
+/// Runs each mutant in its scenario until a seed detects it.
+int runMutants(RunOptions options) {
+  std::size_t undetected = 0;
+  std::size_t detectedCount = 0;
+  options.stopAtFailure = true;
   for (const Mutant& mutant : tackpick::simulation::mutants()) {
-    request.mutant = &mutant;
-    request.scenario = tackpick::simulation::findScenario(mutant.scenario);
-    const std::vector<RunResult> results = runSeeds(request);
-    const RunResult* catching = nullptr;
+    options.mutant = &mutant;
+    options.scenario = tackpick::simulation::findScenario(mutant.scenario);
+    const std::vector<RunResult> results = runSeeds(options);
+    const RunResult* detected = nullptr;
     for (const RunResult& result : results) {
-      if (!result.violations.empty() && catching == nullptr) {
-        catching = &result;
+      if (!result.violations.empty() && detected == nullptr) {
+        detected = &result;
       }
     }
     std::cout << std::left << std::setw(26) << mutant.name << std::setw(18) << mutant.scenario;
-    if (catching != nullptr) {
-      ++caught;
-      std::cout << "caught by seed " << catching->seed << ": "
-                << tackpick::simulation::toString(catching->violations.front().promise)
+    if (detected != nullptr) {
+      ++detectedCount;
+      std::cout << "caught by seed " << detected->seed << ": "
+                << tackpick::simulation::toString(detected->violations.front().invariant)
                 << std::endl;
     } else {
-      ++missed;
+      ++undetected;
       std::cout << "MISSED in " << results.size() << " seeds" << std::endl;
     }
   }
-  std::cout << caught << " passed, " << missed << " failed\n";
-  return missed == 0 ? 0 : 1;
+  std::cout << detectedCount << " passed, " << undetected << " failed\n";
+  return undetected == 0 ? 0 : 1;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("tackpick-sim",
-                           "Runs the daemon's modules in virtual time under faults");
-  options.positional_help("run|replay|list|mutants");
-  options.add_options()("command", "what to do",
-                        cxxopts::value<std::string>()->default_value("list"))(
+  cxxopts::Options parser("tackpick-sim",
+                          "Runs the modules of tackpickd under faults in virtual time");
+  parser.positional_help("run|replay|list|mutants");
+  parser.add_options()("command", "command to run",
+                       cxxopts::value<std::string>()->default_value("list"))(
       "scenario", "name of the scenario",
       cxxopts::value<std::string>()->default_value("everything"))(
-      "seeds", "first and last seed, A-B", cxxopts::value<std::string>()->default_value("1-100"))(
-      "seed", "the seed to replay", cxxopts::value<std::string>()->default_value("1"))(
-      "mutant", "break one mechanism", cxxopts::value<std::string>()->default_value(""))(
-      "json", "write one line of figures a seed", cxxopts::value<std::string>()->default_value(""))(
+      "seeds", "range of seeds, A-B", cxxopts::value<std::string>()->default_value("1-100"))(
+      "seed", "seed to replay", cxxopts::value<std::string>()->default_value("1"))(
+      "mutant", "mutant to apply", cxxopts::value<std::string>()->default_value(""))(
+      "json", "file for the statistics, one JSON object per seed and line",
+      cxxopts::value<std::string>()->default_value(""))(
       "jobs", "threads",
       cxxopts::value<unsigned>()->default_value(
-          std::to_string(std::thread::hardware_concurrency())))("trace", "print what happens")(
-      "help", "print this");
-  options.parse_positional({"command"});
+          std::to_string(std::thread::hardware_concurrency())))(
+      "trace", "print a trace of the run")("help", "print this help");
+  parser.parse_positional({"command"});
   try {
-    const auto parsed = options.parse(argc, argv);
+    const auto parsed = parser.parse(argc, argv);
     const std::string command = parsed["command"].as<std::string>();
     if (parsed.count("help") > 0) {
-      std::cout << options.help();
+      std::cout << parser.help();
       return 0;
     }
-    RunRequest request;
-    request.scenario = tackpick::simulation::findScenario(parsed["scenario"].as<std::string>());
+    RunOptions options;
+    options.scenario = tackpick::simulation::findScenario(parsed["scenario"].as<std::string>());
     const std::string mutant = parsed["mutant"].as<std::string>();
-    request.mutant = tackpick::simulation::findMutant(mutant);
+    options.mutant = tackpick::simulation::findMutant(mutant);
     const auto seeds = parseSeeds(parsed[command == "replay" ? "seed" : "seeds"].as<std::string>());
-    request.jobs = std::max(1U, parsed["jobs"].as<unsigned>());
-    if (request.scenario == nullptr || !seeds || (!mutant.empty() && request.mutant == nullptr)) {
-      std::cerr << "unknown scenario or mutant, or seeds not of the form A-B; see `list`\n";
-      return kUsage;
+    options.threadCount = std::max(1U, parsed["jobs"].as<unsigned>());
+    if (options.scenario == nullptr || !seeds || (!mutant.empty() && options.mutant == nullptr)) {
+      std::cerr
+          << "unknown scenario or mutant, or seeds not of the form A-B; see the command list\n";
+      return kUsageError;
     }
-    request.seeds = *seeds;
+    options.seeds = *seeds;
     if (command == "run") {
-      return run(request, parsed["json"].as<std::string>());
+      return run(options, parsed["json"].as<std::string>());
     }
     if (command == "replay") {
-      return replay(request, parsed.count("trace") > 0);
+      return replay(options, parsed.count("trace") > 0);
     }
     if (command == "mutants") {
-      return runMutants(request);
+      return runMutants(options);
     }
     if (command == "list") {
       return list();
     }
-    std::cerr << options.help();
-    return kUsage;
+    std::cerr << parser.help();
+    return kUsageError;
   } catch (const std::exception& error) {
     std::cerr << error.what() << '\n';
-    return kUsage;
+    return kUsageError;
   }
 }
--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -15,7 +15,7 @@
 
 #include "control/control_state.h"
 #include "ledger/ledger_state.h"
-#include "simulation/world.h"
+#include "simulation/simulator.h"
 
 namespace {
 
@@ -87,21 +87,21 @@
   SimulationOptions options;
   options.gateways = gateways;
   options.engines = engines;
-  options.metering = true;
+  options.measureCosts = true;
   options.load.requestsPerSecond = 1e-6;
   options.load.trainers = 0;
   options.load.operators = 1;
   const double interval = changesPerDay > 0 ? kSecondsPerDay / changesPerDay : kNever;
   options.load.changeInterval = base::milliseconds(static_cast<std::int64_t>(interval * 1000.0));
   options.gateway.readersPerEngine = 2;
-  options.warmUp = base::seconds(3);
-  options.faultTime = base::seconds(20);
-  options.settleTime = base::seconds(1);
+  options.warmUpDuration = base::seconds(3);
+  options.loadDuration = base::seconds(20);
+  options.quiesceTimeout = base::seconds(1);
   return options;
 }
 
 RunResult runOnce(const SimulationOptions& options) {
-  simulation::World world(options, 1, nullptr);
+  simulation::Simulator world(options, 1, nullptr);
   return world.run();
 }
 
@@ -113,7 +113,7 @@
 
 double bytesPerSecond(const RoleCost& meter, double nodes, double seconds) {
   const auto bytes =
-      static_cast<double>(RoleCost::total(meter.sent) + RoleCost::total(meter.received));
+      static_cast<double>(RoleCost::totalBytes(meter.sent) + RoleCost::totalBytes(meter.received));
   return bytes / seconds / nodes;
 }
 
@@ -123,18 +123,18 @@
                "gateway B/s", "in force p50 ms", "in force p99 ms"});
   for (const std::uint32_t gateways : {1U, 10U, 50U, 100U, 200U, 340U}) {
     SimulationOptions options = hollowFleet(gateways, 10, kChangesPerDay);
-    options.faultTime = base::seconds(60);
+    options.loadDuration = base::seconds(60);
     const RunResult result = runOnce(options);
-    const double seconds = base::toSeconds(options.faultTime);
+    const double seconds = base::toSeconds(options.loadDuration);
     constexpr double kMedian = 0.5;
     constexpr double kTail = 0.99;
     table.row({static_cast<double>(gateways),
-               corePercent(result.meters[kController], options.controllers, seconds),
-               bytesPerSecond(result.meters[kController], options.controllers, seconds),
-               corePercent(result.meters[kGateway], gateways, seconds),
-               bytesPerSecond(result.meters[kGateway], gateways, seconds),
-               percentile(result.figures.changeSeconds, kMedian) * kMillisPerSecond,
-               percentile(result.figures.changeSeconds, kTail) * kMillisPerSecond});
+               corePercent(result.roleCosts[kController], options.controllers, seconds),
+               bytesPerSecond(result.roleCosts[kController], options.controllers, seconds),
+               corePercent(result.roleCosts[kGateway], gateways, seconds),
+               bytesPerSecond(result.roleCosts[kGateway], gateways, seconds),
+               percentile(result.statistics.changeSeconds, kMedian) * kMillisPerSecond,
+               percentile(result.statistics.changeSeconds, kTail) * kMillisPerSecond});
   }
 }
 
@@ -144,15 +144,15 @@
                "gateway B/s", "accepted"});
   for (const double factor : {0.0, 1.0, 3.0, 10.0}) {
     SimulationOptions options = hollowFleet(50, 10, kChangesPerDay * factor);
-    options.faultTime = base::seconds(60);
+    options.loadDuration = base::seconds(60);
     const RunResult result = runOnce(options);
-    const double seconds = base::toSeconds(options.faultTime);
+    const double seconds = base::toSeconds(options.loadDuration);
     table.row({kChangesPerDay * factor,
-               corePercent(result.meters[kController], options.controllers, seconds),
-               bytesPerSecond(result.meters[kController], options.controllers, seconds),
-               corePercent(result.meters[kGateway], options.gateways, seconds),
-               bytesPerSecond(result.meters[kGateway], options.gateways, seconds),
-               static_cast<double>(result.figures.changesAccepted)});
+               corePercent(result.roleCosts[kController], options.controllers, seconds),
+               bytesPerSecond(result.roleCosts[kController], options.controllers, seconds),
+               corePercent(result.roleCosts[kGateway], options.gateways, seconds),
+               bytesPerSecond(result.roleCosts[kGateway], options.gateways, seconds),
+               static_cast<double>(result.statistics.changesAccepted)});
   }
 }
 
@@ -163,16 +163,16 @@
                "engine reads/s a gateway"});
   for (const std::uint32_t engines : {10U, 100U, 500U, 1500U, 4500U}) {
     SimulationOptions options = hollowFleet(20, engines, 0);
-    options.faultTime = base::seconds(5);
+    options.loadDuration = base::seconds(5);
     const RunResult result = runOnce(options);
-    const double seconds = base::toSeconds(options.faultTime);
+    const double seconds = base::toSeconds(options.loadDuration);
     const double reads =
-        static_cast<double>(result.meters[kGateway].engineReads) / seconds / options.gateways;
+        static_cast<double>(result.roleCosts[kGateway].engineReads) / seconds / options.gateways;
     table.row({static_cast<double>(engines),
-               corePercent(result.meters[kController], options.controllers, seconds),
-               bytesPerSecond(result.meters[kController], options.controllers, seconds),
-               corePercent(result.meters[kGateway], options.gateways, seconds),
-               bytesPerSecond(result.meters[kGateway], options.gateways, seconds), reads});
+               corePercent(result.roleCosts[kController], options.controllers, seconds),
+               bytesPerSecond(result.roleCosts[kController], options.controllers, seconds),
+               corePercent(result.roleCosts[kGateway], options.gateways, seconds),
+               bytesPerSecond(result.roleCosts[kGateway], options.gateways, seconds), reads});
   }
 }
 
@@ -188,15 +188,16 @@
     options.load.maxSampleTokens = 2;
     options.load.trainingTime = base::seconds(1);
     options.load.trainerPublishesOnce = true;
-    options.warmUp = base::seconds(1);
-    options.faultTime = base::seconds(60);
+    options.warmUpDuration = base::seconds(1);
+    options.loadDuration = base::seconds(60);
     options.gateway.readInterval = base::seconds(2);
     const RunResult result = runOnce(options);
-    const double seconds = base::toSeconds(options.faultTime);
-    table.row({static_cast<double>(engines),
-               result.figures.rolloutSeconds.empty() ? -1.0 : result.figures.rolloutSeconds.front(),
-               corePercent(result.meters[kController], options.controllers, seconds),
-               bytesPerSecond(result.meters[kController], options.controllers, seconds)});
+    const double seconds = base::toSeconds(options.loadDuration);
+    table.row(
+        {static_cast<double>(engines),
+         result.statistics.rolloutSeconds.empty() ? -1.0 : result.statistics.rolloutSeconds.front(),
+         corePercent(result.roleCosts[kController], options.controllers, seconds),
+         bytesPerSecond(result.roleCosts[kController], options.controllers, seconds)});
   }
 }
 
@@ -296,14 +297,14 @@
     options.load.samplesPerBatch = samples;
     options.load.maxSampleTokens = 300;
     options.load.trainingTime = base::seconds(1);
-    options.faultTime = base::seconds(30);
+    options.loadDuration = base::seconds(30);
     const RunResult result = runOnce(options);
-    const RoleCost& meter = result.meters[kLedger];
-    const auto delivered = static_cast<double>(result.figures.samplesDelivered);
+    const RoleCost& meter = result.roleCosts[kLedger];
+    const auto delivered = static_cast<double>(result.statistics.samplesDelivered);
     table.row({static_cast<double>(samples),
                static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond *
                    kMillisPerSecond / delivered,
-               static_cast<double>(RoleCost::total(meter.sent)) / delivered});
+               static_cast<double>(RoleCost::totalBytes(meter.sent)) / delivered});
   }
 }
 
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 #include <vector>
 
-#include "simulation/world.h"
+#include "simulation/simulator.h"
 
 namespace {
 
@@ -19,7 +19,7 @@
 namespace routing = tackpick::routing;
 using tackpick::simulation::RunResult;
 using tackpick::simulation::SimulationOptions;
-using tackpick::simulation::World;
+using tackpick::simulation::Simulator;
 
 using Configure = void (*)(SimulationOptions&);
 
@@ -31,7 +31,7 @@
 void zoekwerk(SimulationOptions& options) {
   options.engines = 12;
   options.load.requestsPerSecond = 25;
-  options.load.notRepeatableShare = 0;
+  options.load.notRepeatableFraction = 0;
   options.load.maxResponseTokens = 200;
   options.load.trainers = 2;
   options.load.samplesPerBatch = 512;
@@ -44,7 +44,7 @@
 void straitFerry(SimulationOptions& options) {
   options.engines = 14;
   options.load.requestsPerSecond = 26;
-  options.load.notRepeatableShare = 0.45;
+  options.load.notRepeatableFraction = 0.45;
   options.load.resendFraction = 0;
   options.load.maxResponseTokens = 120;
   options.load.trainers = 1;
@@ -122,7 +122,7 @@
   threads.reserve(seeds);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     threads.emplace_back([&options, &results, seed] {
-      World world(options, seed, nullptr);
+      Simulator world(options, seed, nullptr);
       results[seed - 1] = world.run();
     });
   }
@@ -134,7 +134,7 @@
 
 double firstTokenMillis(const RunResult& result, double share) {
   constexpr double kMillisPerSecond = 1000.0;
-  return percentile(result.figures.firstTokenSeconds, share) * kMillisPerSecond;
+  return percentile(result.statistics.firstTokenSeconds, share) * kMillisPerSecond;
 }
 
 void print(const std::string& profile, const std::string& policy,
@@ -145,22 +145,23 @@
   for (const RunResult& result : results) {
     broken += result.violations.size();
   }
-  const Spread idle = spreadOf(results, [](const RunResult& r) { return r.trainerIdle; });
+  const Spread idle = spreadOf(results, [](const RunResult& r) { return r.trainerIdleFraction; });
   const Spread stale = spreadOf(results, [](const RunResult& r) { return r.meanStaleness; });
   const Spread batch = spreadOf(
-      results, [](const RunResult& r) { return percentile(r.figures.batchSeconds, kMedian); });
-  const Spread samples = spreadOf(
-      results, [](const RunResult& r) { return static_cast<double>(r.figures.samplesDelivered); });
+      results, [](const RunResult& r) { return percentile(r.statistics.batchSeconds, kMedian); });
+  const Spread samples = spreadOf(results, [](const RunResult& r) {
+    return static_cast<double>(r.statistics.samplesDelivered);
+  });
   const Spread first =
       spreadOf(results, [](const RunResult& r) { return firstTokenMillis(r, kMedian); });
   const Spread late =
       spreadOf(results, [](const RunResult& r) { return firstTokenMillis(r, kTail); });
   const Spread wasted = spreadOf(results, [](const RunResult& r) {
-    return r.figures.tokensReceived == 0 ? 0.0
-                                         : static_cast<double>(r.figures.tokensDiscarded) /
-                                               static_cast<double>(r.figures.tokensReceived);
+    return r.statistics.tokensReceived == 0 ? 0.0
+                                            : static_cast<double>(r.statistics.tokensDiscarded) /
+                                                  static_cast<double>(r.statistics.tokensReceived);
   });
-  const Spread busy = spreadOf(results, [](const RunResult& r) { return r.busyShare; });
+  const Spread busy = spreadOf(results, [](const RunResult& r) { return r.slotUtilization; });
   std::cout << "| " << profile << " | " << policy << " | " << toText(idle, 3) << " | "
             << toText(stale, 2) << " | " << toText(batch, 2) << " | " << toText(samples, 0) << " | "
             << toText(first, 0) << " | " << toText(late, 0) << " | " << toText(wasted, 3) << " | "
@@ -193,8 +194,8 @@
   for (const NamedOptions& profile : profiles) {
     for (const NamedOptions& policy : policies) {
       SimulationOptions options;
-      options.faultTime = base::seconds(parsed["seconds"].as<int>());
-      options.warmUp = base::seconds(25);
+      options.loadDuration = base::seconds(parsed["seconds"].as<int>());
+      options.warmUpDuration = base::seconds(25);
       options.load.operators = 0;
       profile.configure(options);
       if (policy.configure == nullptr) {
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -8,14 +8,15 @@
 namespace tackpick::simulation {
 
 void CallerActor::start() {
-  const std::shared_ptr<const Trace>& trace = environment_.options.load.trace;
+  const std::shared_ptr<const WorkloadTrace>& trace = environment_.options.load.trace;
   if (!trace) {
     scheduleNext();
     return;
   }
-  for (const TracedRequest& traced : trace->requests) {
-    environment_.loop.after(traced.at,
-                            [this, traced] { send(planFor(traced.tokens, traced.notRepeatable)); });
+  for (const TraceRequest& traceRequest : trace->requests) {
+    environment_.loop.scheduleAfter(traceRequest.at, [this, traceRequest] {
+      send(makeRequest(traceRequest.tokens, traceRequest.notRepeatable));
+    });
   }
 }
 
@@ -24,85 +25,90 @@
   const double mean = kMicrosecondsPerSecond / environment_.options.load.requestsPerSecond;
   const base::Duration gap(static_cast<base::Duration::rep>(environment_.random.exponential(mean)) +
                            1);
-  environment_.loop.after(gap, [this] {
+  environment_.loop.scheduleAfter(gap, [this] {
     if (!stopped_) {
-      send(makePlan());
+      send(makeRandomRequest());
       scheduleNext();
     }
   });
 }
 
-CallerActor::Plan CallerActor::makePlan() {
+CallerActor::PlannedRequest CallerActor::makeRandomRequest() {
   const LoadOptions& load = environment_.options.load;
   base::Random& random = environment_.random;
-  constexpr double kMinAnswer = 4.0;
+  constexpr double kMinResponseTokens = 4.0;
   constexpr double kTailIndex = 1.1;
-  const double tokens = std::min(random.pareto(kMinAnswer, kTailIndex), load.maxResponseTokens);
-  return planFor(static_cast<std::uint32_t>(tokens), random.chance(load.notRepeatableShare));
+  const double tokens =
+      std::min(random.pareto(kMinResponseTokens, kTailIndex), load.maxResponseTokens);
+  return makeRequest(static_cast<std::uint32_t>(tokens), random.chance(load.notRepeatableFraction));
 }
 
-CallerActor::Plan CallerActor::planFor(std::uint32_t tokens, bool notRepeatable) {
+CallerActor::PlannedRequest CallerActor::makeRequest(std::uint32_t tokens, bool notRepeatable) {
   const LoadOptions& load = environment_.options.load;
   base::Random& random = environment_.random;
   constexpr std::uint64_t kPrefixes = 5;
-  Plan plan;
-  plan.sent.prompt =
+  PlannedRequest planned;
+  planned.sent.prompt =
       engine::lengthDirective(tokens) +
       std::string(engine::kBlockBytes, static_cast<char>('a' + random.below(kPrefixes))) +
-      " request " + std::to_string(++number_);
-  plan.sent.seed = number_;
-  plan.sent.notRepeatable = notRepeatable;
-  plan.request.tenant = {"t"};
-  plan.request.workload = {"t/ask"};
-  plan.request.prompt = plan.sent.prompt;
-  plan.request.seed = plan.sent.seed;
-  plan.request.deadline = load.deadline;
-  plan.request.stream = random.chance(load.streamShare);
-  plan.request.notRepeatable = plan.sent.notRepeatable;
-  plan.request.key = {"key-" + std::to_string(number_)};
-  // The accepted limit itself: a gateway under an older configuration would refuse it.
-  plan.sent.maximumTokens = static_cast<std::uint32_t>(environment_.observations.acceptedCounter());
-  plan.request.maximumTokens = plan.sent.maximumTokens;
-  const bool resend = plan.sent.notRepeatable && random.chance(load.resendFraction);
-  plan.resendsLeft = resend ? 2 : 0;
+      " request " + std::to_string(++m_lastRequestNumber);
+  planned.sent.seed = m_lastRequestNumber;
+  planned.sent.notRepeatable = notRepeatable;
+  planned.request.tenant = {"t"};
+  planned.request.workload = {"t/ask"};
+  planned.request.prompt = planned.sent.prompt;
+  planned.request.seed = planned.sent.seed;
+  planned.request.deadline = load.deadline;
+  planned.request.stream = random.chance(load.streamFraction);
+  planned.request.notRepeatable = planned.sent.notRepeatable;
+  planned.request.key = {"key-" + std::to_string(m_lastRequestNumber)};
+  // Requests the accepted limit itself, which a gateway with an older configuration would reject.
+  planned.sent.maximumTokens = static_cast<std::uint32_t>(environment_.checker.acceptedCounter());
+  planned.request.maximumTokens = planned.sent.maximumTokens;
+  const bool resend = planned.sent.notRepeatable && random.chance(load.resendFraction);
+  planned.resendsLeft = resend ? 2 : 0;
   if (resend && random.chance(0.5)) {
-    // The client lost patience: the same request again, elsewhere, while the first still runs.
-    Plan again = plan;
+    // Simulates a client timeout: resends the request while the first attempt may still run.
+    PlannedRequest again = planned;
     again.resendsLeft = 0;
-    environment_.loop.after(environment_.drawBetween(base::Duration{0}, base::milliseconds(80)),
-                            [this, again] { send(again); });
+    environment_.loop.scheduleAfter(
+        environment_.randomDuration(base::Duration{0}, base::milliseconds(80)),
+        [this, again] { send(again); });
   }
-  return plan;
+  return planned;
 }
 
-void CallerActor::send(const Plan& plan) {
+void CallerActor::send(const PlannedRequest& planned) {
   const std::uint32_t gateways = environment_.options.gateways;
   const auto chosen = static_cast<std::uint32_t>(environment_.random.below(gateways));
-  NodeHost* gateway = environment_.node(1 + environment_.options.controllers +
-                                        environment_.options.ledgers + chosen);
+  SimulatedNode* gateway = environment_.node(1 + environment_.options.controllers +
+                                             environment_.options.ledgers + chosen);
   ++outstanding_;
-  environment_.observations.onRequestSent(plan.sent);
-  gateway->request(plan.request, [this, plan](const CallerReply& reply) { onReply(plan, reply); });
+  environment_.checker.onRequestSent(planned.sent);
+  gateway->request(planned.request,
+                   [this, planned](const RequestOutcome& outcome) { onOutcome(planned, outcome); });
 }
 
-void CallerActor::onReply(const Plan& plan, const CallerReply& reply) {
+void CallerActor::onOutcome(const PlannedRequest& planned, const RequestOutcome& outcome) {
   --outstanding_;
-  Observations& observations = environment_.observations;
-  if (reply.answer) {
-    observations.onResponse(plan.sent, *reply.answer);
+  InvariantChecker& checker = environment_.checker;
+  if (outcome.response) {
+    checker.onResponse(planned.sent, *outcome.response);
     return;
   }
-  if (reply.refusal) {
-    const bool invalid = reply.refusal->reason == gateway::RejectionReason::kInvalid;
-    observations.onRefusal(plan.sent, reply.refusal->verdict, invalid, reply.refusal->message);
+  if (outcome.rejection) {
+    const bool invalid = outcome.rejection->reason == gateway::RejectionReason::kInvalid;
+    checker.onRejection(planned.sent, outcome.rejection->verdict, invalid,
+                        outcome.rejection->message);
   } else {
-    observations.onConnectionLost(plan.sent, reply.byPlannedStop);
+    checker.onConnectionLost(planned.sent, outcome.byGracefulShutdown);
   }
-  if (plan.resendsLeft > 0 && !stopped_) {
-    Plan again = plan;
+  if (planned.resendsLeft > 0 && !stopped_) {
+    PlannedRequest again = planned;
     --again.resendsLeft;
-    environment_.loop.after(environment_.drawBetween(base::Duration{0}, base::milliseconds(500)),
-                            [this, again] { send(again); });
+    environment_.loop.scheduleAfter(
+        environment_.randomDuration(base::Duration{0}, base::milliseconds(500)),
+        [this, again] { send(again); });
   }
 }
 
--- a/src/simulation/caller_actor.h
+++ b/src/simulation/caller_actor.h
@@ -1,15 +1,16 @@
 /// \file
-/// Paying front ends: open-loop requests, some of them not repeatable and sent again.
+/// Simulated callers with an open-loop load.
 #pragma once
 
 #include <cstdint>
 
 #include "simulation/environment.h"
-#include "simulation/node_host.h"
+#include "simulation/simulated_node.h"
 
 namespace tackpick::simulation {
 
-/// Sends requests until it is stopped, and hands every outcome to the observations.
+/// Sends requests at random times or from a trace, some of them again under the same key, and
+/// reports every outcome to the invariant checker.
 class CallerActor {
  public:
   explicit CallerActor(Environment& environment) : environment_(environment) {}
@@ -20,21 +21,21 @@
   [[nodiscard]] std::uint64_t outstanding() const { return outstanding_; }
 
  private:
-  struct Plan {
+  struct PlannedRequest {
     SentRequest sent;
     gateway::CallerRequest request;
     std::uint32_t resendsLeft = 0;
   };
 
   void scheduleNext();
-  [[nodiscard]] Plan makePlan();
-  [[nodiscard]] Plan planFor(std::uint32_t tokens, bool notRepeatable);
-  void send(const Plan& plan);
-  void onReply(const Plan& plan, const CallerReply& reply);
+  [[nodiscard]] PlannedRequest makeRandomRequest();
+  [[nodiscard]] PlannedRequest makeRequest(std::uint32_t tokens, bool notRepeatable);
+  void send(const PlannedRequest& planned);
+  void onOutcome(const PlannedRequest& planned, const RequestOutcome& outcome);
 
   Environment& environment_;
   bool stopped_ = false;
-  std::uint64_t number_ = 0;
+  std::uint64_t m_lastRequestNumber = 0;
   std::uint64_t outstanding_ = 0;
 };
 
--- a/src/simulation/environment.h
+++ b/src/simulation/environment.h
@@ -1,5 +1,5 @@
 /// \file
-/// What every simulated machine and actor shares.
+/// State that all simulated machines and actors share.
 #pragma once
 
 #include <memory>
@@ -9,23 +9,23 @@
 
 #include "base/random.h"
 #include "simulation/event_loop.h"
-#include "simulation/metering.h"
-#include "simulation/observations.h"
+#include "simulation/invariant_checker.h"
 #include "simulation/options.h"
+#include "simulation/role_cost.h"
 #include "simulation/simulated_network.h"
 
 namespace tackpick::simulation {
 
-class NodeHost;
-class EngineHost;
-class Platform;
+class SimulatedNode;
+class SimulatedEngine;
+class SimulatedPlatform;
 
-/// Machine of every caller, trainer and operator; its links are never cut.
+/// Machine of all callers, trainers and operators. Its links are never partitioned.
 inline constexpr MachineId kClientMachine{9000};
-/// Machine of the platform's machine list.
+/// Machine that serves the platform's machine list.
 inline constexpr MachineId kPlatformMachine{9001};
 
-/// The shared parts of one world. Owned by World; all on one thread.
+/// Components of one simulation. Owned by Simulator and used on one thread only.
 struct Environment {
   Environment(const SimulationOptions& runOptions, std::uint64_t seed);
   ~Environment();
@@ -36,21 +36,22 @@
   EventLoop loop;
   base::SeededRandom random;
   SimulatedNetwork network;
-  Observations observations;
-  std::ostream* trace = nullptr;   ///< set to see the run
-  bool metering = false;           ///< whether meters are filled; decisions never depend on it
-  std::array<RoleCost, 3> meters;  ///< by NodeRole
-
-  std::vector<std::unique_ptr<NodeHost>> nodes;
-  std::vector<std::unique_ptr<EngineHost>> engines;
-  std::unique_ptr<Platform> platform;
-
-  /// Nodes and engines are numbered from one, in the order of their lists.
-  [[nodiscard]] NodeHost* node(std::uint32_t number);
-  [[nodiscard]] EngineHost* engine(base::EngineId id);
-  [[nodiscard]] base::Duration drawBetween(base::Duration shortest, base::Duration longest);
-  /// Writes a line of the trace.
-  void say(const std::string& line);
+  InvariantChecker checker;
+  std::ostream* traceOutput = nullptr;  ///< receives the trace of the run; may be null
+  bool measureCosts = false;  ///< whether roleCosts are recorded; does not affect the simulation
+  std::array<RoleCost, 3> roleCosts;  ///< by NodeRole
+
+  std::vector<std::unique_ptr<SimulatedNode>> nodes;
+  std::vector<std::unique_ptr<SimulatedEngine>> engines;
+  std::unique_ptr<SimulatedPlatform> platform;
+
+  /// Return the node or engine of a number, or null. Numbers start at one, in the order of the
+  /// lists.
+  [[nodiscard]] SimulatedNode* node(std::uint32_t number);
+  [[nodiscard]] SimulatedEngine* engine(base::EngineId id);
+  [[nodiscard]] base::Duration randomDuration(base::Duration min, base::Duration max);
+  /// Writes a line with the virtual time to traceOutput, if set.
+  void writeTraceLine(const std::string& line);
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Brings about faults at random moments, and repairs them.
+/// Injection of faults at random times.
 #pragma once
 
 #include <cstdint>
@@ -9,59 +9,63 @@
 #include <vector>
 
 #include "simulation/environment.h"
-#include "simulation/node_host.h"
 #include "simulation/operator_actor.h"
+#include "simulation/simulated_node.h"
 
 namespace tackpick::simulation {
 
-/// Faults come at exponentially distributed intervals, each kind by itself, so that any may come
-/// together or twice. Only one disk of a group is lost at a time: a second one only after the first
-/// machine was replaced and had caught up, which may be the very moment after.
+/// Injects faults and repairs them after a random time. Each kind of fault has its own
+/// exponentially distributed intervals, so faults may overlap. Only one member of a group at a time
+/// loses its disk: the next one only after the first has been replaced by a new voter.
 class FaultInjector {
  public:
-  FaultInjector(Environment& environment, OperatorActor& drainer);
+  FaultInjector(Environment& environment, OperatorActor& drainOperator);
 
   void start();
-  /// No more faults; everything is repaired and restarted.
+  /// Ends the injection, heals the network and restarts all processes.
   void stop();
 
  private:
-  using Fault = std::function<void()>;
+  using FaultAction = std::function<void()>;
 
-  void repeat(base::Duration meanInterval, const Fault& fault);
-  /// Brings about a fault of a trace: kill-gateway, kill-ledger, kill-controller, crash-engine,
-  /// fail-swap, stop-gateway, freeze-gateway. Unknown names break the run.
-  void cause(const std::string& name);
-  [[nodiscard]] std::vector<NodeHost*> nodesOf(NodeRole role) const;
-  [[nodiscard]] NodeHost* pick(const std::vector<NodeHost*>& nodes);
-  [[nodiscard]] NodeHost* pickOf(NodeRole role) { return pick(nodesOf(role)); }
-  /// The replica that believes to lead, or any.
-  [[nodiscard]] NodeHost* leaderOf(NodeRole role);
-  [[nodiscard]] EngineHost* pickEngine();
+  void injectRepeatedly(base::Duration meanInterval, const FaultAction& fault);
+  /// Injects a fault of a trace: kill-gateway, kill-ledger, kill-controller, crash-engine,
+  /// fail-swap, stop-gateway or freeze-gateway. An unknown name is reported as a violation.
+  void injectNamed(const std::string& name);
+  [[nodiscard]] std::vector<SimulatedNode*> nodesWithRole(NodeRole role) const;
+  [[nodiscard]] SimulatedNode* randomNode(const std::vector<SimulatedNode*>& nodes);
+  [[nodiscard]] SimulatedNode* randomNodeWithRole(NodeRole role) {
+    return randomNode(nodesWithRole(role));
+  }
+  /// Returns usually a replica that considers itself the leader, otherwise any node of the role.
+  [[nodiscard]] SimulatedNode* leaderOrRandom(NodeRole role);
+  [[nodiscard]] SimulatedEngine* randomEngine();
 
-  void killForAWhile(NodeHost* node);
-  void freezeForAWhile(NodeHost* node);
-  void stopForAWhile(NodeHost* node);
-  void restartOnceStopped(NodeHost* node);
-  void cutLink();
-  /// Cuts the node off from the others of its role.
-  void isolate(NodeHost* node, base::Duration longest);
+  void killTemporarily(SimulatedNode* node);
+  void suspendTemporarily(SimulatedNode* node);
+  void shutDownTemporarily(SimulatedNode* node);
+  void restartAfterShutdown(SimulatedNode* node);
+  void partitionLink();
+  /// Partitions the node from the other nodes of its role for up to `max`.
+  void isolateFromGroup(SimulatedNode* node, base::Duration max);
+  /// Partitions one controller from the leader, then the leader from all controllers, so that the
+  /// first one can be elected.
   void deposeLeader();
-  void loseControlPlane();
+  void killAllControllers();
   void failSync();
   void crashEngine();
-  void leaveEngine();
+  void announceEngineLeave();
   void drainEngine();
 
-  // Lost disks.
+  // Replacement of lost disks.
   void loseDisk();
-  /// Repeats the two membership changes until the new machine votes and the old one is gone.
+  /// Repeats the two membership changes until `added` is a voter and `lost` is removed.
   void replaceMember(NodeRole role, base::NodeId lost, base::NodeId added);
 
   Environment& environment_;
-  OperatorActor& drainer_;
+  OperatorActor& m_drainOperator;
   bool stopped_ = false;
-  std::set<NodeRole> repairing_;  ///< groups that lost a disk and are not whole again
+  std::set<NodeRole> m_rolesUnderRepair;  ///< roles with a member that is being replaced
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/mutants.cpp
+++ b/src/simulation/mutants.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The mutants: each breaks one mechanism.
+/// List of the mutants.
 #include <algorithm>
 
 #include "simulation/scenario.h"
@@ -20,60 +20,61 @@
 const std::vector<Mutant>& mutants() {
   using Options = SimulationOptions;
   static const std::vector<Mutant> kMutants = {
-      {"vote-twice", "one vote a term", "split-votes",
+      {"vote-twice", "a replica votes once per term", "split-votes",
        [](Options& options) {
          controlRaft(options).voteTwicePerTerm = true;
          ledgerRaft(options).voteTwicePerTerm = true;
        }},
-      {"acknowledge-before-sync", "a replica answers only what it has synced", "broken-disks",
+      {"acknowledge-before-sync", "a replica acknowledges only synced entries", "broken-disks",
        [](Options& options) {
          controlRaft(options).acknowledgeBeforeSync = true;
          ledgerRaft(options).acknowledgeBeforeSync = true;
        }},
-      {"ignore-leader-lease", "nobody votes against a leader within its lease", "two-leaders",
+      {"ignore-leader-lease", "replicas do not vote during the leader's lease", "two-leaders",
        [](Options& options) { controlRaft(options).ignoreLeaderLease = true; }},
-      {"answer-before-commit", "a command is answered once it is committed", "exactly-once",
+      {"answer-before-commit", "a command is answered after it is committed", "exactly-once",
        [](Options& options) { options.ledger.replica.mutants.answerBeforeCommit = true; }},
-      {"read-without-lease", "reads are answered under the leader's lease", "silent-leader",
+      {"read-without-lease", "reads are answered only under the leader's lease", "silent-leader",
        [](Options& options) { options.controller.replica.mutants.readWithoutLease = true; }},
-      {"ignore-expected-revision", "compare-and-set on the node's revision", "configuration",
+      {"ignore-expected-revision", "a change is rejected if its expected revision is outdated",
+       "configuration",
        [](Options& options) { options.controller.limits.mutants.ignoreExpectedRevision = true; }},
-      {"forget-request-ids", "request ids are remembered", "configuration",
+      {"forget-request-ids", "a resent request id is not applied again", "configuration",
        [](Options& options) { options.controller.limits.mutants.forgetRequestIds = true; }},
-      {"accept-before-in-force", "accepted means in force everywhere", "frozen",
+      {"accept-before-in-force", "a change is accepted only once all gateways apply it", "frozen",
        [](Options& options) { options.controller.mutants.acceptBeforeInForce = true; }},
-      {"forget-earlier-leases", "a new leader waits out its predecessor's leases",
+      {"forget-earlier-leases", "a new leader waits until its predecessor's leases have expired",
        "drifting-clocks",
        [](Options& options) { options.controller.leases.mutants.forgetEarlierLeases = true; }},
-      {"stop-clock-in-suspension", "the clock of leases counts the time of a suspension", "frozen",
+      {"stop-clock-in-suspension", "the clock of leases includes suspensions", "frozen",
        [](Options& options) { options.suspensionStopsClock = true; }},
-      {"serve-without-lease", "a gateway serves only under its lease", "frozen",
+      {"serve-without-lease", "a gateway serves only while it holds a lease", "frozen",
        [](Options& options) { options.gateway.viewMutants.serveWithoutLease = true; }},
-      {"accept-older-revision", "a gateway's revision never goes back", "bad-network",
+      {"accept-older-revision", "a gateway ignores older revisions", "bad-network",
        [](Options& options) { options.gateway.viewMutants.acceptOlderRevision = true; }},
-      {"accept-lower-fence", "engines refuse orders with a lower fence", "late-orders",
+      {"accept-lower-fence", "engines reject commands with a lower fence", "late-orders",
        [](Options& options) { options.engine.acceptLowerFence = true; }},
-      {"commit-twice", "the first commit of a sample wins", "exactly-once",
+      {"commit-twice", "only the first commit of a sample counts", "exactly-once",
        [](Options& options) { options.ledger.limits.batchMutants.commitTwice = true; }},
       {"skip-version-check", "the ledger checks the staleness bound at commit", "staleness-bound",
        [](Options& options) { options.ledger.limits.batchMutants.skipVersionCheck = true; }},
-      {"grant-every-claim", "one claim a key", "at-most-once",
+      {"grant-every-claim", "each key is claimed at most once", "at-most-once",
        [](Options& options) { options.ledger.limits.mutants.grantEveryClaim = true; }},
-      {"skip-claim", "claim before dispatch", "at-most-once",
+      {"skip-claim", "a key is claimed before dispatch", "at-most-once",
        [](Options& options) { options.gateway.mutants.skipClaim = true; }},
-      {"retry-unclear", "an unclear not-repeatable dispatch is never retried", "at-most-once",
-       [](Options& options) { options.gateway.mutants.retryUnclear = true; }},
-      {"forget-verdict", "the verdict is over all attempts", "not-run",
+      {"retry-unclear", "a not-repeatable attempt with an unclear result is not retried",
+       "at-most-once", [](Options& options) { options.gateway.mutants.retryUnclear = true; }},
+      {"forget-verdict", "the verdict covers all attempts", "not-run",
        [](Options& options) { options.gateway.mutants.forgetVerdict = true; }},
-      {"label-by-order", "labels come from the engine's stamps", "swap-mid-stream",
+      {"label-by-order", "version labels are taken from the engine's chunks", "swap-mid-stream",
        [](Options& options) { options.gateway.mutants.labelByOrder = true; }},
-      {"ignore-offsets", "chunks are taken by their offset", "reordered-chunks",
+      {"ignore-offsets", "chunks are ordered by their offset", "reordered-chunks",
        [](Options& options) { options.gateway.mutants.ignoreOffsets = true; }},
-      {"finish-early", "an answer ends with the engine's finish and count", "whole-answer",
+      {"finish-early", "a response ends with the engine's end and token count", "whole-answer",
        [](Options& options) { options.gateway.mutants.finishEarly = true; }},
-      {"ignore-leaving", "no work to engines that leave", "leaving-engine",
+      {"ignore-leaving", "draining engines get no new work", "leaving-engine",
        [](Options& options) { options.gateway.engines.mutants.ignoreDraining = true; }},
-      {"drop-on-drain", "a planned stop finishes what runs", "planned-stop",
+      {"drop-on-drain", "a graceful shutdown completes running requests", "planned-stop",
        [](Options& options) { options.gateway.mutants.dropOnDrain = true; }},
   };
   return kMutants;
--- a/src/simulation/operator_actor.h
+++ b/src/simulation/operator_actor.h
@@ -1,5 +1,5 @@
 /// \file
-/// An operator who races others on one settings node and resends what went unanswered.
+/// Simulated operator who changes the settings and drains engines.
 #pragma once
 
 #include <map>
@@ -7,11 +7,12 @@
 #include <string>
 
 #include "simulation/environment.h"
-#include "simulation/node_host.h"
+#include "simulation/simulated_node.h"
 
 namespace tackpick::simulation {
 
-/// Reads the counter at the root and asks to raise it by one, based on the revision it read.
+/// Repeatedly reads the counter in the root settings node and submits a change that increments it,
+/// with the revision that was read as the expected one. Resends changes that were not answered.
 class OperatorActor {
  public:
   OperatorActor(Environment& environment, std::uint32_t number)
@@ -19,12 +20,12 @@
 
   void start() { scheduleNext(); }
   void stop() { stopped_ = true; }
-  [[nodiscard]] bool isDone() const { return stopped_ && !pending_; }
-  /// Drains an engine or ends its drain, repeated until that is accepted.
+  [[nodiscard]] bool isDone() const { return stopped_ && !m_pendingChange; }
+  /// Drains an engine or ends its drain. Retries until a controller has answered.
   void drain(base::EngineId engine, bool drained);
 
  private:
-  struct Pending {
+  struct PendingChange {
     control::ControlCommand command;
     std::int64_t counter = 0;
     base::TimePoint submittedAt{};
@@ -33,18 +34,19 @@
   void scheduleNext();
   void readCounter();
   void submit();
-  void repeatDrain(base::EngineId engine, bool drained, std::uint64_t number);
+  void submitDrain(base::EngineId engine, bool drained, std::uint64_t number);
   void onOutcome(const control::ChangeOutcome& outcome);
-  [[nodiscard]] NodeHost* someController();
+  [[nodiscard]] SimulatedNode* randomController();
 
   Environment& environment_;
   const std::uint32_t number_;
   bool stopped_ = false;
-  std::uint64_t requests_ = 0;
-  std::uint64_t tries_ = 0;
-  std::optional<Pending> pending_;
-  /// Number of the latest drain or its end, per engine; earlier ones are given up.
-  std::map<base::EngineId, std::uint64_t> drains_;
+  std::uint64_t m_lastRequestNumber = 0;
+  /// Number of the latest read or submission; timers of earlier ones are ignored.
+  std::uint64_t m_attemptSequence = 0;
+  std::optional<PendingChange> m_pendingChange;
+  /// Number of the latest drain command by engine; earlier commands are no longer retried.
+  std::map<base::EngineId, std::uint64_t> m_drainSequences;
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -1,5 +1,5 @@
 /// \file
-/// Everything that a simulated run can be told. A scenario is a named set of these.
+/// Options of a simulated run.
 #pragma once
 
 #include <cstdint>
@@ -10,88 +10,97 @@
 #include "gateway/gateway.h"
 #include "ledger/ledger.h"
 #include "simulation/simulated_network.h"
-#include "simulation/trace.h"
+#include "simulation/workload_trace.h"
 
 namespace tackpick::simulation {
 
-/// The simulated platform has a machine list.
-[[nodiscard]] inline control::ControllerSettings controllersWithAMachineList() {
+/// Returns controller settings for a platform with a machine list.
+[[nodiscard]] inline control::ControllerSettings machineListControllerSettings() {
   control::ControllerSettings controller;
   controller.machineListWait = base::seconds(3);
   return controller;
 }
 
-/// Mean time between two faults of a kind; zero: never.
+/// Mean time between two faults of a kind; zero disables the fault.
 struct FaultIntervals {
   base::Duration killGateway{0};
   base::Duration killLedger{0};
   base::Duration killController{0};
-  base::Duration freezeNode{0};        ///< any of ours, for longer than every lease
-  base::Duration cutLink{0};           ///< between two of our machines, one way or both
-  base::Duration deposeLeader{0};      ///< a controller and the leading one part, then all do
-  base::Duration isolateLeader{0};     ///< the leading controller hears no other controller
-  base::Duration loseDisk{0};          ///< and the machine is replaced by a new one
-  base::Duration failSync{0};          ///< a replica's disk refuses to sync; then it is restarted
-  base::Duration stopController{0};    ///< planned stop and restart
-  base::Duration stopLedger{0};        ///< planned stop and restart
-  base::Duration stopGateway{0};       ///< planned stop and restart
-  base::Duration loseControlPlane{0};  ///< all controllers at once, for longer than every lease
-  base::Duration crashEngine{0};
-  base::Duration failSwap{0};
-  base::Duration leaveEngine{0};  ///< by the engine's own flag or by the machine list
-  base::Duration drainEngine{0};  ///< by an operator
+  base::Duration suspendNode{0};  ///< suspends a node for longer than every lease
+  /// Drops messages between a node and another node or an engine, in one or both directions.
+  base::Duration partitionLink{0};
+  base::Duration deposeLeader{0};  ///< partitions one controller from the leader, then all of them
+  /// Partitions the leading controller from the other controllers.
+  base::Duration isolateLeader{0};
+  base::Duration loseDisk{0};            ///< the machine is replaced by a new one
+  base::Duration failSync{0};            ///< syncs of a replica's disk fail; then it is restarted
+  base::Duration stopController{0};      ///< graceful shutdown and restart
+  base::Duration stopLedger{0};          ///< graceful shutdown and restart
+  base::Duration stopGateway{0};         ///< graceful shutdown and restart
+  base::Duration killAllControllers{0};  ///< kills all controllers for longer than every lease
+  base::Duration crashEngine{0};         ///< crash and restart
+  base::Duration failSwap{0};            ///< the next swap of weights fails
+  /// Marks an engine as draining, by its own flag or in the machine list, and restarts it later.
+  base::Duration announceEngineLeave{0};
+  base::Duration drainEngine{0};  ///< an operator drains an engine and later ends the drain
 };
 
-/// The load.
+/// Load of callers, trainers and operators.
 struct LoadOptions {
   double requestsPerSecond = 25.0;
-  double notRepeatableShare = 0.3;
-  double resendFraction = 0.3;  ///< of not-repeatable requests: sent again under the same key
-  double streamShare = 0.5;
-  double maxResponseTokens = 120.0;  ///< tokens
+  double notRepeatableFraction = 0.3;
+  /// Fraction of the not-repeatable requests that are resent under the same key.
+  double resendFraction = 0.3;
+  double streamFraction = 0.5;
+  double maxResponseTokens = 120.0;
   base::Duration deadline = base::seconds(6);
   std::uint32_t trainers = 1;
-  std::uint32_t batchLookahead = 0;  ///< submitted before they are needed
+  std::uint32_t batchLookahead = 0;  ///< batches submitted in advance
   std::uint32_t samplesPerBatch = 16;
-  double maxSampleTokens = 400.0;  ///< tokens
-  std::uint64_t prompts = 500;     ///< of a trainer, drawn again and again
-  std::uint64_t stalenessBound = 3;
+  double maxSampleTokens = 400.0;
+  std::uint64_t prompts = 500;       ///< number of distinct prompts of a trainer
+  std::uint64_t stalenessBound = 3;  ///< maximum age of weights in versions at submission
   base::Duration trainingTime = base::milliseconds(300);
-  bool trainerPublishesOnce = false;
-  bool trainersRestart = false;
-  std::shared_ptr<const Trace> trace;  ///< replaces random arrivals, batches and faults
-  bool tightenBatches = false;
+  bool trainerPublishesOnce = false;  ///< trainers stop after the first publication
+  bool trainersRestart = false;       ///< trainers restart at random and lose their cursor
+  /// If set, replaces random requests and batch sizes and adds its faults.
+  std::shared_ptr<const WorkloadTrace> trace;
+  bool raiseMinVersions = false;  ///< trainers raise the minimum version of running batches
   std::uint32_t operators = 2;
+  /// Mean time between the changes of an operator.
   base::Duration changeInterval = base::milliseconds(700);
 };
 
-/// A run.
+/// Options of a run.
 struct SimulationOptions {
   std::uint32_t controllers = 3;
   std::uint32_t ledgers = 3;
   std::uint32_t gateways = 2;
   std::uint32_t engines = 5;
-  base::Duration faultTime = base::seconds(15);   ///< load and faults
-  base::Duration settleTime = base::seconds(90);  ///< at most, until everything has ended
-  base::Duration warmUp{0};                       ///< before idle time and the like count
-  bool metering = false;                          ///< measure what each role costs
-  double clockDrift = 0.01;                       ///< rates lie within 1 +- this
-  /// Mutant: a machine's clock stands still while its process is frozen, as the operating system's
-  /// monotonic clock does while a machine is suspended. What is shipped reads one that goes on.
+  base::Duration loadDuration = base::seconds(15);  ///< duration of load and faults
+  /// Maximum time until all outstanding work has ended.
+  base::Duration quiesceTimeout = base::seconds(90);
+  base::Duration warmUpDuration{0};  ///< load before the measurement starts
+  bool measureCosts = false;         ///< whether CPU time and messages are counted by role
+  double clockDrift = 0.01;          ///< clock rates lie within 1 +- this value
+  /// Mutant: a machine's clock stops while its process is suspended, like CLOCK_MONOTONIC on a
+  /// suspended machine. The daemon uses a clock that includes suspensions.
   bool suspensionStopsClock = false;
 
   LoadOptions load;
   FaultIntervals faults;
   NetworkFaults network;
-  bool unorderedStreams = false;    ///< chunks are doubled and reordered too
-  base::Duration maxOrderDelay{0};  ///< orders to engines come late, doubled, in any order
-  double streamResets = 0.0;        ///< share of dispatches cut right after the last byte went out
+  bool unorderedStreams = false;  ///< chunks may be lost, duplicated and reordered
+  /// If not zero, commands to engines are delayed, duplicated and reordered.
+  base::Duration maxCommandDelay{0};
+  /// Fraction of dispatches whose connection is reset right after the request was sent.
+  double streamResets = 0.0;
   base::Duration minListLag = base::milliseconds(300);
-  base::Duration maxListLag = base::milliseconds(1200);  ///< each reading draws a lag
+  base::Duration maxListLag = base::milliseconds(1200);  ///< the lag of each read is random
 
-  std::uint64_t storeBytesPerSecond = 20'000'000'000;  ///< of the weight store
+  std::uint64_t storeBytesPerSecond = 20'000'000'000;  ///< bandwidth of the weight store
 
-  control::ControllerSettings controller = controllersWithAMachineList();
+  control::ControllerSettings controller = machineListControllerSettings();
   ledger::LedgerSettings ledger;
   gateway::GatewaySettings gateway;
   engine::EngineSimulatorSettings engine;
--- a/src/simulation/metering.h
+++ b/src/simulation/role_cost.h
@@ -1,5 +1,5 @@
 /// \file
-/// What each role costs in a simulated run: processor time of the real modules, messages, bytes.
+/// CPU time, messages and bytes by role in a simulated run.
 #pragma once
 
 #include <array>
@@ -13,20 +13,21 @@
 
 inline constexpr std::size_t kMessageKinds = std::variant_size_v<transport::InternalMessage>;
 
-/// Counts of one kind of message.
+/// Number and size of the messages of one kind.
 struct MessageCount {
   std::uint64_t messages = 0;
-  std::uint64_t bytes = 0;  ///< as encoded, without the frame's four bytes
+  std::uint64_t bytes = 0;  ///< encoded size without the 4-byte frame header
 };
 
-/// Sums over all nodes of a role.
+/// Costs summed over all nodes of a role.
 struct RoleCost {
-  std::uint64_t cpuNanoseconds = 0;  ///< of the host machine's thread
+  std::uint64_t cpuNanoseconds = 0;  ///< CPU time of the simulating thread
   std::uint64_t engineReads = 0;
   std::array<MessageCount, kMessageKinds> sent;
   std::array<MessageCount, kMessageKinds> received;
 
-  [[nodiscard]] static std::uint64_t total(const std::array<MessageCount, kMessageKinds>& counts) {
+  [[nodiscard]] static std::uint64_t totalBytes(
+      const std::array<MessageCount, kMessageKinds>& counts) {
     std::uint64_t bytes = 0;
     for (const MessageCount& count : counts) {
       bytes += count.bytes;
@@ -35,17 +36,17 @@
   }
 };
 
-/// Adds the processor time of its scope to a meter; does nothing without one.
+/// Adds the thread CPU time of its scope to a RoleCost. Does nothing if that is null.
 class CpuTimer {
  public:
-  explicit CpuTimer(RoleCost* meter) : meter_(meter) {
-    if (meter_ != nullptr) {
-      started_ = now();
+  explicit CpuTimer(RoleCost* roleCost) : m_roleCost(roleCost) {
+    if (m_roleCost != nullptr) {
+      m_startNanoseconds = now();
     }
   }
   ~CpuTimer() {
-    if (meter_ != nullptr) {
-      meter_->cpuNanoseconds += now() - started_;
+    if (m_roleCost != nullptr) {
+      m_roleCost->cpuNanoseconds += now() - m_startNanoseconds;
     }
   }
   CpuTimer(const CpuTimer&) = delete;
@@ -60,8 +61,8 @@
            static_cast<std::uint64_t>(time.tv_nsec);
   }
 
-  RoleCost* meter_;
-  std::uint64_t started_ = 0;
+  RoleCost* m_roleCost;
+  std::uint64_t m_startNanoseconds = 0;
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -8,10 +8,10 @@
 using base::milliseconds;
 using base::seconds;
 
-/// Small intervals that faults of one scenario have in common.
-constexpr base::Duration kOften = milliseconds(1500);
-constexpr base::Duration kSometimes = seconds(4);
-constexpr base::Duration kSeldom = seconds(9);
+/// Mean intervals of frequent, occasional and rare faults.
+constexpr base::Duration kShortInterval = milliseconds(1500);
+constexpr base::Duration kMediumInterval = seconds(4);
+constexpr base::Duration kLongInterval = seconds(9);
 
 void steady(SimulationOptions& /*options*/) {}
 
@@ -19,47 +19,47 @@
   options.load.trainingTime = milliseconds(20);
   options.load.maxResponseTokens = 300;
   options.engine.swapFailureRate = 0.1;
-  options.faults.failSwap = kOften;
-  options.faults.crashEngine = kSometimes;
+  options.faults.failSwap = kShortInterval;
+  options.faults.crashEngine = kMediumInterval;
 }
 
 void stalenessBound(SimulationOptions& options) {
   options.load.stalenessBound = 1;
   options.load.trainers = 3;
   options.load.trainingTime = milliseconds(20);
-  options.load.tightenBatches = true;
+  options.load.raiseMinVersions = true;
   options.engine.stepBaseDuration = milliseconds(12);
-  options.faults.crashEngine = kSometimes;
-  options.faults.failSwap = kSometimes;
+  options.faults.crashEngine = kMediumInterval;
+  options.faults.failSwap = kMediumInterval;
 }
 
 void exactlyOnce(SimulationOptions& options) {
   options.load.trainers = 2;
-  options.faults.killGateway = kOften;
-  options.faults.killLedger = kOften;
-  options.faults.cutLink = kSometimes;
+  options.faults.killGateway = kShortInterval;
+  options.faults.killLedger = kShortInterval;
+  options.faults.partitionLink = kMediumInterval;
 }
 
 void trainerRestart(SimulationOptions& options) {
   options.load.trainers = 2;
   options.load.trainersRestart = true;
-  options.faults.killLedger = kSometimes;
-  options.faults.killGateway = kSometimes;
+  options.faults.killLedger = kMediumInterval;
+  options.faults.killGateway = kMediumInterval;
 }
 
 void wholeAnswer(SimulationOptions& options) {
   options.unorderedStreams = true;
   options.network = {0.01, 0.1, milliseconds(30), 0.0};
-  options.load.streamShare = 0.7;
-  options.faults.crashEngine = kOften;
+  options.load.streamFraction = 0.7;
+  options.faults.crashEngine = kShortInterval;
 }
 
 void notRunIsTrue(SimulationOptions& options) {
   options.streamResets = 0.1;
   options.load.requestsPerSecond = 60;
   options.load.deadline = milliseconds(900);
-  options.faults.crashEngine = kOften;
-  options.faults.cutLink = kSometimes;
+  options.faults.crashEngine = kShortInterval;
+  options.faults.partitionLink = kMediumInterval;
 }
 
 void overload(SimulationOptions& options) {
@@ -67,64 +67,64 @@
   options.load.maxResponseTokens = 300;
   options.load.deadline = milliseconds(1500);
   options.engines = 3;
-  options.faults.crashEngine = kSometimes;
+  options.faults.crashEngine = kMediumInterval;
 }
 
 void atMostOnce(SimulationOptions& options) {
-  options.load.notRepeatableShare = 0.9;
+  options.load.notRepeatableFraction = 0.9;
   options.load.resendFraction = 0.8;
   options.streamResets = 0.05;
-  options.faults.killGateway = kOften;
-  options.faults.killLedger = kOften;
-  options.faults.crashEngine = kSometimes;
+  options.faults.killGateway = kShortInterval;
+  options.faults.killLedger = kShortInterval;
+  options.faults.crashEngine = kMediumInterval;
 }
 
 void drainingEngine(SimulationOptions& options) {
-  options.faultTime = seconds(25);
+  options.loadDuration = seconds(25);
   options.maxListLag = seconds(4);
-  options.faults.leaveEngine = kSometimes;
-  options.faults.drainEngine = kSometimes;
-  options.faults.loseControlPlane = kSeldom;
-  options.faults.freezeNode = kSometimes;
+  options.faults.announceEngineLeave = kMediumInterval;
+  options.faults.drainEngine = kMediumInterval;
+  options.faults.killAllControllers = kLongInterval;
+  options.faults.suspendNode = kMediumInterval;
 }
 
 void plannedStop(SimulationOptions& options) {
   options.load.maxResponseTokens = 300;
   options.load.requestsPerSecond = 40;
-  options.faults.stopGateway = kOften;
-  options.faults.stopLedger = kOften;
-  options.faults.stopController = kOften;
+  options.faults.stopGateway = kShortInterval;
+  options.faults.stopLedger = kShortInterval;
+  options.faults.stopController = kShortInterval;
 }
 
 void configuration(SimulationOptions& options) {
   options.load.operators = 4;
   options.load.changeInterval = milliseconds(200);
-  options.faults.killController = kOften;
-  options.faults.killGateway = kSometimes;
-  options.faults.freezeNode = kSometimes;
-  options.faults.cutLink = kSometimes;
+  options.faults.killController = kShortInterval;
+  options.faults.killGateway = kMediumInterval;
+  options.faults.suspendNode = kMediumInterval;
+  options.faults.partitionLink = kMediumInterval;
 }
 
 void silentLeader(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
   options.load.trainingTime = milliseconds(100);
-  options.faults.isolateLeader = kOften;
+  options.faults.isolateLeader = kShortInterval;
 }
 
 void controlPlaneGone(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
-  options.faults.loseControlPlane = kSometimes;
+  options.faults.killAllControllers = kMediumInterval;
 }
 
 void secondLoss(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(200);
-  options.faultTime = seconds(25);
+  options.loadDuration = seconds(25);
   options.faults.loseDisk = milliseconds(500);
-  options.faults.killController = kSometimes;
-  options.faults.killLedger = kSometimes;
+  options.faults.killController = kMediumInterval;
+  options.faults.killLedger = kMediumInterval;
 }
 
 void missedChanges(SimulationOptions& options) {
@@ -132,15 +132,15 @@
   options.load.changeInterval = milliseconds(20);
   options.controller.replica.compactionThreshold = 60;
   options.ledger.replica.compactionThreshold = 60;
-  options.faults.killController = kOften;
-  options.faults.killLedger = kOften;
-  options.faults.killGateway = kSometimes;
+  options.faults.killController = kShortInterval;
+  options.faults.killLedger = kShortInterval;
+  options.faults.killGateway = kMediumInterval;
 }
 
 void frozen(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
-  options.faults.freezeNode = milliseconds(1200);
+  options.faults.suspendNode = milliseconds(1200);
 }
 
 void brokenDisks(SimulationOptions& options) {
@@ -148,16 +148,16 @@
   options.load.changeInterval = milliseconds(200);
   options.faults.killController = milliseconds(700);
   options.faults.killLedger = milliseconds(700);
-  options.faults.failSync = kOften;
+  options.faults.failSync = kShortInterval;
 }
 
 void badNetwork(SimulationOptions& options) {
   options.network = {0.05, 0.08, milliseconds(40), 0.03};
   options.load.operators = 4;
   options.load.changeInterval = milliseconds(100);
-  options.faults.cutLink = milliseconds(800);
-  options.faults.killController = kOften;
-  options.faults.killLedger = kOften;
+  options.faults.partitionLink = milliseconds(800);
+  options.faults.killController = kShortInterval;
+  options.faults.killLedger = kShortInterval;
 }
 
 void reorderedChunks(SimulationOptions& options) {
@@ -166,42 +166,42 @@
 }
 
 void lateOrders(SimulationOptions& options) {
-  options.maxOrderDelay = milliseconds(1500);
+  options.maxCommandDelay = milliseconds(1500);
   options.load.trainingTime = milliseconds(20);
-  options.faults.killController = kSometimes;
-  options.faults.crashEngine = kSeldom;
+  options.faults.killController = kMediumInterval;
+  options.faults.crashEngine = kLongInterval;
 }
 
 void twoLeaders(SimulationOptions& options) {
-  // A follower that misses no entry meanwhile can be elected.
+  // With few changes, a follower misses no entry and can be elected.
   options.load.operators = 1;
   options.load.changeInterval = seconds(2);
   options.load.trainingTime = seconds(3);
-  options.faultTime = seconds(30);
+  options.loadDuration = seconds(30);
   options.faults.deposeLeader = seconds(3);
 }
 
 void splitVotes(SimulationOptions& options) {
   options.network.maxExtraDelay = milliseconds(100);
-  options.faultTime = seconds(30);
-  options.faults.killController = kOften;
-  options.faults.killLedger = kOften;
+  options.loadDuration = seconds(30);
+  options.faults.killController = kShortInterval;
+  options.faults.killLedger = kShortInterval;
 }
 
 void driftingClocks(SimulationOptions& options) {
-  options.clockDrift = 0.009;  // two clocks then differ by just under the allowed 2%
+  options.clockDrift = 0.009;  // two clocks differ by just under the allowed 2%
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
-  options.faults.isolateLeader = kSometimes;
-  options.faults.freezeNode = kSometimes;
-  options.faults.cutLink = kOften;
+  options.faults.isolateLeader = kMediumInterval;
+  options.faults.suspendNode = kMediumInterval;
+  options.faults.partitionLink = kShortInterval;
 }
 
 void everything(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.trainers = 2;
   options.load.trainersRestart = true;
-  options.load.tightenBatches = true;
+  options.load.raiseMinVersions = true;
   options.load.trainingTime = milliseconds(100);
   options.controller.replica.compactionThreshold = 200;
   options.ledger.replica.compactionThreshold = 300;
@@ -211,71 +211,77 @@
   options.maxListLag = seconds(3);
   options.engine.swapFailureRate = 0.02;
   FaultIntervals& faults = options.faults;
-  faults.killGateway = kSometimes;
-  faults.killLedger = kSometimes;
-  faults.killController = kSometimes;
-  faults.freezeNode = kSometimes;
-  faults.cutLink = kSometimes;
-  faults.isolateLeader = kSeldom;
-  faults.loseDisk = kSometimes;
-  faults.failSync = kSeldom;
-  faults.stopGateway = kSeldom;
-  faults.stopController = kSeldom;
-  faults.stopLedger = kSeldom;
-  faults.loseControlPlane = seconds(20);
-  faults.crashEngine = kSometimes;
-  faults.failSwap = kSometimes;
-  faults.leaveEngine = kSeldom;
-  faults.drainEngine = kSeldom;
+  faults.killGateway = kMediumInterval;
+  faults.killLedger = kMediumInterval;
+  faults.killController = kMediumInterval;
+  faults.suspendNode = kMediumInterval;
+  faults.partitionLink = kMediumInterval;
+  faults.isolateLeader = kLongInterval;
+  faults.loseDisk = kMediumInterval;
+  faults.failSync = kLongInterval;
+  faults.stopGateway = kLongInterval;
+  faults.stopController = kLongInterval;
+  faults.stopLedger = kLongInterval;
+  faults.killAllControllers = seconds(20);
+  faults.crashEngine = kMediumInterval;
+  faults.failSwap = kMediumInterval;
+  faults.announceEngineLeave = kLongInterval;
+  faults.drainEngine = kLongInterval;
 }
 
 }  // namespace
 
 const std::vector<Scenario>& scenarios() {
   static const std::vector<Scenario> kScenarios = {
-      {"steady", "no fault: everything is served", steady},
+      {"steady", "no faults: all requests are served", steady},
       {"swap-mid-stream",
-       "true versions: swaps during streams, failed swaps, old weights after a crash",
+       "correct versions: swaps during streams, failed swaps, old weights after a crash",
        swapMidStream},
       {"staleness-bound",
-       "staleness bound: versions overtake running samples, bounds are tightened", stalenessBound},
-      {"exactly-once", "exactly once: gateways and leading ledgers die between any two steps",
+       "staleness bound: publications during running samples, raised minimum versions",
+       stalenessBound},
+      {"exactly-once", "exactly once: gateways and leading ledgers are killed at any time",
        exactlyOnce},
-      {"trainer-restart", "exactly once: trainers restart, repeat calls and read places again",
+      {"trainer-restart", "exactly once: trainers restart, repeat calls and read positions again",
        trainerRestart},
-      {"whole-answer", "whole answers: chunks are lost, doubled, reordered; engines crash",
+      {"whole-answer", "complete responses: chunks are lost, duplicated, reordered; engines crash",
        wholeAnswer},
-      {"not-run", "'not run' is true: resets after the last byte, short deadlines, cuts",
+      {"not-run",
+       "correct 'not run' verdicts: resets after the last byte, short deadlines, partitions",
        notRunIsTrue},
-      {"overload", "'not run' is true: far more requests than the engines can serve", overload},
-      {"at-most-once", "at most once: resends elsewhere while gateways and ledgers die",
-       atMostOnce},
-      {"leaving-engine", "leaving engines: the list flaps, controllers are away, gateways freeze",
+      {"overload", "correct 'not run' verdicts: far more requests than the engines can serve",
+       overload},
+      {"at-most-once",
+       "at most once: resends to other gateways while gateways and ledgers are killed", atMostOnce},
+      {"leaving-engine",
+       "draining engines: the list flaps, controllers are down, gateways are suspended",
        drainingEngine},
-      {"planned-stop", "planned stops: every role is stopped under load, several together",
-       plannedStop},
-      {"configuration", "configuration: operators race and resend while controllers die",
+      {"planned-stop",
+       "graceful shutdowns: all roles shut down under load, several at the same time", plannedStop},
+      {"configuration", "configuration: operators compete and resend while controllers are killed",
        configuration},
-      {"silent-leader", "configuration: a leader cut off in silence, still reached by clients",
+      {"silent-leader",
+       "configuration: a leader is partitioned from its group but reachable by clients",
        silentLeader},
-      {"control-plane-gone", "configuration: all controllers away for longer than every lease",
+      {"control-plane-gone", "configuration: all controllers are down for longer than every lease",
        controlPlaneGone},
-      {"second-loss", "no loss: a second machine's disk goes right after the first was replaced",
+      {"second-loss", "no loss: a second machine loses its disk right after the first was replaced",
        secondLoss},
-      {"missed-changes", "configuration: processes restart after hundreds of changes, by snapshot",
-       missedChanges},
-      {"frozen", "stalled processes wake with their old beliefs", frozen},
-      {"broken-disks", "torn writes, unsynced writes lost, syncs that fail", brokenDisks},
-      {"bad-network", "loss, duplication, reordering, one-way cuts", badNetwork},
-      {"reordered-chunks", "whole answers: chunks overtake one another", reorderedChunks},
-      {"late-orders", "true versions: orders to engines come late, doubled, in any order",
+      {"missed-changes",
+       "configuration: processes restart from a snapshot after hundreds of changes", missedChanges},
+      {"frozen", "suspended processes resume with outdated state", frozen},
+      {"broken-disks", "torn writes, lost unsynced writes, failed syncs", brokenDisks},
+      {"bad-network", "message loss, duplication, reordering, one-way partitions", badNetwork},
+      {"reordered-chunks", "complete responses: chunks are reordered", reorderedChunks},
+      {"late-orders", "correct versions: commands to engines are delayed, duplicated, reordered",
        lateOrders},
-      {"two-leaders", "configuration: another controller is elected while one still leads",
+      {"two-leaders", "configuration: a second leader is elected while the first one still serves",
        twoLeaders},
-      {"split-votes", "one leader a term: slow links make several replicas stand at once",
+      {"split-votes",
+       "one leader per term: slow links make several replicas candidates at the same time",
        splitVotes},
-      {"drifting-clocks", "leases under clocks that differ as much as is allowed", driftingClocks},
-      {"everything", "all promises: all faults together", everything},
+      {"drifting-clocks", "leases with the maximum allowed clock drift", driftingClocks},
+      {"everything", "all invariants: all faults at the same time", everything},
   };
   return kScenarios;
 }
@@ -287,13 +293,13 @@
 }
 
 RunResult runScenario(const Scenario& scenario, const Mutant* mutant, std::uint64_t seed,
-                      std::ostream* trace) {
+                      std::ostream* traceOutput) {
   SimulationOptions options;
   scenario.configure(options);
   if (mutant != nullptr) {
     mutant->apply(options);
   }
-  World world(options, seed, trace);
+  Simulator world(options, seed, traceOutput);
   return world.run();
 }
 
--- a/src/simulation/simulated_disk.cpp
+++ b/src/simulation/simulated_disk.cpp
@@ -7,15 +7,15 @@
 
 class SimulatedDisk::OpenFile final : public storage::AppendFile {
  public:
-  OpenFile(const SimulatedDisk& disk, FilePointer file) : disk_(disk), file_(std::move(file)) {}
+  OpenFile(const SimulatedDisk& disk, FilePtr file) : disk_(disk), file_(std::move(file)) {}
 
   [[nodiscard]] base::Result<void> append(std::string_view bytes) override {
     file_->bytes.append(bytes);
     return {};
   }
   [[nodiscard]] base::Result<void> sync() override {
-    if (disk_.failing_) {
-      return base::fail(base::ErrorCode::kStorage, "the simulated disk refuses to sync");
+    if (disk_.m_failSyncs) {
+      return base::fail(base::ErrorCode::kStorage, "sync failed on the simulated disk");
     }
     file_->syncedSize = file_->bytes.size();
     return {};
@@ -23,12 +23,12 @@
 
  private:
   const SimulatedDisk& disk_;
-  FilePointer file_;
+  FilePtr file_;
 };
 
-base::Result<SimulatedDisk::FilePointer> SimulatedDisk::find(const std::string& name) const {
-  const auto found = names_.find(name);
-  if (found == names_.end()) {
+base::Result<SimulatedDisk::FilePtr> SimulatedDisk::find(const std::string& name) const {
+  const auto found = m_files.find(name);
+  if (found == m_files.end()) {
     return base::fail(base::ErrorCode::kNotFound, name + ": no such file");
   }
   return found->second;
@@ -36,7 +36,7 @@
 
 base::Result<std::vector<std::string>> SimulatedDisk::list() {
   std::vector<std::string> names;
-  for (const auto& [name, file] : names_) {
+  for (const auto& [name, file] : m_files) {
     names.push_back(name);
   }
   return names;
@@ -54,7 +54,7 @@
 }
 
 base::Result<std::unique_ptr<storage::AppendFile>> SimulatedDisk::open(const std::string& name) {
-  FilePointer& file = names_[name];
+  FilePtr& file = m_files[name];
   if (!file) {
     file = std::make_shared<File>();
   }
@@ -70,27 +70,27 @@
 
 base::Result<void> SimulatedDisk::rename(const std::string& from, const std::string& to) {
   BOOST_LEAF_AUTO(file, find(from));
-  names_.erase(from);
-  names_[to] = file;
+  m_files.erase(from);
+  m_files[to] = file;
   return {};
 }
 
 base::Result<void> SimulatedDisk::remove(const std::string& name) {
-  names_.erase(name);
+  m_files.erase(name);
   return {};
 }
 
 base::Result<void> SimulatedDisk::syncDirectory() {
-  if (failing_) {
-    return base::fail(base::ErrorCode::kStorage, "the simulated disk refuses to sync");
+  if (m_failSyncs) {
+    return base::fail(base::ErrorCode::kStorage, "sync failed on the simulated disk");
   }
-  durable_names_ = names_;
+  m_durableFiles = m_files;
   return {};
 }
 
 void SimulatedDisk::crash(base::Random& random) {
-  names_ = durable_names_;
-  for (const auto& [name, file] : names_) {
+  m_files = m_durableFiles;
+  for (const auto& [name, file] : m_files) {
     const std::size_t unsynced = file->bytes.size() - file->syncedSize;
     file->bytes.resize(file->syncedSize + random.below(unsynced + 1));
     file->syncedSize = file->bytes.size();
@@ -98,23 +98,23 @@
 }
 
 void SimulatedDisk::wipe() {
-  names_.clear();
-  durable_names_.clear();
-  failing_ = false;
+  m_files.clear();
+  m_durableFiles.clear();
+  m_failSyncs = false;
 }
 
-void SimulatedDisk::damage(base::Random& random) {
-  const auto longest =
-      std::max_element(names_.begin(), names_.end(), [](const auto& left, const auto& right) {
+void SimulatedDisk::corrupt(base::Random& random) {
+  const auto largest =
+      std::max_element(m_files.begin(), m_files.end(), [](const auto& left, const auto& right) {
         return left.second->bytes.size() < right.second->bytes.size();
       });
-  if (longest == names_.end() || longest->second->bytes.size() < 4) {
+  if (largest == m_files.end() || largest->second->bytes.size() < 4) {
     return;
   }
-  base::Bytes& bytes = longest->second->bytes;
+  base::Bytes& bytes = largest->second->bytes;
   const std::size_t half = bytes.size() / 2;
-  char& damaged = bytes[random.below(half)];
-  damaged = static_cast<char>(damaged ^ 0x10);
+  char& corrupted = bytes[random.below(half)];
+  corrupted = static_cast<char>(corrupted ^ 0x10);
 }
 
 }  // namespace tackpick::simulation
--- a/src/simulation/simulated_disk.h
+++ b/src/simulation/simulated_disk.h
@@ -1,5 +1,5 @@
 /// \file
-/// A data folder in memory that forgets what was not synced.
+/// In-memory file system that loses unsynced data in a crash.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 
 namespace tackpick::simulation {
 
-/// Implements storage::FileSystem. Bytes are durable once their file is synced, names once the
-/// directory is. crash() keeps what is durable and, of the rest, a random part of the bytes that
-/// were appended last, as a torn write does.
+/// Data directory of a simulated node. Bytes are durable once their file is synced, file names once
+/// the directory is synced. crash() keeps all durable data and a random prefix of the unsynced
+/// bytes of each file, like a torn write.
 class SimulatedDisk final : public storage::FileSystem {
  public:
   [[nodiscard]] base::Result<std::vector<std::string>> list() override;
@@ -27,29 +27,29 @@
   [[nodiscard]] base::Result<void> remove(const std::string& name) override;
   [[nodiscard]] base::Result<void> syncDirectory() override;
 
-  /// The process died: unsynced writes are lost, but for a random part of each file's tail.
+  /// Simulates a crash. Unsynced writes are lost, except for a random prefix in each file.
   void crash(base::Random& random);
-  /// The disk is lost.
+  /// Simulates the loss of the disk: removes all files.
   void wipe();
-  /// From now on every sync fails, as on a full or broken disk, until repair().
-  void failSyncs() { failing_ = true; }
-  void repair() { failing_ = false; }
-  /// Flips a bit in the middle of the longest file.
-  void damage(base::Random& random);
+  /// Lets all syncs fail until repair() is called.
+  void failSyncs() { m_failSyncs = true; }
+  void repair() { m_failSyncs = false; }
+  /// Flips a bit in the first half of the largest file.
+  void corrupt(base::Random& random);
 
  private:
   struct File {
     base::Bytes bytes;
     std::size_t syncedSize = 0;
   };
-  using FilePointer = std::shared_ptr<File>;
+  using FilePtr = std::shared_ptr<File>;
   class OpenFile;
 
-  [[nodiscard]] base::Result<FilePointer> find(const std::string& name) const;
+  [[nodiscard]] base::Result<FilePtr> find(const std::string& name) const;
 
-  std::map<std::string, FilePointer> names_;
-  std::map<std::string, FilePointer> durable_names_;
-  bool failing_ = false;
+  std::map<std::string, FilePtr> m_files;
+  std::map<std::string, FilePtr> m_durableFiles;
+  bool m_failSyncs = false;
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/engine_host.cpp
+++ b/src/simulation/simulated_engine.cpp
@@ -1,9 +1,9 @@
-#include "simulation/engine_host.h"
+#include "simulation/simulated_engine.h"
 
 #include <utility>
 
-#include "simulation/node_host.h"
-#include "simulation/platform.h"
+#include "simulation/simulated_node.h"
+#include "simulation/simulated_platform.h"
 
 namespace tackpick::simulation {
 namespace {
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-EngineHost::EngineHost(Environment& environment, base::EngineId id, std::string zone,
-                       engine::WeightStore& store)
+SimulatedEngine::SimulatedEngine(Environment& environment, base::EngineId id, std::string zone,
+                                 engine::WeightStore& store)
     : environment_(environment),
       id_(id),
       machine_{kFirstEngineMachine + id.value},
@@ -22,16 +22,16 @@
   environment_.network.addMachine(machine_, zone_);
 }
 
-void EngineHost::start() {
+void SimulatedEngine::start() {
   ++incarnation_.value;
   model_.emplace(id_, incarnation_, environment_.options.engine, store_, environment_.random,
                  environment_.loop.now());
   model_->recordRuns();
   cache_sequences_.clear();
-  publishEntry();
+  publishRecord();
 }
 
-void EngineHost::publishEntry() {
+void SimulatedEngine::publishRecord() {
   control::EngineRecord record;
   record.engine = id_;
   record.incarnation = incarnation_;
@@ -41,68 +41,68 @@
   environment_.platform->update(record);
 }
 
-void EngineHost::reportRuns() {
+void SimulatedEngine::reportExecutions() {
   if (model_) {
-    environment_.observations.onEngineRuns(*model_);
+    environment_.checker.onEngineExecutions(*model_);
   }
 }
 
-void EngineHost::crash() {
+void SimulatedEngine::crash() {
   if (!model_) {
     return;
   }
   advance();
-  reportRuns();
+  reportExecutions();
   model_.reset();
   for (const auto& [attempt, gateway] : std::exchange(streams_, {})) {
     engine::AttemptEnd end;
     end.attempt = attempt;
     end.message = "the engine crashed";
-    sendEnd(gateway, end);
+    sendAttemptEnd(gateway, end);
   }
 }
 
-void EngineHost::startDraining() {
+void SimulatedEngine::startDraining() {
   if (model_) {
     model_->startDraining();
-    environment_.observations.onEngineDraining(id_, incarnation_);
+    environment_.checker.onEngineDraining(id_, incarnation_);
   }
 }
 
-void EngineHost::failNextSwap() {
+void SimulatedEngine::failNextSwap() {
   if (model_) {
     model_->failNextSwap();
   }
 }
 
-void EngineHost::sendEnd(ProcessRun gateway, const engine::AttemptEnd& end) {
+void SimulatedEngine::sendAttemptEnd(ProcessInstance gateway, const engine::AttemptEnd& end) {
   environment_.network.sendOrdered(machine_, gateway.node->machine(), [gateway, end] {
     gateway.node->post(gateway.epoch, [gateway, end] { gateway.node->onAttemptEnd(end); });
   });
 }
 
-void EngineHost::generate(ProcessRun gateway, const engine::GenerateRequest& request) {
+void SimulatedEngine::generate(ProcessInstance gateway, const engine::GenerateRequest& request) {
   engine::AttemptEnd end;
   end.attempt = request.attempt;
   end.verdict = base::Verdict::kNotRun;
   if (!model_) {
     end.message = "connection refused";
-    sendEnd(gateway, end);
+    sendAttemptEnd(gateway, end);
     return;
   }
   advance();
-  environment_.observations.onWorkGiven(id_, incarnation_);
+  environment_.checker.onRequestDispatched(id_, incarnation_);
   if (const auto problem = model_->submit(request, environment_.loop.now())) {
     end.kind = engine::EndKind::kRefused;
     end.message = *problem;
-    sendEnd(gateway, end);
+    sendAttemptEnd(gateway, end);
     return;
   }
   streams_[request.attempt] = gateway;
   schedule();
 }
 
-void EngineHost::cancel(base::AttemptId attempt) {
+void SimulatedEngine::cancel(base::AttemptId attempt) {
   if (model_) {
     advance();
     model_->cancel(attempt);
@@ -111,7 +111,7 @@
   }
 }
 
-void EngineHost::read(ProcessRun gateway) {
+void SimulatedEngine::read(ProcessInstance gateway) {
   if (!model_) {
     return;
   }
@@ -126,13 +126,14 @@
   });
 }
 
-void EngineHost::order(ProcessRun controller, const engine::EngineCommand& order) {
+void SimulatedEngine::handleCommand(ProcessInstance controller,
+                                    const engine::EngineCommand& command) {
   if (!model_) {
     return;
   }
   advance();
-  const engine::EngineCommandReply reply = model_->order(order, environment_.loop.now());
-  observeVersion();
+  const engine::EngineCommandReply reply = model_->order(command, environment_.loop.now());
+  reportActiveVersion();
   schedule();
   environment_.network.sendOrdered(machine_, controller.node->machine(), [controller, reply] {
     controller.node->post(controller.epoch,
@@ -140,16 +141,16 @@
   });
 }
 
-void EngineHost::advance() {
+void SimulatedEngine::advance() {
   engine::EngineOutput output;
   model_->advance(environment_.loop.now(), output);
-  observeVersion();
+  reportActiveVersion();
   for (const engine::Chunk& chunk : output.chunks) {
     const auto found = streams_.find(chunk.attempt);
     if (found == streams_.end()) {
       continue;
     }
-    const ProcessRun gateway = found->second;
+    const ProcessInstance gateway = found->second;
     const auto deliver = [gateway, chunk] {
       gateway.node->post(gateway.epoch, [gateway, chunk] { gateway.node->onChunk(chunk); });
     };
@@ -162,27 +163,27 @@
   for (const engine::AttemptEnd& end : output.ends) {
     const auto found = streams_.find(end.attempt);
     if (found != streams_.end()) {
-      sendEnd(found->second, end);
+      sendAttemptEnd(found->second, end);
       streams_.erase(found);
     }
   }
 }
 
-void EngineHost::observeVersion() {
+void SimulatedEngine::reportActiveVersion() {
   const base::WeightsVersion active = model_->status().activeVersion;
   if (active.valid()) {
-    environment_.observations.onVersionActive(id_, incarnation_, active);
+    environment_.checker.onVersionActive(id_, incarnation_, active);
   }
 }
 
-void EngineHost::schedule() {
+void SimulatedEngine::schedule() {
   const auto next = model_->nextStepAt();
   if (!next) {
     return;
   }
-  const std::uint64_t wakeup = ++wakeup_;
-  environment_.loop.at(*next, [this, wakeup, incarnation = incarnation_] {
-    if (model_ && incarnation == incarnation_ && wakeup == wakeup_) {
+  const std::uint64_t generation = ++m_timerGeneration;
+  environment_.loop.scheduleAt(*next, [this, generation, incarnation = incarnation_] {
+    if (model_ && incarnation == incarnation_ && generation == m_timerGeneration) {
       advance();
       schedule();
     }
--- a/src/simulation/simulated_network.cpp
+++ b/src/simulation/simulated_network.cpp
@@ -5,21 +5,22 @@
 namespace tackpick::simulation {
 namespace {
 
-constexpr base::Duration kWithinZone = base::microseconds(100);
-constexpr base::Duration kBetweenZones = base::microseconds(600);
+constexpr base::Duration kIntraZoneLatency = base::microseconds(100);
+constexpr base::Duration kInterZoneLatency = base::microseconds(600);
 constexpr base::Duration kJitter = base::microseconds(100);
 
 }  // namespace
 
 void SimulatedNetwork::healAll() {
-  cuts_.clear();
+  m_partitions.clear();
   faults_ = {};
 }
 
 base::Duration SimulatedNetwork::latency(MachineId from, MachineId to) {
-  const base::Duration usual = zones_[from] == zones_[to] ? kWithinZone : kBetweenZones;
-  const auto spread = static_cast<std::uint64_t>((kJitter + faults_.maxExtraDelay).count());
-  return usual + base::Duration(static_cast<base::Duration::rep>(random_.below(spread)));
+  const base::Duration baseLatency =
+      zones_[from] == zones_[to] ? kIntraZoneLatency : kInterZoneLatency;
+  const auto range = static_cast<std::uint64_t>((kJitter + faults_.maxExtraDelay).count());
+  return baseLatency + base::Duration(static_cast<base::Duration::rep>(random_.below(range)));
 }
 
 base::Duration SimulatedNetwork::stragglerDelay() {
@@ -30,23 +31,23 @@
   return base::Duration(static_cast<base::Duration::rep>(random_.below(kMaxMicroseconds)));
 }
 
-void SimulatedNetwork::send(MachineId from, MachineId to, const EventLoop::Action& deliver) {
-  if (isCut(from, to) || random_.chance(faults_.loss)) {
+void SimulatedNetwork::send(MachineId from, MachineId to, const EventLoop::Callback& deliver) {
+  if (isPartitioned(from, to) || random_.chance(faults_.loss)) {
     return;
   }
-  loop_.after(latency(from, to) + stragglerDelay(), deliver);
+  loop_.scheduleAfter(latency(from, to) + stragglerDelay(), deliver);
   if (random_.chance(faults_.duplication)) {
-    loop_.after(latency(from, to) + stragglerDelay(), deliver);
+    loop_.scheduleAfter(latency(from, to) + stragglerDelay(), deliver);
   }
 }
 
-void SimulatedNetwork::sendOrdered(MachineId from, MachineId to, EventLoop::Action deliver) {
-  if (isCut(from, to)) {
+void SimulatedNetwork::sendOrdered(MachineId from, MachineId to, EventLoop::Callback deliver) {
+  if (isPartitioned(from, to)) {
     return;
   }
-  base::TimePoint& until = ordered_until_[{from, to}];
-  until = std::max(until, loop_.now() + latency(from, to));
-  loop_.at(until, std::move(deliver));
+  base::TimePoint& lastDelivery = m_lastOrderedDelivery[{from, to}];
+  lastDelivery = std::max(lastDelivery, loop_.now() + latency(from, to));
+  loop_.scheduleAt(lastDelivery, std::move(deliver));
 }
 
 }  // namespace tackpick::simulation
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -1,5 +1,5 @@
 /// \file
-/// The network between simulated machines.
+/// Simulated network.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +17,35 @@
 /// A machine in the simulated network.
 using MachineId = base::NumericId<struct MachineTag>;
 
-/// How badly the network behaves. Applied to every link.
+/// Message faults, applied to every link.
 struct NetworkFaults {
-  double loss = 0.0;
-  double duplication = 0.0;
-  base::Duration maxExtraDelay{0};  ///< uniform from zero; above the latency it reorders
-  double stragglers = 0.0;          ///< share of messages that come very late
+  double loss = 0.0;         ///< probability that a message is lost
+  double duplication = 0.0;  ///< probability that a message is delivered twice
+  /// Maximum of a uniform additional delay; messages are reordered.
+  base::Duration maxExtraDelay{0};
+  double stragglers = 0.0;  ///< fraction of messages that are delayed by up to 2 s
 };
 
-/// Delivers with the latency of the two zones, and with the current faults.
+/// Delivers messages with the latency between their zones and with the current faults.
 class SimulatedNetwork {
  public:
   SimulatedNetwork(EventLoop& loop, base::Random& random) : loop_(loop), random_(random) {}
 
   void addMachine(MachineId machine, std::string zone) { zones_[machine] = std::move(zone); }
   void setFaults(NetworkFaults faults) { faults_ = faults; }
-  /// One direction only.
-  void cut(MachineId from, MachineId to) { cuts_.insert({from, to}); }
-  void heal(MachineId from, MachineId to) { cuts_.erase({from, to}); }
+  /// Drops all messages from one machine to another; the other direction is not affected.
+  void partition(MachineId from, MachineId to) { m_partitions.insert({from, to}); }
+  void heal(MachineId from, MachineId to) { m_partitions.erase({from, to}); }
   void healAll();
-  [[nodiscard]] bool isCut(MachineId from, MachineId to) const {
-    return cuts_.contains({from, to});
+  [[nodiscard]] bool isPartitioned(MachineId from, MachineId to) const {
+    return m_partitions.contains({from, to});
   }
 
-  /// Sends a message that may be lost, doubled and reordered.
-  void send(MachineId from, MachineId to, const EventLoop::Action& deliver);
-  /// Sends over an ordered connection, such as an engine's stream. Within a cut it is lost.
-  void sendOrdered(MachineId from, MachineId to, EventLoop::Action deliver);
+  /// Sends a message that may be lost, duplicated and reordered.
+  void send(MachineId from, MachineId to, const EventLoop::Callback& deliver);
+  /// Sends over an ordered connection, such as an engine's stream. Lost only while the machines are
+  /// partitioned.
+  void sendOrdered(MachineId from, MachineId to, EventLoop::Callback deliver);
 
  private:
   [[nodiscard]] base::Duration latency(MachineId from, MachineId to);
@@ -53,8 +55,8 @@
   base::Random& random_;
   NetworkFaults faults_;
   std::map<MachineId, std::string> zones_;
-  std::set<std::pair<MachineId, MachineId>> cuts_;
-  std::map<std::pair<MachineId, MachineId>, base::TimePoint> ordered_until_;
+  std::set<std::pair<MachineId, MachineId>> m_partitions;
+  std::map<std::pair<MachineId, MachineId>, base::TimePoint> m_lastOrderedDelivery;
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/node_clients.cpp
+++ b/src/simulation/simulated_node_clients.cpp
@@ -1,42 +1,43 @@
 /// \file
-/// NodeHost: what callers, trainers and operators ask of a process.
+/// SimulatedNode: requests of callers, trainers and operators.
 #include <utility>
 
-#include "simulation/node_host.h"
+#include "simulation/simulated_node.h"
 
 namespace tackpick::simulation {
 
 using control::SettingKey;
 
-void NodeHost::toClient(EventLoop::Action action) {
+void SimulatedNode::sendToClient(EventLoop::Callback action) {
   environment_.network.sendOrdered(machine_, kClientMachine, std::move(action));
 }
 
-void NodeHost::reply(base::CallerId caller, CallerReply answer) {
-  const auto found = callers_.find(caller);
-  if (found == callers_.end()) {
-    environment_.observations.broken(Promise::kWholeAnswer, "a second answer to one request");
+void SimulatedNode::reply(base::CallerId caller, RequestOutcome outcome) {
+  const auto found = m_callerHandlers.find(caller);
+  if (found == m_callerHandlers.end()) {
+    environment_.checker.reportViolation(Invariant::kCompleteResponse,
+                                         "a request was answered twice");
     return;
   }
   const CallerHandler handler = std::move(found->second);
-  callers_.erase(found);
-  streamed_.erase(caller);
+  m_callerHandlers.erase(found);
+  m_streamedResponses.erase(caller);
   arrived_at_.erase(caller);
-  toClient([handler, answer = std::move(answer)] { handler(answer); });
+  sendToClient([handler, outcome = std::move(outcome)] { handler(outcome); });
 }
 
-void NodeHost::request(gateway::CallerRequest request, CallerHandler handler) {
+void SimulatedNode::request(gateway::CallerRequest request, CallerHandler handler) {
   environment_.network.sendOrdered(
       kClientMachine, machine_,
       [this, request = std::move(request), handler = std::move(handler)]() mutable {
         if (!running_) {
-          CallerReply lost;
+          RequestOutcome lost;
           lost.connectionLost = true;
-          toClient([handler, lost] { handler(lost); });
+          sendToClient([handler, lost] { handler(lost); });
           return;
         }
         request.id = {++next_caller_};
-        callers_[request.id] = std::move(handler);
+        m_callerHandlers[request.id] = std::move(handler);
         if (request.stream) {
           arrived_at_[request.id] = environment_.loop.now();
         }
@@ -44,24 +45,25 @@
       });
 }
 
-void NodeHost::callLedger(const base::BatchId& batch, transport::CommandKind kind,
-                          base::Bytes payload, ResultHandler handler) {
+void SimulatedNode::callLedger(const base::BatchId& batch, transport::CommandKind kind,
+                               base::Bytes payload, ResultHandler handler) {
   environment_.network.sendOrdered(
       kClientMachine, machine_,
       [this, batch, kind, payload = std::move(payload), handler = std::move(handler)] {
         post(epoch_, [this, batch, kind, payload, handler] {
-          gateway_->callLedger(batch, kind, payload, localNow(),
-                               [this, handler](const base::Bytes* result, base::TimePoint) {
-                                 const bool known = result != nullptr;
-                                 toClient([handler, known, copy = known ? *result : base::Bytes{}] {
-                                   handler(known ? &copy : nullptr);
-                                 });
-                               });
+          gateway_->callLedger(
+              batch, kind, payload, localNow(),
+              [this, handler](const base::Bytes* result, base::TimePoint) {
+                const bool known = result != nullptr;
+                sendToClient([handler, known, copy = known ? *result : base::Bytes{}] {
+                  handler(known ? &copy : nullptr);
+                });
+              });
         });
       });
 }
 
-void NodeHost::callControllers(base::Bytes payload, ResultHandler handler) {
+void SimulatedNode::callControllers(base::Bytes payload, ResultHandler handler) {
   environment_.network.sendOrdered(
       kClientMachine, machine_, [this, payload = std::move(payload), handler = std::move(handler)] {
         post(epoch_, [this, payload, handler] {
@@ -69,7 +71,7 @@
               transport::CommandKind::kCommand, payload, localNow(),
               [this, handler](const base::Bytes* result, base::TimePoint) {
                 const bool known = result != nullptr;
-                toClient([handler, known, copy = known ? *result : base::Bytes{}] {
+                sendToClient([handler, known, copy = known ? *result : base::Bytes{}] {
                   handler(known ? &copy : nullptr);
                 });
               });
@@ -77,14 +79,14 @@
       });
 }
 
-void NodeHost::submitChange(const control::ControlCommand& command, ChangeHandler handler) {
+void SimulatedNode::submitChange(const control::ControlCommand& command, ChangeHandler handler) {
   environment_.network.sendOrdered(
       kClientMachine, machine_, [this, command, handler = std::move(handler)] {
         post(epoch_, [this, command, handler] {
           const auto completion = [this, handler](const control::ChangeOutcome* outcome) {
             const bool known = outcome != nullptr;
             const auto copy = known ? *outcome : control::ChangeOutcome{};
-            toClient([handler, known, copy] { handler(known ? &copy : nullptr); });
+            sendToClient([handler, known, copy] { handler(known ? &copy : nullptr); });
           };
           if (!controller_->submit(command, localNow(), completion)) {
             completion(nullptr);
@@ -93,7 +95,7 @@
       });
 }
 
-void NodeHost::readCounter(ReadHandler handler) {
+void SimulatedNode::readCounter(ReadHandler handler) {
   environment_.network.sendOrdered(kClientMachine, machine_, [this, handler = std::move(handler)] {
     post(epoch_, [this, handler] {
       std::optional<CounterReading> reading;
@@ -103,29 +105,29 @@
         reading = CounterReading{root == nullptr ? base::Revision{} : root->revision,
                                  tree.integer("", SettingKey::kTokenLimit)};
       }
-      toClient([handler, reading] { handler(reading); });
+      sendToClient([handler, reading] { handler(reading); });
     });
   });
 }
 
-void NodeHost::noteFirstToken(base::CallerId caller) {
+void SimulatedNode::recordFirstToken(base::CallerId caller) {
   const auto arrived = arrived_at_.find(caller);
   if (arrived != arrived_at_.end()) {
-    environment_.observations.figures().firstTokenSeconds.push_back(
+    environment_.checker.statistics().firstTokenSeconds.push_back(
         base::toSeconds(environment_.loop.now() - arrived->second));
     arrived_at_.erase(arrived);
   }
 }
 
-void NodeHost::noteTokens() {
+void SimulatedNode::recordTokenCounts() {
   if (gateway_) {
-    RunFigures& figures = environment_.observations.figures();
-    figures.tokensReceived += gateway_->counters().tokensReceived;
-    figures.tokensDiscarded += gateway_->counters().tokensDiscarded;
+    RunStatistics& statistics = environment_.checker.statistics();
+    statistics.tokensReceived += gateway_->counters().tokensReceived;
+    statistics.tokensDiscarded += gateway_->counters().tokensDiscarded;
   }
 }
 
-std::int64_t NodeHost::counterInView() const {
+std::int64_t SimulatedNode::viewedCounter() const {
   return gateway_->view().settings().integer("", SettingKey::kTokenLimit);
 }
 
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr base::Duration kCallTimeout = base::milliseconds(1500);
-constexpr base::Duration kPollPause = base::milliseconds(50);
+constexpr base::Duration kPollInterval = base::milliseconds(50);
 constexpr std::uint32_t kSamplesPerRead = 64;
 
 }  // namespace
@@ -21,11 +21,11 @@
 
 void TrainerActor::start() {
   started_at_ = environment_.loop.now();
-  submitAhead();
+  submitLookahead();
   waitForBatch();
 }
 
-void TrainerActor::beginMeasuring() {
+void TrainerActor::startMeasurement() {
   started_at_ = environment_.loop.now();
   waiting_since_ = started_at_;
   idle_ = base::Duration{0};
@@ -37,18 +37,18 @@
   stopped_ = true;
   ended_at_ = environment_.loop.now();
   if (waiting_) {
-    countIdle();
+    addIdleTime();
     waiting_since_ = ended_at_;
   }
 }
 
-void TrainerActor::countIdle() {
+void TrainerActor::addIdleTime() {
   const base::TimePoint end =
       stopped_ ? std::min(ended_at_, environment_.loop.now()) : environment_.loop.now();
   idle_ += std::max(end - waiting_since_, base::Duration{0});
 }
 
-void TrainerActor::submitAhead() {
+void TrainerActor::submitLookahead() {
   const LoadOptions& load = environment_.options.load;
   while (!stopped_ && batches_.size() <= load.batchLookahead) {
     if (load.trace && batch_number_ >= load.trace->batches.size()) {
@@ -63,16 +63,16 @@
   Batch batch;
   batch.submittedAt = environment_.loop.now();
   batch.sent.batch = {"t/" + std::to_string(number_) + "-" + std::to_string(++batch_number_)};
-  batch.sent.oldestAllowed = {
+  batch.sent.minVersion = {
       published_version_ > load.stalenessBound ? published_version_ - load.stalenessBound : 0};
-  const std::vector<std::uint32_t>* traced =
+  const std::vector<std::uint32_t>* traceLengths =
       load.trace ? &load.trace->batches.at(batch_number_ - 1) : nullptr;
-  const auto count =
-      traced == nullptr ? load.samplesPerBatch : static_cast<std::uint32_t>(traced->size());
+  const auto count = traceLengths == nullptr ? load.samplesPerBatch
+                                             : static_cast<std::uint32_t>(traceLengths->size());
   for (std::uint32_t index = 0; index < count; ++index) {
     constexpr double kMinSample = 10.0;
     constexpr double kTailIndex = 0.9;
-    // Steps repeat prompts, whose answers resemble each other in length.
+    // Batches share prompts, and responses to one prompt have similar lengths.
     const std::uint64_t prompt = environment_.random.below(load.prompts);
     base::SeededRandom lengths(base::mix(prompt, number_));
     const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.maxSampleTokens);
@@ -82,9 +82,9 @@
                     std::to_string(prompt);
     sample.seed = batch_number_ * 1000 + index;
     sample.maximumTokens = static_cast<std::uint32_t>(load.maxSampleTokens);
-    if (traced != nullptr) {
-      sample.prompt = engine::lengthDirective(traced->at(index)) + "traced";
-      sample.maximumTokens = traced->at(index);
+    if (traceLengths != nullptr) {
+      sample.prompt = engine::lengthDirective(traceLengths->at(index)) + "traced";
+      sample.maximumTokens = traceLengths->at(index);
     }
     batch.sent.samples.push_back(std::move(sample));
   }
@@ -92,14 +92,14 @@
   submission.batch = batch.sent.batch;
   submission.workload = {"t/train"};
   submission.model = environment_.options.engine.model;
-  submission.minimumVersion = batch.sent.oldestAllowed;
+  submission.minimumVersion = batch.sent.minVersion;
   submission.samples = batch.sent.samples;
   const SentBatch sent = batch.sent;
   batches_.push_back(std::move(batch));
   call(sent.batch, transport::CommandKind::kCommand,
        base::encode(ledger::LedgerOperation{std::move(submission)}),
        [this, sent](const base::Bytes&) {
-         environment_.observations.onBatchAccepted(sent);
+         environment_.checker.onBatchAccepted(sent);
          for (Batch& submitted : batches_) {
            submitted.accepted = submitted.accepted || submitted.sent.batch == sent.batch;
          }
@@ -117,33 +117,33 @@
 
 void TrainerActor::read() {
   if (!batches_.front().accepted) {
-    later(kPollPause, [this] { read(); });
+    scheduleUnlessRestarted(kPollInterval, [this] { read(); });
     return;
   }
   if (environment_.options.load.trainersRestart && environment_.random.chance(0.03)) {
-    ++run_;
-    batches_.front().cursor = 0;  // nothing is acknowledged yet: it reads from the start
+    ++m_restartCount;
+    batches_.front().cursor = 0;  // no sample is acknowledged yet: reads from the start
   }
-  // Sometimes a place is read again that was read before.
+  // Sometimes repeats the read of an earlier position.
   const std::uint32_t from =
       environment_.random.chance(0.1)
           ? static_cast<std::uint32_t>(environment_.random.below(batches_.front().cursor + 1))
           : batches_.front().cursor;
-  const ledger::ReadSamples question{batches_.front().sent.batch, from, kSamplesPerRead};
+  const ledger::ReadSamples query{batches_.front().sent.batch, from, kSamplesPerRead};
   call(batches_.front().sent.batch, transport::CommandKind::kQuery,
-       base::encode(ledger::LedgerQuery{question}), [this, from](const base::Bytes& bytes) {
+       base::encode(ledger::LedgerQuery{query}), [this, from](const base::Bytes& bytes) {
          const auto result = base::decode<ledger::ReadResult>(bytes);
          if (result) {
            onSamples(*result, from);
          } else {
-           later(kPollPause, [this] { read(); });
+           scheduleUnlessRestarted(kPollInterval, [this] { read(); });
          }
        });
 }
 
 void TrainerActor::onSamples(const ledger::ReadResult& result, std::uint32_t from) {
   if (result.status != ledger::LedgerStatus::kOk) {
-    environment_.observations.onBatchMissing(batches_.front().sent);
+    environment_.checker.onBatchMissing(batches_.front().sent);
   }
   std::uint32_t position = from;
   for (const ledger::SampleResult& sample : result.samples) {
@@ -153,127 +153,128 @@
           static_cast<double>(published_version_ - std::min(published_version_, oldest));
       ++staleness_count_;
     }
-    environment_.observations.onSample(batches_.front().sent, position, sample);
+    environment_.checker.onSample(batches_.front().sent, position, sample);
     ++position;
   }
   batches_.front().cursor = std::max(batches_.front().cursor, position);
   if (batches_.front().cursor >= batches_.front().sent.samples.size()) {
     acknowledge();
-  } else if (environment_.options.load.tightenBatches && !batches_.front().tightening &&
+  } else if (environment_.options.load.raiseMinVersions && !batches_.front().minVersionRaised &&
              environment_.random.chance(0.2)) {
-    tighten();
+    raiseMinVersion();
   } else {
     const bool more = result.samples.size() == kSamplesPerRead;
-    later(more ? base::Duration{0} : kPollPause, [this] { read(); });
+    scheduleUnlessRestarted(more ? base::Duration{0} : kPollInterval, [this] { read(); });
   }
 }
 
-void TrainerActor::tighten() {
-  batches_.front().tightening = true;
+void TrainerActor::raiseMinVersion() {
+  batches_.front().minVersionRaised = true;
   const base::WeightsVersion oldest{published_version_};
   const ledger::RaiseMinimumVersion command{batches_.front().sent.batch, oldest};
-  call(
-      batches_.front().sent.batch, transport::CommandKind::kCommand,
-      base::encode(ledger::LedgerOperation{command}), [this, oldest](const base::Bytes&) {
-        // How far the batch is now: what is committed later obeys the new bound.
-        const ledger::ReadSamples question{batches_.front().sent.batch, batches_.front().cursor, 1};
-        call(batches_.front().sent.batch, transport::CommandKind::kQuery,
-             base::encode(ledger::LedgerQuery{question}), [this, oldest](const base::Bytes& bytes) {
-               const auto result = base::decode<ledger::ReadResult>(bytes);
-               if (result && result->status == ledger::LedgerStatus::kOk) {
-                 environment_.observations.onBatchTightened(batches_.front().sent.batch,
-                                                            result->committed, oldest);
-               }
-               read();
-             });
-      });
+  call(batches_.front().sent.batch, transport::CommandKind::kCommand,
+       base::encode(ledger::LedgerOperation{command}), [this, oldest](const base::Bytes&) {
+         // Reads the number of committed samples: later ones must have the new minimum version.
+         const ledger::ReadSamples query{batches_.front().sent.batch, batches_.front().cursor, 1};
+         call(batches_.front().sent.batch, transport::CommandKind::kQuery,
+              base::encode(ledger::LedgerQuery{query}), [this, oldest](const base::Bytes& bytes) {
+                const auto result = base::decode<ledger::ReadResult>(bytes);
+                if (result && result->status == ledger::LedgerStatus::kOk) {
+                  environment_.checker.onMinVersionRaised(batches_.front().sent.batch,
+                                                          result->committed, oldest);
+                }
+                read();
+              });
+       });
 }
 
 void TrainerActor::acknowledge() {
-  environment_.observations.onBatchWhole(batches_.front().sent);
-  countIdle();
+  environment_.checker.onBatchComplete(batches_.front().sent);
+  addIdleTime();
   waiting_ = false;
-  environment_.observations.figures().batchSeconds.push_back(
+  environment_.checker.statistics().batchSeconds.push_back(
       base::toSeconds(environment_.loop.now() - batches_.front().submittedAt));
   const ledger::AcknowledgeSamples command{batches_.front().sent.batch, batches_.front().cursor};
   call(batches_.front().sent.batch, transport::CommandKind::kCommand,
        base::encode(ledger::LedgerOperation{command}), [this](const base::Bytes&) {
          batches_.pop_front();
-         submitAhead();
-         later(environment_.options.load.trainingTime, [this] { publish(); });
+         submitLookahead();
+         scheduleUnlessRestarted(environment_.options.load.trainingTime, [this] { publish(); });
        });
 }
 
 void TrainerActor::publish() {
   if (stopped_) {
-    waitForBatch();  // what is submitted is still read
+    waitForBatch();  // submitted batches are still read
     return;
   }
   if (environment_.options.load.trainerPublishesOnce && published_version_ > 1) {
     return;
   }
   ++published_version_;
-  ++environment_.observations.figures().versionsPublished;
-  environment_.observations.onVersionPublished({published_version_});
+  ++environment_.checker.statistics().versionsPublished;
+  environment_.checker.onVersionPublished({published_version_});
   control::ControlCommand command;
   command.operation =
       control::PublishWeights{environment_.options.engine.model, {published_version_}};
   callControllers(base::encode(command), [](const base::Bytes&) {});
-  submitAhead();
+  submitLookahead();
   waitForBatch();
 }
 
 void TrainerActor::call(const base::BatchId& batch, transport::CommandKind kind,
                         const base::Bytes& payload, const OnResult& onResult) {
-  repeatUntilAnswered(
-      [kind, payload, batch](NodeHost& gateway, NodeHost::ResultHandler handler) {
+  retryUntilAnswered(
+      [kind, payload, batch](SimulatedNode& gateway, SimulatedNode::ResultHandler handler) {
         gateway.callLedger(batch, kind, payload, std::move(handler));
       },
       onResult);
 }
 
 void TrainerActor::callControllers(const base::Bytes& payload, const OnResult& onResult) {
-  repeatUntilAnswered(
-      [payload](NodeHost& gateway, NodeHost::ResultHandler handler) {
+  retryUntilAnswered(
+      [payload](SimulatedNode& gateway, SimulatedNode::ResultHandler handler) {
         gateway.callControllers(payload, std::move(handler));
       },
       onResult);
 }
 
-void TrainerActor::repeatUntilAnswered(
-    const std::function<void(NodeHost&, NodeHost::ResultHandler)>& send, const OnResult& onResult) {
+void TrainerActor::retryUntilAnswered(
+    const std::function<void(SimulatedNode&, SimulatedNode::ResultHandler)>& send,
+    const OnResult& onResult) {
   const auto answered = std::make_shared<bool>(false);
-  send(*someGateway(), [answered, onResult](const base::Bytes* result) {
+  send(*randomGateway(), [answered, onResult](const base::Bytes* result) {
     if (result != nullptr && !*answered) {
       *answered = true;
       onResult(*result);
     }
   });
-  environment_.loop.after(kCallTimeout, [this, answered, send, onResult] {
+  environment_.loop.scheduleAfter(kCallTimeout, [this, answered, send, onResult] {
     if (!*answered) {
-      *answered = true;  // a late answer to the first try is ignored
-      repeatUntilAnswered(send, onResult);
+      *answered = true;  // a late response to this attempt is ignored
+      retryUntilAnswered(send, onResult);
     }
   });
 }
 
-void TrainerActor::later(base::Duration delay, EventLoop::Action action) {
-  environment_.loop.after(delay, [this, run = run_, action = std::move(action)] {
-    if (run == run_) {
-      action();
-    } else {
-      read();  // the restarted trainer begins by reading its batch
-    }
-  });
+void TrainerActor::scheduleUnlessRestarted(base::Duration delay, EventLoop::Callback action) {
+  environment_.loop.scheduleAfter(
+      delay, [this, restartCount = m_restartCount, action = std::move(action)] {
+        if (restartCount == m_restartCount) {
+          action();
+        } else {
+          read();  // a restarted trainer starts by reading its batch
+        }
+      });
 }
 
-NodeHost* TrainerActor::someGateway() {
+SimulatedNode* TrainerActor::randomGateway() {
   const SimulationOptions& options = environment_.options;
   const auto chosen = static_cast<std::uint32_t>(environment_.random.below(options.gateways));
   return environment_.node(1 + options.controllers + options.ledgers + chosen);
 }
 
-double TrainerActor::idleShare() const {
+double TrainerActor::idleFraction() const {
   const base::Duration total = ended_at_ - started_at_;
   return total.count() == 0 ? 0.0 : base::toSeconds(idle_) / base::toSeconds(total);
 }
--- a/src/simulation/trainer_actor.h
+++ b/src/simulation/trainer_actor.h
@@ -1,5 +1,5 @@
 /// \file
-/// A trainer: submits batches, reads them by cursor, trains and publishes weights.
+/// Simulated trainer.
 #pragma once
 
 #include <deque>
@@ -8,25 +8,27 @@
 #include <string>
 
 #include "simulation/environment.h"
-#include "simulation/node_host.h"
+#include "simulation/simulated_node.h"
 
 namespace tackpick::simulation {
 
-/// Repeats every call until it is answered, at any gateway; reads places again that it has read;
-/// forgets its cursor when it restarts.
+/// Submits batches, reads their samples by cursor, trains and publishes weights. Retries every call
+/// at a random gateway until it is answered, sometimes repeats a read, and loses its cursor when it
+/// restarts.
 class TrainerActor {
  public:
   TrainerActor(Environment& environment, std::uint32_t number, std::uint64_t& publishedVersion);
 
   void start();
-  /// Submits no more; what is submitted is still read to its end.
+  /// Submits no more batches. Submitted batches are still read to their end.
   void stop();
-  /// Idle time and staleness count from here on.
-  void beginMeasuring();
+  /// Starts to measure idle time and staleness.
+  void startMeasurement();
   [[nodiscard]] bool isDone() const { return stopped_ && batches_.empty(); }
-  /// Share of the measured time spent waiting for a batch.
-  [[nodiscard]] double idleShare() const;
-  /// Versions between the published one and a delivered sample's oldest, on average.
+  /// Returns the fraction of the measured time that was spent waiting for a batch.
+  [[nodiscard]] double idleFraction() const;
+  /// Returns the mean number of versions between the published one and the oldest of a delivered
+  /// sample.
   [[nodiscard]] double meanStaleness() const;
 
  private:
@@ -35,39 +37,43 @@
     base::TimePoint submittedAt{};
     bool accepted = false;
     std::uint32_t cursor = 0;
-    bool tightening = false;
+    bool minVersionRaised = false;
   };
   using OnResult = std::function<void(const base::Bytes& result)>;
 
-  /// Keeps as many batches submitted as the load asks for.
-  void submitAhead();
+  /// Submits batches up to LoadOptions::batchLookahead.
+  void submitLookahead();
   void submit();
-  void countIdle();
+  void addIdleTime();
   void waitForBatch();
   void read();
   void onSamples(const ledger::ReadResult& result, std::uint32_t from);
-  void tighten();
+  void raiseMinVersion();
   void acknowledge();
   void publish();
-  /// Calls the ledger through some gateway until there is an answer.
+  /// Calls the ledger through a random gateway until there is a response.
   void call(const base::BatchId& batch, transport::CommandKind kind, const base::Bytes& payload,
             const OnResult& onResult);
   void callControllers(const base::Bytes& payload, const OnResult& onResult);
-  void repeatUntilAnswered(const std::function<void(NodeHost&, NodeHost::ResultHandler)>& send,
-                           const OnResult& onResult);
-  void later(base::Duration delay, EventLoop::Action action);
-  [[nodiscard]] NodeHost* someGateway();
+  void retryUntilAnswered(
+      const std::function<void(SimulatedNode&, SimulatedNode::ResultHandler)>& send,
+      const OnResult& onResult);
+  /// Runs `action` after `delay`, or reads the batch again if the trainer has restarted by then.
+  void scheduleUnlessRestarted(base::Duration delay, EventLoop::Callback action);
+  [[nodiscard]] SimulatedNode* randomGateway();
 
   Environment& environment_;
   const std::uint32_t number_;
   std::uint64_t& published_version_;
   std::uint64_t batch_number_ = 0;
-  std::deque<Batch> batches_;  ///< submitted and not delivered; the first is being read
+  /// Submitted batches that are not acknowledged; the first one is being read.
+  std::deque<Batch> batches_;
   bool stopped_ = false;
-  std::uint64_t run_ = 0;  ///< a restarted trainer ignores what its earlier run asked for
+  /// Number of restarts; scheduled actions from before a restart are dropped.
+  std::uint64_t m_restartCount = 0;
   base::TimePoint started_at_{};
   base::TimePoint ended_at_{};
-  bool waiting_ = false;  ///< for a batch, since waiting_since_
+  bool waiting_ = false;  ///< whether the trainer has been waiting for a batch since waiting_since_
   base::TimePoint waiting_since_{};
   base::Duration idle_{0};
   double staleness_sum_ = 0.0;
--- a/src/simulation/trace.cpp
+++ b/src/simulation/workload_trace.cpp
@@ -1,4 +1,4 @@
-#include "simulation/trace.h"
+#include "simulation/workload_trace.h"
 
 #include <nlohmann/json.hpp>
 #include <sstream>
@@ -8,12 +8,12 @@
 
 using Json = nlohmann::json;
 
-void addLine(const Json& line, Trace& trace) {
+void parseLine(const Json& line, WorkloadTrace& trace) {
   const std::string kind = line.at("kind").get<std::string>();
   const auto at = [&] { return base::milliseconds(line.at("at_ms").get<std::int64_t>()); };
   if (kind == "expect") {
     trace.expectation.requests = line.at("requests").get<std::uint64_t>();
-    trace.expectation.answeredAtLeast = line.at("answered_at_least").get<std::uint64_t>();
+    trace.expectation.minAnswered = line.at("answered_at_least").get<std::uint64_t>();
     trace.expectation.samples = line.at("samples").get<std::uint64_t>();
   } else if (kind == "request") {
     trace.requests.push_back(
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-base::Result<Trace> parseTrace(const std::string& text) {
-  Trace trace;
+base::Result<WorkloadTrace> parseTrace(const std::string& text) {
+  WorkloadTrace trace;
   std::istringstream lines(text);
   std::size_t number = 0;
   for (std::string line; std::getline(lines, line);) {
@@ -39,7 +39,7 @@
       continue;
     }
     try {
-      addLine(Json::parse(line), trace);
+      parseLine(Json::parse(line), trace);
     } catch (const std::exception& error) {
       return base::fail(base::ErrorCode::kInvalidInput,
                         "line " + std::to_string(number) + ": " + error.what());
--- a/test/integration/fleet.cpp
+++ b/test/integration/fleet.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <set>
 
-#include "checking/answer_check.h"
+#include "checking/response_check.h"
 #include "transport/shared_key.h"
 
 namespace tackpick::test {
@@ -290,7 +290,7 @@
         for (const Json& sample : page["samples"]) {
           const auto index = sample["index"].get<std::uint32_t>();
           cr_assert(seen.insert(index).second, "sample %u came twice", index);
-          checking::ReceivedAnswer answer;
+          checking::ReceivedResponse answer;
           answer.tokens = sample["token_ids"].get<std::vector<engine::Token>>();
           for (const Json& span : sample["weights"]) {
             const auto version = span["version"].get<std::uint64_t>();
--- a/test/replay/replay_test.cpp
+++ b/test/replay/replay_test.cpp
@@ -1,33 +1,32 @@
-/// Replays the recorded traces against their stated outcomes, each under several seeds of the
-/// network.
+/// Replays the recorded traces with several seeds and checks their expected outcomes.
 #include <criterion/criterion.h>
 
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
 
-#include "simulation/trace.h"
-#include "simulation/world.h"
+#include "simulation/simulator.h"
+#include "simulation/workload_trace.h"
 
 namespace base = tackpick::base;
 namespace sim = tackpick::simulation;
 
 namespace {
 
-std::shared_ptr<const sim::Trace> load(const std::string& name) {
+std::shared_ptr<const sim::WorkloadTrace> load(const std::string& name) {
   const char* root = std::getenv("TACKPICK_ROOT");
   const std::string path = std::string(root == nullptr ? "." : root) + "/test/replay/" + name;
   std::ifstream file(path);
   cr_assert(file.good(), "cannot read %s", path.c_str());
   const std::string text((std::istreambuf_iterator<char>(file)), {});
   return base::recover(
-      [&]() -> base::Result<std::shared_ptr<const sim::Trace>> {
+      [&]() -> base::Result<std::shared_ptr<const sim::WorkloadTrace>> {
         BOOST_LEAF_AUTO(trace, sim::parseTrace(text));
-        return std::make_shared<const sim::Trace>(std::move(trace));
+        return std::make_shared<const sim::WorkloadTrace>(std::move(trace));
       },
       [](const base::Error& error) {
         cr_assert_fail("%s", error.message.c_str());
-        return std::shared_ptr<const sim::Trace>();
+        return std::shared_ptr<const sim::WorkloadTrace>();
       });
 }
 
@@ -39,16 +38,16 @@
     options.load.resendFraction = 0.0;
     options.load.maxSampleTokens = 500;
     options.load.stalenessBound = 6;
-    sim::World world(options, seed, nullptr);
+    sim::Simulator world(options, seed, nullptr);
     const sim::RunResult result = world.run();
     const sim::TraceExpectation& expected = options.load.trace->expectation;
     cr_expect(result.violations.empty(), "%s, seed %lu: %s", name.c_str(), seed,
               result.violations.empty() ? "" : result.violations.front().what.c_str());
-    cr_expect_eq(result.figures.requestsSent, expected.requests);
-    cr_expect_geq(result.figures.requestsCompleted, expected.answeredAtLeast, "%s, seed %lu",
+    cr_expect_eq(result.statistics.requestsSent, expected.requests);
+    cr_expect_geq(result.statistics.requestsCompleted, expected.minAnswered, "%s, seed %lu",
                   name.c_str(), seed);
-    cr_expect_eq(result.figures.samplesDelivered, expected.samples, "%s, seed %lu: %lu",
-                 name.c_str(), seed, result.figures.samplesDelivered);
+    cr_expect_eq(result.statistics.samplesDelivered, expected.samples, "%s, seed %lu: %lu",
+                 name.c_str(), seed, result.statistics.samplesDelivered);
   }
 }
 
@@ -61,7 +60,7 @@
 }
 Test(replay, strait_ferry_burst_while_control_fails) { replay("strait-ferry-burst.jsonl"); }
 
-Test(replay, malformed_lines_are_named) {
+Test(replay, parse_error_names_the_line) {
   const auto message = base::recover(
       [&]() -> base::Result<std::string> {
         BOOST_LEAF_CHECK(
--- a/test/simulation/scenario_test.cpp
+++ b/test/simulation/scenario_test.cpp
@@ -1,4 +1,4 @@
-/// Every scenario under fixed seeds, the determinism of a seed, and every mutant.
+/// Tests all scenarios with fixed seeds, the detection of all mutants, and determinism.
 #include "simulation/scenario.h"
 
 #include <criterion/criterion.h>
@@ -16,7 +16,7 @@
 std::string describe(const sim::RunResult& result) {
   std::string text = "seed " + std::to_string(result.seed);
   for (const sim::Violation& violation : result.violations) {
-    text += "; " + std::string(sim::toString(violation.promise)) + ": " + violation.what;
+    text += "; " + std::string(sim::toString(violation.invariant)) + ": " + violation.what;
   }
   return text;
 }
@@ -31,19 +31,19 @@
 
 }  // namespace
 
-// Parameters are positions: test processes share no addresses.
-ParameterizedTestParameters(scenarios, keeps_every_promise) {
+// The parameters are indexes because Criterion runs each test in its own process.
+ParameterizedTestParameters(scenarios, holds_every_invariant) {
   static criterion::parameters<std::size_t> indexes = indexesUpTo(sim::scenarios().size());
   return indexes;
 }
 
-ParameterizedTest(std::size_t* index, scenarios, keeps_every_promise) {
+ParameterizedTest(std::size_t* index, scenarios, holds_every_invariant) {
   const sim::Scenario& scenario = sim::scenarios().at(*index);
   for (std::uint64_t seed = 1; seed <= kSeedsPerScenario; ++seed) {
     const sim::RunResult result = sim::runScenario(scenario, nullptr, seed, nullptr);
     cr_expect(result.violations.empty(), "%s: %s", std::string(scenario.name).c_str(),
               describe(result).c_str());
-    cr_expect(result.figures.requestsCompleted > 0 && result.figures.samplesDelivered > 0);
+    cr_expect(result.statistics.requestsCompleted > 0 && result.statistics.samplesDelivered > 0);
   }
 }
 
--- a/test/storage/crash_test.cpp
+++ b/test/storage/crash_test.cpp
@@ -88,7 +88,7 @@
     }
     cr_assert(succeeds(log->sync()));
   }
-  disk.damage(random);
+  disk.corrupt(random);
   const auto code = base::recover(
       [&]() -> base::Result<std::optional<base::ErrorCode>> {
         BOOST_LEAF_CHECK(storage::SegmentedLog::open(disk, kIdentity, {}));
