--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// tackpick-emulator: engines, weight store, machine list and scorer as stand-ins on loopback.
+/// tackpick-emulator: emulates engines, weight store, machine list and scorer on the loopback
+/// interface.
 #include <asio.hpp>
 #include <csignal>
 #include <cxxopts.hpp>
@@ -9,7 +10,7 @@
 
 #include "base/timer.h"
 #include "emulator/emulated_engine.h"
-#include "emulator/platform.h"
+#include "emulator/emulated_platform.h"
 #include "http/client.h"
 #include "runtime/engine_json.h"
 
@@ -31,10 +32,11 @@
   std::uint16_t platformPort = 0;
   std::uint16_t adminPort = 0;
   std::string portFile;
-  std::vector<std::uint16_t> enginePorts;    ///< empty: the operating system's choice
-  std::vector<std::uint16_t> announcePorts;  ///< ports to announce instead, such as a proxy's
+  std::vector<std::uint16_t> enginePorts;  ///< empty: chosen by the operating system
+  std::vector<std::uint16_t>
+      announcePorts;  ///< ports to announce instead, such as those of a proxy
   std::uint64_t seed = 1;
-  std::uint64_t storeRate = 0;
+  std::uint64_t storeBytesPerSecond = 0;
   engine::EngineSimulatorSettings model;
 };
 
@@ -56,47 +58,48 @@
 }
 
 Options parseOptions(int argc, char** argv) {
-  cxxopts::Options parser("tackpick-emulator", "Stand-ins for engines and platform services");
+  cxxopts::Options parser("tackpick-emulator", "Emulates engines and platform services");
   const engine::EngineSimulatorSettings defaults;
   parser.add_options()("engines", "number of engines",
                        cxxopts::value<std::uint32_t>()->default_value("0"))(
       "first-engine", "number of the first engine",
       cxxopts::value<std::uint32_t>()->default_value("1"))(
-      "zones", "zones, given to the engines in turn",
+      "zones", "zones, assigned to the engines round-robin",
       cxxopts::value<std::string>()->default_value("zone-a"))(
       "platform", "URL of the platform to announce engines to",
       cxxopts::value<std::string>()->default_value(""))("serve-platform",
                                                         "serve machine list and scorer")(
-      "platform-port", "port of the platform; 0: any",
+      "platform-port", "port of the platform; 0: chosen by the system",
       cxxopts::value<std::uint16_t>()->default_value("0"))(
-      "admin-port", "port for faults; 0: any", cxxopts::value<std::uint16_t>()->default_value("0"))(
-      "port-file", "write the chosen ports to this file as JSON",
+      "admin-port", "port of the admin interface; 0: chosen by the system",
+      cxxopts::value<std::uint16_t>()->default_value("0"))(
+      "port-file", "file for the chosen ports as JSON",
       cxxopts::value<std::string>()->default_value(""))(
-      "engine-ports", "ports of the engines, one each; default: any",
+      "engine-ports", "ports of the engines, one each; default: chosen by the system",
       cxxopts::value<std::string>()->default_value(""))(
       "announce-ports", "ports to announce for the engines, such as those of a proxy",
       cxxopts::value<std::string>()->default_value(""))(
       "seed", "seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "slots", "sequences decoded together",
+      "slots", "number of sequences decoded in parallel",
       cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.slots)))(
-      "waiting-limit", "requests an engine queues",
+      "waiting-limit", "maximum number of queued requests per engine",
       cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.maxQueuedRequests)))(
-      "step-us", "base time of a decode step",
+      "step-us", "base duration of a decode step in microseconds",
       cxxopts::value<std::int64_t>()->default_value(
           std::to_string(defaults.stepBaseDuration.count())))(
-      "step-per-sequence-us", "time each sequence adds to a step",
+      "step-per-sequence-us", "additional step duration per sequence in microseconds",
       cxxopts::value<std::int64_t>()->default_value(
           std::to_string(defaults.stepDurationPerSequence.count())))(
-      "prefill-us", "time each uncached prompt token adds to a step",
+      "prefill-us", "additional step duration per uncached prompt token in microseconds",
       cxxopts::value<std::int64_t>()->default_value(
           std::to_string(defaults.prefillDurationPerToken.count())))(
-      "tokens-per-chunk", "tokens sent together",
+      "tokens-per-chunk", "tokens per chunk",
       cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.tokensPerChunk)))(
-      "swap-failure", "share of weight swaps that fail partway",
+      "swap-failure", "fraction of weight swaps that fail",
       cxxopts::value<double>()->default_value("0"))(
-      "store-rate", "bytes a second of the weight store",
+      "store-rate", "bandwidth of the weight store in bytes per second",
       cxxopts::value<std::uint64_t>()->default_value("20000000000"))(
-      "no-run-records", "do not keep a record of every run")("help", "show this text");
+      "no-run-records", "do not keep a record of each executed attempt")("help", "show this text");
   const auto parsed = parser.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << parser.help();
@@ -114,7 +117,7 @@
   options.enginePorts = parsePorts(parsed["engine-ports"].as<std::string>());
   options.announcePorts = parsePorts(parsed["announce-ports"].as<std::string>());
   options.seed = parsed["seed"].as<std::uint64_t>();
-  options.storeRate = parsed["store-rate"].as<std::uint64_t>();
+  options.storeBytesPerSecond = parsed["store-rate"].as<std::uint64_t>();
   options.model.slots = parsed["slots"].as<std::uint32_t>();
   options.model.maxQueuedRequests = parsed["waiting-limit"].as<std::uint32_t>();
   options.model.stepBaseDuration = base::Duration(parsed["step-us"].as<std::int64_t>());
@@ -126,13 +129,13 @@
   return options;
 }
 
-/// All that one emulator process runs.
-class Process {
+/// Engines, platform services and admin interface of the process.
+class EmulatorProcess {
  public:
-  explicit Process(const Options& options)
+  explicit EmulatorProcess(const Options& options)
       : options_(options),
         random_(options.seed),
-        store_(options.storeRate),
+        store_(options.storeBytesPerSecond),
         client_(context_),
         announce_timer_(context_),
         signals_(context_, SIGINT, SIGTERM),
@@ -142,9 +145,9 @@
                  handleAdmin(request, responder);
                }) {
     if (options.servePlatform) {
-      emulator::PlatformSettings settings;
+      emulator::EmulatedPlatformSettings settings;
       settings.port = options.platformPort;
-      platform_ = std::make_unique<emulator::Platform>(context_, settings);
+      platform_ = std::make_unique<emulator::EmulatedPlatform>(context_, settings);
       platform_url_ = "http://127.0.0.1:" + std::to_string(platform_->port());
     } else {
       platform_url_ = options.platformUrl;
@@ -211,8 +214,8 @@
       machine.engine.incarnation = engine->settings().incarnation;
       machine.engine.host = engine->settings().host;
       const std::size_t position = machines.size();
-      const bool elsewhere = position < options_.announcePorts.size();
-      machine.engine.port = elsewhere ? options_.announcePorts[position] : engine->port();
+      const bool hasAnnouncedPort = position < options_.announcePorts.size();
+      machine.engine.port = hasAnnouncedPort ? options_.announcePorts[position] : engine->port();
       machine.engine.zone = engine->settings().zone;
       machine.engine.model = engine->settings().model.model;
       machine.engine.draining = engine->model().status().draining;
@@ -235,18 +238,19 @@
     });
   }
 
-  /// POST /leave?engine=N, POST /fail-next-swap?engine=N, GET /record.
+  /// Serves POST /leave?engine=N, POST /fail-next-swap?engine=N (N may be `all`) and GET /record.
   void handleAdmin(const http::Request& request,
                    const std::shared_ptr<http::Responder>& responder) {
     constexpr int kOk = 200;
-    const std::string wanted = request.queryValue("engine");
+    const std::string selectedEngine = request.queryValue("engine");
     runtime::Json record{{"not_repeatable_run_twice", 0}, {"runs", 0}};
-    std::uint64_t doubled = 0;
+    std::uint64_t duplicates = 0;
     std::uint64_t runs = 0;
     for (const auto& engine : engines_) {
-      doubled += engine->notRepeatableRunTwice();
+      duplicates += engine->notRepeatableDuplicates();
       runs += engine->model().runs().size();
-      if (std::to_string(engine->settings().id.value) != wanted && wanted != "all") {
+      if (std::to_string(engine->settings().id.value) != selectedEngine &&
+          selectedEngine != "all") {
         continue;
       }
       if (request.path == "/leave") {
@@ -255,21 +259,23 @@
         engine->model().failNextSwap();
       }
     }
-    record["not_repeatable_run_twice"] = doubled;
+    record["not_repeatable_run_twice"] = duplicates;
     record["runs"] = runs;
     if (request.path == "/record") {
-      addNotRepeatableRuns(record);
+      addNotRepeatableExecutions(record);
     }
     responder->respond(kOk, {{"Content-Type", "application/json"}}, record.dump());
   }
 
-  /// Lists the runs of not-repeatable requests, so that a checker can compare engines.
-  void addNotRepeatableRuns(runtime::Json& record) const {
+  /// Adds the executions of not-repeatable requests, so that duplicates on different engines can be
+  /// found.
+  void addNotRepeatableExecutions(runtime::Json& record) const {
     record["not_repeatable_runs"] = runtime::Json::array();
     for (const auto& engine : engines_) {
-      for (const auto& [attempt, run] : engine->model().runs()) {
-        if (run.notRepeatable) {
-          record["not_repeatable_runs"].push_back(run.prompt + "#" + std::to_string(run.seed));
+      for (const auto& [attempt, execution] : engine->model().runs()) {
+        if (execution.notRepeatable) {
+          record["not_repeatable_runs"].push_back(execution.prompt + "#" +
+                                                  std::to_string(execution.seed));
         }
       }
     }
@@ -282,7 +288,7 @@
   http::Client client_;
   base::Timer announce_timer_;
   asio::signal_set signals_;
-  std::unique_ptr<emulator::Platform> platform_;
+  std::unique_ptr<emulator::EmulatedPlatform> platform_;
   std::string platform_url_;
   std::vector<std::unique_ptr<emulator::EmulatedEngine>> engines_;
   http::Server admin_;
@@ -292,7 +298,7 @@
 
 int main(int argc, char** argv) {
   try {
-    Process process(parseOptions(argc, argv));
+    EmulatorProcess process(parseOptions(argc, argv));
     process.run();
   } catch (const std::exception& error) {
     std::cerr << "tackpick-emulator: " << error.what() << "\n";
--- a/apps/faultproxy/main.cpp
+++ b/apps/faultproxy/main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// tackpick-faultproxy: a TCP proxy between real processes that delays, cuts, swallows, resets and
-/// truncates, driven over HTTP. See docs/API.md.
+/// tackpick-faultproxy: TCP proxy that delays, drops, resets and truncates connections. Controlled
+/// over HTTP, see docs/API.md.
 #include <asio.hpp>
 #include <csignal>
 #include <cxxopts.hpp>
@@ -22,7 +22,7 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 
-/// All routes, and the HTTP interface that makes and breaks them.
+/// Routes and the HTTP interface that adds them and sets their faults.
 class Proxy {
  public:
   explicit Proxy(std::uint16_t adminPort)
@@ -64,7 +64,7 @@
       responder.respond(kOk, json, Json{{"port", port}}.dump());
     } else if (request.path.starts_with(kPrefix)) {
       const auto route = routes_.find(request.path.substr(kPrefix.size()));
-      const auto fault = proxy::faultNamed(body.value("fault", ""));
+      const auto fault = proxy::parseFault(body.value("fault", ""));
       if (route == routes_.end() || !fault) {
         responder.respond(kNotFound, json, R"({"error":"no such route or fault"})");
         return;
@@ -96,17 +96,17 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  constexpr int kUsage = 2;
+  constexpr int kUsageError = 2;
   try {
     cxxopts::Options parser("tackpick-faultproxy", "Fault-injecting TCP proxy");
-    parser.add_options()("admin-port", "HTTP port; 0: any",
+    parser.add_options()("admin-port", "HTTP port; 0: chosen by the system",
                          cxxopts::value<std::uint16_t>()->default_value("0"));
     const auto parsed = parser.parse(argc, argv);
     Proxy proxy(parsed["admin-port"].as<std::uint16_t>());
     proxy.run();
   } catch (const std::exception& error) {
     std::cerr << "tackpick-faultproxy: " << error.what() << "\n";
-    return kUsage;
+    return kUsageError;
   }
   return 0;
 }
--- a/apps/faultproxy/route.cpp
+++ b/apps/faultproxy/route.cpp
@@ -10,15 +10,15 @@
 
 }  // namespace
 
-std::optional<Fault> faultNamed(std::string_view name) {
+std::optional<Fault> parseFault(std::string_view name) {
   static const std::map<std::string_view, Fault> kFaults = {
-      {"pass", Fault::kPass},
-      {"cut", Fault::kCut},
+      {"pass", Fault::kNone},
+      {"cut", Fault::kDisconnect},
       {"black_hole", Fault::kBlackHole},
-      {"swallow_requests", Fault::kSwallowRequests},
-      {"swallow_answers", Fault::kSwallowAnswers},
+      {"swallow_requests", Fault::kDropRequests},
+      {"swallow_answers", Fault::kDropResponses},
       {"reset_after", Fault::kResetAfter},
-      {"truncate_answer", Fault::kTruncateAnswer},
+      {"truncate_answer", Fault::kTruncateResponse},
   };
   const auto found = kFaults.find(name);
   return found == kFaults.end() ? std::nullopt : std::optional(found->second);
@@ -39,7 +39,7 @@
     if (error) {
       return;
     }
-    if (self->fault_ != Fault::kCut) {
+    if (self->fault_ != Fault::kDisconnect) {
       const auto relay = std::make_shared<Relay>(self, std::move(socket));
       std::erase_if(self->relays_, [](const std::weak_ptr<Relay>& old) { return old.expired(); });
       self->relays_.push_back(relay);
@@ -51,14 +51,14 @@
 
 void Route::setFault(Fault fault, std::uint64_t bytes) {
   fault_ = fault;
-  fault_bytes_ = bytes;
+  m_faultAfterBytes = bytes;
   const auto relays = relays_;
   for (const std::weak_ptr<Relay>& weak : relays) {
     const auto relay = weak.lock();
     if (!relay) {
       continue;
     }
-    if (fault == Fault::kCut) {
+    if (fault == Fault::kDisconnect) {
       relay->close();
     } else {
       relay->resume();
@@ -67,15 +67,15 @@
 }
 
 Relay::Direction::Direction(asio::io_context& context, asio::ip::tcp::socket& from,
-                            asio::ip::tcp::socket& to, bool towards)
-    : source(from), sink(to), towardsTarget(towards), buffer(kBufferBytes), timer(context) {}
+                            asio::ip::tcp::socket& to, bool isToTarget)
+    : source(from), sink(to), toTarget(isToTarget), buffer(kBufferBytes), timer(context) {}
 
-Relay::Relay(std::shared_ptr<Route> route, asio::ip::tcp::socket dialler)
+Relay::Relay(std::shared_ptr<Route> route, asio::ip::tcp::socket client)
     : route_(std::move(route)),
-      dialler_(std::move(dialler)),
+      m_client(std::move(client)),
       target_(route_->context()),
-      requests_(route_->context(), dialler_, target_, true),
-      answers_(route_->context(), target_, dialler_, false) {}
+      requests_(route_->context(), m_client, target_, true),
+      m_responses(route_->context(), target_, m_client, false) {}
 
 void Relay::start() {
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(route_->settings().host),
@@ -86,10 +86,10 @@
       return;
     }
     asio::error_code ignored;
-    self->dialler_.set_option(asio::ip::tcp::no_delay(true), ignored);
+    self->m_client.set_option(asio::ip::tcp::no_delay(true), ignored);
     self->target_.set_option(asio::ip::tcp::no_delay(true), ignored);
     self->read(self->requests_);
-    self->read(self->answers_);
+    self->read(self->m_responses);
   });
 }
 
@@ -98,32 +98,32 @@
     return;
   }
   asio::error_code ignored;
-  // Resetting, not finishing: the peers must not take this for an orderly end.
-  dialler_.set_option(asio::socket_base::linger(true, 0), ignored);
+  // Resets the connections, so that the peers do not take this for an orderly end.
+  m_client.set_option(asio::socket_base::linger(true, 0), ignored);
   target_.set_option(asio::socket_base::linger(true, 0), ignored);
-  dialler_.close(ignored);
+  m_client.close(ignored);
   target_.close(ignored);
   requests_.timer.cancel();
-  answers_.timer.cancel();
+  m_responses.timer.cancel();
 }
 
 void Relay::resume() {
   write(requests_);
-  write(answers_);
+  write(m_responses);
 }
 
-bool Relay::isHeld(const Direction& direction) const {
+bool Relay::isBlocked(const Direction& direction) const {
   switch (route_->fault()) {
     case Fault::kBlackHole:
       return true;
-    case Fault::kSwallowRequests:
-      return direction.towardsTarget;
-    case Fault::kSwallowAnswers:
-      return !direction.towardsTarget;
-    case Fault::kPass:
-    case Fault::kCut:
+    case Fault::kDropRequests:
+      return direction.toTarget;
+    case Fault::kDropResponses:
+      return !direction.toTarget;
+    case Fault::kNone:
+    case Fault::kDisconnect:
     case Fault::kResetAfter:
-    case Fault::kTruncateAnswer:
+    case Fault::kTruncateResponse:
       return false;
   }
   return false;
@@ -134,38 +134,39 @@
       asio::buffer(direction.buffer),
       [self = shared_from_this(), &direction](const asio::error_code& error, std::size_t size) {
         if (error) {
-          direction.ended = true;
+          direction.eof = true;
           self->write(direction);
           return;
         }
-        Piece piece;
-        piece.dueAt = std::chrono::steady_clock::now() + self->route_->settings().delay;
-        piece.bytes.assign(direction.buffer.begin(),
+        DelayedChunk chunk;
+        chunk.dueAt = std::chrono::steady_clock::now() + self->route_->settings().delay;
+        chunk.bytes.assign(direction.buffer.begin(),
                            direction.buffer.begin() + static_cast<std::ptrdiff_t>(size));
-        direction.queue.push_back(std::move(piece));
+        direction.queue.push_back(std::move(chunk));
         self->write(direction);
         self->read(direction);
       });
 }
 
-bool Relay::limit(Direction& direction, std::vector<char>& piece) const {
-  const bool counted = (route_->fault() == Fault::kResetAfter && direction.towardsTarget) ||
-                       (route_->fault() == Fault::kTruncateAnswer && !direction.towardsTarget);
-  if (!counted || direction.passed + piece.size() <= route_->faultBytes()) {
+bool Relay::truncateAtFault(Direction& direction, std::vector<char>& chunk) const {
+  const bool byteLimited = (route_->fault() == Fault::kResetAfter && direction.toTarget) ||
+                           (route_->fault() == Fault::kTruncateResponse && !direction.toTarget);
+  if (!byteLimited || direction.forwardedBytes + chunk.size() <= route_->faultAfterBytes()) {
     return false;
   }
-  const std::uint64_t left =
-      route_->faultBytes() > direction.passed ? route_->faultBytes() - direction.passed : 0;
-  piece.resize(left);
+  const std::uint64_t left = route_->faultAfterBytes() > direction.forwardedBytes
+                                 ? route_->faultAfterBytes() - direction.forwardedBytes
+                                 : 0;
+  chunk.resize(left);
   return true;
 }
 
 void Relay::write(Direction& direction) {
-  if (closed_ || direction.writing || isHeld(direction)) {
+  if (closed_ || direction.writing || isBlocked(direction)) {
     return;
   }
   if (direction.queue.empty()) {
-    if (direction.ended) {
+    if (direction.eof) {
       close();
     }
     return;
@@ -183,14 +184,14 @@
   }
   auto bytes = std::make_shared<std::vector<char>>(std::move(direction.queue.front().bytes));
   direction.queue.pop_front();
-  const bool breaks = limit(direction, *bytes);
+  const bool closeAfterWrite = truncateAtFault(direction, *bytes);
   direction.writing = true;
   asio::async_write(direction.sink, asio::buffer(*bytes),
-                    [self = shared_from_this(), &direction, bytes, breaks](
+                    [self = shared_from_this(), &direction, bytes, closeAfterWrite](
                         const asio::error_code& error, std::size_t size) {
                       direction.writing = false;
-                      direction.passed += size;
-                      if (error || breaks) {
+                      direction.forwardedBytes += size;
+                      if (error || closeAfterWrite) {
                         self->close();
                         return;
                       }
--- a/apps/faultproxy/route.h
+++ b/apps/faultproxy/route.h
@@ -1,5 +1,5 @@
 /// \file
-/// One way through the proxy, from a listening port to a target.
+/// Route of the proxy: forwards connections from a listening port to a target.
 #pragma once
 
 #include <asio.hpp>
@@ -15,35 +15,38 @@
 namespace tackpick::proxy {
 
 enum class Fault {
-  kPass,
-  kCut,              ///< existing connections break; new ones are refused
-  kBlackHole,        ///< connections stay open and nothing gets through, either way
-  kSwallowRequests,  ///< one-way cut: nothing from the dialling side gets through
-  kSwallowAnswers,   ///< one-way cut: nothing from the target gets through
-  kResetAfter,       ///< break the connection once that many bytes went to the target
-  kTruncateAnswer,   ///< break the connection once that many bytes came from the target
+  kNone,
+  kDisconnect,        ///< existing connections are reset and new ones closed
+  kBlackHole,         ///< connections stay open and nothing is forwarded
+  kDropRequests,      ///< nothing is forwarded from client to target
+  kDropResponses,     ///< nothing is forwarded from target to client
+  kResetAfter,        ///< connections are reset after a number of bytes to the target
+  kTruncateResponse,  ///< connections are reset after a number of bytes from the target
 };
 
-[[nodiscard]] std::optional<Fault> faultNamed(std::string_view name);
+/// Returns the fault with this name in the HTTP interface, or std::nullopt.
+[[nodiscard]] std::optional<Fault> parseFault(std::string_view name);
 
 struct RouteSettings {
   std::string host;
   std::uint16_t port = 0;
-  std::chrono::microseconds delay{0};  ///< added each way
+  std::chrono::microseconds delay{0};  ///< additional delay in each direction
 };
 
 class Relay;
 
-/// Accepts connections and relays them, under the fault that is set.
+/// Accepts connections and relays them with the current fault.
 class Route : public std::enable_shared_from_this<Route> {
  public:
   Route(asio::io_context& context, RouteSettings settings);
 
   void start();
+  /// Applies `fault` to existing and new connections. `bytes` is the limit of kResetAfter and
+  /// kTruncateResponse per connection.
   void setFault(Fault fault, std::uint64_t bytes);
   [[nodiscard]] std::uint16_t port() const;
   [[nodiscard]] Fault fault() const { return fault_; }
-  [[nodiscard]] std::uint64_t faultBytes() const { return fault_bytes_; }
+  [[nodiscard]] std::uint64_t faultAfterBytes() const { return m_faultAfterBytes; }
   [[nodiscard]] const RouteSettings& settings() const { return settings_; }
   [[nodiscard]] asio::io_context& context() { return context_; }
 
@@ -53,51 +56,52 @@
   asio::io_context& context_;
   RouteSettings settings_;
   asio::ip::tcp::acceptor acceptor_;
-  Fault fault_ = Fault::kPass;
-  std::uint64_t fault_bytes_ = 0;
+  Fault fault_ = Fault::kNone;
+  std::uint64_t m_faultAfterBytes = 0;
   std::vector<std::weak_ptr<Relay>> relays_;
 };
 
-/// One relayed connection. Bytes wait in a queue until their delay is over.
+/// One relayed connection. Forwards the received bytes after the delay of the route.
 class Relay : public std::enable_shared_from_this<Relay> {
  public:
-  Relay(std::shared_ptr<Route> route, asio::ip::tcp::socket dialler);
+  Relay(std::shared_ptr<Route> route, asio::ip::tcp::socket client);
 
   void start();
   void close();
-  /// Sends on what waits; called when a fault ends.
+  /// Forwards queued bytes. Called when the fault of the route has changed.
   void resume();
 
  private:
-  struct Piece {
+  struct DelayedChunk {
     std::chrono::steady_clock::time_point dueAt;
     std::vector<char> bytes;
   };
   struct Direction {
     Direction(asio::io_context& context, asio::ip::tcp::socket& from, asio::ip::tcp::socket& to,
-              bool towardsTarget);
+              bool isToTarget);
     asio::ip::tcp::socket& source;
     asio::ip::tcp::socket& sink;
-    const bool towardsTarget;
+    const bool toTarget;
     std::vector<char> buffer;
-    std::deque<Piece> queue;
+    std::deque<DelayedChunk> queue;
     asio::steady_timer timer;
     bool writing = false;
-    bool ended = false;
-    std::uint64_t passed = 0;
+    bool eof = false;
+    std::uint64_t forwardedBytes = 0;
   };
 
   void read(Direction& direction);
   void write(Direction& direction);
-  [[nodiscard]] bool isHeld(const Direction& direction) const;
-  /// Cuts `piece` to what the fault lets through; true when the connection must then break.
-  bool limit(Direction& direction, std::vector<char>& piece) const;
+  [[nodiscard]] bool isBlocked(const Direction& direction) const;
+  /// Truncates `chunk` to the byte limit of the fault. Returns whether the connection must be
+  /// closed afterwards.
+  bool truncateAtFault(Direction& direction, std::vector<char>& chunk) const;
 
   std::shared_ptr<Route> route_;
-  asio::ip::tcp::socket dialler_;
+  asio::ip::tcp::socket m_client;
   asio::ip::tcp::socket target_;
   Direction requests_;
-  Direction answers_;
+  Direction m_responses;
   bool closed_ = false;
 };
 
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -11,7 +11,7 @@
 using runtime::Json;
 
 constexpr int kOk = 200;
-constexpr std::uint32_t kMaximumAttempts = 6;
+constexpr std::uint32_t kMaxAttempts = 6;
 const std::string kNotRun = "not_run";
 const std::string kMayHaveRun = "may_have_run";
 
@@ -34,19 +34,19 @@
   end_ = end;
   for (const CallerWorkload& workload : options_.profile.callers) {
     ++senders_running_;
-    sendNext(workload);
+    scheduleNext(workload);
   }
 }
 
-void Callers::sendNext(const CallerWorkload& workload) {
-  const double gap = random_.exponential(1.0 / (workload.requestsPerSecond * options_.scale));
+void Callers::scheduleNext(const CallerWorkload& workload) {
+  const double gap = random_.exponential(1.0 / (workload.requestsPerSecond * options_.rateScale));
   auto timer = std::make_shared<base::Timer>(context_, fromSeconds(gap));
   timer->async_wait([this, timer, &workload](const asio::error_code& /*error*/) {
     if (clock_.now() >= end_) {
       --senders_running_;
       return;
     }
-    const std::uint64_t number = ++last_call_;
+    const std::uint64_t number = ++m_lastCallNumber;
     Call& call = calls_[number];
     call.workload = &workload;
     const auto tokens =
@@ -57,13 +57,13 @@
                   " question " + std::to_string(random_.next());
     call.seed = random_.below(1U << 30U);
     call.maximumTokens = std::max<std::uint32_t>(tokens, 1);
-    call.notRepeatable = random_.chance(workload.notRepeatableShare);
+    call.notRepeatable = random_.chance(workload.notRepeatableFraction);
     call.key = "key-" + std::to_string(options_.seed) + "-" + std::to_string(random_.next());
     call.gateway = random_.below(options_.gateways.size());
     call.startedAt = clock_.now();
     ++report_.requestsSent;
     send(number);
-    sendNext(workload);
+    scheduleNext(workload);
   });
 }
 
@@ -72,7 +72,7 @@
   ++call.attempts;
   call.sentAt = clock_.now();
   call.parser = {};
-  call.answer = {};
+  call.response = {};
   call.ended = false;
   call.failed = false;
   call.verdict.clear();
@@ -116,8 +116,8 @@
   }
   if (event.value("object", "") == "text_completion.end") {
     call.ended = true;
-    call.endCount = event["completion_tokens"].get<std::uint64_t>();
-    call.answer.spans = readAnswer(Json::array(), event["weights"]).spans;
+    call.reportedTokens = event["completion_tokens"].get<std::uint64_t>();
+    call.response.spans = parseResponse(Json::array(), event["weights"]).spans;
     return;
   }
   if (!call.firstTokenSeen) {
@@ -125,18 +125,18 @@
     report_.firstTokenMillis.push_back(base::toMilliseconds(clock_.now() - call.startedAt));
   }
   const auto offset = event["offset"].get<std::uint64_t>();
-  if (offset != call.answer.tokens.size()) {
-    ++report_.answersWrong;
+  if (offset != call.response.tokens.size()) {
+    ++report_.responsesIncorrect;
   }
   for (const Json& token : event["choices"][0]["token_ids"]) {
-    call.answer.tokens.push_back(token.get<engine::Token>());
+    call.response.tokens.push_back(token.get<engine::Token>());
   }
 }
 
 void Callers::onDone(std::uint64_t number, const http::ClientResult& result) {
   Call& call = calls_.at(number);
   if (result.complete && result.status == kOk && call.ended) {
-    judge(call);
+    checkResponse(call);
     calls_.erase(number);
     return;
   }
@@ -151,38 +151,39 @@
   if (verdict.empty()) {
     verdict = result.verdict == base::Verdict::kNotRun ? kNotRun : kMayHaveRun;
   }
-  retryOrCount(number, verdict, retryAfter);
+  retryOrRecord(number, verdict, retryAfter);
 }
 
-void Callers::judge(Call& call) {
-  ++report_.requestsAnsweredWhole;
+void Callers::checkResponse(Call& call) {
+  ++report_.requestsCompleted;
   report_.totalMillis.push_back(base::toMilliseconds(clock_.now() - call.startedAt));
-  const bool right = call.endCount == call.answer.tokens.size() &&
-                     hasExpectedLength(call.answer, call.prompt, call.seed, call.maximumTokens) &&
-                     hasCorrectVersions(call.answer, call.prompt, call.seed);
-  if (!right) {
-    ++report_.answersWrong;
+  const bool correct =
+      call.reportedTokens == call.response.tokens.size() &&
+      hasExpectedLength(call.response, call.prompt, call.seed, call.maximumTokens) &&
+      hasCorrectVersions(call.response, call.prompt, call.seed);
+  if (!correct) {
+    ++report_.responsesIncorrect;
   }
 }
 
-void Callers::retryOrCount(std::uint64_t number, const std::string& verdict,
-                           int retryAfterSeconds) {
+void Callers::retryOrRecord(std::uint64_t number, const std::string& verdict,
+                            int retryAfterSeconds) {
   Call& call = calls_.at(number);
-  // A resend of a not-repeatable request under its key is safe: it cannot run twice.
+  // A not-repeatable request can be resent because its key prevents a second execution.
   const bool inTime = clock_.now() < call.startedAt + call.workload->deadline;
-  if (call.attempts < kMaximumAttempts && inTime) {
+  if (call.attempts < kMaxAttempts && inTime) {
     ++report_.requestsRetried;
     call.gateway = (call.gateway + 1) % options_.gateways.size();
-    const auto pause = retryAfterSeconds > 0 ? base::Duration(base::seconds(retryAfterSeconds))
+    const auto delay = retryAfterSeconds > 0 ? base::Duration(base::seconds(retryAfterSeconds))
                                              : base::Duration(base::milliseconds(100));
-    auto timer = std::make_shared<base::Timer>(context_, pause);
+    auto timer = std::make_shared<base::Timer>(context_, delay);
     timer->async_wait([this, timer, number](const asio::error_code& /*error*/) { send(number); });
     return;
   }
   if (verdict == kNotRun) {
-    ++report_.requestsRefusedNotRun;
+    ++report_.requestsRejectedNotRun;
     if (call.notRepeatable && call.attempts == 1) {
-      refused_not_run_.insert(call.prompt + "#" + std::to_string(call.seed));
+      m_rejectedNotRun.insert(call.prompt + "#" + std::to_string(call.seed));
     }
   } else {
     ++report_.requestsIndeterminate;
--- a/apps/load/main.cpp
+++ b/apps/load/main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// tackpick-load: callers and trainers that judge every answer themselves. Exit codes: 0 every
-/// promise was kept, 1 one was broken or the run did not end in time, 2 wrong flags.
+/// tackpick-load: callers and trainers that check every response. Exit codes: 0 if all invariants
+/// hold, 1 if one is violated or the run does not end in time, 2 for wrong flags.
 #include <asio.hpp>
 #include <fstream>
 #include <iostream>
@@ -19,14 +19,14 @@
 namespace load = tackpick::load;
 using tackpick::runtime::Json;
 
-/// Offers the load of the options and collects a report.
-class Run {
+/// Generates the load and collects the report.
+class LoadRun {
  public:
-  explicit Run(const load::Options& options)
+  explicit LoadRun(const load::Options& options)
       : options_(options),
         client_(context_),
         callers_(context_, client_, options, report_),
-        progress_(context_) {
+        m_progressTimer(context_) {
     std::uint64_t number = 0;
     for (const load::TrainerWorkload& workload : options.profile.trainers) {
       trainers_.push_back(std::make_unique<load::Trainer>(context_, client_, options, workload,
@@ -34,55 +34,55 @@
     }
   }
 
-  /// False when the run did not end.
+  /// Runs the load. Returns whether all requests and batches ended in time.
   bool execute() {
     started_at_ = clock_.now();
     const base::TimePoint end = started_at_ + options_.duration;
-    // What was offered must end some time after the offer does.
-    constexpr base::Duration kGrace = base::seconds(90);
-    give_up_at_ = end + kGrace;
+    // Time for outstanding work after the load has ended.
+    constexpr base::Duration kCompletionTimeout = base::seconds(90);
+    m_deadline = end + kCompletionTimeout;
     callers_.start(end);
     for (const auto& trainer : trainers_) {
       trainer->start(end);
     }
-    check();
+    checkProgress();
     context_.run();
     collectEngineRecords();
-    return ended_;
+    return m_completed;
   }
 
   [[nodiscard]] const load::Report& report() const { return report_; }
 
  private:
-  void check() {
-    bool done = callers_.done();
+  void checkProgress() {
+    bool done = callers_.isDone();
     for (const auto& trainer : trainers_) {
-      done = done && trainer->done();
+      done = done && trainer->isDone();
     }
     const base::TimePoint now = clock_.now();
-    if (done || now >= give_up_at_) {
-      ended_ = done;
+    if (done || now >= m_deadline) {
+      m_completed = done;
       context_.stop();
       return;
     }
     constexpr base::Duration kReportInterval = base::seconds(5);
-    if (now - reported_at_ >= kReportInterval) {
-      reported_at_ = now;
+    if (now - m_lastReportAt >= kReportInterval) {
+      m_lastReportAt = now;
       std::cout << "[" << static_cast<int>(base::toSeconds(now - started_at_)) << " s] samples "
-                << report_.samplesDelivered << "/" << report_.samplesExpected << ", answers "
-                << report_.requestsAnsweredWhole << "/" << report_.requestsSent << ", versions "
-                << report_.weightsPublished << ", promises broken " << report_.promisesBroken()
+                << report_.samplesDelivered << "/" << report_.samplesExpected << ", responses "
+                << report_.requestsCompleted << "/" << report_.requestsSent << ", versions "
+                << report_.weightsPublished << ", violations " << report_.violationCount()
                 << std::endl;
     }
-    progress_.expires_after(std::chrono::milliseconds(50));
-    progress_.async_wait([this](const asio::error_code& error) {
+    m_progressTimer.expires_after(std::chrono::milliseconds(50));
+    m_progressTimer.async_wait([this](const asio::error_code& error) {
       if (!error) {
-        check();
+        checkProgress();
       }
     });
   }
 
-  /// Compares the engines' own records with what callers were told.
+  /// Compares the executions recorded by the engines with the verdicts that callers received.
   void collectEngineRecords() {
     std::map<std::string, std::uint64_t> runs;
     for (const std::string& url : options_.engineAdminUrls) {
@@ -103,8 +103,8 @@
       context.run();
     }
     for (const auto& [run, count] : runs) {
-      report_.notRepeatableRunTwice += count > 1 ? count - 1 : 0;
-      report_.notRunThatRan += callers_.refusedNotRun().contains(run) ? 1 : 0;
+      report_.notRepeatableDuplicates += count > 1 ? count - 1 : 0;
+      report_.falselyNotRun += callers_.rejectedNotRun().contains(run) ? 1 : 0;
     }
   }
 
@@ -115,32 +115,32 @@
   load::PublishedWeights weights_;
   load::Callers callers_;
   std::vector<std::unique_ptr<load::Trainer>> trainers_;
-  base::Timer progress_;
+  base::Timer m_progressTimer;
   base::MonotonicTimeSource clock_;
   base::TimePoint started_at_{};
-  base::TimePoint give_up_at_{};
-  base::TimePoint reported_at_{};
-  bool ended_ = false;
+  base::TimePoint m_deadline{};
+  base::TimePoint m_lastReportAt{};
+  bool m_completed = false;
 };
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  constexpr int kUsage = 2;
+  constexpr int kUsageError = 2;
   try {
     const load::Options options = load::parseOptions(argc, argv);
-    Run run(options);
+    LoadRun run(options);
     const bool ended = run.execute();
     std::cout << run.report().summary();
     if (!ended) {
-      std::cout << "the run did not end: something offered was never answered\n";
+      std::cout << "the run did not end in time: some requests or batches were not completed\n";
     }
     if (!options.reportFile.empty()) {
       std::ofstream(options.reportFile) << run.report().toJson() << "\n";
     }
-    return ended && run.report().promisesBroken() == 0 ? 0 : 1;
+    return ended && run.report().violationCount() == 0 ? 0 : 1;
   } catch (const std::exception& error) {
     std::cerr << "tackpick-load: " << error.what() << "\n";
-    return kUsage;
+    return kUsageError;
   }
 }
--- a/apps/load/options.h
+++ b/apps/load/options.h
@@ -1,5 +1,5 @@
 /// \file
-/// What load to make.
+/// Command-line options and load profiles.
 #pragma once
 
 #include <cstdint>
@@ -10,44 +10,44 @@
 
 namespace tackpick::load {
 
-/// A workload of callers.
+/// Workload of callers.
 struct CallerWorkload {
   std::string name;
   double requestsPerSecond = 0.0;
   double meanTokens = 24.0;
-  double notRepeatableShare = 0.0;
+  double notRepeatableFraction = 0.0;
   base::Duration deadline = base::seconds(10);
 };
 
-/// A workload of a trainer.
+/// Workload of a trainer.
 struct TrainerWorkload {
   std::string name;
-  std::uint32_t samples = 0;  ///< a batch
-  double minTokens = 30.0;    ///< lengths are Pareto distributed
+  std::uint32_t samplesPerBatch = 0;
+  double minTokens = 30.0;  ///< response lengths have a Pareto distribution
   double tailIndex = 1.35;
   double maxTokens = 700.0;
-  std::uint64_t stalenessBound = 0;  ///< as declared in the settings tree
-  std::uint32_t batchLookahead = 1;  ///< submitted before they are needed
+  std::uint64_t stalenessBound = 0;  ///< maximum age of weights in versions, as in the settings
+  std::uint32_t batchLookahead = 1;  ///< batches submitted in advance
   base::Duration trainingTime = base::seconds(2);
 };
 
-/// One of the users' deployments.
-struct Profile {
+/// Callers and trainers of a deployment.
+struct LoadProfile {
   std::vector<CallerWorkload> callers;
   std::vector<TrainerWorkload> trainers;
 };
 
 struct Options {
-  std::vector<std::string> gateways;  ///< URLs
+  std::vector<std::string> gateways;  ///< URLs of the gateways
   std::string callerToken;
   std::string trainerToken;
-  std::string scorerUrl;  ///< may be empty
+  std::string scorerUrl;  ///< URL of the scorer; empty if samples are not scored
   std::vector<std::string> engineAdminUrls;
-  Profile profile;
+  LoadProfile profile;
   base::Duration duration = base::seconds(20);
   std::uint64_t seed = 1;
   std::string reportFile;
-  double scale = 1.0;  ///< multiplies callers' rates
+  double rateScale = 1.0;  ///< factor of the callers' request rates
 };
 
 [[nodiscard]] Options parseOptions(int argc, char** argv);
--- a/apps/load/trainers.cpp
+++ b/apps/load/trainers.cpp
@@ -13,8 +13,8 @@
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
 constexpr int kGone = 410;
-constexpr auto kRetryPause = base::milliseconds(100);
-constexpr auto kPollPause = base::milliseconds(20);
+constexpr auto kRetryDelay = base::milliseconds(100);
+constexpr auto kPollInterval = base::milliseconds(20);
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 void Trainer::start(base::TimePoint end) {
   end_ = end;
   started_at_ = clock_.now();
-  submitAhead();
+  submitLookahead();
   waitForBatch();
 }
 
@@ -42,14 +42,14 @@
   batch.name =
       workload_.name + "-" + std::to_string(options_.seed) + "-" + std::to_string(++batch_number_);
   batch.trainerVersion = weights_.version;
-  for (std::uint32_t i = 0; i < workload_.samples; ++i) {
-    // A step repeats prompts of earlier steps, whose lengths resemble each other.
+  for (std::uint32_t i = 0; i < workload_.samplesPerBatch; ++i) {
+    // Batches share prompts, and responses to one prompt have similar lengths.
     constexpr std::uint64_t kPrompts = 40;
     const std::uint64_t prompt = random_.below(kPrompts);
     base::SeededRandom lengths(base::mix(prompt, base::mix(number_, options_.seed)));
-    const double usual =
+    const double typicalTokens =
         std::min(lengths.pareto(workload_.minTokens, workload_.tailIndex), workload_.maxTokens);
-    const auto tokens = static_cast<std::uint32_t>(usual);
+    const auto tokens = static_cast<std::uint32_t>(typicalTokens);
     Sample sample;
     sample.maximumTokens = static_cast<std::uint32_t>(workload_.maxTokens);
     sample.seed = (batch_number_ << 20U) + i;
@@ -57,14 +57,14 @@
         engine::aroundDirective(tokens) + workload_.name + " prompt " + std::to_string(prompt);
     batch.samples.push_back(std::move(sample));
   }
-  batch.deliveries.assign(batch.samples.size(), 0);
+  batch.deliveryCounts.assign(batch.samples.size(), 0);
   return batch;
 }
 
-void Trainer::submitAhead() {
+void Trainer::submitLookahead() {
   while (batches_.size() <= workload_.batchLookahead && clock_.now() < end_) {
     batches_.push_back(std::make_shared<Batch>(makeBatch()));
-    report_.samplesExpected += workload_.samples;
+    report_.samplesExpected += workload_.samplesPerBatch;
     submit(batches_.back());
   }
 }
@@ -96,7 +96,7 @@
 void Trainer::read() {
   Batch& batch = *batches_.front();
   if (!batch.submitted) {
-    after(kPollPause, [this] { read(); });
+    runAfter(kPollInterval, [this] { read(); });
     return;
   }
   call("GET",
@@ -108,16 +108,16 @@
   Batch& batch = *batches_.front();
   const Json body = Json::parse(result.body, nullptr, false);
   if (!body.is_object() || !body.contains("samples")) {
-    after(kPollPause, [this] { read(); });
+    runAfter(kPollInterval, [this] { read(); });
     return;
   }
   const Json& samples = body["samples"];
   for (const Json& sample : samples) {
-    judge(batch, sample);
+    checkSample(batch, sample);
   }
   batch.cursor = body["cursor"].get<std::uint32_t>();
   if (samples.empty()) {
-    after(kPollPause, [this] { read(); });
+    runAfter(kPollInterval, [this] { read(); });
     return;
   }
   score(samples, [this] {
@@ -129,33 +129,33 @@
   });
 }
 
-void Trainer::judge(Batch& batch, const Json& sample) {
+void Trainer::checkSample(Batch& batch, const Json& sample) {
   ++report_.samplesDelivered;
   const auto index = sample["index"].get<std::uint32_t>();
   if (index >= batch.samples.size()) {
     ++report_.samplesMislabelled;
     return;
   }
-  if (++batch.deliveries[index] > 1) {
+  if (++batch.deliveryCounts[index] > 1) {
     ++report_.samplesDuplicated;
   }
   const Sample& expected = batch.samples[index];
-  const ReceivedResponse answer = readAnswer(sample["token_ids"], sample["weights"]);
-  if (!hasExpectedLength(answer, expected.prompt, expected.seed, expected.maximumTokens) ||
-      !hasCorrectVersions(answer, expected.prompt, expected.seed)) {
+  const ReceivedResponse response = parseResponse(sample["token_ids"], sample["weights"]);
+  if (!hasExpectedLength(response, expected.prompt, expected.seed, expected.maximumTokens) ||
+      !hasCorrectVersions(response, expected.prompt, expected.seed)) {
     ++report_.samplesMislabelled;
   }
-  const std::uint64_t oldest = ledger::oldestVersion(answer.spans).value;
+  const std::uint64_t oldest = ledger::oldestVersion(response.spans).value;
   if (oldest + workload_.stalenessBound < batch.trainerVersion) {
     ++report_.samplesStale;
   }
-  const std::uint64_t behind = weights_.version > oldest ? weights_.version - oldest : 0;
-  report_.staleness.push_back(static_cast<double>(behind));
+  const std::uint64_t versionLag = weights_.version > oldest ? weights_.version - oldest : 0;
+  report_.staleness.push_back(static_cast<double>(versionLag));
 }
 
-void Trainer::score(const Json& samples, std::function<void()> then) {
+void Trainer::score(const Json& samples, std::function<void()> callback) {
   if (options_.scorerUrl.empty()) {
-    then();
+    callback();
     return;
   }
   http::ClientRequest request;
@@ -164,11 +164,11 @@
   request.body = samples.dump();
   request.timeout = base::seconds(2);
   client_.start(request, nullptr,
-                [this, samples, then = std::move(then)](const http::ClientResult& result) {
+                [this, samples, callback = std::move(callback)](const http::ClientResult& result) {
                   if (result.complete && result.status == kOk) {
-                    then();
+                    callback();
                   } else {
-                    after(kRetryPause, [this, samples, then] { score(samples, then); });
+                    runAfter(kRetryDelay, [this, samples, callback] { score(samples, callback); });
                   }
                 });
 }
@@ -176,20 +176,20 @@
 void Trainer::acknowledge() {
   const Batch& batch = *batches_.front();
   call("POST", "/v1/batches/" + batch.name + "/acknowledge", Json{{"cursor", batch.cursor}}.dump(),
-       [this](const http::ClientResult& /*result*/) { onWhole(); });
+       [this](const http::ClientResult& /*result*/) { onBatchComplete(); });
 }
 
-void Trainer::onWhole() {
+void Trainer::onBatchComplete() {
   const Batch& batch = *batches_.front();
   const base::TimePoint now = clock_.now();
-  report_.trainerIdle += now - waiting_since_;
+  report_.trainerIdleTime += now - waiting_since_;
   report_.batchSeconds.push_back(base::toSeconds(now - batch.submittedAt));
   ++report_.batches;
-  report_.samplesMissing +=
-      static_cast<std::uint64_t>(std::count(batch.deliveries.begin(), batch.deliveries.end(), 0));
+  report_.samplesMissing += static_cast<std::uint64_t>(
+      std::count(batch.deliveryCounts.begin(), batch.deliveryCounts.end(), 0));
   batches_.pop_front();
-  submitAhead();
-  after(workload_.trainingTime, [this] { publish(); });
+  submitLookahead();
+  runAfter(workload_.trainingTime, [this] { publish(); });
 }
 
 void Trainer::publish() {
@@ -201,17 +201,18 @@
 }
 
 void Trainer::finish() {
-  report_.trainerTotal += clock_.now() - started_at_;
-  done_ = true;
+  report_.trainerTotalTime += clock_.now() - started_at_;
+  m_done = true;
 }
 
-void Trainer::after(base::Duration pause, std::function<void()> then) {
-  auto timer = std::make_shared<base::Timer>(context_, pause);
-  timer->async_wait([timer, then = std::move(then)](const asio::error_code& /*error*/) { then(); });
+void Trainer::runAfter(base::Duration delay, std::function<void()> callback) {
+  auto timer = std::make_shared<base::Timer>(context_, delay);
+  timer->async_wait(
+      [timer, callback = std::move(callback)](const asio::error_code& /*error*/) { callback(); });
 }
 
 void Trainer::call(const std::string& method, const std::string& path, const std::string& body,
-                   OnAnswer onResponse) {
+                   OnResponse onResponse) {
   http::ClientRequest request;
   request.method = method;
   request.url = options_.gateways[gateway_ % options_.gateways.size()] + path;
@@ -223,17 +224,17 @@
                 [this, method, path, body,
                  onResponse = std::move(onResponse)](const http::ClientResult& result) {
                   constexpr int kConflict = 409;
-                  // Another trainer may have published a higher version of the shared model.
-                  const bool overtaken = result.status == kConflict && path == "/v1/weights";
+                  // Another trainer has already published a higher version of the shared model.
+                  const bool superseded = result.status == kConflict && path == "/v1/weights";
                   const bool answered =
                       result.complete && (result.status == kOk || result.status == kAccepted ||
-                                          result.status == kGone || overtaken);
+                                          result.status == kGone || superseded);
                   if (answered) {
                     onResponse(result);
                     return;
                   }
                   ++gateway_;
-                  after(kRetryPause, [this, method, path, body, onResponse] {
+                  runAfter(kRetryDelay, [this, method, path, body, onResponse] {
                     call(method, path, body, onResponse);
                   });
                 });
--- a/apps/load/trainers.h
+++ b/apps/load/trainers.h
@@ -1,5 +1,5 @@
 /// \file
-/// Trainers: submit batches, wait for them, train, publish weights.
+/// Trainers of a load run.
 #pragma once
 
 #include <asio.hpp>
@@ -10,22 +10,22 @@
 #include <string>
 #include <vector>
 
-#include "answer_checker.h"
 #include "base/random.h"
 #include "base/time.h"
 #include "http/client.h"
 #include "options.h"
 #include "report.h"
+#include "response_parser.h"
 
 namespace tackpick::load {
 
-/// The version that all trainers of the model last published.
+/// Latest published version, shared by all trainers of the model.
 struct PublishedWeights {
   std::uint64_t version = 1;
 };
 
-/// One trainer. Every call is repeated, at another gateway, until it is answered: all of them are
-/// safe to repeat.
+/// Submits batches, waits for their samples, trains and publishes weights. All calls are idempotent
+/// and are retried at another gateway until they are answered.
 class Trainer {
  public:
   Trainer(asio::io_context& context, http::Client& client, const Options& options,
@@ -33,7 +33,7 @@
           Report& report);
 
   void start(base::TimePoint end);
-  [[nodiscard]] bool done() const { return done_; }
+  [[nodiscard]] bool isDone() const { return m_done; }
 
  private:
   struct Sample {
@@ -45,29 +45,29 @@
     std::string name;
     std::uint64_t trainerVersion = 0;
     std::vector<Sample> samples;
-    std::vector<int> deliveries;
+    std::vector<int> deliveryCounts;
     std::uint32_t cursor = 0;
     base::TimePoint submittedAt{};
     bool submitted = false;
   };
-  using OnAnswer = std::function<void(const http::ClientResult& result)>;
+  using OnResponse = std::function<void(const http::ClientResult& result)>;
 
   Batch makeBatch();
-  void submitAhead();
+  void submitLookahead();
   void submit(const std::shared_ptr<Batch>& batch);
   void waitForBatch();
   void read();
   void onSamples(const http::ClientResult& result);
-  void judge(Batch& batch, const runtime::Json& sample);
-  void score(const runtime::Json& samples, std::function<void()> then);
+  void checkSample(Batch& batch, const runtime::Json& sample);
+  void score(const runtime::Json& samples, std::function<void()> callback);
   void acknowledge();
-  void onWhole();
+  void onBatchComplete();
   void publish();
   void finish();
-  void after(base::Duration pause, std::function<void()> then);
-  /// Repeats until a gateway gives an answer that `accepts` takes.
+  void runAfter(base::Duration delay, std::function<void()> callback);
+  /// Sends a request, and retries it at the next gateway until one accepts it.
   void call(const std::string& method, const std::string& path, const std::string& body,
-            OnAnswer onResponse);
+            OnResponse onResponse);
 
   asio::io_context& context_;
   http::Client& client_;
@@ -83,8 +83,8 @@
   base::TimePoint waiting_since_{};
   std::uint64_t batch_number_ = 0;
   std::size_t gateway_ = 0;
-  std::deque<std::shared_ptr<Batch>> batches_;  ///< submitted; the first is waited for
-  bool done_ = false;
+  std::deque<std::shared_ptr<Batch>> batches_;  ///< submitted batches; the first one is being read
+  bool m_done = false;
 };
 
 }  // namespace tackpick::load
--- a/apps/tackpickctl/capacity_commands.cpp
+++ b/apps/tackpickctl/capacity_commands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// tackpickctl: how many instances the platform is asked for.
+/// tackpickctl: command `capacity`.
 #include <iomanip>
 #include <iostream>
 
@@ -26,16 +26,16 @@
 }  // namespace
 
 int capacity(const Invocation& invocation) {
-  const ControlAnswer answer = callControllers(invocation.address, "GET", "/v1/capacity", "");
-  if (answer.status != kOk || !answer.body.contains("pools")) {
+  const ControlResponse response = callControllers(invocation.address, "GET", "/v1/capacity", "");
+  if (response.status != kOk || !response.body.contains("pools")) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
   }
   if (invocation.json) {
-    std::cout << answer.body["pools"].dump(2) << "\n";
+    std::cout << response.body["pools"].dump(2) << "\n";
     return kSuccess;
   }
-  for (const Json& pool : answer.body["pools"]) {
+  for (const Json& pool : response.body["pools"]) {
     printPool(pool);
   }
   return kSuccess;
--- a/apps/tackpickctl/commands.cpp
+++ b/apps/tackpickctl/commands.cpp
@@ -19,19 +19,22 @@
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
 
-/// Reads the whole state; nothing, with a message, when no controller answered.
-std::optional<Json> readState(const Invocation& invocation) {
-  const ControlAnswer answer = callControllers(invocation.address, "GET", "/v1/control/state", "");
-  if (answer.status != kOk) {
+/// Returns the state of the control plane. Prints an error and returns std::nullopt if no leader
+/// answered.
+std::optional<Json> fetchState(const Invocation& invocation) {
+  const ControlResponse response =
+      callControllers(invocation.address, "GET", "/v1/control/state", "");
+  if (response.status != kOk) {
     std::cerr << "no leading controller answered\n";
     return std::nullopt;
   }
-  return answer.body;
+  return response.body;
 }
 
 std::string newRequestId() {
-  constexpr std::size_t kBytes = 16;
-  return transport::sha256Hex(transport::randomBytes(kBytes)).substr(0, kBytes * 2);
+  constexpr std::size_t kRequestIdBytes = 16;
+  return transport::sha256Hex(transport::randomBytes(kRequestIdBytes))
+      .substr(0, kRequestIdBytes * 2);
 }
 
 std::string author() {
@@ -39,35 +42,35 @@
   return user == nullptr ? "operator" : user;
 }
 
-int printAnswer(const Invocation& invocation, const ControlAnswer& answer) {
-  if (answer.status == 0) {
+int printResponse(const Invocation& invocation, const ControlResponse& response) {
+  if (response.status == 0) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
   }
   if (invocation.json) {
-    std::cout << answer.body.dump(2) << "\n";
-  } else if (answer.body.contains("error")) {
-    std::cerr << answer.body["error"].value("message", "refused") << "\n";
+    std::cout << response.body.dump(2) << "\n";
+  } else if (response.body.contains("error")) {
+    std::cerr << response.body["error"].value("message", "refused") << "\n";
   } else {
-    std::cout << answer.body.value("status", "ok");
-    if (answer.body.contains("revision")) {
-      std::cout << " revision=" << answer.body["revision"];
+    std::cout << response.body.value("status", "ok");
+    if (response.body.contains("revision")) {
+      std::cout << " revision=" << response.body["revision"];
     }
-    const std::string message = answer.body.value("message", "");
+    const std::string message = response.body.value("message", "");
     std::cout << (message.empty() ? "" : " ") << message << "\n";
-    for (const Json& conflict : answer.body.value("conflicts", Json::array())) {
+    for (const Json& conflict : response.body.value("conflicts", Json::array())) {
       std::cout << "conflict " << conflict["path"] << " is at revision "
                 << conflict["current_revision"] << " with " << conflict["current_values"] << "\n";
     }
   }
-  if (answer.status == kConflict) {
+  if (response.status == kConflict) {
     return kConflictExit;
   }
-  return answer.status == kOk ? kSuccess : kRefused;
+  return response.status == kOk ? kSuccess : kRejected;
 }
 
 int post(const Invocation& invocation, const std::string& path, const Json& body) {
-  return printAnswer(invocation, callControllers(invocation.address, "POST", path, body.dump()));
+  return printResponse(invocation, callControllers(invocation.address, "POST", path, body.dump()));
 }
 
 using Nodes = std::map<std::string, Json>;
@@ -80,13 +83,13 @@
   return nodes;
 }
 
-/// The changes that bring the state to the declarations.
-Json changesFor(const std::vector<config::DeclaredNode>& declared, const Nodes& current,
-                bool prune) {
+/// Returns the changes that turn the current settings into the declared ones.
+Json diffSettings(const std::vector<config::DeclaredNode>& declared, const Nodes& current,
+                  bool prune) {
   Json changes = Json::array();
-  std::map<std::string, bool> wanted;
+  std::map<std::string, bool> declaredPaths;
   for (const config::DeclaredNode& node : declared) {
-    wanted[node.path] = true;
+    declaredPaths[node.path] = true;
     const Json values = runtime::valuesJson(node.values);
     const auto known = current.find(node.path);
     const bool same = known != current.end() && known->second["values"] == values;
@@ -99,9 +102,9 @@
                          {"set", values}});
     }
   }
-  // Children sort after their parents: remove from the end.
+  // Children sort after their parents, so nodes are removed in reverse order.
   for (auto it = current.rbegin(); prune && it != current.rend(); ++it) {
-    if (!wanted.contains(it->first) && !it->first.empty()) {
+    if (!declaredPaths.contains(it->first) && !it->first.empty()) {
       changes.push_back(
           {{"path", it->first}, {"expected_revision", it->second["revision"]}, {"remove", true}});
     }
@@ -125,10 +128,10 @@
   }
 }
 
-/// The changes between the declarations of -f and the current state; nothing on failure, with the
-/// exit code in `exitCode`.
+/// Returns the changes that turn the current settings into the declarations of -f. Returns
+/// std::nullopt on failure and sets `exitCode`.
 std::optional<Json> plannedChanges(const Invocation& invocation, Nodes& current, int& exitCode) {
-  exitCode = kUsage;
+  exitCode = kUsageError;
   bool valid = true;
   const auto declared = base::recover([&] { return config::loadDeclarations(invocation.folder); },
                                       [&](const base::Error& error) {
@@ -139,16 +142,16 @@
   if (!valid) {
     return std::nullopt;
   }
-  const auto state = readState(invocation);
+  const auto state = fetchState(invocation);
   if (!state) {
     exitCode = kUnreachable;
     return std::nullopt;
   }
   current = nodesByPath(*state);
-  return changesFor(declared, current, invocation.prune);
+  return diffSettings(declared, current, invocation.prune);
 }
 
-control::SettingsTree treeOf(const Json& state) {
+control::SettingsTree parseSettingsTree(const Json& state) {
   control::SettingsTree tree;
   for (const Json& item : state["nodes"]) {
     control::SettingsNode node;
@@ -202,7 +205,7 @@
 }
 
 int get(const Invocation& invocation) {
-  const auto state = readState(invocation);
+  const auto state = fetchState(invocation);
   if (!state) {
     return kUnreachable;
   }
@@ -224,7 +227,7 @@
 int set(const Invocation& invocation) {
   if (invocation.arguments.size() < 2) {
     std::cerr << "usage: tackpickctl set PATH KEY=VALUE...\n";
-    return kUsage;
+    return kUsageError;
   }
   Json values = Json::object();
   for (std::size_t i = 1; i < invocation.arguments.size(); ++i) {
@@ -233,7 +236,7 @@
     const auto key = control::findSettingKey(argument.substr(0, equals));
     if (!key || equals == std::string::npos) {
       std::cerr << argument << ": expected KEY=VALUE with a known key\n";
-      return kUsage;
+      return kUsageError;
     }
     std::string problem;
     const auto value =
@@ -244,7 +247,7 @@
                       });
     if (!problem.empty()) {
       std::cerr << problem << "\n";
-      return kUsage;
+      return kUsageError;
     }
     values.update(runtime::valuesJson({{*key, value}}));
   }
@@ -264,17 +267,17 @@
 int explain(const Invocation& invocation) {
   if (invocation.arguments.empty()) {
     std::cerr << "usage: tackpickctl explain WORKLOAD [KEY]\n";
-    return kUsage;
+    return kUsageError;
   }
-  const auto state = readState(invocation);
+  const auto state = fetchState(invocation);
   if (!state) {
     return kUnreachable;
   }
-  const control::SettingsTree tree = treeOf(*state);
+  const control::SettingsTree tree = parseSettingsTree(*state);
   const std::string& path = invocation.arguments[0];
   if (tree.find(path) == nullptr) {
-    std::cerr << "no node " << path << "\n";
-    return kRefused;
+    std::cerr << "unknown node " << path << "\n";
+    return kRejected;
   }
   for (const control::SettingSpec& specification : control::settingSpecs()) {
     if (invocation.arguments.size() > 1 && invocation.arguments[1] != specification.name) {
@@ -295,16 +298,16 @@
 
 int history(const Invocation& invocation) {
   const std::string after = invocation.arguments.empty() ? "0" : invocation.arguments[0];
-  const ControlAnswer answer =
+  const ControlResponse response =
       callControllers(invocation.address, "GET", "/v1/control/history?after=" + after, "");
-  if (answer.status != kOk) {
-    return printAnswer(invocation, answer);
+  if (response.status != kOk) {
+    return printResponse(invocation, response);
   }
   if (invocation.json) {
-    std::cout << answer.body.dump(2) << "\n";
+    std::cout << response.body.dump(2) << "\n";
     return kSuccess;
   }
-  for (const Json& entry : answer.body["entries"]) {
+  for (const Json& entry : response.body["entries"]) {
     std::cout << "revision " << entry["revision"] << " by " << entry["author"].get<std::string>()
               << " " << entry["path"] << ": " << entry["before"] << " -> "
               << (entry["removed"].get<bool>() ? Json("removed") : entry["after"]) << "\n";
@@ -316,7 +319,7 @@
   constexpr auto kInterval = std::chrono::seconds(1);
   std::uint64_t seen = 0;
   while (true) {
-    const auto state = readState(invocation);
+    const auto state = fetchState(invocation);
     if (!state) {
       return kUnreachable;
     }
@@ -332,7 +335,7 @@
 }
 
 int engines(const Invocation& invocation) {
-  const auto state = readState(invocation);
+  const auto state = fetchState(invocation);
   if (!state) {
     return kUnreachable;
   }
@@ -357,7 +360,7 @@
 int drain(const Invocation& invocation) {
   if (invocation.arguments.size() != 1) {
     std::cerr << "usage: tackpickctl drain ENGINE [--undo]\n";
-    return kUsage;
+    return kUsageError;
   }
   return post(invocation, "/v1/control/drain",
               {{"engine", std::strtoull(invocation.arguments[0].c_str(), nullptr, 10)},
@@ -366,11 +369,11 @@
 }
 
 int tenants(const Invocation& invocation) {
-  const auto state = readState(invocation);
+  const auto state = fetchState(invocation);
   if (!state) {
     return kUnreachable;
   }
-  const control::SettingsTree tree = treeOf(*state);
+  const control::SettingsTree tree = parseSettingsTree(*state);
   for (const auto& [path, node] : tree.nodes()) {
     if (path.empty()) {
       continue;
@@ -391,7 +394,7 @@
                           (invocation.arguments[0] == "add" || invocation.arguments[0] == "remove");
   if (!wellFormed) {
     std::cerr << "usage: tackpickctl members add|remove NODE-IDENTITY\n";
-    return kUsage;
+    return kUsageError;
   }
   return post(invocation, "/v1/control/members",
               {{"node", invocation.arguments[1]}, {"remove", invocation.arguments[0] == "remove"}});
@@ -402,7 +405,7 @@
                           (invocation.arguments[0] == "add" || invocation.arguments[0] == "remove");
   if (!wellFormed) {
     std::cerr << "usage: tackpickctl token add|remove TOKEN --role ROLE --tenant TENANT\n";
-    return kUsage;
+    return kUsageError;
   }
   return post(invocation, "/v1/control/credentials",
               {{"token_hash", transport::sha256Hex(invocation.arguments[1])},
@@ -415,25 +418,25 @@
 int status(const Invocation& invocation) {
   int exitCode = kUnreachable;
   for (const std::string& url : invocation.address.urls) {
-    const ControlAnswer answer =
-        callOne(url, invocation.address.token, "GET", "/v1/control/status", "");
-    if (answer.status != kOk) {
+    const ControlResponse response =
+        callController(url, invocation.address.token, "GET", "/v1/control/status", "");
+    if (response.status != kOk) {
       std::cout << url << " does not answer\n";
       continue;
     }
     exitCode = kSuccess;
     if (invocation.json) {
-      std::cout << answer.body.dump(2) << "\n";
+      std::cout << response.body.dump(2) << "\n";
       continue;
     }
-    const Json& control = answer.body["control"];
-    std::cout << url << " node=" << answer.body["node"].get<std::string>()
+    const Json& control = response.body["control"];
+    std::cout << url << " node=" << response.body["node"].get<std::string>()
               << " state=" << control["state"].get<std::string>() << " term=" << control["term"]
               << " commit=" << control["commit_index"] << " applied=" << control["applied_index"]
-              << " revision=" << answer.body["revision"] << " voters=" << control["voters"].size()
+              << " revision=" << response.body["revision"] << " voters=" << control["voters"].size()
               << " learners=" << control["learners"].size()
-              << " gateways=" << answer.body["gateways"].size() << "\n";
-    for (const Json& model : answer.body["weights"]) {
+              << " gateways=" << response.body["gateways"].size() << "\n";
+    for (const Json& model : response.body["weights"]) {
       std::cout << "  weights " << model["model"].get<std::string>() << " version "
                 << model["version"] << " on " << model["engines_active"] << " of "
                 << model["engines"] << " engines\n";
--- a/apps/tackpickctl/commands.h
+++ b/apps/tackpickctl/commands.h
@@ -11,17 +11,17 @@
 
 // Exit codes, documented in docs/OPERATIONS.md.
 inline constexpr int kSuccess = 0;
-inline constexpr int kRefused = 1;       ///< the controllers refused the change
-inline constexpr int kUsage = 2;         ///< wrong flags or files
-inline constexpr int kUnreachable = 3;   ///< no leading controller answered
-inline constexpr int kConflictExit = 4;  ///< somebody else changed the same node
+inline constexpr int kRejected = 1;      ///< the controllers rejected the change
+inline constexpr int kUsageError = 2;    ///< wrong flags or files
+inline constexpr int kUnreachable = 3;   ///< no leader answered
+inline constexpr int kConflictExit = 4;  ///< the node was changed by someone else
 inline constexpr int kDiffers = 5;       ///< `diff` found differences
 
-/// What every command knows.
+/// Parsed command line.
 struct Invocation {
   ControlAddress address;
-  std::vector<std::string> arguments;  ///< after the command's name
-  std::string folder;                  ///< -f
+  std::vector<std::string> arguments;  ///< arguments after the name of the command
+  std::string folder;                  ///< declarations: folder or file (option -f)
   std::string requestId;
   std::string expectedRevision;
   std::string tenant;
--- a/apps/tackpickctl/control_client.cpp
+++ b/apps/tackpickctl/control_client.cpp
@@ -10,13 +10,14 @@
 
 constexpr int kMisdirected = 421;
 constexpr int kUnavailable = 503;
-constexpr auto kElectionPause = std::chrono::milliseconds(300);
-constexpr int kRounds = 40;
+constexpr auto kElectionRetryDelay = std::chrono::milliseconds(300);
+constexpr int kMaxRounds = 40;
 
 }  // namespace
 
-ControlAnswer callOne(const std::string& url, const std::string& token, const std::string& method,
-                      const std::string& path, const std::string& body) {
+ControlResponse callController(const std::string& url, const std::string& token,
+                               const std::string& method, const std::string& path,
+                               const std::string& body) {
   asio::io_context context;
   http::Client client(context);
   http::ClientRequest request;
@@ -26,30 +27,30 @@
   request.headers["Content-Type"] = "application/json";
   request.body = body;
   request.timeout = base::seconds(15);
-  ControlAnswer answer;
+  ControlResponse response;
   client.start(request, nullptr, [&](const http::ClientResult& result) {
-    answer.status = result.complete ? result.status : 0;
-    answer.body = runtime::Json::parse(result.body, nullptr, false);
+    response.status = result.complete ? result.status : 0;
+    response.body = runtime::Json::parse(result.body, nullptr, false);
     context.stop();
   });
   context.run();
-  return answer;
+  return response;
 }
 
-ControlAnswer callControllers(const ControlAddress& address, const std::string& method,
-                              const std::string& path, const std::string& body) {
-  ControlAnswer last;
-  for (int round = 0; round < kRounds; ++round) {
+ControlResponse callControllers(const ControlAddress& address, const std::string& method,
+                                const std::string& path, const std::string& body) {
+  ControlResponse last;
+  for (int round = 0; round < kMaxRounds; ++round) {
     for (const std::string& url : address.urls) {
-      ControlAnswer answer = callOne(url, address.token, method, path, body);
-      const bool tryNext =
-          answer.status == 0 || answer.status == kMisdirected || answer.status == kUnavailable;
+      ControlResponse response = callController(url, address.token, method, path, body);
+      const bool tryNext = response.status == 0 || response.status == kMisdirected ||
+                           response.status == kUnavailable;
       if (!tryNext) {
-        return answer;
+        return response;
       }
-      last = answer.status == 0 ? last : answer;
+      last = response.status == 0 ? last : response;
     }
-    std::this_thread::sleep_for(kElectionPause);
+    std::this_thread::sleep_for(kElectionRetryDelay);
   }
   return last;
 }
--- a/apps/tackpickctl/control_client.h
+++ b/apps/tackpickctl/control_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to whichever controller leads.
+/// HTTP client for the controllers.
 #pragma once
 
 #include <optional>
@@ -10,26 +10,27 @@
 
 namespace tackpick::ctl {
 
-/// Where the controllers are and who asks.
+/// URLs of the controllers and the token of the operator.
 struct ControlAddress {
   std::vector<std::string> urls;  ///< `http://IP:port` of each controller
   std::string token;
 };
 
-struct ControlAnswer {
-  int status = 0;  ///< zero: no controller answered
+/// HTTP response of a controller.
+struct ControlResponse {
+  int status = 0;  ///< zero if no controller answered
   runtime::Json body;
 };
 
-/// Tries the controllers in turn until one that leads answers; waits out an election. Sends a
-/// change again only under its request id.
-[[nodiscard]] ControlAnswer callControllers(const ControlAddress& address,
-                                            const std::string& method, const std::string& path,
-                                            const std::string& body);
+/// Calls the controllers one after another until the leader answers, for several rounds with a
+/// delay between them. The body may be sent several times, so a change must carry a request id.
+[[nodiscard]] ControlResponse callControllers(const ControlAddress& address,
+                                              const std::string& method, const std::string& path,
+                                              const std::string& body);
 
-/// Asks one controller, whether it leads or not.
-[[nodiscard]] ControlAnswer callOne(const std::string& url, const std::string& token,
-                                    const std::string& method, const std::string& path,
-                                    const std::string& body);
+/// Calls one controller, which need not be the leader.
+[[nodiscard]] ControlResponse callController(const std::string& url, const std::string& token,
+                                             const std::string& method, const std::string& path,
+                                             const std::string& body);
 
 }  // namespace tackpick::ctl
--- a/apps/tackpickctl/main.cpp
+++ b/apps/tackpickctl/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// tackpickctl: the operators' command line. Exit codes are listed in docs/OPERATIONS.md.
+/// tackpickctl: command-line tool for operators. Exit codes are listed in docs/OPERATIONS.md.
 #include <cstdlib>
 #include <cxxopts.hpp>
 #include <fstream>
@@ -31,7 +31,7 @@
   return kCommands;
 }
 
-std::string environment(const char* name) {
+std::string environmentVariable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? "" : value;
 }
@@ -47,7 +47,7 @@
 
 std::string readToken(const std::string& file) {
   if (file.empty()) {
-    return environment("TACKPICK_TOKEN");
+    return environmentVariable("TACKPICK_TOKEN");
   }
   std::ifstream stream(file);
   std::string token;
@@ -62,21 +62,21 @@
   parser.add_options()("command", "command", cxxopts::value<std::string>()->default_value(""))(
       "arguments", "arguments", cxxopts::value<std::vector<std::string>>())(
       "controllers", "URLs of the controllers, separated by commas (TACKPICK_CONTROLLERS)",
-      cxxopts::value<std::string>()->default_value(environment("TACKPICK_CONTROLLERS")))(
-      "token-file", "file with the operator's token (else TACKPICK_TOKEN)",
+      cxxopts::value<std::string>()->default_value(environmentVariable("TACKPICK_CONTROLLERS")))(
+      "token-file", "file with the operator's token (default: TACKPICK_TOKEN)",
       cxxopts::value<std::string>()->default_value(""))(
-      "f,folder", "declarations: a folder or file",
+      "f,folder", "folder or file with declarations",
       cxxopts::value<std::string>()->default_value(""))(
-      "request-id", "use this id, to resend a change",
+      "request-id", "request id, to resend a change",
       cxxopts::value<std::string>()->default_value(""))(
-      "expect", "set: refuse unless the node is at this revision",
+      "expect", "set: reject the change unless the node is at this revision",
       cxxopts::value<std::string>()->default_value(""))(
       "tenant", "token: tenant", cxxopts::value<std::string>()->default_value(""))(
       "role", "token: caller, trainer or operator",
       cxxopts::value<std::string>()->default_value("caller"))("dry-run", "change nothing")(
-      "undo", "drain: end the drain")("prune", "apply, diff: remove what is not declared")(
+      "undo", "drain: end the drain")("prune", "apply, diff: remove nodes that are not declared")(
       "o,output", "table or json", cxxopts::value<std::string>()->default_value("table"))(
-      "json", "the same as --output json")("help", "show this text");
+      "json", "same as --output json")("help", "show this text");
   parser.parse_positional({"command", "arguments"});
   const auto parsed = parser.parse(argc, argv);
   const auto name = parsed["command"].as<std::string>();
@@ -87,7 +87,7 @@
       std::cerr << " " << known;
     }
     std::cerr << "\n";
-    return parsed.count("help") > 0 ? ctl::kSuccess : ctl::kUsage;
+    return parsed.count("help") > 0 ? ctl::kSuccess : ctl::kUsageError;
   }
   ctl::Invocation invocation;
   invocation.address.urls = split(parsed["controllers"].as<std::string>());
@@ -105,8 +105,8 @@
   invocation.prune = parsed.count("prune") > 0;
   invocation.json = parsed.count("json") > 0 || parsed["output"].as<std::string>() == "json";
   if (invocation.address.urls.empty()) {
-    std::cerr << "name the controllers with --controllers or TACKPICK_CONTROLLERS\n";
-    return ctl::kUsage;
+    std::cerr << "no controllers: set --controllers or TACKPICK_CONTROLLERS\n";
+    return ctl::kUsageError;
   }
   return command->second(invocation);
 }
@@ -118,6 +118,6 @@
     return run(argc, argv);
   } catch (const std::exception& error) {
     std::cerr << "tackpickctl: " << error.what() << "\n";
-    return ctl::kUsage;
+    return ctl::kUsageError;
   }
 }
--- a/apps/tackpickctl/quarantine_commands.cpp
+++ b/apps/tackpickctl/quarantine_commands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// tackpickctl: requests that are held since instances ended under them.
+/// tackpickctl: commands for quarantined requests.
 #include <iomanip>
 #include <iostream>
 
@@ -13,28 +13,28 @@
 constexpr int kOk = 200;
 constexpr const char* kPath = "/v1/quarantine";
 
-void printHold(const Json& hold) {
+void printQuarantined(const Json& entry) {
   constexpr int kServiceWidth = 20;
-  std::cout << hold.value("fingerprint", "") << "  " << std::left << std::setw(kServiceWidth)
-            << hold.value("service", "") << " instances=" << hold["instances"].size()
-            << " trials=" << hold.value("trials", 0) << " held_s=" << hold.value("held_s", 0.0)
-            << " next_trial_s=" << hold["next_trial_s"] << "\n";
+  std::cout << entry.value("fingerprint", "") << "  " << std::left << std::setw(kServiceWidth)
+            << entry.value("service", "") << " instances=" << entry["instances"].size()
+            << " trials=" << entry.value("trials", 0) << " held_s=" << entry.value("held_s", 0.0)
+            << " next_trial_s=" << entry["next_trial_s"] << "\n";
 }
 
 }  // namespace
 
 int quarantine(const Invocation& invocation) {
-  const ControlAnswer answer = callControllers(invocation.address, "GET", kPath, "");
-  if (answer.status != kOk || !answer.body.contains("held")) {
+  const ControlResponse response = callControllers(invocation.address, "GET", kPath, "");
+  if (response.status != kOk || !response.body.contains("held")) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
   }
   if (invocation.json) {
-    std::cout << answer.body["held"].dump(2) << "\n";
+    std::cout << response.body["held"].dump(2) << "\n";
     return kSuccess;
   }
-  for (const Json& hold : answer.body["held"]) {
-    printHold(hold);
+  for (const Json& entry : response.body["held"]) {
+    printQuarantined(entry);
   }
   return kSuccess;
 }
@@ -42,17 +42,17 @@
 int release(const Invocation& invocation) {
   if (invocation.arguments.size() != 1) {
     std::cerr << "usage: tackpickctl release FINGERPRINT\n";
-    return kUsage;
+    return kUsageError;
   }
   const std::string path = std::string(kPath) + "/" + invocation.arguments.front();
-  const ControlAnswer answer = callControllers(invocation.address, "DELETE", path, "");
-  if (answer.status == 0) {
+  const ControlResponse response = callControllers(invocation.address, "DELETE", path, "");
+  if (response.status == 0) {
     std::cerr << "no leading controller answered\n";
     return kUnreachable;
   }
-  if (answer.status != kOk) {
-    std::cerr << "no such request is held, or that is no fingerprint\n";
-    return kRefused;
+  if (response.status != kOk) {
+    std::cerr << "no held request has this fingerprint\n";
+    return kRejected;
   }
   std::cout << "released\n";
   return kSuccess;
--- a/apps/tackpickctl/work_commands.cpp
+++ b/apps/tackpickctl/work_commands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// tackpickctl: what waits and why.
+/// tackpickctl: command `work`.
 #include <algorithm>
 #include <iostream>
 
@@ -14,38 +14,38 @@
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-/// Asks one controller after the other, once: each asks the leaders of both groups itself, and an
-/// operator who looks for a fault should not wait long where there is no leader.
-ControlAnswer readWork(const ControlAddress& address) {
-  ControlAnswer last;
+/// Calls each controller at most once. A controller asks the leaders of both groups itself, and
+/// without a leader the command should fail without retries.
+ControlResponse fetchWork(const ControlAddress& address) {
+  ControlResponse last;
   for (const std::string& url : address.urls) {
-    ControlAnswer answer = callOne(url, address.token, "GET", "/v1/work", "");
-    if (answer.status == kOk && answer.body.is_object()) {
-      return answer;
+    ControlResponse response = callController(url, address.token, "GET", "/v1/work", "");
+    if (response.status == kOk && response.body.is_object()) {
+      return response;
     }
-    last = answer.status == 0 ? last : answer;
+    last = response.status == 0 ? last : response;
   }
   return last;
 }
 
-void tellUnanswered(const ControlAnswer& answer) {
-  if (answer.status == 0) {
+void printNoResponse(const ControlResponse& response) {
+  if (response.status == 0) {
     std::cerr << "no controller answered\n";
-  } else if (answer.status == kUnavailable) {
-    std::cerr << "controllers answer, and found no leader of the controllers nor of the ledgers\n";
+  } else if (response.status == kUnavailable) {
+    std::cerr << "the controllers found no leader of the controllers or the ledgers\n";
   } else {
-    std::cerr << "a controller answered with status " << answer.status << "\n";
+    std::cerr << "a controller answered with status " << response.status << "\n";
   }
 }
 
-void print(const Invocation& invocation, const Json& answer,
-           const std::vector<std::string>& parts) {
+void print(const Invocation& invocation, const Json& response,
+           const std::vector<std::string>& sections) {
   Json shown = Json::object();
-  for (const std::string& part : parts) {
+  for (const std::string& section : sections) {
     if (invocation.json) {
-      shown[part] = workPart(answer, part);
+      shown[section] = workSection(response, section);
     } else {
-      std::cout << workTable(answer, part);
+      std::cout << workTable(response, section);
     }
   }
   if (invocation.json) {
@@ -56,22 +56,22 @@
 }  // namespace
 
 int work(const Invocation& invocation) {
-  const std::vector<std::string>& parts =
-      invocation.arguments.empty() ? workParts() : invocation.arguments;
-  if (!std::all_of(parts.begin(), parts.end(), isWorkPart)) {
+  const std::vector<std::string>& sections =
+      invocation.arguments.empty() ? workSections() : invocation.arguments;
+  if (!std::all_of(sections.begin(), sections.end(), isWorkSection)) {
     std::cerr << "usage: tackpickctl work [jobs|tenants|models|engines|gateways]...\n";
-    return kUsage;
+    return kUsageError;
   }
-  const ControlAnswer answer = readWork(invocation.address);
-  if (answer.status != kOk || !answer.body.is_object()) {
-    tellUnanswered(answer);
+  const ControlResponse response = fetchWork(invocation.address);
+  if (response.status != kOk || !response.body.is_object()) {
+    printNoResponse(response);
     return kUnreachable;
   }
-  print(invocation, answer.body, parts);
-  const bool whole = std::all_of(parts.begin(), parts.end(), [&](const std::string& part) {
-    return hasWorkPart(answer.body, part);
-  });
-  return whole ? kSuccess : kUnreachable;
+  print(invocation, response.body, sections);
+  const bool allAnswered = std::all_of(
+      sections.begin(), sections.end(),
+      [&](const std::string& section) { return hasWorkSection(response.body, section); });
+  return allAnswered ? kSuccess : kUnreachable;
 }
 
 }  // namespace tackpick::ctl
--- a/apps/tackpickctl/work_table.cpp
+++ b/apps/tackpickctl/work_table.cpp
@@ -9,17 +9,17 @@
 
 using runtime::Json;
 
-/// One part of the answer.
-struct Part {
-  std::string name;                  ///< also the name of its list of rows
-  std::string group;                 ///< whose leader tells it
-  std::string total;                 ///< field with the number of all rows; empty: all are told
-  std::vector<std::string> columns;  ///< fields of a row
-  std::vector<std::string> extra;    ///< further fields beside the list
+/// Description of a section.
+struct Section {
+  std::string name;   ///< also the field with its rows
+  std::string group;  ///< group whose leader returns the section
+  std::string total;  ///< field with the total number of rows; empty if no rows are omitted
+  std::vector<std::string> columns;        ///< fields of a row that are shown
+  std::vector<std::string> summaryFields;  ///< further fields that are shown in the title
 };
 
-const std::vector<Part>& parts() {
-  static const std::vector<Part> kParts = {
+const std::vector<Section>& sections() {
+  static const std::vector<Section> kSections = {
       {"jobs",
        "ledgers",
        "total_jobs",
@@ -44,17 +44,18 @@
        {"gateway", "zone", "places", "held", "active", "slow_s"},
        {}},
   };
-  return kParts;
+  return kSections;
 }
 
-const Part& partOf(const std::string& name) {
-  return *std::find_if(parts().begin(), parts().end(),
-                       [&](const Part& part) { return part.name == name; });
+const Section& findSection(const std::string& name) {
+  return *std::find_if(sections().begin(), sections().end(),
+                       [&](const Section& section) { return section.name == name; });
 }
 
-/// What the part's leader answered; null when it did not.
-Json groupAnswer(const Json& answer, const Part& part) {
-  return answer.value(part.group, Json(nullptr));
+/// Returns the fields that the leader of the section's group returned, or null if it did not
+/// answer.
+Json groupResponse(const Json& response, const Section& section) {
+  return response.value(section.group, Json(nullptr));
 }
 
 std::string cell(const Json& value) {
@@ -73,18 +74,18 @@
 
 using Cells = std::vector<std::vector<std::string>>;
 
-Cells cellsOf(const Json& rows, const Part& part) {
-  Cells cells = {part.columns};
+Cells makeCells(const Json& rows, const Section& section) {
+  Cells cells = {section.columns};
   for (const Json& row : rows) {
     std::vector<std::string>& line = cells.emplace_back();
-    for (const std::string& column : part.columns) {
+    for (const std::string& column : section.columns) {
       line.push_back(cell(row.value(column, Json(nullptr))));
     }
   }
   return cells;
 }
 
-std::string aligned(const Cells& cells) {
+std::string formatTable(const Cells& cells) {
   std::vector<std::size_t> widths(cells.front().size());
   for (const auto& line : cells) {
     for (std::size_t i = 0; i < line.size(); ++i) {
@@ -103,64 +104,64 @@
   return text;
 }
 
-std::uint64_t totalOf(const Json& told, const Part& part, std::uint64_t shown) {
-  return part.total.empty() ? shown : told.value(part.total, shown);
+std::uint64_t totalOf(const Json& groupFields, const Section& section, std::uint64_t shown) {
+  return section.total.empty() ? shown : groupFields.value(section.total, shown);
 }
 
-std::string title(const Json& told, const Part& part, std::size_t shown) {
-  std::string text = part.name + ":";
-  const std::uint64_t total = totalOf(told, part, shown);
+std::string title(const Json& groupFields, const Section& section, std::size_t shown) {
+  std::string text = section.name + ":";
+  const std::uint64_t total = totalOf(groupFields, section, shown);
   text += total > shown ? fmt::format(" {} of {}", shown, total) : fmt::format(" {}", total);
-  for (const std::string& field : part.extra) {
-    text += fmt::format(" {}={}", field, told.value(field, std::uint64_t{0}));
+  for (const std::string& field : section.summaryFields) {
+    text += fmt::format(" {}={}", field, groupFields.value(field, std::uint64_t{0}));
   }
   return text + "\n";
 }
 
 }  // namespace
 
-const std::vector<std::string>& workParts() {
+const std::vector<std::string>& workSections() {
   static const std::vector<std::string> kNames = [] {
     std::vector<std::string> names;
-    for (const Part& part : parts()) {
-      names.push_back(part.name);
+    for (const Section& section : sections()) {
+      names.push_back(section.name);
     }
     return names;
   }();
   return kNames;
 }
 
-bool isWorkPart(const std::string& name) {
-  return std::find(workParts().begin(), workParts().end(), name) != workParts().end();
+bool isWorkSection(const std::string& name) {
+  return std::find(workSections().begin(), workSections().end(), name) != workSections().end();
 }
 
-bool hasWorkPart(const Json& answer, const std::string& part) {
-  return !groupAnswer(answer, partOf(part)).is_null();
+bool hasWorkSection(const Json& response, const std::string& section) {
+  return !groupResponse(response, findSection(section)).is_null();
 }
 
-Json workPart(const Json& answer, const std::string& name) {
-  const Part& part = partOf(name);
-  const Json told = groupAnswer(answer, part);
-  if (told.is_null()) {
+Json workSection(const Json& response, const std::string& name) {
+  const Section& section = findSection(name);
+  const Json groupFields = groupResponse(response, section);
+  if (groupFields.is_null()) {
     return nullptr;
   }
-  const Json rows = told.value(name, Json::array());
-  Json shown = {{"rows", rows}, {"total", totalOf(told, part, rows.size())}};
-  for (const std::string& field : part.extra) {
-    shown[field] = told.value(field, std::uint64_t{0});
+  const Json rows = groupFields.value(name, Json::array());
+  Json shown = {{"rows", rows}, {"total", totalOf(groupFields, section, rows.size())}};
+  for (const std::string& field : section.summaryFields) {
+    shown[field] = groupFields.value(field, std::uint64_t{0});
   }
   return shown;
 }
 
-std::string workTable(const Json& answer, const std::string& name) {
-  const Part& part = partOf(name);
-  const Json told = groupAnswer(answer, part);
-  if (told.is_null()) {
-    return fmt::format("{}: unknown, no leader of the {} answered\n", name, part.group);
+std::string workTable(const Json& response, const std::string& name) {
+  const Section& section = findSection(name);
+  const Json groupFields = groupResponse(response, section);
+  if (groupFields.is_null()) {
+    return fmt::format("{}: unknown, no leader of the {} answered\n", name, section.group);
   }
-  const Json rows = told.value(name, Json::array());
-  const std::string heading = title(told, part, rows.size());
-  return rows.empty() ? heading : heading + aligned(cellsOf(rows, part));
+  const Json rows = groupFields.value(name, Json::array());
+  const std::string heading = title(groupFields, section, rows.size());
+  return rows.empty() ? heading : heading + formatTable(makeCells(rows, section));
 }
 
 }  // namespace tackpick::ctl
--- a/apps/tackpickctl/work_table.h
+++ b/apps/tackpickctl/work_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The answer to `GET /v1/work` by its parts, as tables.
+/// Sections of the response to `GET /v1/work`, as tables or JSON.
 #pragma once
 
 #include <string>
@@ -9,15 +9,16 @@
 
 namespace tackpick::ctl {
 
-/// Names of all parts, in the order in which they are shown.
-[[nodiscard]] const std::vector<std::string>& workParts();
-[[nodiscard]] bool isWorkPart(const std::string& name);
-/// False when the leader that knows this part did not answer.
-[[nodiscard]] bool hasWorkPart(const runtime::Json& answer, const std::string& part);
-/// `rows` of the part and their `total`, which counts those that were left out too; null when its
-/// leader did not answer.
-[[nodiscard]] runtime::Json workPart(const runtime::Json& answer, const std::string& part);
-/// A title line and a row each; one line that says so when its leader did not answer.
-[[nodiscard]] std::string workTable(const runtime::Json& answer, const std::string& part);
+/// Returns the names of all sections in display order.
+[[nodiscard]] const std::vector<std::string>& workSections();
+[[nodiscard]] bool isWorkSection(const std::string& name);
+/// Whether the response contains the section. False if the leader of its group did not answer.
+[[nodiscard]] bool hasWorkSection(const runtime::Json& response, const std::string& section);
+/// Returns the `rows` of the section and their `total`, which includes omitted rows. Returns null
+/// if the leader of its group did not answer.
+[[nodiscard]] runtime::Json workSection(const runtime::Json& response, const std::string& section);
+/// Returns a title line and a table of the rows, or one line with a message if the leader of its
+/// group did not answer.
+[[nodiscard]] std::string workTable(const runtime::Json& response, const std::string& section);
 
 }  // namespace tackpick::ctl
--- a/apps/tackpickd/main.cpp
+++ b/apps/tackpickd/main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// tackpickd: the daemon. Exit codes: 0 stopped as planned, 1 failed while running, 2 refused its
-/// flags, settings or data folder.
+/// tackpickd: the daemon. Exit codes: 0 after a graceful shutdown, 1 after a failure at run time, 2
+/// if the flags, settings or data folder were rejected.
 #include <malloc.h>
 
 #include <csignal>
@@ -23,7 +23,7 @@
 namespace runtime = tackpick::runtime;
 namespace telemetry = tackpick::telemetry;
 
-constexpr int kRefused = 2;
+constexpr int kStartupRejected = 2;
 
 struct Options {
   std::string settingsFile;
@@ -35,7 +35,7 @@
   std::string dataFolder;
 };
 
-/// The settings file when no flag names it.
+/// Returns the default path of the settings file.
 std::string settingsFromEnvironment() {
   const char* path = std::getenv("TACKPICK_CONFIG");
   return path == nullptr ? "" : path;
@@ -48,12 +48,14 @@
       "check", "check the settings and exit")("init",
                                               "initialise empty data folders for a new cluster")(
       "join", "initialise empty data folders as a new node of an existing cluster")(
-      "internal", "overrides internal", cxxopts::value<std::string>()->default_value(""))(
-      "http", "overrides http", cxxopts::value<std::string>()->default_value(""))(
-      "zone", "overrides zone", cxxopts::value<std::string>()->default_value(""))(
-      "data-folder", "overrides data_folder", cxxopts::value<std::string>()->default_value(""))(
-      "events", "print the event catalogue and exit")(
-      "metrics", "print the catalogue of figures and exit")("help", "show this text");
+      "internal", "overrides the setting internal",
+      cxxopts::value<std::string>()->default_value(""))(
+      "http", "overrides the setting http", cxxopts::value<std::string>()->default_value(""))(
+      "zone", "overrides the setting zone", cxxopts::value<std::string>()->default_value(""))(
+      "data-folder", "overrides the setting data_folder",
+      cxxopts::value<std::string>()->default_value(""))("events",
+                                                        "print the event catalogue and exit")(
+      "metrics", "print the metric catalogue and exit")("help", "show this text");
   const auto parsed = parser.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << parser.help();
@@ -102,8 +104,8 @@
     std::cout << options.settingsFile << ": valid\n";
     return 0;
   }
-  static const tackpick::platform::PlatformAdapter kDialect;
-  return tackpick::node::runUntilStopped(settings, kDialect);
+  static const tackpick::platform::PlatformAdapter kPlatformAdapter;
+  return tackpick::node::runUntilStopped(settings, kPlatformAdapter);
 }
 
 base::Result<int> start(const Options& options) {
@@ -119,34 +121,37 @@
   return daemon->run();
 }
 
-/// Blocks of snapshots and long messages go back to the system when they are freed. The C library
-/// would keep more of them with each that it sees, and memory is limited.
-void returnLargeBlocks() {
-  constexpr int kLargeBytes = 256 * 1024;
-  mallopt(M_MMAP_THRESHOLD, kLargeBytes);
+/// Lets large blocks, such as those of snapshots, be allocated with mmap, so that they are returned
+/// to the system when they are freed. A fixed threshold disables its dynamic growth in the C
+/// library.
+void configureMalloc() {
+  constexpr int kMmapThresholdBytes = 256 * 1024;
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  // Until the daemon listens for signals, word that its settings changed would end it.
+  // SIGHUP asks for a reload of the settings and must not end the process before its handler is
+  // installed.
   std::signal(SIGHUP, SIG_IGN);
-  returnLargeBlocks();
+  configureMalloc();
   telemetry::initialiseLogging("tackpickd");
   try {
     const Options options = parseOptions(argc, argv);
-    return base::recover([&] { return start(options); },
-                         [](const base::Error& error) {
-                           const bool folder = error.code == base::ErrorCode::kCorrupt ||
-                                               error.code == base::ErrorCode::kWrongIdentity;
-                           telemetry::logEvent(folder ? telemetry::EventId::kDataFolderRefused
-                                                      : telemetry::EventId::kSettingsRefused,
-                                               error.message);
-                           std::cerr << error.message << "\n";
-                           return kRefused;
-                         });
+    return base::recover(
+        [&] { return start(options); },
+        [](const base::Error& error) {
+          const bool dataFolderError = error.code == base::ErrorCode::kCorrupt ||
+                                       error.code == base::ErrorCode::kWrongIdentity;
+          telemetry::logEvent(dataFolderError ? telemetry::EventId::kDataFolderRefused
+                                              : telemetry::EventId::kSettingsRefused,
+                              error.message);
+          std::cerr << error.message << "\n";
+          return kStartupRejected;
+        });
   } catch (const std::exception& error) {
     std::cerr << "tackpickd: " << error.what() << "\n";
-    return kRefused;
+    return kStartupRejected;
   }
 }
--- a/src/emulator/emulated_engine.cpp
+++ b/src/emulator/emulated_engine.cpp
@@ -27,7 +27,7 @@
   return server;
 }
 
-std::uint64_t numberOr(const std::string& text, std::uint64_t fallback) {
+std::uint64_t parseUnsignedOr(const std::string& text, std::uint64_t fallback) {
   const bool digits = !text.empty() && text.find_first_not_of("0123456789") == std::string::npos;
   return digits ? std::stoull(text) : fallback;
 }
@@ -54,21 +54,21 @@
                             const std::shared_ptr<http::Responder>& responder) {
   advance();
   if (request.path == "/v1/generate") {
-    generate(request, responder);
+    handleGenerate(request, responder);
   } else if (request.path == "/v1/load") {
-    load(request, responder);
+    handleLoad(request, responder);
   } else if (request.path == "/v1/orders") {
-    order(request, responder);
+    handleCommand(request, responder);
   } else if (request.path == "/v1/kv/export" || request.path == "/v1/kv/import") {
-    cacheTransfer(request, responder);
+    handleCacheTransfer(request, responder);
   } else {
     responder->respond(kNotFound, jsonHeaders(), R"({"error":"not found","ran":false})");
   }
   schedule();
 }
 
-void EmulatedEngine::generate(const http::Request& request,
-                              const std::shared_ptr<http::Responder>& responder) {
+void EmulatedEngine::handleGenerate(const http::Request& request,
+                                    const std::shared_ptr<http::Responder>& responder) {
   std::string problem;
   const auto parsed = base::recover([&] { return runtime::parseGenerateRequest(request.body); },
                                     [&](const base::Error& error) {
@@ -92,8 +92,8 @@
   });
 }
 
-void EmulatedEngine::order(const http::Request& request,
-                           const std::shared_ptr<http::Responder>& responder) {
+void EmulatedEngine::handleCommand(const http::Request& request,
+                                   const std::shared_ptr<http::Responder>& responder) {
   std::string problem;
   const auto parsed = base::recover([&] { return runtime::parseEngineOrder(request.body); },
                                     [&](const base::Error& error) {
@@ -107,18 +107,18 @@
   responder->respond(kOk, jsonHeaders(), runtime::toJson(model_.order(parsed, clock_.now())));
 }
 
-void EmulatedEngine::load(const http::Request& request,
-                          const std::shared_ptr<http::Responder>& responder) {
+void EmulatedEngine::handleLoad(const http::Request& request,
+                                const std::shared_ptr<http::Responder>& responder) {
   runtime::EngineReport report;
   report.status = model_.report(clock_.now());
-  const std::uint64_t after = numberOr(request.queryValue("cache_after"), 0);
+  const std::uint64_t after = parseUnsignedOr(request.queryValue("cache_after"), 0);
   report.cacheEvents = model_.cacheEventsAfter(after, clock_.now());
   report.cacheSequence = report.cacheEvents.empty() ? after : report.cacheEvents.back().sequence;
   responder->respond(kOk, jsonHeaders(), runtime::toJson(report));
 }
 
-void EmulatedEngine::cacheTransfer(const http::Request& request,
-                                   const std::shared_ptr<http::Responder>& responder) {
+void EmulatedEngine::handleCacheTransfer(const http::Request& request,
+                                         const std::shared_ptr<http::Responder>& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   if (!body.is_object()) {
     responder->respond(kBadRequest, jsonHeaders(), R"({"error":"not valid JSON"})");
@@ -136,7 +136,8 @@
   }
   engine::CacheExport imported;
   for (const Json& block : body.value("blocks", Json::array())) {
-    imported.blocks.push_back(numberOr(block.is_string() ? block.get<std::string>() : "", 0));
+    imported.blocks.push_back(
+        parseUnsignedOr(block.is_string() ? block.get<std::string>() : "", 0));
   }
   model_.importCache(imported, clock_.now());
   responder->respond(kOk, jsonHeaders(), "{}");
@@ -175,15 +176,15 @@
   });
 }
 
-std::uint64_t EmulatedEngine::notRepeatableRunTwice() const {
+std::uint64_t EmulatedEngine::notRepeatableDuplicates() const {
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> counts;
-  std::uint64_t doubled = 0;
-  for (const auto& [attempt, run] : model_.runs()) {
-    if (run.notRepeatable && ++counts[{run.prompt, run.seed}] > 1) {
-      ++doubled;
+  std::uint64_t duplicates = 0;
+  for (const auto& [attempt, execution] : model_.runs()) {
+    if (execution.notRepeatable && ++counts[{execution.prompt, execution.seed}] > 1) {
+      ++duplicates;
     }
   }
-  return doubled;
+  return duplicates;
 }
 
 }  // namespace tackpick::emulator
--- a/src/emulator/emulated_engine.h
+++ b/src/emulator/emulated_engine.h
@@ -1,5 +1,5 @@
 /// \file
-/// One emulated engine behind an HTTP server of its own.
+/// Emulated engine with an HTTP server.
 #pragma once
 
 #include <asio.hpp>
@@ -15,7 +15,7 @@
 
 namespace tackpick::emulator {
 
-/// Where and as what an emulated engine runs.
+/// Settings of an emulated engine.
 struct EmulatedEngineSettings {
   base::EngineId id;
   base::Incarnation incarnation;
@@ -23,10 +23,11 @@
   std::uint16_t port = 0;
   std::string zone;
   engine::EngineSimulatorSettings model;
-  bool recordRuns = true;
+  bool recordRuns = true;  ///< whether a record of each executed attempt is kept
 };
 
-/// Drives an EngineSimulator in real time. Closing the connection of a request cancels it.
+/// Runs an EngineSimulator in real time and serves the HTTP interface of an engine. A request is
+/// cancelled when its connection is closed.
 class EmulatedEngine {
  public:
   EmulatedEngine(asio::io_context& context, EmulatedEngineSettings settings,
@@ -35,16 +36,19 @@
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
   [[nodiscard]] const EmulatedEngineSettings& settings() const { return settings_; }
   [[nodiscard]] engine::EngineSimulator& model() { return model_; }
-  /// Runs of not-repeatable requests by (prompt, seed); more than one is a broken promise.
-  [[nodiscard]] std::uint64_t notRepeatableRunTwice() const;
+  /// Returns the number of executions of not-repeatable requests, identified by prompt and seed,
+  /// beyond the first of each. Must be zero.
+  [[nodiscard]] std::uint64_t notRepeatableDuplicates() const;
 
  private:
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-  void generate(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-  void order(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-  void load(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-  void cacheTransfer(const http::Request& request,
+  void handleGenerate(const http::Request& request,
+                      const std::shared_ptr<http::Responder>& responder);
+  void handleCommand(const http::Request& request,
                      const std::shared_ptr<http::Responder>& responder);
+  void handleLoad(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
+  void handleCacheTransfer(const http::Request& request,
+                           const std::shared_ptr<http::Responder>& responder);
   void advance();
   void schedule();
 
@@ -52,6 +56,7 @@
   EmulatedEngineSettings settings_;
   base::MonotonicTimeSource clock_;
   engine::EngineSimulator model_;
+  /// Streamed response by running attempt.
   std::unordered_map<base::AttemptId, std::shared_ptr<http::Responder>> streams_;
   base::Timer timer_;
   http::Server server_;
--- a/src/emulator/platform.cpp
+++ b/src/emulator/emulated_platform.cpp
@@ -1,4 +1,4 @@
-#include "emulator/platform.h"
+#include "emulator/emulated_platform.h"
 
 #include <utility>
 
@@ -17,7 +17,7 @@
   return kHeaders;
 }
 
-http::ServerSettings serverSettings(const PlatformSettings& settings) {
+http::ServerSettings serverSettings(const EmulatedPlatformSettings& settings) {
   http::ServerSettings server;
   server.host = settings.host;
   server.port = settings.port;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Platform::Platform(asio::io_context& context, PlatformSettings settings)
+EmulatedPlatform::EmulatedPlatform(asio::io_context& context, EmulatedPlatformSettings settings)
     : context_(context),
       settings_(std::move(settings)),
       server_(
@@ -35,10 +35,10 @@
             handle(request, responder);
           }) {}
 
-void Platform::handle(const http::Request& request,
-                      const std::shared_ptr<http::Responder>& responder) {
+void EmulatedPlatform::handle(const http::Request& request,
+                              const std::shared_ptr<http::Responder>& responder) {
   if (request.path == "/machines" && request.method == "GET") {
-    responder->respond(kOk, jsonHeaders(), runtime::toJson(laggingList()));
+    responder->respond(kOk, jsonHeaders(), runtime::toJson(laggedList()));
   } else if (request.path == "/machines") {
     announce(request.body);
     responder->respond(kOk, jsonHeaders(), "{}");
@@ -49,46 +49,46 @@
   }
 }
 
-void Platform::announce(const std::string& body) {
+void EmulatedPlatform::announce(const std::string& body) {
   const base::TimePoint now = clock_.now();
   for (const control::MachineListEntry& machine :
        runtime::parseMachineList(body).value_or(std::vector<control::MachineListEntry>{})) {
-    Seen& seen = seen_[machine.engine.engine];
-    if (machine.engine.incarnation < seen.machine.engine.incarnation) {
+    SeenMachine& known = m_machines[machine.engine.engine];
+    if (machine.engine.incarnation < known.machine.engine.incarnation) {
       continue;
     }
-    if (machine.engine.incarnation != seen.machine.engine.incarnation) {
-      seen = {};
-      seen.firstSeenAt = now;
+    if (machine.engine.incarnation != known.machine.engine.incarnation) {
+      known = {};
+      known.firstSeenAt = now;
     }
-    if (machine.engine.draining && !seen.machine.engine.draining) {
-      seen.leavingSeenAt = now;
+    if (machine.engine.draining && !known.machine.engine.draining) {
+      known.drainingSeenAt = now;
     }
-    seen.machine = machine;
-    seen.lastSeenAt = now;
+    known.machine = machine;
+    known.lastSeenAt = now;
   }
 }
 
-std::vector<control::MachineListEntry> Platform::laggingList() const {
+std::vector<control::MachineListEntry> EmulatedPlatform::laggedList() const {
   const base::TimePoint now = clock_.now();
   std::vector<control::MachineListEntry> list;
-  for (const auto& [id, seen] : seen_) {
-    const bool visible = now - seen.firstSeenAt >= settings_.listLag &&
-                         now - seen.lastSeenAt < settings_.silence + settings_.listLag;
+  for (const auto& [id, known] : m_machines) {
+    const bool visible = now - known.firstSeenAt >= settings_.listLag &&
+                         now - known.lastSeenAt < settings_.announceTimeout + settings_.listLag;
     if (!visible) {
       continue;
     }
-    control::MachineListEntry machine = seen.machine;
-    const bool leavingVisible = now - seen.leavingSeenAt >= settings_.listLag;
-    machine.engine.draining = machine.engine.draining && leavingVisible;
+    control::MachineListEntry machine = known.machine;
+    const bool drainingVisible = now - known.drainingSeenAt >= settings_.listLag;
+    machine.engine.draining = machine.engine.draining && drainingVisible;
     list.push_back(machine);
   }
   return list;
 }
 
-void Platform::score(const http::Request& request,
-                     const std::shared_ptr<http::Responder>& responder) {
-  auto timer = std::make_shared<base::Timer>(context_, settings_.scoreTime);
+void EmulatedPlatform::score(const http::Request& request,
+                             const std::shared_ptr<http::Responder>& responder) {
+  auto timer = std::make_shared<base::Timer>(context_, settings_.scoreLatency);
   const std::uint64_t hash = base::hashBytes(request.body);
   timer->async_wait([timer, responder, hash](const asio::error_code& /*error*/) {
     constexpr std::uint64_t kSteps = 1000;
--- a/src/emulator/platform.h
+++ b/src/emulator/emulated_platform.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's own services, emulated: the lagging machine list and the scorer.
+/// Emulated services of the hosting platform: machine list and scorer.
 #pragma once
 
 #include <asio.hpp>
@@ -15,39 +15,41 @@
 
 namespace tackpick::emulator {
 
-/// Knobs of Platform.
-struct PlatformSettings {
+/// Settings of EmulatedPlatform.
+struct EmulatedPlatformSettings {
   std::string host = "127.0.0.1";
   std::uint16_t port = 0;
-  base::Duration listLag = base::milliseconds(800);  ///< how late the list shows a change
-  base::Duration silence = base::seconds(3);         ///< an engine unheard for this long is gone
-  base::Duration scoreTime = base::milliseconds(5);
+  base::Duration listLag = base::milliseconds(800);  ///< delay after which the list shows a change
+  base::Duration announceTimeout =
+      base::seconds(3);  ///< time without announcement after which an engine is removed
+  base::Duration scoreLatency = base::milliseconds(5);
 };
 
-/// Engines announce themselves; readers get the list as it was `listLag` ago.
-class Platform {
+/// HTTP server to which emulators announce their engines. Serves the machine list as it was
+/// `listLag` ago.
+class EmulatedPlatform {
  public:
-  Platform(asio::io_context& context, PlatformSettings settings);
+  EmulatedPlatform(asio::io_context& context, EmulatedPlatformSettings settings);
 
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
 
  private:
-  struct Seen {
+  struct SeenMachine {
     control::MachineListEntry machine;
     base::TimePoint firstSeenAt{};
     base::TimePoint lastSeenAt{};
-    base::TimePoint leavingSeenAt{};
+    base::TimePoint drainingSeenAt{};
   };
 
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
   void announce(const std::string& body);
-  [[nodiscard]] std::vector<control::MachineListEntry> laggingList() const;
+  [[nodiscard]] std::vector<control::MachineListEntry> laggedList() const;
   void score(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
 
   asio::io_context& context_;
-  const PlatformSettings settings_;
+  const EmulatedPlatformSettings settings_;
   base::MonotonicTimeSource clock_;
-  std::map<base::EngineId, Seen> seen_;
+  std::map<base::EngineId, SeenMachine> m_machines;
   http::Server server_;
 };
 
--- a/test/tackpickctl/work_table_test.cpp
+++ b/test/tackpickctl/work_table_test.cpp
@@ -1,4 +1,4 @@
-/// Tables of what waits and why, from a controller's answer.
+/// Tests the tables and the JSON of `tackpickctl work`.
 #include "work_table.h"
 
 #include <criterion/criterion.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-Json answer() {
+Json response() {
   const Json late = {{"job", "late"},     {"tenant", ""},  {"model", "m"},  {"minimum_version", 7},
                      {"places_ready", 0}, {"priority", 0}, {"waiting", 12}, {"running", 0},
                      {"slack_s", -1.5},   {"age_s", 4.25}};
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-Test(work_table, job_that_waits_shows_its_slack_and_that_no_place_is_ready) {
+Test(work_table, waiting_job_shows_slack_and_ready_slots) {
   cr_assert_eq(
-      ctl::workTable(answer(), "jobs"),
+      ctl::workTable(response(), "jobs"),
       "jobs: 1 of 300\n"
       "  job   tenant  model  minimum_version  places_ready  priority  waiting  running  slack_s  "
       "age_s\n"
@@ -37,48 +37,48 @@
       "4.25\n");
 }
 
-Test(work_table, models_show_the_budget_of_loads) {
-  cr_assert_eq(ctl::workTable(answer(), "models"),
+Test(work_table, models_show_load_budget) {
+  cr_assert_eq(ctl::workTable(response(), "models"),
                "models: 1 loading=1 load_budget=2\n"
                "  model  published  needed  places_needed  places_ready  places_loading  "
                "expected_in_s\n"
                "  m      7          7       8              0             4               -2\n");
 }
 
-Test(work_table, what_is_not_known_of_a_gateway_is_a_dash) {
-  cr_assert_eq(ctl::workTable(answer(), "gateways"),
+Test(work_table, unknown_value_is_shown_as_dash) {
+  cr_assert_eq(ctl::workTable(response(), "gateways"),
                "gateways: 1\n"
                "  gateway    zone  places  held  active  slow_s\n"
                "  127.0.3.1  a     24      3     yes     -\n");
 }
 
-Test(work_table, part_without_an_answer_is_not_an_empty_one) {
-  Json partial = answer();
+Test(work_table, unanswered_section_is_not_shown_as_empty) {
+  Json partial = response();
   cr_assert_eq(ctl::workTable(partial, "engines"), "engines: 0\n");
-  cr_assert(ctl::hasWorkPart(partial, "engines"));
+  cr_assert(ctl::hasWorkSection(partial, "engines"));
   partial["ledgers"] = nullptr;
   cr_assert_eq(ctl::workTable(partial, "engines"),
                "engines: unknown, no leader of the ledgers answered\n");
-  cr_assert_not(ctl::hasWorkPart(partial, "engines"));
-  cr_assert(ctl::workPart(partial, "engines").is_null());
-  cr_assert(ctl::hasWorkPart(partial, "models"), "the controllers know that");
+  cr_assert_not(ctl::hasWorkSection(partial, "engines"));
+  cr_assert(ctl::workSection(partial, "engines").is_null());
+  cr_assert(ctl::hasWorkSection(partial, "models"), "the leader of the controllers answered");
   partial.erase("ledgers");
-  cr_assert_not(ctl::hasWorkPart(partial, "jobs"));
+  cr_assert_not(ctl::hasWorkSection(partial, "jobs"));
 }
 
-Test(work_table, part_as_json_tells_how_many_were_left_out) {
-  const Json jobs = ctl::workPart(answer(), "jobs");
+Test(work_table, section_json_includes_total) {
+  const Json jobs = ctl::workSection(response(), "jobs");
   cr_assert_eq(jobs["total"], 300);
   cr_assert_eq(jobs["rows"].size(), 1U);
-  const Json models = ctl::workPart(answer(), "models");
+  const Json models = ctl::workSection(response(), "models");
   cr_assert_eq(models["load_budget"], 2);
   cr_assert_eq(models["total"], 1);
 }
 
-Test(work_table, only_known_parts_are_parts) {
-  for (const std::string& part : ctl::workParts()) {
-    cr_assert(ctl::isWorkPart(part));
+Test(work_table, unknown_sections_are_rejected) {
+  for (const std::string& section : ctl::workSections()) {
+    cr_assert(ctl::isWorkSection(section));
   }
-  cr_assert_eq(ctl::workParts().size(), 5U);
-  cr_assert_not(ctl::isWorkPart("ledgers"));
+  cr_assert_eq(ctl::workSections().size(), 5U);
+  cr_assert_not(ctl::isWorkSection("ledgers"));
 }
