--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -245,10 +245,10 @@
     const std::string selectedEngine = request.queryValue("engine");
     runtime::Json record{{"not_repeatable_run_twice", 0}, {"runs", 0}};
     std::uint64_t duplicates = 0;
-    std::uint64_t runs = 0;
+    std::uint64_t executions = 0;
     for (const auto& engine : engines_) {
       duplicates += engine->notRepeatableDuplicates();
-      runs += engine->model().runs().size();
+      executions += engine->model().runs().size();
       if (std::to_string(engine->settings().id.value) != selectedEngine &&
           selectedEngine != "all") {
         continue;
@@ -260,7 +260,7 @@
       }
     }
     record["not_repeatable_run_twice"] = duplicates;
-    record["runs"] = runs;
+    record["runs"] = executions;
     if (request.path == "/record") {
       addNotRepeatableExecutions(record);
     }
--- a/apps/load/main.cpp
+++ b/apps/load/main.cpp
@@ -84,7 +84,7 @@
 
   /// Compares the executions recorded by the engines with the verdicts that callers received.
   void collectEngineRecords() {
-    std::map<std::string, std::uint64_t> runs;
+    std::map<std::string, std::uint64_t> executions;
     for (const std::string& url : options_.engineAdminUrls) {
       asio::io_context context;
       http::Client client(context);
@@ -94,17 +94,17 @@
       client.start(request, nullptr, [&](const http::ClientResult& result) {
         const Json body = Json::parse(result.body, nullptr, false);
         if (body.is_object()) {
-          for (const Json& run : body["not_repeatable_runs"]) {
-            ++runs[run.get<std::string>()];
+          for (const Json& execution : body["not_repeatable_runs"]) {
+            ++executions[execution.get<std::string>()];
           }
         }
         context.stop();
       });
       context.run();
     }
-    for (const auto& [run, count] : runs) {
+    for (const auto& [execution, count] : executions) {
       report_.notRepeatableDuplicates += count > 1 ? count - 1 : 0;
-      report_.falselyNotRun += callers_.rejectedNotRun().contains(run) ? 1 : 0;
+      report_.falselyNotRun += callers_.rejectedNotRun().contains(execution) ? 1 : 0;
     }
   }
 
--- a/apps/sim/main.cpp
+++ b/apps/sim/main.cpp
@@ -157,30 +157,30 @@
 /// Runs each mutant in its scenario until a seed detects it.
 int runMutants(RunOptions options) {
   std::size_t undetected = 0;
-  std::size_t detectedCount = 0;
+  std::size_t detected = 0;
   options.stopAtFailure = true;
   for (const Mutant& mutant : tackpick::simulation::mutants()) {
     options.mutant = &mutant;
     options.scenario = tackpick::simulation::findScenario(mutant.scenario);
     const std::vector<RunResult> results = runSeeds(options);
-    const RunResult* detected = nullptr;
+    const RunResult* detectingResult = nullptr;
     for (const RunResult& result : results) {
-      if (!result.violations.empty() && detected == nullptr) {
-        detected = &result;
+      if (!result.violations.empty() && detectingResult == nullptr) {
+        detectingResult = &result;
       }
     }
     std::cout << std::left << std::setw(26) << mutant.name << std::setw(18) << mutant.scenario;
-    if (detected != nullptr) {
-      ++detectedCount;
-      std::cout << "caught by seed " << detected->seed << ": "
-                << tackpick::simulation::toString(detected->violations.front().invariant)
+    if (detectingResult != nullptr) {
+      ++detected;
+      std::cout << "caught by seed " << detectingResult->seed << ": "
+                << tackpick::simulation::toString(detectingResult->violations.front().invariant)
                 << std::endl;
     } else {
       ++undetected;
       std::cout << "MISSED in " << results.size() << " seeds" << std::endl;
     }
   }
-  std::cout << detectedCount << " passed, " << undetected << " failed\n";
+  std::cout << detected << " passed, " << undetected << " failed\n";
   return undetected == 0 ? 0 : 1;
 }
 
--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -101,8 +101,8 @@
 }
 
 RunResult runOnce(const SimulationOptions& options) {
-  simulation::Simulator world(options, 1, nullptr);
-  return world.run();
+  simulation::Simulator simulator(options, 1, nullptr);
+  return simulator.run();
 }
 
 /// Share of one core, in percent, that one node of a role takes.
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -122,8 +122,8 @@
   threads.reserve(seeds);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     threads.emplace_back([&options, &results, seed] {
-      Simulator world(options, seed, nullptr);
-      results[seed - 1] = world.run();
+      Simulator simulator(options, seed, nullptr);
+      results[seed - 1] = simulator.run();
     });
   }
   for (std::thread& thread : threads) {
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -219,9 +219,8 @@
       reportViolation(Invariant::kNotRunVerdict, "rejected as not run but executed: " + prompt);
     }
     if (record.notRepeatable && record.executions > 1) {
-      reportViolation(
-          Invariant::kAtMostOnce,
-          "not repeatable but executed " + std::to_string(record.executions) + " times: " + prompt);
+      reportViolation(Invariant::kAtMostOnce,
+                      "ran " + std::to_string(record.executions) + " times: " + prompt);
     }
   }
   const std::int64_t expected = kInitialCounter + static_cast<std::int64_t>(accepted_changes_);
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -47,14 +47,14 @@
   options.faults.killGateway = kMediumInterval;
 }
 
-void wholeAnswer(SimulationOptions& options) {
+void completeResponse(SimulationOptions& options) {
   options.unorderedStreams = true;
   options.network = {0.01, 0.1, milliseconds(30), 0.0};
   options.load.streamFraction = 0.7;
   options.faults.crashEngine = kShortInterval;
 }
 
-void notRunIsTrue(SimulationOptions& options) {
+void notRunVerdict(SimulationOptions& options) {
   options.streamResets = 0.1;
   options.load.requestsPerSecond = 60;
   options.load.deadline = milliseconds(900);
@@ -88,7 +88,7 @@
   options.faults.suspendNode = kMediumInterval;
 }
 
-void plannedStop(SimulationOptions& options) {
+void gracefulShutdown(SimulationOptions& options) {
   options.load.maxResponseTokens = 300;
   options.load.requestsPerSecond = 40;
   options.faults.stopGateway = kShortInterval;
@@ -105,20 +105,20 @@
   options.faults.partitionLink = kMediumInterval;
 }
 
-void silentLeader(SimulationOptions& options) {
+void isolatedLeader(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
   options.load.trainingTime = milliseconds(100);
   options.faults.isolateLeader = kShortInterval;
 }
 
-void controlPlaneGone(SimulationOptions& options) {
+void controlPlaneOutage(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
   options.faults.killAllControllers = kMediumInterval;
 }
 
-void secondLoss(SimulationOptions& options) {
+void secondDiskLoss(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(200);
   options.loadDuration = seconds(25);
@@ -137,13 +137,13 @@
   options.faults.killGateway = kMediumInterval;
 }
 
-void frozen(SimulationOptions& options) {
+void suspendedProcesses(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(300);
   options.faults.suspendNode = milliseconds(1200);
 }
 
-void brokenDisks(SimulationOptions& options) {
+void diskFailures(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.changeInterval = milliseconds(200);
   options.faults.killController = milliseconds(700);
@@ -165,7 +165,7 @@
   options.network.maxExtraDelay = milliseconds(60);
 }
 
-void lateOrders(SimulationOptions& options) {
+void delayedCommands(SimulationOptions& options) {
   options.maxCommandDelay = milliseconds(1500);
   options.load.trainingTime = milliseconds(20);
   options.faults.killController = kMediumInterval;
@@ -197,7 +197,7 @@
   options.faults.partitionLink = kShortInterval;
 }
 
-void everything(SimulationOptions& options) {
+void allFaults(SimulationOptions& options) {
   options.load.operators = 3;
   options.load.trainers = 2;
   options.load.trainersRestart = true;
@@ -245,10 +245,10 @@
       {"trainer-restart", "exactly once: trainers restart, repeat calls and read positions again",
        trainerRestart},
       {"whole-answer", "complete responses: chunks are lost, duplicated, reordered; engines crash",
-       wholeAnswer},
+       completeResponse},
       {"not-run",
        "correct 'not run' verdicts: resets after the last byte, short deadlines, partitions",
-       notRunIsTrue},
+       notRunVerdict},
       {"overload", "correct 'not run' verdicts: far more requests than the engines can serve",
        overload},
       {"at-most-once",
@@ -257,31 +257,32 @@
        "draining engines: the list flaps, controllers are down, gateways are suspended",
        drainingEngine},
       {"planned-stop",
-       "graceful shutdowns: all roles shut down under load, several at the same time", plannedStop},
+       "graceful shutdowns: all roles shut down under load, several at the same time",
+       gracefulShutdown},
       {"configuration", "configuration: operators compete and resend while controllers are killed",
        configuration},
       {"silent-leader",
        "configuration: a leader is partitioned from its group but reachable by clients",
-       silentLeader},
+       isolatedLeader},
       {"control-plane-gone", "configuration: all controllers are down for longer than every lease",
-       controlPlaneGone},
+       controlPlaneOutage},
       {"second-loss", "no loss: a second machine loses its disk right after the first was replaced",
-       secondLoss},
+       secondDiskLoss},
       {"missed-changes",
        "configuration: processes restart from a snapshot after hundreds of changes", missedChanges},
-      {"frozen", "suspended processes resume with outdated state", frozen},
-      {"broken-disks", "torn writes, lost unsynced writes, failed syncs", brokenDisks},
+      {"frozen", "suspended processes resume with outdated state", suspendedProcesses},
+      {"broken-disks", "torn writes, lost unsynced writes, failed syncs", diskFailures},
       {"bad-network", "message loss, duplication, reordering, one-way partitions", badNetwork},
       {"reordered-chunks", "complete responses: chunks are reordered", reorderedChunks},
       {"late-orders", "correct versions: commands to engines are delayed, duplicated, reordered",
-       lateOrders},
+       delayedCommands},
       {"two-leaders", "configuration: a second leader is elected while the first one still serves",
        twoLeaders},
       {"split-votes",
        "one leader per term: slow links make several replicas candidates at the same time",
        splitVotes},
       {"drifting-clocks", "leases with the maximum allowed clock drift", driftingClocks},
-      {"everything", "all invariants: all faults at the same time", everything},
+      {"everything", "all invariants: all faults at the same time", allFaults},
   };
   return kScenarios;
 }
@@ -299,8 +300,8 @@
   if (mutant != nullptr) {
     mutant->apply(options);
   }
-  Simulator world(options, seed, traceOutput);
-  return world.run();
+  Simulator simulator(options, seed, traceOutput);
+  return simulator.run();
 }
 
 }  // namespace tackpick::simulation
--- a/src/simulation/simulated_node.cpp
+++ b/src/simulation/simulated_node.cpp
@@ -257,12 +257,12 @@
     return;
   }
   transport::Outbox messages;
-  std::vector<engine::OutgoingEngineCommand> orders;
+  std::vector<engine::OutgoingEngineCommand> commands;
   std::vector<gateway::Action> actions;
   if (controller_) {
     control::ControllerActions result = controller_->finish(localNow());
     messages = std::move(result.messages);
-    orders = std::move(result.orders);
+    commands = std::move(result.orders);
   } else if (ledger_) {
     messages = ledger_->finish(localNow());
   } else {
@@ -273,11 +273,11 @@
   if (m_crashDuringFlush) {
     messages.resize(environment_.random.below(messages.size() + 1));
     actions.resize(environment_.random.below(actions.size() + 1));
-    orders.clear();
+    commands.clear();
   }
   sendMessages(messages);
-  for (const engine::OutgoingEngineCommand& order : orders) {
-    sendLoadCommand(order);
+  for (const engine::OutgoingEngineCommand& command : commands) {
+    sendLoadCommand(command);
   }
   for (const gateway::Action& action : actions) {
     execute(action);
@@ -301,8 +301,8 @@
                                                              : Invariant::kExactlyOnce;
   for (const auto& other : environment_.nodes) {
     const consensus::Replica* otherReplica = other->replica();
-    const bool peer = other.get() != this && other->role_ == role_ && otherReplica != nullptr;
-    if (!peer || other->m_suspended || !otherReplica->raft().isLeader()) {
+    const bool isPeer = other.get() != this && other->role_ == role_ && otherReplica != nullptr;
+    if (!isPeer || other->m_suspended || !otherReplica->raft().isLeader()) {
       continue;
     }
     if (holdsLease && otherReplica->canRead(other->localNow())) {
--- a/src/simulation/simulated_node.h
+++ b/src/simulation/simulated_node.h
@@ -65,7 +65,7 @@
   void onCommandReply(const engine::EngineCommandReply& reply);
 
   // Requests of clients. The handlers run on the client machine; a null result or std::nullopt
-  // means that there was no answer.
+  // means that there was no response.
   using CallerHandler = std::function<void(const RequestOutcome&)>;
   void request(gateway::CallerRequest request, CallerHandler handler);
   using ResultHandler = std::function<void(const base::Bytes*)>;
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -70,12 +70,13 @@
   const auto count = traceLengths == nullptr ? load.samplesPerBatch
                                              : static_cast<std::uint32_t>(traceLengths->size());
   for (std::uint32_t index = 0; index < count; ++index) {
-    constexpr double kMinSample = 10.0;
+    constexpr double kMinSampleTokens = 10.0;
     constexpr double kTailIndex = 0.9;
     // Batches share prompts, and responses to one prompt have similar lengths.
     const std::uint64_t prompt = environment_.random.below(load.prompts);
     base::SeededRandom lengths(base::mix(prompt, number_));
-    const double tokens = std::min(lengths.pareto(kMinSample, kTailIndex), load.maxSampleTokens);
+    const double tokens =
+        std::min(lengths.pareto(kMinSampleTokens, kTailIndex), load.maxSampleTokens);
     ledger::SampleSpec sample;
     sample.index = index;
     sample.prompt = engine::aroundDirective(static_cast<std::uint32_t>(tokens)) + "sample " +
--- a/test/replay/replay_test.cpp
+++ b/test/replay/replay_test.cpp
@@ -38,8 +38,8 @@
     options.load.resendFraction = 0.0;
     options.load.maxSampleTokens = 500;
     options.load.stalenessBound = 6;
-    sim::Simulator world(options, seed, nullptr);
-    const sim::RunResult result = world.run();
+    sim::Simulator simulator(options, seed, nullptr);
+    const sim::RunResult result = simulator.run();
     const sim::TraceExpectation& expected = options.load.trace->expectation;
     cr_expect(result.violations.empty(), "%s, seed %lu: %s", name.c_str(), seed,
               result.violations.empty() ? "" : result.violations.front().what.c_str());
