--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-#include "simulation/world.h"
+#include "simulation/simulator.h"
 
 namespace {
 
@@ -20,7 +20,7 @@
 namespace routing = tackpick::routing;
 using tackpick::simulation::RunResult;
 using tackpick::simulation::SimulationOptions;
-using tackpick::simulation::World;
+using tackpick::simulation::Simulator;
 
 using Configure = void (*)(SimulationOptions&);
 
@@ -33,7 +33,7 @@
 void zoekwerk(SimulationOptions& options) {
   options.engines = 12;
   options.load.requestsPerSecond = 25;
-  options.load.notRepeatableShare = 0;
+  options.load.notRepeatableFraction = 0;
   options.load.maxResponseTokens = 200;
   options.load.trainers = 2;
   options.load.samplesPerBatch = 512;
@@ -46,7 +46,7 @@
 void straitFerry(SimulationOptions& options) {
   options.engines = 14;
   options.load.requestsPerSecond = 26;
-  options.load.notRepeatableShare = 0.45;
+  options.load.notRepeatableFraction = 0.45;
   options.load.resendFraction = 0;
   options.load.maxResponseTokens = 120;
   options.load.trainers = 1;
@@ -124,8 +124,8 @@
   threads.reserve(seeds);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     threads.emplace_back([&options, &results, seed] {
-      World world(options, seed, nullptr);
-      results[seed - 1] = world.run();
+      Simulator simulator(options, seed, nullptr);
+      results[seed - 1] = simulator.run();
     });
   }
   for (std::thread& thread : threads) {
@@ -137,7 +137,7 @@
 /// Returns a quantile of the time to first token in milliseconds.
 double firstTokenMillis(const RunResult& result, double quantile) {
   constexpr double kMillisPerSecond = 1000.0;
-  return percentile(result.figures.firstTokenSeconds, quantile) * kMillisPerSecond;
+  return percentile(result.statistics.firstTokenSeconds, quantile) * kMillisPerSecond;
 }
 
 void print(const std::string& profile, const std::string& policy,
@@ -148,23 +148,26 @@
   for (const RunResult& result : results) {
     violations += result.violations.size();
   }
-  const Spread idle = computeSpread(results, [](const RunResult& r) { return r.trainerIdle; });
+  const Spread idle =
+      computeSpread(results, [](const RunResult& r) { return r.trainerIdleFraction; });
   const Spread staleness =
       computeSpread(results, [](const RunResult& r) { return r.meanStaleness; });
   const Spread batch = computeSpread(
-      results, [](const RunResult& r) { return percentile(r.figures.batchSeconds, kMedian); });
-  const Spread samples = computeSpread(
-      results, [](const RunResult& r) { return static_cast<double>(r.figures.samplesDelivered); });
+      results, [](const RunResult& r) { return percentile(r.statistics.batchSeconds, kMedian); });
+  const Spread samples = computeSpread(results, [](const RunResult& r) {
+    return static_cast<double>(r.statistics.samplesDelivered);
+  });
   const Spread firstTokenP50 =
       computeSpread(results, [](const RunResult& r) { return firstTokenMillis(r, kMedian); });
   const Spread firstTokenP99 =
       computeSpread(results, [](const RunResult& r) { return firstTokenMillis(r, kTail); });
   const Spread wasted = computeSpread(results, [](const RunResult& r) {
-    return r.figures.tokensReceived == 0 ? 0.0
-                                         : static_cast<double>(r.figures.tokensDiscarded) /
-                                               static_cast<double>(r.figures.tokensReceived);
+    return r.statistics.tokensReceived == 0 ? 0.0
+                                            : static_cast<double>(r.statistics.tokensDiscarded) /
+                                                  static_cast<double>(r.statistics.tokensReceived);
   });
-  const Spread utilization = computeSpread(results, [](const RunResult& r) { return r.busyShare; });
+  const Spread utilization =
+      computeSpread(results, [](const RunResult& r) { return r.slotUtilization; });
   std::cout << "| " << profile << " | " << policy << " | " << toText(idle, 3) << " | "
             << toText(staleness, 2) << " | " << toText(batch, 2) << " | " << toText(samples, 0)
             << " | " << toText(firstTokenP50, 0) << " | " << toText(firstTokenP99, 0) << " | "
@@ -198,8 +201,8 @@
   for (const NamedOptions& profile : profiles) {
     for (const NamedOptions& policy : policies) {
       SimulationOptions options;
-      options.faultTime = base::seconds(parsed["seconds"].as<int>());
-      options.warmUp = base::seconds(25);
+      options.loadDuration = base::seconds(parsed["seconds"].as<int>());
+      options.warmUpDuration = base::seconds(25);
       options.load.operators = 0;
       profile.configure(options);
       if (policy.configure == nullptr) {
