--- a/test/integration/fleet.cpp
+++ b/test/integration/fleet.cpp
@@ -82,14 +82,14 @@
   const Json tenantNode{{"path", "t"}, {"set", Json::object()}};
   const Json askNode{{"path", "t/ask"}, {"set", {{"priority", 1}}}};
   const Json trainNode{{"path", "t/train"}, {"set", {{"priority", 5}, {"staleness_bound", 2}}}};
-  const HttpResponse applied = control(
+  const HttpResponse applied = callController(
       "apply",
       {{"author", "test"}, {"changes", Json::array({rootNode, tenantNode, askNode, trainNode})}});
   cr_assert_eq(applied.status, kOk, "%s", applied.body.c_str());
   for (const auto& [token, role] :
        {std::pair{kCallerToken, "caller"}, {kTrainerToken, "trainer"}}) {
-    control("credentials",
-            {{"token_hash", transport::sha256Hex(token)}, {"role", role}, {"tenant", "t"}});
+    callController("credentials",
+                   {{"token_hash", transport::sha256Hex(token)}, {"role", role}, {"tenant", "t"}});
   }
   for (const Node& gateway : m_gateways) {
     waitUntil(
@@ -207,7 +207,7 @@
   return *found;
 }
 
-HttpResponse Fleet::control(const std::string& path, const Json& body) {
+HttpResponse Fleet::callController(const std::string& path, const Json& body) {
   Json bodyWithRequestId = body;
   if (!bodyWithRequestId.contains("request_id")) {
     bodyWithRequestId["request_id"] = "test-" + std::to_string(++m_lastRequestNumber);
@@ -234,7 +234,7 @@
 
 HttpResponse Fleet::setSetting(const std::string& path, const std::string& key, const Json& value) {
   const Json change{{"path", path}, {"set", {{key, value}}}};
-  return control("apply", {{"author", "test"}, {"changes", Json::array({change})}});
+  return callController("apply", {{"author", "test"}, {"changes", Json::array({change})}});
 }
 
 HttpResponse Fleet::requestCompletion(const Node& gateway, const Json& body,
--- a/test/integration/fleet.h
+++ b/test/integration/fleet.h
@@ -57,7 +57,7 @@
 
   // Calls of operators.
   /// Posts to the controllers until one responds with a status other than 421 and 503.
-  HttpResponse control(const std::string& path, const Json& body);
+  HttpResponse callController(const std::string& path, const Json& body);
   /// Sets a value at a path of the settings tree and returns the response.
   HttpResponse setSetting(const std::string& path, const std::string& key, const Json& value);
 
--- a/test/integration/fleet_test.cpp
+++ b/test/integration/fleet_test.cpp
@@ -196,7 +196,7 @@
   waitUntil([&] { return fleet.controllerStatus(*lost).is_object(); }, "the new machine responds");
   const std::string identity = fleet.controllerStatus(*lost)["node"].get<std::string>();
   cr_assert_neq(identity, oldIdentity);
-  cr_assert_eq(fleet.control("members", {{"node", identity}}).status, 200);
+  cr_assert_eq(fleet.callController("members", {{"node", identity}}).status, 200);
   waitUntil(
       [&] {
         const Json voters = fleet.controllerStatus(fleet.leader())["control"]["voters"];
@@ -205,7 +205,8 @@
       "the new machine votes");
   waitUntil(
       [&] {
-        return fleet.control("members", {{"node", oldIdentity}, {"remove", true}}).status == 200;
+        return fleet.callController("members", {{"node", oldIdentity}, {"remove", true}}).status ==
+               200;
       },
       "the lost identity is removed");
   // Loses a second controller immediately after.
@@ -222,13 +223,13 @@
   Fleet fleet;
   const Json change{{"path", "t"}, {"set", {{"token_limit", 777}}}};
   const Json body{{"author", "test"}, {"request_id", "same"}, {"changes", Json::array({change})}};
-  const HttpResponse first = fleet.control("apply", body);
+  const HttpResponse first = fleet.callController("apply", body);
   fleet.leader().process->kill();
-  const HttpResponse second = fleet.control("apply", body);
+  const HttpResponse second = fleet.callController("apply", body);
   cr_assert_eq(Json::parse(first.body)["revision"], Json::parse(second.body)["revision"]);
   const Json other{{"path", "t"}, {"set", {{"token_limit", 778}}}};
   const Json reused{{"author", "test"}, {"request_id", "same"}, {"changes", Json::array({other})}};
-  cr_assert_eq(fleet.control("apply", reused).status, 409);
+  cr_assert_eq(fleet.callController("apply", reused).status, 409);
 }
 
 Test(fleet, graceful_shutdown_drops_no_request) {
