--- a/src/runtime/api_responses.h
+++ b/src/runtime/api_responses.h
@@ -27,8 +27,8 @@
 inline constexpr int kBadGateway = 502;
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
-inline constexpr std::int64_t kMaximumInteger = std::numeric_limits<std::int64_t>::max();
-inline constexpr std::int64_t kMaximumUnsigned32 = std::numeric_limits<std::uint32_t>::max();
+inline constexpr std::int64_t kMaxInt64 = std::numeric_limits<std::int64_t>::max();
+inline constexpr std::int64_t kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
 
 [[nodiscard]] const http::Headers& jsonHeaders();
 /// The body of an error: reason, message, verdict and when to come back.
@@ -38,8 +38,8 @@
 void respondError(http::Responder& responder, int status, const std::string& reason,
                   const std::string& message, base::Verdict verdict = base::Verdict::kNotRun,
                   base::Duration retryAfter = base::Duration{0});
-/// The request's body; an empty object, and the problem, when it is not valid JSON.
-[[nodiscard]] Json parseBody(const http::Request& request, std::string& problem);
+/// The request's body; an empty object, and the errorMessage, when it is not valid JSON.
+[[nodiscard]] Json parseBody(const http::Request& request, std::string& errorMessage);
 /// Which version produced which tokens.
 [[nodiscard]] Json spansJson(const std::vector<ledger::VersionSpan>& spans);
 
--- a/src/runtime/engine_json.h
+++ b/src/runtime/engine_json.h
@@ -28,18 +28,19 @@
                                                           base::AttemptId attempt);
 
 /// A load report, with the cache events that came with it.
-struct EngineReport {
+struct EngineLoadReport {
   engine::EngineStatus status;
   std::vector<engine::SequencedCacheEvent> cacheEvents;
   std::uint64_t cacheSequence = 0;  ///< of the newest event that is due
 };
-[[nodiscard]] std::string toJson(const EngineReport& report);
-[[nodiscard]] std::optional<EngineReport> parseEngineReport(const std::string& body);
+[[nodiscard]] std::string toJson(const EngineLoadReport& report);
+[[nodiscard]] std::optional<EngineLoadReport> parseEngineLoadReport(const std::string& body);
 
-[[nodiscard]] std::string toJson(const engine::EngineCommand& order);
-[[nodiscard]] base::Result<engine::EngineCommand> parseEngineOrder(const std::string& body);
+[[nodiscard]] std::string toJson(const engine::EngineCommand& command);
+[[nodiscard]] base::Result<engine::EngineCommand> parseEngineCommand(const std::string& body);
 [[nodiscard]] std::string toJson(const engine::EngineCommandReply& reply);
-[[nodiscard]] std::optional<engine::EngineCommandReply> parseOrderReply(const std::string& body);
+[[nodiscard]] std::optional<engine::EngineCommandReply> parseEngineCommandReply(
+    const std::string& body);
 
 /// The platform's machine list.
 [[nodiscard]] std::string toJson(const std::vector<control::MachineListEntry>& machines);
@@ -52,21 +53,21 @@
   /// Feeds bytes; calls `onData` for each complete event. False when an event grows beyond bounds.
   template <typename OnData>
   bool feed(std::string_view bytes, OnData&& onData) {
-    constexpr std::size_t kMaximumEventBytes = 4U << 20U;
+    constexpr std::size_t kMaxEventBytes = 4U << 20U;
     constexpr std::string_view kSeparator = "\n\n";
-    constexpr std::string_view kPrefix = "data: ";
+    constexpr std::string_view kDataPrefix = "data: ";
     buffer_.append(bytes);
     std::size_t begin = 0;
     for (std::size_t end = buffer_.find(kSeparator); end != std::string::npos;
          end = buffer_.find(kSeparator, begin)) {
       const std::string_view event = std::string_view(buffer_).substr(begin, end - begin);
-      if (event.starts_with(kPrefix)) {
-        onData(event.substr(kPrefix.size()));
+      if (event.starts_with(kDataPrefix)) {
+        onData(event.substr(kDataPrefix.size()));
       }
       begin = end + kSeparator.size();
     }
     buffer_.erase(0, begin);
-    return buffer_.size() <= kMaximumEventBytes;
+    return buffer_.size() <= kMaxEventBytes;
   }
 
  private:
--- a/src/runtime/json.h
+++ b/src/runtime/json.h
@@ -20,21 +20,21 @@
  public:
   explicit JsonReader(const Json& object);
 
-  std::string text(const char* key, const std::string& fallback = {});
-  std::string requiredText(const char* key);
-  /// An integer in [minimum, maximum].
-  std::int64_t integer(const char* key, std::int64_t fallback, std::int64_t minimum,
-                       std::int64_t maximum);
-  bool flag(const char* key, bool fallback);
+  std::string getString(const char* key, const std::string& fallback = {});
+  std::string getRequiredString(const char* key);
+  /// An integer in [min, max].
+  std::int64_t getInteger(const char* key, std::int64_t fallback, std::int64_t min,
+                          std::int64_t max);
+  bool getBool(const char* key, bool fallback);
   /// The array under `key`; an empty one, and a problem, when it is missing or something else.
-  const Json& array(const char* key);
-  void problem(const std::string& message);
+  const Json& getArray(const char* key);
+  void addError(const std::string& message);
   /// The first problem, or an empty text.
-  [[nodiscard]] const std::string& firstProblem() const { return problem_; }
+  [[nodiscard]] const std::string& firstError() const { return m_firstError; }
 
  private:
   const Json& object_;
-  std::string problem_;
+  std::string m_firstError;
 };
 
 }  // namespace tackpick::runtime
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -8,6 +8,6 @@
 
 class Daemon;
 
-[[nodiscard]] std::string metricsText(Daemon& daemon);
+[[nodiscard]] std::string renderMetrics(Daemon& daemon);
 
 }  // namespace tackpick::runtime
--- a/test/runtime/timer_test.cpp
+++ b/test/runtime/timer_test.cpp
@@ -17,16 +17,16 @@
   asio::io_context context;
   base::Timer deadline(context);
   base::Timer ticker(context);
-  bool over = false;
+  bool expired = false;
   int ticks = 0;
   deadline.expires_after(base::seconds(30));
   deadline.async_wait([&](const asio::error_code& error) {
-    over = !error;
+    expired = !error;
     ticker.cancel();
   });
   std::function<void()> tick = [&] {
     suspendedSeconds = ++ticks == 2 ? 40 : suspendedSeconds.load();
-    if (over || ticks > 50) {
+    if (expired || ticks > 50) {
       deadline.cancel();
       return;
     }
@@ -39,5 +39,5 @@
   };
   tick();
   context.run();
-  cr_assert(over, "the deadline was 30 s away, and the machine was suspended for 40 s");
+  cr_assert(expired, "the deadline was 30 s away, and the machine was suspended for 40 s");
 }
