--- a/src/emulator/emulated_engine.cpp
+++ b/src/emulator/emulated_engine.cpp
@@ -95,7 +95,7 @@
 void EmulatedEngine::handleCommand(const http::Request& request,
                                    const std::shared_ptr<http::Responder>& responder) {
   std::string problem;
-  const auto parsed = base::recover([&] { return runtime::parseEngineOrder(request.body); },
+  const auto parsed = base::recover([&] { return runtime::parseEngineCommand(request.body); },
                                     [&](const base::Error& error) {
                                       problem = error.message;
                                       return engine::EngineCommand{};
@@ -109,7 +109,7 @@
 
 void EmulatedEngine::handleLoad(const http::Request& request,
                                 const std::shared_ptr<http::Responder>& responder) {
-  runtime::EngineReport report;
+  runtime::EngineLoadReport report;
   report.status = model_.loadReport(clock_.now());
   const std::uint64_t after = parseUnsignedOr(request.queryValue("cache_after"), 0);
   report.cacheEvents = model_.cacheEventsAfter(after, clock_.now());
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -54,7 +54,7 @@
 
 std::uint32_t randomIncarnation() {
   constexpr std::uint32_t kIncarnationMask = 0xffffffffU;
-  return static_cast<std::uint32_t>(runtime::randomNumber() & kIncarnationMask) | 1U;
+  return static_cast<std::uint32_t>(runtime::secureRandomUint64() & kIncarnationMask) | 1U;
 }
 
 }  // namespace
@@ -62,7 +62,7 @@
 Node::Node(config::ClusterSettings settings, const edge::ApiAdapter& apiAdapter)
     : settings_(std::move(settings)),
       m_apiAdapter(apiAdapter),
-      random_(std::make_unique<base::SeededRandom>(runtime::randomNumber())),
+      random_(std::make_unique<base::SeededRandom>(runtime::secureRandomUint64())),
       m_tickTimer(context_),
       signals_(context_, SIGINT, SIGTERM, SIGHUP) {}
 
@@ -152,8 +152,8 @@
   memberSettings.directoryGroup = directory::kDirectoryGroup;
   memberSettings.ledgerGroup = directory::kLedgerGroup;
   memberSettings.seeds = seedNodes();
-  m_clusterMember = std::make_unique<cluster::ClusterMember>(ownRecord(), memberSettings,
-                                                             base::CallId{runtime::randomNumber()});
+  m_clusterMember = std::make_unique<cluster::ClusterMember>(
+      ownRecord(), memberSettings, base::CallId{runtime::secureRandomUint64()});
   m_clusterMember->setClock(wall_clock_);
   m_clusterMember->onView([this](const directory::DirectoryView& view) { onView(view); });
   m_clusterMember->onConfiguration([this](const directory::Configuration& newest) {
