--- a/src/jobs/engine_affinity.cpp
+++ b/src/jobs/engine_affinity.cpp
@@ -100,7 +100,7 @@
   }
   Engine& engine = found->second;
   engine.waiting -= engine.waiting > 0 ? 1 : 0;
-  // if not preferred, the preferred gateways did not request in time
+  // A lease by another gateway means that the preferred ones did not request items in time.
   engine.openToAll = !isPreferred(engine, gateway);
   engine.waitingSince = now;
 }
--- a/src/jobs/engine_event_interval.cpp
+++ b/src/jobs/engine_event_interval.cpp
@@ -15,7 +15,7 @@
 constexpr base::Duration kMaxReportAge = base::seconds(3600);
 /// Samples that are at most this far apart count as simultaneous; gateways report twice a second.
 constexpr base::Duration kConcurrentWindow = base::milliseconds(500);
-/// Time constant of the long-term average; seconds of slowness hardly change it.
+/// Time constant of the long-term average; slowdowns of a few seconds hardly change it.
 constexpr base::Duration kLongTermWindow = base::seconds(20);
 /// Maximum time step that one sample contributes to the long-term average.
 constexpr base::Duration kMaxStep = base::seconds(1);
--- a/src/jobs/engine_placement.cpp
+++ b/src/jobs/engine_placement.cpp
@@ -9,8 +9,8 @@
 
 /// Minimum time between two updates of the expected event intervals of all engines.
 constexpr base::Duration kEventIntervalRefresh = base::milliseconds(100);
-/// Ratio of the event intervals of neighbouring tiers. Reading prompts makes equal engines appear
-/// to differ by less than this, so that they share a tier and are filled evenly.
+/// Ratio of the event intervals of neighbouring tiers. Prompt processing makes equal engines
+/// appear to differ by less than this ratio, so that they share a tier and are filled evenly.
 constexpr double kTierRatio = 1.6;
 
 }  // namespace
--- a/src/jobs/estimate_calibration.cpp
+++ b/src/jobs/estimate_calibration.cpp
@@ -16,7 +16,7 @@
 
 double EstimateCalibration::predict(double estimate) const {
   constexpr double kPrior = kPriorWeight * kPriorVariance;
-  /// Limits the effect of outliers on long estimates.
+  /// Maximum slope of the regression; limits the effect of outliers on long estimates.
   constexpr double kMaxSlope = 1.5;
   const double fitted = (m_covariance + kPrior) / (m_variance + kPrior);
   const double slope = std::clamp(fitted, 0.0, kMaxSlope);
--- a/src/jobs/gateway_capacity.h
+++ b/src/jobs/gateway_capacity.h
@@ -29,7 +29,7 @@
 inline constexpr std::uint32_t kMinGatewaySlots = 6;
 inline constexpr std::uint32_t kMaxGatewaySlots = 48;
 
-/// Returns the number of engine slots that a gateway of that capacity can serve; std::nullopt if
+/// Returns the number of engine slots that a gateway with `capacity` can serve; std::nullopt if
 /// all resources are unknown. Implausible values count as unknown.
 [[nodiscard]] std::optional<std::uint32_t> slotsFor(const GatewayCapacity& capacity);
 
--- a/src/jobs/gateway_selector.cpp
+++ b/src/jobs/gateway_selector.cpp
@@ -125,22 +125,22 @@
   zone.selectedAt = now;
   zone.outdated = false;
   std::uint32_t availableSlots = 0;
-  std::uint32_t redundant = 0;
+  std::uint32_t spareCount = 0;
   zone.sufficient = false;
   for (const Rank& next : zone.ranked) {
     const Gateway& gateway = zone.gateways.at(next.gateway);
     if (!isResponsive(gateway, now)) {
       continue;
     }
-    zone.sufficient = availableSlots >= zone.slots && redundant == m_settings.spareGateways;
+    zone.sufficient = availableSlots >= zone.slots && spareCount == m_settings.spareGateways;
     if (zone.sufficient) {
       return;
     }
-    redundant += availableSlots >= zone.slots ? 1 : 0;
+    spareCount += availableSlots >= zone.slots ? 1 : 0;
     availableSlots += slotsFor(zone, gateway);
     zone.active.insert(next.gateway);
   }
-  zone.sufficient = availableSlots >= zone.slots && redundant == m_settings.spareGateways;
+  zone.sufficient = availableSlots >= zone.slots && spareCount == m_settings.spareGateways;
 }
 
 bool GatewaySelector::isActive(base::NodeId gateway, Zone& zone, base::TimePoint now) const {
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -63,7 +63,7 @@
   void recordRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
                      base::TimePoint now, const GatewayCapacity& capacity = {});
   void remove(std::uint32_t gatewayNumber);
-  /// Whether the gateway is one of those that run items; also true if the zone is unknown.
+  /// Whether the gateway is active, that is, runs items; also true if the zone is unknown.
   [[nodiscard]] bool isActive(base::NodeId gateway, const std::string& zone, base::TimePoint now);
   /// Returns the number of active gateways in all zones; at least 1.
   [[nodiscard]] std::uint32_t activeCount(base::TimePoint now);
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -196,7 +196,7 @@
     }
     const auto lease = leases_.find(key);
     if (lease == leases_.end()) {
-      // Leased by an earlier leader. The plan skips it in the queue.
+      // The item was leased by an earlier leader. It stays in the queue until planning removes it.
       addLease(key, {gateway, now + lease_time_, engine});
     } else if (lease->second.gateway == gateway) {
       lease->second.expiresAt = now + lease_time_;
@@ -284,7 +284,7 @@
     }
     // With a single model all engines are alike, and any gateway may fill them.
     request.affinityOnly = m_models.size() > 1 && zone == request.zone;
-    for (auto& [run, planned] : jobs) {
+    for (auto& [position, planned] : jobs) {
       leasePlanned(request, planned, state, leased);
     }
   }
--- a/src/jobs/item_leases.h
+++ b/src/jobs/item_leases.h
@@ -66,13 +66,14 @@
   /// Removes leases of items that are no longer open, and returns items with expired leases to the
   /// queue.
   void refresh(const JobState& state, base::TimePoint now);
-  /// Renews the leases of the items that `gateway` holds. Returns those that need not run any more.
+  /// Renews the leases of the items that `gateway` holds. Returns the held items that
+  /// need not run any more.
   [[nodiscard]] std::vector<ItemKey> renew(base::NodeId gateway, const std::vector<HeldItem>& held,
                                            const JobState& state, base::TimePoint now);
   /// Handles the loss of the connection to a gateway: its leases expire after `grace` unless
   /// renewed.
   void onGatewayLost(std::uint32_t gatewayNumber, base::Duration grace, base::TimePoint now);
-  /// Returns all items leased to `gateway` that it does not hold to the queue.
+  /// Requeues the items that are leased to `gateway` and not in `held`.
   void release(base::NodeId gateway, const std::vector<HeldItem>& held, const JobState& state);
   /// Records a gateway's lease request. `acceptsItems`: false if it wants no more items.
   void onLeaseRequest(base::NodeId gateway, const std::string& zone, bool acceptsItems,
@@ -82,7 +83,7 @@
   }
   /// Returns the selector of the gateways that run items.
   [[nodiscard]] GatewaySelector& gatewaySelector() { return m_gatewaySelector; }
-  /// Returns all gateways that request items.
+  /// Returns the gateways that request items, with the number of their leased items.
   [[nodiscard]] std::vector<GatewaySummary> gateways() const;
   /// Leases items that should run at engines in the zone of `gateway`, as many as fit into
   /// `requestedSlots`, and items with complete text that need only a score. The caller must check
@@ -155,8 +156,8 @@
 
   /// Expires leases of earlier processes at the gateway's address.
   void expireLeasesOfOldIncarnations(base::NodeId gateway, base::TimePoint now);
-  /// Expires leases of items that the gateway does not hold: they were released, or the reply was
-  /// lost.
+  /// Expires leases of items that the gateway does not hold: the gateway has released them, or the
+  /// reply with the lease was lost.
   void expireUnheldLeases(base::NodeId gateway, const std::vector<HeldItem>& held,
                           base::TimePoint now);
   void addLease(const ItemKey& key, Lease lease);
@@ -169,7 +170,7 @@
   /// Plans items until the engines are full or no item is left.
   void planItems(std::vector<JobPlan>& jobs);
   /// Places the next item of a job; returns false if no engine has a free slot.
-  bool planItem(JobPlan& plan, std::size_t run);
+  bool planItem(JobPlan& plan, std::size_t position);
   /// Skips items that need no engine; returns false if no other item is left.
   bool skipToNext(JobPlan& plan);
   [[nodiscard]] Urgency urgencyOf(JobPlan& plan);
--- a/src/jobs/item_leases_plan.cpp
+++ b/src/jobs/item_leases_plan.cpp
@@ -50,9 +50,9 @@
   if (m_models.size() <= 1) {
     return;
   }
-  for (const auto& [zone, runs] : plan_.zones()) {
+  for (const auto& [zone, jobs] : plan_.zones()) {
     std::map<std::string, std::uint32_t> items;
-    for (const auto& [run, planned] : runs) {
+    for (const auto& [position, planned] : jobs) {
       for (const PlannedItem& item : planned.items) {
         ++items[item.engine];
       }
@@ -142,13 +142,13 @@
 }
 
 void ItemLeases::planItems(std::vector<JobPlan>& jobs) {
-  std::size_t run = 0;
+  std::size_t position = 0;
   std::optional<std::size_t> previous;
   while (const std::optional<std::size_t> next = m_scheduler->next()) {
-    run += previous && *previous != *next ? 1 : 0;
+    position += previous && *previous != *next ? 1 : 0;
     previous = next;
     JobPlan& plan = jobs[*next];
-    if (!planItem(plan, run)) {
+    if (!planItem(plan, position)) {
       m_scheduler->onExhausted(*next);
       continue;
     }
@@ -160,14 +160,14 @@
   }
 }
 
-bool ItemLeases::planItem(JobPlan& plan, std::size_t run) {
+bool ItemLeases::planItem(JobPlan& plan, std::size_t position) {
   std::string engine = placement_.place(plan.requirements);
   if (engine.empty() && placement_.hasAcceptingEngines()) {
     return false;
   }
   const std::uint32_t item = plan.nextItem();
   const std::string zone = placement_.zoneOf(engine);
-  plan_.add(zone, run, plan.job, {{plan.queued.id, item}, std::move(engine)});
+  plan_.add(zone, position, plan.job, {{plan.queued.id, item}, std::move(engine)});
   plan.isPlanned[item] = true;
   plan.planned.push_back(item);
   plan.queued.items.pop_front();
--- a/src/jobs/item_queue.cpp
+++ b/src/jobs/item_queue.cpp
@@ -14,7 +14,7 @@
   if (found != m_byId.end()) {
     return *found->second;
   }
-  // A job returns to the queue when a lease of its items ends, so the position is searched for.
+  // Jobs are not always appended: a job returns to its position when a lease of its items expires.
   auto position = m_jobs.end();
   while (position != m_jobs.begin() && std::prev(position)->submittedAt > job.submittedAt) {
     --position;
--- a/src/jobs/item_queue.h
+++ b/src/jobs/item_queue.h
@@ -23,8 +23,8 @@
   std::deque<std::uint32_t> scoringOnly;
 };
 
-/// Queue of all jobs, oldest first. Finished or leased items are skipped when they are taken, not
-/// searched for. Deterministic.
+/// Queue of all jobs, oldest first. Items that finish or are leased stay in the queue until
+/// planning removes them. Deterministic.
 class ItemQueue {
  public:
   using Jobs = std::list<QueuedJob>;
--- a/src/jobs/item_run.cpp
+++ b/src/jobs/item_run.cpp
@@ -60,7 +60,7 @@
   }
   auto text = leased_.progress->text.unpack();
   if (!text) {
-    leased_.progress.reset();  // damaged: the text starts from the beginning
+    leased_.progress.reset();  // the saved text is damaged; a new one is started
     m_restarted = true;
     return;
   }
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -98,7 +98,7 @@
   std::optional<SavedPoint> m_saved;
   std::optional<SavedPoint> m_pending;
   bool saving_ = false;
-  bool m_restarted = false;  ///< the text no longer extends the saved one
+  bool m_restarted = false;  ///< the text does not continue the saved one
   std::optional<std::uint64_t> last_event_;
   std::set<std::uint64_t> versions_;
   std::uint64_t run_version_ = 0;
--- a/src/jobs/job_messages.h
+++ b/src/jobs/job_messages.h
@@ -23,8 +23,8 @@
 
 namespace tackpick::jobs {
 
-/// Request that has the complete text of an item scored. It is sent to the service of its own
-/// route.
+/// Request to a scorer for the score of an item's complete text. It is sent to the service of its
+/// own route.
 struct ScoringCall {
   std::string id;
   std::string host;
@@ -169,7 +169,7 @@
   base::Duration maxWait{0};
   /// Replica from which the caller prefers to fetch large results; invalid: none.
   base::NodeId preferredReplica = {};
-  std::string tenant = {};  ///< on whose behalf
+  std::string tenant = {};  ///< tenant on whose behalf the request is made
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id, after, maxWait, preferredReplica, tenant);
@@ -191,7 +191,7 @@
 struct ReadItem {
   std::string job;
   std::string item;
-  std::string tenant = {};  ///< on whose behalf
+  std::string tenant = {};  ///< tenant on whose behalf the request is made
   template <class Archive>
   void serialize(Archive& archive) {
     archive(job, item, tenant);
@@ -200,7 +200,7 @@
 
 struct EndJob {
   std::string id;
-  std::string tenant = {};  ///< on whose behalf
+  std::string tenant = {};  ///< tenant on whose behalf the request is made
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id, tenant);
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -105,7 +105,7 @@
   reply.activeGateways = leases_.gatewaySelector().activeCount(now);
   if (!reply.standby) {
     for (const GrantedItem& granted : leases_.lease(caller.node, request.freeSlots, state_, now)) {
-      reply.leased.push_back(describe(granted, now));
+      reply.leased.push_back(makeLeasedItem(granted, now));
     }
   }
   if (!request.eventIntervals.empty()) {
@@ -135,7 +135,7 @@
   }
 }
 
-LeasedItem JobRole::describe(const GrantedItem& granted, base::TimePoint now) const {
+LeasedItem JobRole::makeLeasedItem(const GrantedItem& granted, base::TimePoint now) const {
   const ItemKey& key = granted.key;
   const Job& owner = *state_.find(key.job);
   const JobSubmission& job = owner.submission;
@@ -280,10 +280,10 @@
   recordSubmissions(now);
   checkLeadership(now);
   registerNewJobs(now);
-  answerReads(now);
-  transport::Outbox answers = std::exchange(service_.outbox(), {});
-  messages.insert(messages.end(), std::make_move_iterator(answers.begin()),
-                  std::make_move_iterator(answers.end()));
+  replyToReads(now);
+  transport::Outbox replies = std::exchange(service_.outbox(), {});
+  messages.insert(messages.end(), std::make_move_iterator(replies.begin()),
+                  std::make_move_iterator(replies.end()));
   return messages;
 }
 
@@ -341,7 +341,7 @@
   observed_term_ = raft.currentTerm();
 }
 
-void JobRole::answerReads(base::TimePoint now) {
+void JobRole::replyToReads(base::TimePoint now) {
   const bool readable = replica_.canRead(now);
   m_longPoll.observe(state_,
                      [&](const std::string& id) { return now - leases_.firstSeen(id, now); });
@@ -361,7 +361,7 @@
       reads_.push_back(std::move(pending));
       continue;
     }
-    answerRead(pending, *job);
+    replyToRead(pending, *job);
   }
 }
 
@@ -377,7 +377,7 @@
                                pending.receivedAt - submittedAt, pending.expiresAt - now);
 }
 
-void JobRole::answerRead(const PendingRead& pending, const Job& job) {
+void JobRole::replyToRead(const PendingRead& pending, const Job& job) {
   const std::uint64_t begin = std::min<std::uint64_t>(pending.read.after, job.results.size());
   std::uint64_t end = begin;
   std::size_t bytes = 0;
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -124,10 +124,10 @@
   void replyWith(const Caller& caller, const JobReply& reply);
   void proposeFor(const Caller& caller, const JobCommand& command, base::TimePoint now);
   [[nodiscard]] OpenJob openJobOf(const std::string& id, const Job& job, base::TimePoint now) const;
-  /// Records whether a gateway's request contained event intervals. Returns whether its next one
-  /// should.
+  /// Records whether a gateway's request contained event intervals. Returns whether its next
+  /// request should contain them.
   [[nodiscard]] bool recordReporter(base::NodeId gateway, bool reported);
-  [[nodiscard]] LeasedItem describe(const GrantedItem& granted, base::TimePoint now) const;
+  [[nodiscard]] LeasedItem makeLeasedItem(const GrantedItem& granted, base::TimePoint now) const;
   void recordEventIntervals(const LeaseItems& request, base::TimePoint now);
   void checkLeadership(base::TimePoint now);
   /// Records when jobs arrive, also on followers, so that their ages survive a change of leader.
@@ -136,8 +136,8 @@
   void trainForecast();
   /// Adds jobs that are new to this leader to the leases.
   void registerNewJobs(base::TimePoint now);
-  void answerReads(base::TimePoint now);
-  void answerRead(const PendingRead& pending, const Job& job);
+  void replyToReads(base::TimePoint now);
+  void replyToRead(const PendingRead& pending, const Job& job);
   /// Whether the read should be held.
   [[nodiscard]] bool shouldWait(const PendingRead& pending, const Job& job, base::TimePoint now);
   void expireJobs(base::TimePoint now);
--- a/src/jobs/job_scheduler.h
+++ b/src/jobs/job_scheduler.h
@@ -24,9 +24,9 @@
 /// Urgency of an item; the smallest is planned first. It is coarse because the lengths of texts are
 /// estimates: jobs whose items differ by less than the estimation error keep their order.
 struct Urgency {
-  /// The job cannot complete before its due time any more; jobs that can are planned first.
+  /// Whether the job can no longer complete before its due time. Late jobs are planned last.
   bool late = false;
-  /// The item belongs to an optional group.
+  /// Whether the item belongs to an optional group.
   bool isOptional = false;
   /// Increases with the slack; see slackClassOf().
   std::uint32_t slackClass = 0;
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -156,8 +156,8 @@
   for (const auto& job : jobs_) {
     jobs.push_back(&job);
   }
-  std::stable_sort(jobs.begin(), jobs.end(), [](const auto* newResults, const auto* right) {
-    return newResults->second.submittedAt < right->second.submittedAt;
+  std::stable_sort(jobs.begin(), jobs.end(), [](const auto* left, const auto* right) {
+    return left->second.submittedAt < right->second.submittedAt;
   });
   return jobs;
 }
--- a/src/jobs/job_state.h
+++ b/src/jobs/job_state.h
@@ -19,7 +19,7 @@
   std::map<std::uint32_t, PartialText> partial;  ///< saved texts of unfinished items, by item
   bool ended = false;
 
-  /// Whether `tenant` may read, end or resubmit the job. To other tenants it does not exist.
+  /// Whether `tenant` may read, end or resubmit the job; true for every tenant if the job has none.
   [[nodiscard]] bool belongsTo(const std::string& tenant) const {
     return submission.tenant.empty() || submission.tenant == tenant;
   }
@@ -58,9 +58,9 @@
   /// Returns all jobs in the order of their submission.
   [[nodiscard]] std::vector<const Jobs::value_type*> bySubmission() const;
   [[nodiscard]] const Job* find(const std::string& id) const;
-  /// Returns the job if `tenant` may see it; else null.
+  /// Returns the job if it belongs to `tenant`; null otherwise.
   [[nodiscard]] const Job* findOwned(const std::string& tenant, const std::string& id) const;
-  /// Returns `results` without those that would change nothing.
+  /// Returns the entries of `results` for items without a result, in jobs that have not ended.
   [[nodiscard]] CommitResults newResultsOf(const CommitResults& results) const;
   /// Increases with each command and snapshot.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
--- a/src/jobs/lease_order.h
+++ b/src/jobs/lease_order.h
@@ -11,14 +11,15 @@
 
 namespace tackpick::jobs {
 
-/// Returns the groups that the caller does not need: of the groups not in `resubmitted`, those with
-/// the longest items, as many as exceed the required groups.
+/// Returns the groups beyond the required number, which the caller does not need. Groups with the
+/// longest items are selected first; groups in `resubmitted` are never selected.
 [[nodiscard]] std::set<std::string> optionalGroups(const JobSubmission& job,
                                                    const std::set<std::string>& resubmitted);
 
 /// Returns the items of a job in the order in which they should start. Items of `resubmitted`
-/// groups, which the caller needs in any case, are first; then the others by descending estimate,
-/// since the longest ones determine when the job completes; items of optional groups are last.
+/// groups, which the caller needs in any case, are first, items of optional groups are last. Within
+/// each class, items are in order of descending estimate, because the longest items determine when
+/// the job completes.
 [[nodiscard]] std::vector<std::uint32_t> leaseOrder(const JobSubmission& job,
                                                     const std::set<std::string>& resubmitted);
 
--- a/src/jobs/lease_plan.h
+++ b/src/jobs/lease_plan.h
@@ -25,16 +25,16 @@
 };
 
 /// Planned items by the zone of their engine (empty: any zone) and in the order of the plan, so
-/// that a gateway's request examines only items of its zones. Deterministic.
+/// that a gateway's request skips zones whose items it may not run. Deterministic.
 class LeasePlan {
  public:
   /// Planned jobs of one zone by their position in the plan.
   using ZoneJobs = std::map<std::size_t, PlannedJob>;
 
-  /// Appends an item. `run`: increases whenever the planned item is of another job than the
+  /// Appends an item. `position`: increases whenever an item belongs to another job than the
   /// previous one.
-  void add(const std::string& zone, std::size_t run, const Job& job, PlannedItem item) {
-    PlannedJob& planned = m_zones[zone][run];
+  void add(const std::string& zone, std::size_t position, const Job& job, PlannedItem item) {
+    PlannedJob& planned = m_zones[zone][position];
     planned.model = job.submission.model;
     planned.minimumVersion = job.submission.minimumVersion;
     planned.items.push_back(std::move(item));
--- a/src/jobs/length_distribution.h
+++ b/src/jobs/length_distribution.h
@@ -7,7 +7,8 @@
 
 namespace tackpick::jobs {
 
-/// Histogram over the binary logarithm with decaying weights of older observations. Deterministic.
+/// Histogram of positive values with logarithmic bins; the weights of older observations decay.
+/// Deterministic.
 class LengthDistribution {
  public:
   /// Returns a log-normal distribution that counts as `weight` observations; `spread` is the
--- a/src/jobs/length_forecast.cpp
+++ b/src/jobs/length_forecast.cpp
@@ -70,8 +70,8 @@
 
 std::map<std::string, double> LengthForecast::errors() const {
   std::map<std::string, double> errors;
-  for (const auto& [jobKind, model] : m_models) {
-    double& error = errors[jobKind.first];
+  for (const auto& [key, model] : m_models) {
+    double& error = errors[key.first];
     error = std::max(error, model.error());
   }
   return errors;
--- a/src/jobs/length_forecast.h
+++ b/src/jobs/length_forecast.h
@@ -13,8 +13,8 @@
 
 namespace tackpick::jobs {
 
-/// Model of the lengths of texts of one kind of job. Learns how actual lengths relate to the
-/// callers' estimates, and the lengths of texts without an estimate. Deterministic.
+/// Model of the lengths of texts of jobs with the same model and host. Learns how actual lengths
+/// relate to the callers' estimates, and the lengths of texts without an estimate. Deterministic.
 class LengthModel {
  public:
   /// Returns the expected remaining events of a text with `eventsSoFar` events; zero: unknown.
@@ -38,7 +38,7 @@
   [[nodiscard]] static LengthDistribution ratioPrior();
 };
 
-/// Length models by kind of job; jobs with the same host and model are of one kind.
+/// Length models by model and host of the job.
 class LengthForecast {
  public:
   /// Returns the model for a job. The reference stays valid and reflects later training.
@@ -53,8 +53,8 @@
   [[nodiscard]] std::map<std::string, double> errors() const;
 
  private:
-  using JobKind = std::pair<std::string, std::string>;  ///< model, host
-  std::map<JobKind, LengthModel> m_models;
+  using ModelKey = std::pair<std::string, std::string>;  ///< model, host
+  std::map<ModelKey, LengthModel> m_models;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/long_poll_policy.cpp
+++ b/src/jobs/long_poll_policy.cpp
@@ -56,9 +56,9 @@
     return false;
   }
   const base::Duration deadline = job.submission.resultDeadline;
-  const base::Duration answerBy = deadline + m_settings.deadlineGrace;
+  const base::Duration replyBy = deadline + m_settings.deadlineGrace;
   const bool deadlinePassed =
-      deadline > base::Duration{0} && requestAge < answerBy && age >= answerBy;
+      deadline > base::Duration{0} && requestAge < replyBy && age >= replyBy;
   return !deadlinePassed;
 }
 
--- a/src/jobs/minimum_shares.h
+++ b/src/jobs/minimum_shares.h
@@ -10,10 +10,11 @@
 
 namespace tackpick::jobs {
 
-/// Credits each waiting competitor with a part of every item that any of them receives. A
-/// competitor whose credit reaches an item must be served first; while there is none, the caller
-/// may use any order. The credit is bounded, so that a competitor that could not be served for a
-/// while does not displace the others later. Deterministic.
+/// Guarantees minimum shares to waiting competitors. Every item that a competitor receives credits
+/// every competitor with a fraction of an item. A competitor with a credit of one item must be
+/// served next; if there is none, the caller may use any order. The credit is bounded, so that a
+/// competitor that could not be served for some time does not block the other competitors later.
+/// Deterministic.
 template <class Key>
 class MinimumShares {
  public:
--- a/src/jobs/placement_engine.h
+++ b/src/jobs/placement_engine.h
@@ -23,8 +23,8 @@
   /// False while it cannot run items, for example while it loads weights.
   bool acceptsItems = true;
   bool standby = false;  ///< used only if the other engines are full
-  /// Machine on which it runs; its event interval outlasts restarts of the engine. Empty: the id is
-  /// used.
+  /// Machine on which it runs; its event interval is kept when the engine restarts. Empty: the id
+  /// is used.
   std::string machine = {};
 
   [[nodiscard]] const std::string& machineName() const { return machine.empty() ? id : machine; }
--- a/src/jobs/progress_saver.h
+++ b/src/jobs/progress_saver.h
@@ -15,8 +15,8 @@
 /// Settings of a ProgressSaver.
 struct ProgressSettings {
   base::Duration interval = base::milliseconds(700);
-  /// Minimum number of new events of an incomplete text to be saved; most shorter ones complete
-  /// before the next interval.
+  /// Minimum number of new events of an incomplete text to be saved; most shorter texts complete
+  /// before the next save.
   std::uint64_t minEvents = 8;
   /// Time after which a complete text is saved without its score. Most scores arrive sooner, and
   /// then text and score are committed in one call.
--- a/src/jobs/required_groups.cpp
+++ b/src/jobs/required_groups.cpp
@@ -13,7 +13,7 @@
     const auto [index, added] = indices.emplace(item.group, next);
     if (added) {
       m_groups.push_back({0, resubmitted.contains(item.group)});
-      m_resubmittedLeft += m_groups.back().resubmitted ? 1 : 0;
+      m_remainingResubmitted += m_groups.back().resubmitted ? 1 : 0;
     }
     m_groupOfItem.push_back(index->second);
     ++m_groups[index->second].remainingItems;
@@ -30,7 +30,7 @@
       continue;
     }
     m_remainingGroups -= m_remainingGroups > 0 ? 1 : 0;
-    m_resubmittedLeft -= group.resubmitted ? 1 : 0;
+    m_remainingResubmitted -= group.resubmitted ? 1 : 0;
   }
 }
 
--- a/src/jobs/required_groups.h
+++ b/src/jobs/required_groups.h
@@ -21,7 +21,9 @@
 
   /// Processes the results listed since the last call.
   void observe(const Job& job);
-  [[nodiscard]] bool isComplete() const { return m_remainingGroups == 0 && m_resubmittedLeft == 0; }
+  [[nodiscard]] bool isComplete() const {
+    return m_remainingGroups == 0 && m_remainingResubmitted == 0;
+  }
 
  private:
   struct Group {
@@ -34,7 +36,7 @@
   std::size_t m_observed = 0;  ///< number of results processed
   /// Number of groups still required, including resubmitted ones.
   std::size_t m_remainingGroups = 0;
-  std::size_t m_resubmittedLeft = 0;  ///< number of incomplete resubmitted groups
+  std::size_t m_remainingResubmitted = 0;  ///< number of incomplete resubmitted groups
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/result_reader.h
+++ b/src/jobs/result_reader.h
@@ -19,9 +19,9 @@
                      LedgerClient::Callback callback) = 0;
 };
 
-/// Asks the ledgers' leader which result positions exist, or whether the job exists, and fetches
-/// the results at these positions from the local replica; they never change. Deterministic; owned
-/// by one thread; must outlive its calls.
+/// Reads the results of a job. The ledgers' leader returns small results itself; larger ones are
+/// fetched from the local replica, at the positions that the leader announced. The result at a
+/// position never changes. Deterministic; owned by one thread; must outlive its calls.
 class ResultReader {
  public:
   ResultReader(LedgerClient& leader, ReplicaClient& replicas, const base::TimeSource& clock)
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -45,15 +45,15 @@
 
 /// Maximum number of moves of a run to faster engines.
 inline constexpr std::uint32_t kMaxMovesToFaster = 4;
-/// Minimum speedup of a move. A batch that has just started reads prompts between its events and
-/// temporarily appears slower.
+/// Minimum speedup of a move. A batch that has just started processes prompts between its events
+/// and temporarily appears slower.
 inline constexpr double kMinMoveSpeedup = 1.7;
 
 /// Returns a conservative estimate of the remaining events of a text with `events` events, of which
 /// `sinceLease` were generated under this lease; `remainingAtLease`: expected remaining events at
-/// the start of the lease. Zero: unknown. One standard deviation of the estimates is added, because
-/// a text that exceeds its estimate would be moved too late. A text beyond that is expected to grow
-/// by a share of its length.
+/// the start of the lease. Zero: unknown. The result includes a margin of one standard
+/// deviation; without it, a text that exceeds its estimate would be moved too late. A text that
+/// exceeds the margin is expected to grow by a share of its length.
 [[nodiscard]] inline double remainingEventsOf(double remainingAtLease, std::uint64_t sinceLease,
                                               std::uint64_t events) {
   constexpr double kLengthMargin = 1.65;
--- a/src/jobs/run_event_interval.cpp
+++ b/src/jobs/run_event_interval.cpp
@@ -6,8 +6,8 @@
 namespace tackpick::jobs {
 namespace {
 
-/// Half of the sliding window. Shorter slowdowns are tolerated, because moving a text costs about
-/// as much.
+/// Length of each half of the sliding window. Shorter slowdowns are tolerated, because a move of
+/// the text would cost about the same time.
 constexpr base::Duration kHalfWindow = base::milliseconds(500);
 
 double eventIntervalOf(std::ptrdiff_t events) {
--- a/src/jobs/run_event_interval.h
+++ b/src/jobs/run_event_interval.h
@@ -9,7 +9,7 @@
 
 namespace tackpick::jobs {
 
-/// Keeps the events of a short sliding window. Deterministic.
+/// Measures the event interval of a run over a short sliding window. Deterministic.
 class RunEventInterval {
  public:
   void onEvent(base::TimePoint now);
--- a/src/jobs/scoring_attempts.h
+++ b/src/jobs/scoring_attempts.h
@@ -30,7 +30,7 @@
  public:
   explicit ScoringAttempts(std::uint32_t attempts) : m_attempts(attempts) {}
 
-  [[nodiscard]] ScoringAction onResponse(const ScorerResponse& answer);
+  [[nodiscard]] ScoringAction onResponse(const ScorerResponse& response);
   /// Returns the delay before the next call: zero after a failure of the scorer, which another
   /// server may not share; exponential backoff while servers refuse calls or cannot be reached.
   [[nodiscard]] base::Duration delay() const;
@@ -38,7 +38,7 @@
  private:
   const std::uint32_t m_attempts;
   std::uint32_t m_failures = 0;
-  std::uint32_t m_consecutiveRefusals = 0;  ///< consecutive refusals
+  std::uint32_t m_consecutiveRefusals = 0;
 };
 
 }  // namespace tackpick::jobs
--- a/src/jobs/slack_scheduler.h
+++ b/src/jobs/slack_scheduler.h
@@ -16,7 +16,7 @@
 
 /// Plans items by priority, then by urgency, then by age of the job. Each priority, each tenant of
 /// a priority and each job of a tenant with waiting items gets a minimum share of the leased items:
-/// urgency is based on estimates, so it must not be able to starve anyone. Deterministic.
+/// urgency is based on estimates and must not starve a job, tenant or priority. Deterministic.
 class SlackScheduler final : public JobScheduler {
  public:
   void begin(const std::vector<SchedulableJob>& work) override;
--- a/src/jobs/slowness_detector.h
+++ b/src/jobs/slowness_detector.h
@@ -41,7 +41,7 @@
   void markSlow(base::TimePoint now);
 
   SlownessDetectorSettings m_settings;
-  /// Time since which the lag contradicts the current state; empty: it does not.
+  /// Time since which the lag contradicts the current state; std::nullopt: no contradiction.
   std::optional<base::TimePoint> m_changePendingSince;
   std::optional<base::TimePoint> m_slowSince;
   std::optional<base::TimePoint> m_recoveredAt;
--- a/src/jobs/speed_tiers.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -86,7 +86,7 @@
     return nullptr;
   }
   SpeedTier* slowest = nullptr;
-  std::uint32_t fasterSlots = 0;  // slots of the faster tiers
+  std::uint32_t fasterSlots = 0;
   std::uint32_t slotsInUse = 0;
   for (SpeedTier& tier : m_tiers) {
     if (slotsInUse < kScarceUtilization * fasterSlots) {
@@ -100,9 +100,9 @@
   return slowest;
 }
 
-std::pair<double, std::size_t> SpeedTiers::finishKey(const SpeedTier& candidates,
+std::pair<double, std::size_t> SpeedTiers::finishKey(const SpeedTier& tier,
                                                      const ItemRequirements& requirements) {
-  const Candidate& front = candidates.front();
+  const Candidate& front = tier.front();
   const double delayMs = base::toMilliseconds(front.engine->transientDelay);
   const double runMs =
       requirements.isKnown() ? requirements.remainingEvents * front.cost + delayMs : front.cost;
--- a/src/jobs/speed_tiers.h
+++ b/src/jobs/speed_tiers.h
@@ -41,7 +41,7 @@
   struct SpeedTier {
     std::vector<Candidate> heap;
     std::uint32_t slots = 0;
-    std::uint32_t slotsInUse = 0;  ///< number of used slots
+    std::uint32_t slotsInUse = 0;
 
     [[nodiscard]] const Candidate& front() const { return heap.front(); }
     void push(const Candidate& candidate);
--- a/src/jobs/zone_affinity.cpp
+++ b/src/jobs/zone_affinity.cpp
@@ -5,8 +5,8 @@
 namespace tackpick::jobs {
 namespace {
 
-/// Time after the last request of any gateway of a zone after which items of the zone may run
-/// elsewhere. Gateways send about two requests within this time.
+/// Time without a request from any gateway of a zone after which gateways of other zones may run
+/// its items. Gateways send about two requests within this time.
 constexpr base::Duration kRequestTimeout = base::milliseconds(200);
 
 }  // namespace
--- a/src/jobs/zone_affinity.h
+++ b/src/jobs/zone_affinity.h
@@ -10,8 +10,8 @@
 
 namespace tackpick::jobs {
 
-/// Items of an engine run at gateways of its zone while any of these requests items, which avoids
-/// traffic between zones. Deterministic.
+/// Items of an engine run at gateways of its zone while any of these gateways requests items, which
+/// avoids traffic between zones. Deterministic.
 class ZoneAffinity {
  public:
   /// Records a gateway's lease request. `acceptsItems`: false if it wants no more items.
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -243,9 +243,9 @@
   affinity.onDeclined("e");
   cr_assert_eq(eligibleGateways(affinity, "e", 6, kNow).size(), 6U);
   affinity.onItemLeased(gateway(*preferred.begin()), "e", kNow);
-  cr_assert(eligibleGateways(affinity, "e", 6, kNow) == preferred, "it has free slots again");
-  // Another gateway has leased an item that the preferred ones did not request in time: the next
-  // item is open to all.
+  cr_assert(eligibleGateways(affinity, "e", 6, kNow) == preferred,
+            "a preferred gateway has free slots again");
+  // After another gateway has leased an item of the engine, any gateway may lease the next one.
   std::uint32_t other = 1;
   other += preferred.contains(other) ? 1 : 0;
   other += preferred.contains(other) ? 1 : 0;
--- a/test/jobs/engine_placement_test.cpp
+++ b/test/jobs/engine_placement_test.cpp
@@ -26,7 +26,7 @@
   return {"m", 1, remainingEvents, timeUntilDue};
 }
 
-/// One slow engine, one of normal speed, and another one that makes the normal speed the median.
+/// One slow engine and two of normal speed, so that the median is the normal speed.
 struct Fixture {
   Fixture() {
     placement.setEngines({engine("slow"), engine("fast"), engine("other")});
@@ -139,7 +139,7 @@
     for (const char* id : {"e0", "e1", "e2", "e3", "e4"}) {
       placement->changeEngines({engine(id)}, {});
     }
-    // Reading prompts makes equal engines appear this different.
+    // Prompt processing makes the event intervals of equal engines differ by this much.
     placement->recordEventIntervals(
         {{"e0", {44}}, {"e1", {46}}, {"e2", {49}}, {"e3", {53}}, {"e4", {58}}}, kNow);
     placement->setLoads({}, kNow);
@@ -161,7 +161,7 @@
   fixture.placement.setLoads({{"other", kSlots}, {"slow", kSlots - 1}}, fixture.now);
   cr_assert_eq(fixture.placement.place(requirements(5)), "fast",
                "a short item still completes in time");
-  // Without items there, no gateway reports its recovery.
+  // Gateways report no event interval of an engine without items.
   fixture.now += base::seconds(12);
   fixture.placement.recordEventIntervals({{"slow", {90}}, {"other", {41}}}, fixture.now);
   fixture.placement.setLoads({{"other", kSlots}}, fixture.now);
--- a/test/jobs/fake_ledger_client.h
+++ b/test/jobs/fake_ledger_client.h
@@ -17,7 +17,7 @@
     requests.push_back(std::get<jobs::SaveProgress>(request));
     callbacks.push_back(std::move(callback));
   }
-  void answer(bool acknowledged) {
+  void finishCall(bool acknowledged) {
     const jobs::JobReply reply;
     std::exchange(callbacks, {}).back()(acknowledged ? &reply : nullptr);
   }
--- a/test/jobs/gateway_capacity_test.cpp
+++ b/test/jobs/gateway_capacity_test.cpp
@@ -69,12 +69,12 @@
 Test(gateway_capacity, values_that_no_machine_has_count_as_unknown) {
   constexpr double kInfinity = std::numeric_limits<double>::infinity();
   for (const double cores : {-1.0, std::nan(""), kInfinity, 1e300}) {
-    jobs::GatewayCapacity nonsense;
-    nonsense.cpuCores = cores;
-    nonsense.linkMbps = cores;
-    cr_assert_not(jobs::slotsFor(nonsense).has_value());
-    nonsense.memoryMb = 10;
-    cr_assert_eq(jobs::slotsFor(nonsense), 10U);
+    jobs::GatewayCapacity implausible;
+    implausible.cpuCores = cores;
+    implausible.linkMbps = cores;
+    cr_assert_not(jobs::slotsFor(implausible).has_value());
+    implausible.memoryMb = 10;
+    cr_assert_eq(jobs::slotsFor(implausible), 10U);
   }
 }
 
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -17,7 +17,8 @@
 
 base::NodeId gateway(std::uint32_t number) { return base::makeNodeId(number, 1); }
 
-void askAll(jobs::GatewaySelector& gatewaySelector, std::uint32_t count, base::TimePoint now) {
+void recordRequests(jobs::GatewaySelector& gatewaySelector, std::uint32_t count,
+                    base::TimePoint now) {
   for (std::uint32_t i = 1; i <= count; ++i) {
     gatewaySelector.recordRequest(gateway(i), "a", true, now);
   }
@@ -46,7 +47,7 @@
 
 Test(gateway_selector, as_many_as_the_engines_need_and_a_spare) {
   jobs::GatewaySelector gatewaySelector = makeFourGateways();
-  askAll(gatewaySelector, 10, kNow);
+  recordRequests(gatewaySelector, 10, kNow);
   cr_assert_eq(activeAmong(gatewaySelector, 10, kNow), 4U);
   cr_assert_eq(gatewaySelector.activeCount(kNow), 4U);
   gatewaySelector.setSlots({{"a", 5}});
@@ -55,7 +56,7 @@
 
 Test(gateway_selector, few_gateways_all_run_items) {
   jobs::GatewaySelector gatewaySelector = makeFourGateways();
-  askAll(gatewaySelector, 3, kNow);
+  recordRequests(gatewaySelector, 3, kNow);
   cr_assert_eq(activeAmong(gatewaySelector, 3, kNow), 3U);
   cr_assert_eq(gatewaySelector.activeCount(kNow), 3U);
   cr_assert(gatewaySelector.isActive(gateway(9), "elsewhere", kNow), "its zone is unknown");
@@ -63,7 +64,7 @@
 
 Test(gateway_selector, standby_gateways_replace_lost_or_unresponsive_ones) {
   jobs::GatewaySelector gatewaySelector = makeFourGateways();
-  askAll(gatewaySelector, 10, kNow);
+  recordRequests(gatewaySelector, 10, kNow);
   cr_assert_not(gatewaySelector.isActive(gateway(5), "a", kNow));
   gatewaySelector.recordRequest(gateway(1), "a", false, kNow);
   cr_assert(gatewaySelector.isActive(gateway(5), "a", kNow));
@@ -138,13 +139,13 @@
   cr_assert(active(gatewaySelector, 20, now) == numbers({16, 17, 18, 19}));
   cr_assert_eq(gatewaySelector.activeCount(now), 4U);
   // Without the large gateways more small ones are needed.
-  const std::uint32_t able = *gatewaySelector.maxItems(gateway(16), "a", now);
+  const std::uint32_t maxItemsOfLarge = *gatewaySelector.maxItems(gateway(16), "a", now);
   for (std::uint32_t i = 16; i <= 20; ++i) {
     gatewaySelector.remove(i);
   }
   gatewaySelector.recordRequest(gateway(20), "a", true, now, cores(0.3));
   cr_assert_gt(active(gatewaySelector, 20, now).size(), 5U);
-  cr_assert_lt(*gatewaySelector.maxItems(gateway(1), "a", now), able);
+  cr_assert_lt(*gatewaySelector.maxItems(gateway(1), "a", now), maxItemsOfLarge);
 }
 
 Test(gateway_selector, slow_gateway_gets_less_and_more_again_when_it_recovers) {
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -41,14 +41,14 @@
     for (const base::TimePoint end = now + time; now < end; now += base::milliseconds(10)) {
       role->tick(now);
       for (const auto& outgoing : role->finish(now)) {
-        if (const auto* answer = std::get_if<transport::CommandResponse>(&outgoing.message)) {
-          replies.push_back(*base::decode<jobs::JobReply>(answer->payload));
+        if (const auto* response = std::get_if<transport::CommandResponse>(&outgoing.message)) {
+          replies.push_back(*base::decode<jobs::JobReply>(response->payload));
         }
       }
     }
   }
 
-  jobs::JobReply ask(const jobs::JobRequest& request) {
+  jobs::JobReply send(const jobs::JobRequest& request) {
     transport::CommandRequest message;
     message.group = kGroup;
     message.call = base::CallId{++calls};
@@ -91,30 +91,30 @@
 
 Test(job_role, job_exists_for_its_tenant_only) {
   SingleLedger ledger;
-  cr_assert(ledger.ask(submission("a")).status == jobs::JobStatus::kDone);
-  cr_assert(ledger.ask(submission("a")).status == jobs::JobStatus::kDone,
+  cr_assert(ledger.send(submission("a")).status == jobs::JobStatus::kDone);
+  cr_assert(ledger.send(submission("a")).status == jobs::JobStatus::kDone,
             "submitted a second time");
-  cr_assert(ledger.ask(submission("b")).status == jobs::JobStatus::kNotOwner);
-  cr_assert(ledger.ask(read("a")).status == jobs::JobStatus::kDone);
-  cr_assert(ledger.ask(read("b")).status == jobs::JobStatus::kNotFound);
-  cr_assert(ledger.ask(read("")).status == jobs::JobStatus::kNotFound);
-  cr_assert_eq(ledger.ask(jobs::ReadItem{"j", "i", "a"}).body, "body");
-  cr_assert(ledger.ask(jobs::ReadItem{"j", "i", "b"}).status == jobs::JobStatus::kNotFound);
+  cr_assert(ledger.send(submission("b")).status == jobs::JobStatus::kNotOwner);
+  cr_assert(ledger.send(read("a")).status == jobs::JobStatus::kDone);
+  cr_assert(ledger.send(read("b")).status == jobs::JobStatus::kNotFound);
+  cr_assert(ledger.send(read("")).status == jobs::JobStatus::kNotFound);
+  cr_assert_eq(ledger.send(jobs::ReadItem{"j", "i", "a"}).body, "body");
+  cr_assert(ledger.send(jobs::ReadItem{"j", "i", "b"}).status == jobs::JobStatus::kNotFound);
 }
 
 Test(job_role, job_is_ended_by_its_tenant_only) {
   SingleLedger ledger;
-  (void)ledger.ask(submission("a"));
-  cr_assert(ledger.ask(jobs::EndJob{"j", "b"}).status == jobs::JobStatus::kDone);
+  (void)ledger.send(submission("a"));
+  cr_assert(ledger.send(jobs::EndJob{"j", "b"}).status == jobs::JobStatus::kDone);
   cr_assert_not(ledger.role->state().find("j")->ended);
-  (void)ledger.ask(jobs::EndJob{"j", "a"});
+  (void)ledger.send(jobs::EndJob{"j", "a"});
   cr_assert(ledger.role->state().find("j")->ended);
 }
 
 Test(job_role, job_without_tenant_is_visible_to_all) {
   SingleLedger ledger;
-  (void)ledger.ask(submission(""));
-  cr_assert(ledger.ask(read("a")).status == jobs::JobStatus::kDone);
+  (void)ledger.send(submission(""));
+  cr_assert(ledger.send(read("a")).status == jobs::JobStatus::kDone);
 }
 
 Test(job_role, open_jobs_are_listed_by_model) {
@@ -125,17 +125,17 @@
   for (std::size_t i = 0; i < submit.job.items.size(); ++i) {
     submit.job.items[i].id = "i" + std::to_string(i);
   }
-  (void)ledger.ask(submit);
+  (void)ledger.send(submit);
   const std::uint64_t submitted = ledger.role->workRevision();
   const jobs::OpenJobsByModel before = *ledger.role->openJobs(ledger.now);
   cr_assert_eq(before.at("m").front().items, 3U);
   cr_assert_eq(before.at("m").front().waiting, 3U);
   cr_assert(before.at("m").front().slack == base::Duration::max(), "no due time");
   const base::CompressedText text("t");
-  (void)ledger.ask(jobs::CommitResults{{{"j", {{1, jobs::ItemState::kCompleted, text, {1}}}}}});
+  (void)ledger.send(jobs::CommitResults{{{"j", {{1, jobs::ItemState::kCompleted, text, {1}}}}}});
   cr_assert_eq(ledger.role->openJobs(ledger.now)->at("m").front().items, 2U);
   cr_assert_eq(ledger.role->workRevision(), submitted);
-  (void)ledger.ask(jobs::EndJob{"j", "a"});
+  (void)ledger.send(jobs::EndJob{"j", "a"});
   cr_assert(ledger.role->openJobs(ledger.now)->empty());
   cr_assert_gt(ledger.role->workRevision(), submitted);
 }
@@ -146,7 +146,7 @@
   for (const char* id : {"z", "a"}) {
     jobs::SubmitJob submit = submission("a");
     submit.job.id = id;
-    (void)ledger.ask(submit);
+    (void)ledger.send(submit);
   }
   ledger.restart();
   const jobs::OpenJobsByModel jobsByModel = *ledger.role->openJobs(ledger.now);
@@ -158,18 +158,18 @@
   SingleLedger ledger;
   jobs::LeaseItems call;
   call.zone = "z";
-  cr_assert(ledger.ask(call).wantsEventIntervals);
+  cr_assert(ledger.send(call).wantsEventIntervals);
   call.eventIntervals = {{"fast", {40}}, {"slow", {140}}};
-  cr_assert_not(ledger.ask(call).wantsEventIntervals);
+  cr_assert_not(ledger.send(call).wantsEventIntervals);
   call.eventIntervals.clear();
-  cr_assert_not(ledger.ask(call).wantsEventIntervals, "reported in this term");
+  cr_assert_not(ledger.send(call).wantsEventIntervals, "reported in this term");
   ledger.restart();
   ledger.role->setEngines({{"a-slow", 4, {{"", 1}}, "z"}, {"fast", 4, {{"", 1}}, "z"}});
-  cr_assert(ledger.ask(call).wantsEventIntervals);
-  (void)ledger.ask(submission("a"));
+  cr_assert(ledger.send(call).wantsEventIntervals);
+  (void)ledger.send(submission("a"));
   call.eventIntervals = {{"fast", {40}}, {"a-slow", {140, base::seconds(1)}}};
   call.freeSlots.add("", 1, 4);
-  const jobs::JobReply reply = ledger.ask(call);
+  const jobs::JobReply reply = ledger.send(call);
   cr_assert_not(reply.wantsEventIntervals);
   cr_assert_eq(reply.leased.size(), 1U);
   cr_assert_eq(reply.leased.front().engine, "fast");
@@ -177,13 +177,13 @@
 
 Test(job_role, leased_item_names_its_tenant) {
   SingleLedger ledger;
-  (void)ledger.ask(submission("a"));
+  (void)ledger.send(submission("a"));
   ledger.role->setEngines({{"e", 4, {{"", 1}}, "z"}});
   jobs::LeaseItems lease;
   lease.freeSlots.add("", 1, 4);
   lease.zone = "z";
   for (int tries = 0; tries < 10; ++tries) {
-    const jobs::JobReply reply = ledger.ask(lease);
+    const jobs::JobReply reply = ledger.send(lease);
     if (!reply.leased.empty()) {
       cr_assert_eq(reply.leased.front().tenant, "a");
       return;
@@ -198,7 +198,7 @@
     jobs::SubmitJob submit = submission(tenant);
     submit.job.id = tenant;
     submit.job.items.resize(4, submit.job.items[0]);
-    (void)ledger.ask(submit);
+    (void)ledger.send(submit);
   }
   ledger.role->setTenantPriorities(jobs::TenantPriorities({{"a", {}, 2}, {"b", {}, 1}}));
   ledger.role->setEngines({{"e", 2, {{"", 1}}, "z"}});
@@ -207,7 +207,7 @@
   lease.zone = "z";
   std::vector<jobs::LeasedItem> leased;
   for (int tries = 0; tries < 10 && leased.empty(); ++tries) {
-    leased = ledger.ask(lease).leased;
+    leased = ledger.send(lease).leased;
   }
   cr_assert_eq(leased.size(), 2U);
   cr_assert_eq(leased[0].tenant, "b");
@@ -228,7 +228,7 @@
     submit.job.items[i].id = "i" + std::to_string(i);
     submit.job.items[i].expectedTokens = 100;
   }
-  (void)ledger.ask(submit);
+  (void)ledger.send(submit);
   const auto slack = [&] { return ledger.role->openJobs(ledger.now)->at("").front().slack; };
   const base::Duration before = slack();
   jobs::JobResults results{"j", {}};
@@ -236,7 +236,7 @@
     results.results.push_back({item, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}});
     results.results.back().events = 400;
   }
-  (void)ledger.ask(jobs::CommitResults{{results}});
+  (void)ledger.send(jobs::CommitResults{{results}});
   cr_assert_lt(slack(), before - base::seconds(3));
   cr_assert_gt(ledger.role->forecast().errors().at(""), 0);
   // An engine with an event interval of 100 ms runs an item.
@@ -245,7 +245,7 @@
   ledger.role->setEngines({{"e", 8, {{"", 1}}, "z"}});
   lease.eventIntervals["e"].eventIntervalMs = 100;
   const base::Duration atDefault = slack();
-  (void)ledger.ask(lease);
+  (void)ledger.send(lease);
   cr_assert_lt(slack(), atDefault - base::seconds(10));
   // A new leader learns from the stored results.
   ledger.restart();
@@ -259,9 +259,9 @@
     jobs::SubmitJob submit = submission("a");
     submit.job.id = id;
     submit.job.items.resize(4, submit.job.items[0]);
-    (void)ledger.ask(submit);
+    (void)ledger.send(submit);
   }
-  (void)ledger.ask(jobs::CommitResults{
+  (void)ledger.send(jobs::CommitResults{
       {{"z", {{0, jobs::ItemState::kCompleted, base::CompressedText("t"), {1}}}}}});
   ledger.restart();
   ledger.role->setEngines({{"e", 20, {{"", 1}}, "z"}});
@@ -270,7 +270,7 @@
   lease.zone = "z";
   std::vector<jobs::LeasedItem> leased;
   for (int tries = 0; tries < 10 && leased.empty(); ++tries) {
-    leased = ledger.ask(lease).leased;
+    leased = ledger.send(lease).leased;
   }
   std::string order;
   for (const jobs::LeasedItem& item : leased) {
@@ -282,10 +282,10 @@
 // Guards against a resubmitted job that takes the age of the removed one and is removed at once.
 Test(job_role, removed_job_may_be_submitted_again) {
   SingleLedger ledger;
-  (void)ledger.ask(submission("a"));
+  (void)ledger.send(submission("a"));
   ledger.run(jobs::JobRoleSettings{}.retention + base::seconds(1));
   cr_assert_null(ledger.role->state().find("j"));
-  (void)ledger.ask(submission("a"));
+  (void)ledger.send(submission("a"));
   ledger.run(base::seconds(1));
   cr_assert_not_null(ledger.role->state().find("j"));
 }
@@ -301,7 +301,7 @@
     submit.job.items[0].group = "new";
     submit.job.items[0].expectedTokens = 100;
     submit.job.items[1].group = "again";
-    (void)ledger.ask(submit);
+    (void)ledger.send(submit);
   }
   ledger.restart();
   ledger.role->setEngines({{"e", 20, {{"", 1}}, "z"}});
@@ -310,7 +310,7 @@
   lease.zone = "z";
   std::vector<jobs::LeasedItem> leased;
   for (int tries = 0; tries < 10 && leased.empty(); ++tries) {
-    leased = ledger.ask(lease).leased;
+    leased = ledger.send(lease).leased;
   }
   cr_assert_eq(leased.size(), 4U);
   cr_assert_eq(leased[2].key.job, "a");
@@ -323,8 +323,8 @@
   jobs::SubmitJob submit = submission("a");
   submit.job.model = "m";
   submit.job.minimumVersion = 7;
-  (void)ledger.ask(submit);
-  const jobs::JobReply waiting = ledger.ask(jobs::GetWorkReport{});
+  (void)ledger.send(submit);
+  const jobs::JobReply waiting = ledger.send(jobs::GetWorkReport{});
   cr_assert(waiting.work.has_value());
   cr_assert_eq(waiting.work->totalJobs, 1U);
   cr_assert_eq(waiting.work->jobs[0].waiting, 1U);
@@ -334,5 +334,5 @@
   cr_assert_eq(waiting.work->totalEngines, 1U);
 
   ledger.role->setEngines({{"e", 4, {{"m", 7}}}});
-  cr_assert_eq(ledger.ask(jobs::GetWorkReport{}).work->jobs[0].readySlots, 4U);
+  cr_assert_eq(ledger.send(jobs::GetWorkReport{}).work->jobs[0].readySlots, 4U);
 }
--- a/test/jobs/jobs_test.cpp
+++ b/test/jobs/jobs_test.cpp
@@ -319,7 +319,7 @@
   placement.recordEventIntervals({{"slow", {140}}}, kNow);
   placement.setLoads({}, kNow);
   for (int i = 0; i < 9; ++i) {
-    cr_assert_eq(placement.place({"m", 1}), "fast", "one item may queue there");
+    cr_assert_eq(placement.place({"m", 1}), "fast", "one item may queue at the engine");
   }
   cr_assert_eq(placement.place({"m", 1}), "slow", "better than queuing a second item");
   placement.undoPlacement("slow");
--- a/test/jobs/lease_simulation.h
+++ b/test/jobs/lease_simulation.h
@@ -85,7 +85,7 @@
  private:
   static constexpr base::Duration kStep = base::milliseconds(10);
   static constexpr base::NodeId kGateway = base::makeNodeId(1, 1);
-  /// Estimates are in another unit than events.
+  /// Estimated tokens per event; estimates and events have different units.
   static constexpr double kEstimatePerEvent = 60;
 
   struct OpenJob {
--- a/test/jobs/length_forecast_test.cpp
+++ b/test/jobs/length_forecast_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Returns a nearly normal number: the sum of twelve uniform ones.
+/// Returns a number with an approximate standard normal distribution: a sum of twelve uniform ones.
 double gaussian(base::Random& random) {
   double sum = -6;
   for (int i = 0; i < 12; ++i) {
@@ -79,18 +79,18 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     base::SeededRandom random(seed);
     jobs::LengthModel model;
-    double ofEstimates = 0;
-    double ofForecasts = 0;
+    double estimateErrors = 0;
+    double forecastErrors = 0;
     for (int i = 0; i < 2000; ++i) {
       const Text text = drawText(random, 0.6, 0.5);
       if (i >= 500) {
         const auto length = static_cast<double>(text.events);
-        ofEstimates += std::pow(text.estimate - length, 2);
-        ofForecasts += std::pow(model.remaining(text.estimate, 0) - length, 2);
+        estimateErrors += std::pow(text.estimate - length, 2);
+        forecastErrors += std::pow(model.remaining(text.estimate, 0) - length, 2);
       }
       model.train(text.estimate, text.events);
     }
-    cr_assert_lt(ofForecasts, 0.7 * ofEstimates);
+    cr_assert_lt(forecastErrors, 0.7 * estimateErrors);
   }
 }
 
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -88,7 +88,7 @@
   }
 };
 
-/// One run of a load.
+/// Simulates a load with one seed.
 class PlacementSimulation {
  public:
   explicit PlacementSimulation(const Load& load) : m_load(load), m_random(load.seed) {
@@ -125,7 +125,7 @@
       }
       placeWaiting();
       for (auto& [id, engine] : m_engines) {
-        makeEvents(engine);
+        generateEvents(engine);
       }
       if (at % milliseconds(100) == base::Duration{0}) {
         moveFromSlow();
@@ -181,10 +181,10 @@
       if (!engine.texts.empty()) {
         // Weight of new samples in the average of a gateway.
         constexpr double kWeight = 0.28;
-        const double seen = engine.currentEventIntervalMs(m_now - kReportInterval) *
-                            (0.95 + 0.1 * m_random.uniform());
-        const double before = engine.reportedMs > 0 ? engine.reportedMs : seen;
-        engine.reportedMs = before + kWeight * (seen - before);
+        const double observedMs = engine.currentEventIntervalMs(m_now - kReportInterval) *
+                                  (0.95 + 0.1 * m_random.uniform());
+        const double before = engine.reportedMs > 0 ? engine.reportedMs : observedMs;
+        engine.reportedMs = before + kWeight * (observedMs - before);
         reports[id] = {engine.reportedMs};
       }
     }
@@ -220,7 +220,7 @@
     engine.texts.push_back(std::move(text));
   }
 
-  void makeEvents(Engine& engine) {
+  void generateEvents(Engine& engine) {
     const std::size_t running = std::min<std::size_t>(engine.texts.size(), kSlots);
     const double generated = base::toMilliseconds(kStep) / engine.currentEventIntervalMs(m_now);
     for (std::size_t i = 0; i < running; ++i) {
@@ -253,8 +253,8 @@
     last = std::max(last, m_now - (text.dueAt - kDeadline));
   }
 
-  /// Returns the maximum event interval of another engine to which the text should move; zero: it
-  /// stays.
+  /// Returns the maximum event interval of another engine to which the text should move; zero if
+  /// it should stay.
   double maxEventInterval(const Engine& engine, const Text& text) {
     if (m_load.byRequirements) {
       jobs::RunForecast forecast;
@@ -327,7 +327,7 @@
   return "unknown";
 }
 
-/// Variation of shares between seeds.
+/// Maximum decrease of a share that counts as random variation.
 constexpr double kNoise = 0.001;
 
 /// Runs a load with several seeds and returns the sums.
--- a/test/jobs/progress_test.cpp
+++ b/test/jobs/progress_test.cpp
@@ -168,7 +168,7 @@
   now += base::seconds(1);
   saver.tick(now);
   cr_assert_eq(ledgers.requests.size(), 1U);
-  ledgers.answer(true);
+  ledgers.finishCall(true);
   addEvents(run, 8, "b");
   saver.tick(now);
   const jobs::ItemProgress& second = ledgers.requests.at(1).jobs.at(0).items.at(0);
@@ -186,19 +186,19 @@
                             {});
   addEvents(run, 12, "a");
   saver.tick(base::TimePoint{base::seconds(10)});
-  ledgers.answer(false);
+  ledgers.finishCall(false);
   addEvents(run, 12, "b");
   bool done = false;
   saver.flush(base::TimePoint{base::seconds(11)}, [&] { done = true; });
   const jobs::ItemProgress& again = ledgers.requests.at(1).jobs.at(0).items.at(0);
   cr_assert_not(again.after.has_value());
   cr_assert_eq(again.delta.text, run.completed().text);
-  ledgers.answer(false);
+  ledgers.finishCall(false);
   cr_assert(done, "called also after a failed save");
 }
 
-/// Guards against saved texts that mix runs: gateways lose and get leases and save late, twice or
-/// not at all, and each run must continue after the last event of the previous one.
+// Guards against saved texts that mix runs when gateways lose leases and their saves are delayed,
+// repeated or lost.
 Test(job_state, saves_in_any_order_never_mix_runs) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     base::SeededRandom random(seed);
--- a/test/jobs/result_reader_test.cpp
+++ b/test/jobs/result_reader_test.cpp
@@ -63,7 +63,7 @@
     reply.results.resize(count);
     return reply;
   }
-  static void answer(jobs::LedgerClient::Callback& pending, const jobs::JobReply& reply) {
+  static void replyTo(jobs::LedgerClient::Callback& pending, const jobs::JobReply& reply) {
     std::exchange(pending, nullptr)(&reply);
   }
 
@@ -82,10 +82,10 @@
   Fixture fixture;
   fixture.read(3);
   cr_assert(fixture.leader.requests.at(0).preferredReplica == kLocalReplica);
-  Fixture::answer(fixture.leader.pending, Fixture::leaderReply(2));
+  Fixture::replyTo(fixture.leader.pending, Fixture::leaderReply(2));
   cr_assert_eq(fixture.replicas.requests.at(0).after, 3U);
   cr_assert_eq(fixture.replicas.requests.at(0).count, 2U);
-  Fixture::answer(fixture.replicas.pending, Fixture::withResults(2));
+  Fixture::replyTo(fixture.replicas.pending, Fixture::withResults(2));
   cr_assert_eq(fixture.replies, 1);
   cr_assert_eq(fixture.last.results.size(), 2U);
   cr_assert_eq(fixture.last.total, 9U);
@@ -94,7 +94,7 @@
 Test(result_reader, answers_without_an_announcement_are_passed_on) {
   Fixture fixture;
   fixture.read(0);
-  Fixture::answer(fixture.leader.pending, Fixture::withResults(1));
+  Fixture::replyTo(fixture.leader.pending, Fixture::withResults(1));
   cr_assert_eq(fixture.last.results.size(), 1U);
   fixture.read(0);
   std::exchange(fixture.leader.pending, nullptr)(nullptr);
@@ -106,16 +106,16 @@
   for (const bool unresponsive : {false, true}) {
     Fixture fixture;
     fixture.read(0);
-    Fixture::answer(fixture.leader.pending, Fixture::leaderReply(2));
+    Fixture::replyTo(fixture.leader.pending, Fixture::leaderReply(2));
     const jobs::JobReply lagging;
     std::exchange(fixture.replicas.pending, nullptr)(unresponsive ? nullptr : &lagging);
     cr_assert_not(fixture.leader.requests.at(1).preferredReplica.valid(),
                   "the leader returns all results itself");
-    Fixture::answer(fixture.leader.pending, Fixture::withResults(2));
+    Fixture::replyTo(fixture.leader.pending, Fixture::withResults(2));
     cr_assert_eq(fixture.last.results.size(), 2U);
     fixture.read(0);
     cr_assert_not(fixture.leader.requests.at(2).preferredReplica.valid());
-    Fixture::answer(fixture.leader.pending, Fixture::withResults(2));
+    Fixture::replyTo(fixture.leader.pending, Fixture::withResults(2));
     fixture.clock.at += base::seconds(2);
     fixture.read(0);
     cr_assert(fixture.leader.requests.at(3).preferredReplica == kLocalReplica);
--- a/test/jobs/run_decisions_test.cpp
+++ b/test/jobs/run_decisions_test.cpp
@@ -46,9 +46,9 @@
 Test(run_decisions, run_moves_if_it_does_not_complete_before_its_engine_terminates) {
   const base::Duration interval = base::milliseconds(50);
   jobs::TerminatingRun run{base::milliseconds(2400), 10, interval};
-  cr_assert_not(jobs::mustMove(run), "it completes there");
+  cr_assert_not(jobs::mustMove(run), "the run completes before the engine terminates");
   run.remainingEvents = 60;
-  cr_assert(jobs::mustMove(run), "it moves at once with its events");
+  cr_assert(jobs::mustMove(run), "the run would not complete before the engine terminates");
   run.remainingEvents = 0;
   cr_assert_not(jobs::mustMove(run), "the remaining events are unknown");
   run.timeToShutdown = base::milliseconds(250);
@@ -65,9 +65,9 @@
   jobs::RunState waiting = idleFor(base::milliseconds(800));
   waiting.started = false;
   cr_assert_not(jobs::isStalled(waiting), "it is queued");
-  jobs::RunState restless = idleFor(base::milliseconds(800));
-  restless.moves = 3;
-  cr_assert_not(jobs::isStalled(restless), "the maximum number of moves is reached");
+  jobs::RunState movedOften = idleFor(base::milliseconds(800));
+  movedOften.moves = 3;
+  cr_assert_not(jobs::isStalled(movedOften), "the maximum number of moves is reached");
 }
 
 Test(run_decisions, text_on_an_engine_that_turned_slow_moves_only_when_it_would_be_late) {
@@ -75,17 +75,17 @@
   const auto late = jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::seconds(4)));
   cr_assert(late.has_value());
   cr_assert_geq(*late, 49, "engines of normal speed are fast enough");
-  cr_assert_leq(*late, 100, "engines as slow are not");
+  cr_assert_leq(*late, 100, "equally slow engines are not fast enough");
   cr_assert_not(jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::seconds(11))).has_value(),
                 "in time");
   cr_assert(jobs::maxEventIntervalToMoveTo(forecast(170, 60, base::seconds(-1))).has_value(),
-            "late in any case, and clearly sooner at another engine");
+            "already late, and another engine would complete it sooner");
 }
 
 Test(run_decisions, nearly_complete_text_is_not_moved) {
   cr_assert_not(
       jobs::maxEventIntervalToMoveTo(forecast(170, 4, base::milliseconds(300))).has_value(),
-      "the move costs what it gains");
+      "the gain does not exceed the cost of the move");
 }
 
 Test(run_decisions, late_text_on_a_normal_engine_stays) {
--- a/test/jobs/scoring_test.cpp
+++ b/test/jobs/scoring_test.cpp
@@ -63,8 +63,8 @@
   apply(state, jobs::CommitResults{{{"j", {result}}}});
 }
 
-jobs::ScorerResponse answer(int status, const std::string& signature = "",
-                            bool notExecuted = false) {
+jobs::ScorerResponse response(int status, const std::string& signature = "",
+                              bool notExecuted = false) {
   return {true, notExecuted, status, signature};
 }
 
@@ -169,32 +169,32 @@
   run.onTextComplete(kNow);
   run.onScore("s");
   run.onFinished();
-  ledgers.answer(true);
+  ledgers.finishCall(true);
   cr_assert_not(run.isSaving());
   saver.tick(kNow + base::seconds(1));
   cr_assert_eq(ledgers.requests.size(), 1U, "finished items are not saved");
 }
 
 Test(scoring_attempts, only_a_signed_success_is_a_score) {
-  using Step = jobs::ScoringAction;
+  using Action = jobs::ScoringAction;
   jobs::ScoringAttempts attempts(3);
-  cr_assert(attempts.onResponse(answer(200)) == Step::kRetry);
-  cr_assert(attempts.onResponse({false, false, 200, "cut"}) == Step::kRetry);
-  cr_assert(attempts.onResponse(answer(503, "s", true)) == Step::kRetry);
-  cr_assert(attempts.onResponse(answer(421, "s", true)) == Step::kRetry);
-  cr_assert(attempts.onResponse(answer(504, "s")) == Step::kRetry);
-  cr_assert(attempts.onResponse(answer(200, "s")) == Step::kScored);
+  cr_assert(attempts.onResponse(response(200)) == Action::kRetry);
+  cr_assert(attempts.onResponse({false, false, 200, "cut"}) == Action::kRetry);
+  cr_assert(attempts.onResponse(response(503, "s", true)) == Action::kRetry);
+  cr_assert(attempts.onResponse(response(421, "s", true)) == Action::kRetry);
+  cr_assert(attempts.onResponse(response(504, "s")) == Action::kRetry);
+  cr_assert(attempts.onResponse(response(200, "s")) == Action::kScored);
 }
 
 Test(scoring_attempts, only_complete_failure_responses_count) {
-  using Step = jobs::ScoringAction;
+  using Action = jobs::ScoringAction;
   jobs::ScoringAttempts attempts(2);
   for (int i = 0; i < 9; ++i) {
-    cr_assert(attempts.onResponse({false, false, 500, ""}) == Step::kRetry);
-    cr_assert(attempts.onResponse(answer(500, "", true)) == Step::kRetry);
+    cr_assert(attempts.onResponse({false, false, 500, ""}) == Action::kRetry);
+    cr_assert(attempts.onResponse(response(500, "", true)) == Action::kRetry);
   }
   cr_assert_gt(attempts.delay().count(), 0);
-  cr_assert(attempts.onResponse(answer(500)) == Step::kRetry);
+  cr_assert(attempts.onResponse(response(500)) == Action::kRetry);
   cr_assert_eq(attempts.delay().count(), 0, "another server may not share the failure");
-  cr_assert(attempts.onResponse(answer(500)) == Step::kGivenUp);
+  cr_assert(attempts.onResponse(response(500)) == Action::kGivenUp);
 }
--- a/test/jobs/work_report_test.cpp
+++ b/test/jobs/work_report_test.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Test(work_report, what_needs_attention_comes_first) {
+Test(work_report, late_jobs_and_slow_engines_and_gateways_come_first) {
   jobs::WorkSummary work;
   work.jobs = {job("unknown", base::Duration::max()), job("soon", base::seconds(1)),
                job("late", -base::seconds(1)), job("as soon", base::seconds(1))};
