--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -210,11 +210,11 @@
   m_data.requests[id] = {id, hash, outcome};
   m_data.requestOrder.push_back(id);
   // Removing in blocks keeps the cost of erasing from the front of a vector low.
-  if (m_data.requestOrder.size() < limits_.maxRequestIds * 2) {
+  if (m_data.requestOrder.size() < limits_.retainedRequestIds * 2) {
     return;
   }
   const auto keepFrom =
-      m_data.requestOrder.end() - static_cast<std::ptrdiff_t>(limits_.maxRequestIds);
+      m_data.requestOrder.end() - static_cast<std::ptrdiff_t>(limits_.retainedRequestIds);
   for (auto it = m_data.requestOrder.begin(); it != keepFrom; ++it) {
     m_data.requests.erase(*it);
   }
@@ -233,9 +233,9 @@
     entry.before = before->values;
   }
   m_data.history.push_back(std::move(entry));
-  if (m_data.history.size() >= limits_.maxHistoryEntries * 2) {
+  if (m_data.history.size() >= limits_.retainedHistoryEntries * 2) {
     const auto dropped =
-        static_cast<std::ptrdiff_t>(m_data.history.size() - limits_.maxHistoryEntries);
+        static_cast<std::ptrdiff_t>(m_data.history.size() - limits_.retainedHistoryEntries);
     m_data.history.erase(m_data.history.begin(), m_data.history.begin() + dropped);
     m_data.historyTruncated = true;
   }
@@ -248,11 +248,11 @@
       tombstones.emplace_back(node.revision, path);
     }
   }
-  if (tombstones.size() <= limits_.maxTombstones * 2) {
+  if (tombstones.size() <= limits_.retainedTombstones * 2) {
     return;
   }
   std::sort(tombstones.begin(), tombstones.end());
-  tombstones.resize(tombstones.size() - limits_.maxTombstones);
+  tombstones.resize(tombstones.size() - limits_.retainedTombstones);
   for (const auto& [revision, path] : tombstones) {
     m_data.settings.erase(path);
     m_data.prunedRevision = std::max(m_data.prunedRevision, revision);
--- a/src/control/control_state.h
+++ b/src/control/control_state.h
@@ -16,11 +16,11 @@
 struct ControlLimits {
   /// Minimum number of request ids that are kept to recognize resent commands; the oldest are
   /// removed first.
-  std::size_t maxRequestIds = 40'000;
-  std::size_t maxHistoryEntries = 4'000;
+  std::size_t retainedRequestIds = 40'000;
+  std::size_t retainedHistoryEntries = 4'000;
   /// Minimum number of tombstones that are kept. Receivers with an older revision get the full
   /// state.
-  std::size_t maxTombstones = 1'000;
+  std::size_t retainedTombstones = 1'000;
 
   struct Mutants {
     bool ignoreExpectedRevision = false;
--- a/src/directory/demand_load_policy.h
+++ b/src/directory/demand_load_policy.h
@@ -9,11 +9,11 @@
 
 namespace tackpick::directory {
 
-/// Loads first for open steps with fewer slots than items, by slack; then for expected steps by
-/// expected time; then the rest. Among steps due within one load time of each other, the one with
-/// the smallest share of its slots goes first, so that a shortage is spread evenly. Engines that
-/// serve a step that is about to start are kept for it for `gracePeriod`. Models with unknown steps
-/// are planned as by OldestFirstLoadPolicy.
+/// Loads weights first for open steps with fewer slots than items, ordered by slack, then for
+/// expected steps, ordered by expected time, and last for engines that no step needs. Among steps
+/// due within one load time of each other, the one with the smallest share of its slots goes first,
+/// so that a shortage is spread evenly. Engines that serve a step that is about to start are kept
+/// for it for `gracePeriod`. Models with unknown steps are planned as by OldestFirstLoadPolicy.
 class DemandLoadPolicy final : public LoadPolicy {
  public:
   explicit DemandLoadPolicy(base::Duration gracePeriod)
--- a/src/directory/directory_messages.h
+++ b/src/directory/directory_messages.h
@@ -49,7 +49,7 @@
   std::uint16_t port = 0;
   std::string zone;
   std::uint32_t slots = 0;
-  bool draining = false;  ///< gets no new work for the rest of its life
+  bool draining = false;  ///< gets no new work until it terminates
   /// Whether the platform may terminate it at short notice.
   bool preemptible = false;
   /// Time from the first report of draining until termination; zero if the instance terminates when
@@ -110,7 +110,7 @@
 /// An instance's heartbeat.
 struct InstanceHeartbeat {
   InstanceRecord record;
-  std::uint64_t sequence = 0;  ///< increases with each heartbeat; a lower one is late
+  std::uint64_t sequence = 0;  ///< increases with each heartbeat
   std::map<std::string, std::uint64_t> versions;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -119,7 +119,7 @@
 };
 
 struct DeregisterInstance {
-  std::string id;  ///< without a start time: the newest incarnation of that name
+  std::string id;  ///< selects the newest incarnation if it has no start time
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id);
@@ -135,8 +135,8 @@
   }
 };
 
-/// Reports a node and requests changes of the view. The reply is delayed up to `hold` while there
-/// are none.
+/// Reports a node and requests changes of the view. The reply is delayed up to `hold` if nothing
+/// has changed.
 struct Watch {
   NodeRecord node;
   std::uint64_t configurationVersion = 0;  ///< version that the node applies
@@ -251,8 +251,8 @@
   }
 };
 
-/// Revisions contain the leader's term from this bit up, so that revisions of different leaders
-/// differ.
+/// Lowest bit of the leader's term in a revision. The term distinguishes revisions of different
+/// leaders.
 inline constexpr unsigned kRevisionTermShift = 40;
 
 /// View of the cluster in the reply to a watch.
@@ -272,7 +272,7 @@
   std::set<base::NodeId> ledgerVoters;
   std::uint32_t gateways = 1;  ///< gateways seen recently, at least 1
   bool allNodesSeen = false;   ///< the leader has led for longer than the heartbeat timeout
-  /// Usage of windows before this one is final; zero if none is.
+  /// First usage window that is not final; zero if no window is final.
   duties::WindowNumber firstOpenUsageWindow = 0;
   std::vector<quarantine::HeldRequest> heldRequests;  ///< sorted by fingerprint
   base::WallTime clusterTime;  ///< the leader's estimate of true time when the reply was sent
@@ -369,8 +369,8 @@
   }
 };
 
-/// Records changed engine assignments, so that a new leader starts from them. It could otherwise
-/// leave a model without engines until demand is reported.
+/// Records changed engine assignments, so that a new leader starts from them. Otherwise a
+/// model could have no engines until demand is reported.
 struct RecordAssignments {
   std::vector<EngineAssignment> changed;
   template <class Archive>
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -168,8 +168,8 @@
         std::any_of(nodes_.begin(), nodes_.end(), [&, &retiringName = name](const auto& entry) {
           return entry.second.record.name == retiringName && ledgers.contains(entry.first);
         });
-    // The retirement completes as well if the group cannot grow because no other ledger is
-    // reachable; the machine would otherwise never be released.
+    // A group that cannot grow because no other ledger is reachable must not block the
+    // retirement; otherwise the machine would never be released.
     const bool canComplete =
         ledgers.voters.size() >= settings_.repair.targetSize ||
         !cluster::canAddMember(ledgers, nodesOf(NodeRole::kLedger, now), settings_.repair);
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -283,9 +283,9 @@
       changes.changed.push_back({id, model});
     }
   }
-  base::SortedCursor followed(m_loadScheduler.assignments());
+  base::SortedCursor currentAssignments(m_loadScheduler.assignments());
   for (const auto& [id, model] : state_.assignments()) {
-    if (followed.find(id) == nullptr) {
+    if (currentAssignments.find(id) == nullptr) {
       changes.changed.push_back({id, {}});
     }
   }
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -116,7 +116,7 @@
   /// A trial whose log entry is not committed yet.
   struct PendingTrial {
     Caller caller;
-    std::uint32_t trials = 0;  ///< trials of the request before this one
+    std::uint32_t trials = 0;  ///< number of earlier trials of the request
   };
 
   [[nodiscard]] std::map<std::string, double> modelDemand(base::TimePoint now) const;
--- a/src/directory/engine_assigner.cpp
+++ b/src/directory/engine_assigner.cpp
@@ -159,17 +159,17 @@
   }
   // Open items count as well: a model that lost its engines does no work and would otherwise never
   // get engines again.
-  constexpr double kMinOfItems = 0.5;
-  std::map<std::string, double> asked;
+  constexpr double kMinItemShare = 0.5;
+  std::map<std::string, double> modelShares;
   for (const std::string& model : service.models) {
     const auto done = demand.find(model);
-    const double doneHere = done == demand.end() ? 0.0 : done->second;
+    const double modelWork = done == demand.end() ? 0.0 : done->second;
     const double equal = 1.0 / static_cast<double>(service.models.size());
-    const double byWork = work < m_settings.minDemand ? equal : doneHere / work;
+    const double byWork = work < m_settings.minDemand ? equal : modelWork / work;
     const double byItems = items > 0 ? m_requirements.openItems(model) / items : 0.0;
-    asked[model] = std::max(byWork, kMinOfItems * byItems);
+    modelShares[model] = std::max(byWork, kMinItemShare * byItems);
   }
-  return asked;
+  return modelShares;
 }
 
 void EngineAssigner::assignStarvedModels(const ReportedEngines& engines,
--- a/src/directory/engine_assigner.h
+++ b/src/directory/engine_assigner.h
@@ -46,7 +46,7 @@
 /// have free slots. Deterministic; owned by one thread.
 class EngineAssigner {
  public:
-  /// Engines without a heartbeat for longer than `heartbeatTimeout` are not counted.
+  /// `heartbeatTimeout`: time without a heartbeat after which an engine is not counted.
   EngineAssigner(EngineAssignerSettings settings, base::Duration heartbeatTimeout)
       : m_settings(settings),
         m_heartbeatTimeout(heartbeatTimeout),
--- a/src/directory/heartbeat_relay.cpp
+++ b/src/directory/heartbeat_relay.cpp
@@ -49,9 +49,9 @@
   return relayed;
 }
 
-void HeartbeatRelay::onBatchAcknowledged(bool known) {
+void HeartbeatRelay::onBatchAcknowledged(bool acknowledged) {
   m_inFlight = false;
-  if (!known) {
+  if (!acknowledged) {
     m_sentVersions.clear();
   }
 }
--- a/src/directory/heartbeat_relay.h
+++ b/src/directory/heartbeat_relay.h
@@ -39,8 +39,9 @@
   /// Returns the next batch; std::nullopt if there is none, a batch is in flight, or the interval
   /// has not passed.
   [[nodiscard]] std::optional<RelayHeartbeats> takeBatch(base::TimePoint now);
-  /// Call when the request with the batch has ended; `known`: whether the leader acknowledged it.
-  void onBatchAcknowledged(bool known);
+  /// Call when the request with the batch has ended; `acknowledged`: whether the leader
+  /// acknowledged it.
+  void onBatchAcknowledged(bool acknowledged);
 
  private:
   /// Maximum number of instances whose last sent versions are kept.
--- a/src/directory/load_limiter.cpp
+++ b/src/directory/load_limiter.cpp
@@ -39,7 +39,7 @@
   m_started.erase(found);
   const base::Duration elapsed = now - started.at;
   constexpr int kSmoothingWeight =
-      7;  // weight of the old mean: single slow engines change it little
+      7;  // weight of the previous mean; limits the effect of single slow engines
   m_loadTime =
       m_loadTime ? (*m_loadTime * kSmoothingWeight + elapsed) / (kSmoothingWeight + 1) : elapsed;
   if (!started.atLimit) {
@@ -62,7 +62,7 @@
   if (mean > tolerated) {
     m_limit = std::max(m_minLimit, m_limit - 1);
     m_saturatedAt = now;
-    // The baseline follows a store that has become slower permanently.
+    // Adapts the baseline to a store that has become permanently slower.
     constexpr int kBaselineSmoothing = 20;
     m_baselineLoadTime = baseline + (mean - baseline) / kBaselineSmoothing;
     return;
--- a/src/directory/load_scheduler.cpp
+++ b/src/directory/load_scheduler.cpp
@@ -19,7 +19,7 @@
   return nullptr;
 }
 
-/// Whether a route of the service requires all of a text from one version.
+/// Whether a route of the service requires each text to come from one weights version.
 bool requiresSingleVersion(const Configuration& configuration, const std::string& service) {
   return std::any_of(
       configuration.routes.begin(), configuration.routes.end(), [&](const Route& route) {
@@ -95,7 +95,7 @@
     if (!issued.isDone && engine != nullptr &&
         reportedVersion(*engine, issued.model) >= issued.version) {
       issued.isDone = true;
-      // A delayed older command may replace the version, so this one may be issued again.
+      // A delayed older command may revert the engine, so the command may be issued again.
       issued.loadingUntil = now;
       issued.retryAt = now;
       m_loadLimiter.onLoaded(instance, now);
@@ -103,13 +103,13 @@
   }
 }
 
-void LoadScheduler::removeGone(const DirectoryState& state) {
+void LoadScheduler::removeUnregistered(const DirectoryState& state) {
   std::erase_if(m_issued, [&](const auto& issued) {
-    const bool isGone = !state.instances().contains(issued.first);
-    if (isGone) {
+    const bool isUnregistered = !state.instances().contains(issued.first);
+    if (isUnregistered) {
       m_loadLimiter.onAbandoned(issued.first);
     }
-    return isGone;
+    return isUnregistered;
   });
 }
 
@@ -230,7 +230,7 @@
   trackPublished(state, now);
   applyOpenJobs(state);
   markLoaded(engines, now);
-  removeGone(state);
+  removeUnregistered(state);
   m_assigner.assign(state, engines, demand, now);
   m_loadLimiter.setMinLimit(configuredMaxLoads());
   FleetState fleet = observe(state, engines, now);
--- a/src/directory/load_scheduler.h
+++ b/src/directory/load_scheduler.h
@@ -47,12 +47,12 @@
   /// Time after which a load command without a report of the version counts as failed.
   base::Duration loadTimeout = base::seconds(4);
   /// Delay after a load command before the engine is polled for its versions, and interval between
-  /// polls. The next load can start as soon as this one is complete.
+  /// polls. The next load can start as soon as a poll reports completion.
   base::Duration firstPollDelay = base::milliseconds(850);
   base::Duration pollInterval = base::milliseconds(150);
   /// Time for which a command with unknown outcome counts as a load.
   base::Duration unknownOutcomeTimeout = base::milliseconds(1500);
-  /// Engines without a heartbeat for longer get no load commands.
+  /// Time without a heartbeat after which an engine gets no load commands.
   base::Duration heartbeatTimeout = base::seconds(4);
   /// Expected load time before any load has been measured.
   base::Duration defaultLoadTime = base::seconds(1);
@@ -151,7 +151,7 @@
   /// Marks loads that are complete and updates the limiter.
   void markLoaded(const ReportedEngines& engines, base::TimePoint now);
   /// Removes commands to engines that are no longer registered.
-  void removeGone(const DirectoryState& state);
+  void removeUnregistered(const DirectoryState& state);
   [[nodiscard]] FleetState observe(const DirectoryState& state, const ReportedEngines& engines,
                                    base::TimePoint now) const;
   [[nodiscard]] ModelLoadStates modelStates(const DirectoryState& state, base::TimePoint now) const;
--- a/src/directory/model_ranking.cpp
+++ b/src/directory/model_ranking.cpp
@@ -23,7 +23,7 @@
 ModelRanking::ModelRanking(const ModelLoadState& model, base::Duration gracePeriod,
                            base::Duration loadTime, base::TimePoint now)
     : m_model(model), m_gracePeriod(gracePeriod), m_loadTime(loadTime), m_now(now) {
-  std::uint32_t servableItems = 0;  // waiting items that can start on engines as they are
+  std::uint32_t servableItems = 0;  // waiting items that can start without loads
   std::uint64_t oldest = 0;
   for (const StepDemand& step : model.stepDemands) {
     if (step.open && slotsFrom(model.readySlots, step.version) > 0) {
@@ -49,7 +49,7 @@
   for (const StepDemand& step : m_model.stepDemands) {
     rankForStep(step, candidates, ranked);
   }
-  rankRest(candidates, ranked);
+  rankUnneeded(candidates, ranked);
 }
 
 void ModelRanking::rankForStep(const StepDemand& step, Candidates& candidates,
@@ -78,7 +78,7 @@
   candidates = std::move(remaining);
 }
 
-void ModelRanking::rankRest(const Candidates& candidates, std::vector<RankedLoad>& ranked) {
+void ModelRanking::rankUnneeded(const Candidates& candidates, std::vector<RankedLoad>& ranked) {
   // The newest version may be older than every open or expected step requires.
   const bool serves =
       std::any_of(m_model.stepDemands.begin(), m_model.stepDemands.end(),
--- a/src/directory/model_ranking.h
+++ b/src/directory/model_ranking.h
@@ -35,7 +35,7 @@
   /// Ranks engines for one step until its items have enough slots; removes them from `candidates`.
   void rankForStep(const StepDemand& step, Candidates& candidates, std::vector<RankedLoad>& ranked);
   /// Ranks engines that no known step needs.
-  void rankRest(const Candidates& candidates, std::vector<RankedLoad>& ranked);
+  void rankUnneeded(const Candidates& candidates, std::vector<RankedLoad>& ranked);
   /// Whether loads for `step` must start now to be complete in time.
   [[nodiscard]] bool isDueSoon(const StepDemand& step) const;
   /// Whether items of `step` are about to start.
@@ -53,7 +53,7 @@
   const base::TimePoint m_now;
   /// Slots of engines that are ranked to load the newest version.
   std::uint32_t m_plannedSlots = 0;
-  /// Slots that starting steps can spare for the next step if that is due soon.
+  /// Slots that starting steps do not need; zero unless a later step is due soon.
   std::uint32_t m_spareSlots = 0;
 };
 
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -154,7 +154,7 @@
     const std::uint64_t version = steps.lastMinVersion + ahead * increment;
     const base::TimePoint due = firstExpectedAt + interval * static_cast<int>(ahead - 1);
     stepDemands.push_back({false, version, slots, slots, due, steps.slack});
-    // The step after that depends on a version that is not published yet.
+    // Later steps depend on a version that is not published yet.
     if (version + lag > published) {
       break;
     }
--- a/src/directory/step_forecast.h
+++ b/src/directory/step_forecast.h
@@ -61,10 +61,10 @@
     std::deque<base::TimePoint> submittedAt;  ///< submission times of the last steps
     std::uint64_t lastMinVersion = 0;         ///< minimum version of the newest step
     std::deque<base::Duration> intervals;
-    std::deque<std::uint64_t> increments;  ///< of the minimum version from step to step
-    std::deque<std::uint64_t> lags;        ///< of the minimum version behind the newest version
+    std::deque<std::uint64_t> increments;  ///< increments of the minimum version between steps
+    std::deque<std::uint64_t> lags;        ///< distance of the minimum version from the newest
     std::deque<std::uint32_t> items;
-    base::Duration slack = base::Duration::max();  ///< of the newest step at submission
+    base::Duration slack = base::Duration::max();  ///< slack of the newest step at submission
   };
 
   void updateModel(StepHistory& steps, const std::vector<jobs::OpenJob>& openJobs,
--- a/src/directory/view_history.cpp
+++ b/src/directory/view_history.cpp
@@ -7,7 +7,7 @@
 
 /// Minimum number of tombstones that are kept; more are kept if there are more instances. Nodes
 /// whose revision is older than the kept tombstones get a full view.
-constexpr std::size_t kMaxRemoved = 4096;
+constexpr std::size_t kMinTombstones = 4096;
 
 bool isUnchanged(const InstanceView& recorded, const InstanceViewRef& now) {
   return recorded.unresponsive == now.unresponsive && recorded.loading == now.loading &&
@@ -99,7 +99,7 @@
 }
 
 void ViewHistory::pruneTombstones() {
-  const std::size_t maxTombstones = std::max(kMaxRemoved, m_instances.size());
+  const std::size_t maxTombstones = std::max(kMinTombstones, m_instances.size());
   while (m_tombstones.size() > maxTombstones) {
     const auto oldest = m_tombstonesByRevision.begin();
     m_oldestRevision = std::max(m_oldestRevision, oldest->first);
--- a/src/directory/view_history.h
+++ b/src/directory/view_history.h
@@ -35,8 +35,8 @@
   /// The revision increases if anything has changed.
   void update(const std::vector<InstanceViewRef>& instances, DirectoryView sharedView);
   [[nodiscard]] std::uint64_t revision() const { return m_revision; }
-  /// Whether a node with the view of `heldRevision` needs a full view, because that revision is too
-  /// old or not of this leader.
+  /// Whether a node with the view of `heldRevision` needs a full view, because the revision is
+  /// too old or belongs to another leader.
   [[nodiscard]] bool needsFullView(std::uint64_t heldRevision) const {
     return heldRevision < m_oldestRevision || heldRevision > m_revision;
   }
--- a/src/directory/watch_queue.cpp
+++ b/src/directory/watch_queue.cpp
@@ -7,16 +7,16 @@
 
 /// Maximum burst of full views, as time at fullViewBytesPerSecond.
 constexpr base::Duration kMaxBurst = base::milliseconds(250);
-/// Time without contact to any voter after which gateways are sent all ledgers again.
+/// Time without contact to any voter after which views for gateways contain all ledgers.
 constexpr base::Duration kVoterTimeout = base::milliseconds(2500);
 
 /// Removes non-voting ledgers, which gateways do not call, to keep views small in large clusters.
-void keepVoters(DirectoryView& view) {
-  const bool heard =
+void removeNonVoters(DirectoryView& view) {
+  const bool isVoterReachable =
       std::any_of(view.ledgers.begin(), view.ledgers.end(), [&](const LedgerSummary& summary) {
         return view.ledgerVoters.contains(summary.node) && summary.silence < kVoterTimeout;
       });
-  if (heard) {
+  if (isVoterReachable) {
     std::erase_if(view.ledgers, [&](const LedgerSummary& summary) {
       return !view.ledgerVoters.contains(summary.node);
     });
@@ -29,7 +29,7 @@
   reply.view->configurationVersion = configuration.version;
   reply.view->clusterTime = clusterTime;
   if (watch.node.role == NodeRole::kGateway) {
-    keepVoters(*reply.view);
+    removeNonVoters(*reply.view);
   }
   if (watch.configurationVersion < configuration.version) {
     reply.view->configuration = configuration;
--- a/src/directory/watch_queue.h
+++ b/src/directory/watch_queue.h
@@ -30,9 +30,9 @@
 /// Holds watches until there are changes or the watch times out. Ledgers, which assign work, and
 /// nodes with an outdated configuration get a reply at once; other nodes get changes together at
 /// intervals. Nodes that hold the same view share one encoded reply. Full views are rate-limited
-/// and sent first to ledgers and to nodes without a view. A node that waits for one keeps its view;
-/// it gets a reply without instances if its watch times out or its configuration is outdated.
-/// Deterministic; owned by one thread.
+/// and sent first to ledgers and to nodes without a view. A node that waits for a full view keeps
+/// its current one; it gets a reply without instances if its watch times out or its configuration
+/// is outdated. Deterministic; owned by one thread.
 class WatchQueue {
  public:
   using Caller = cluster::ServiceCaller;
--- a/src/directory/weights_summary.h
+++ b/src/directory/weights_summary.h
@@ -17,9 +17,10 @@
   std::uint64_t published = 0;
   /// Minimum version of the most urgent step; zero if steps are unknown.
   std::uint64_t neededVersion = 0;
-  /// Slots of engines with that version or newer; of the published version if steps are unknown.
+  /// Slots of engines with `neededVersion` or newer, or with the published version if steps are
+  /// unknown.
   std::uint32_t readySlots = 0;
-  std::uint32_t loadingSlots = 0;  ///< slots of engines that load it
+  std::uint32_t loadingSlots = 0;  ///< slots of engines that load that version
   std::uint32_t requiredSlots = 0;
   std::optional<base::Duration> expectedIn;  ///< negative if the step is open or late
 
--- a/test/control/control_state_test.cpp
+++ b/test/control/control_state_test.cpp
@@ -93,7 +93,8 @@
   constexpr base::TimePoint kStart{base::seconds(1000)};
   control::ServingLeases leases({});
   leases.onBecameLeader(kStart);
-  cr_assert_not(leases.isAppliedEverywhere({5}, kStart + base::seconds(1)), "predecessor's leases");
+  cr_assert_not(leases.isAppliedEverywhere({5}, kStart + base::seconds(1)),
+                "leases of the predecessor may be valid");
   const base::TimePoint later = kStart + base::seconds(5);
   cr_assert(leases.isAppliedEverywhere({5}, later));
   leases.grant({1}, {1}, {4}, later);
--- a/test/control/controller_test.cpp
+++ b/test/control/controller_test.cpp
@@ -90,5 +90,5 @@
   fixture.run(base::seconds(3));
   cr_assert(fixture.grantsLease());
   Fixture without(base::Duration{0});
-  cr_assert(without.grantsLease(), "there is no list");
+  cr_assert(without.grantsLease(), "the timeout for the machine list is zero");
 }
--- a/test/directory/command_lease_test.cpp
+++ b/test/directory/command_lease_test.cpp
@@ -29,7 +29,7 @@
   const base::TimePoint leading = start + base::seconds(6);
   cr_assert(lease.earliestCommandTime(leading) == leading + kTransit);
   cr_assert(lease.leaseExpiry() == start + base::seconds(5) + kLease,
-            "for calls that may take effect late");
+            "the lease covers calls that may take effect late");
 }
 
 Test(command_lease, holders_do_not_alternate_within_the_lease) {
@@ -58,15 +58,15 @@
 // Holders are compared by node number, which stays when the machine has lost its disk.
 Test(command_lease, machine_with_a_new_disk_counts_as_the_same_holder) {
   const base::TimePoint start{base::seconds(100)};
-  const base::TimePoint noted = start + base::milliseconds(10);
+  const base::TimePoint claimedAt = start + base::milliseconds(10);
   const base::NodeId former = base::makeNodeId(base::nodeNumber(kSelf), 77);
   directory::CommandLease lease{kSelf, {kLease, kTransit, false}, 0, start};
-  lease.onClaim(former, 11, noted);
-  cr_assert(lease.earliestCommandTime(noted) == noted + kTransit,
+  lease.onClaim(former, 11, claimedAt);
+  cr_assert(lease.earliestCommandTime(claimedAt) == claimedAt + kTransit,
             "the former holder is the same machine");
-  lease.onClaim(kOtherLeader, 12, noted + base::seconds(1));
-  cr_assert(lease.earliestCommandTime(noted + base::seconds(1)) ==
-            noted + base::seconds(1) + kLease);
+  lease.onClaim(kOtherLeader, 12, claimedAt + base::seconds(1));
+  cr_assert(lease.earliestCommandTime(claimedAt + base::seconds(1)) ==
+            claimedAt + base::seconds(1) + kLease);
 }
 
 // A process may have sent commands shortly before it was killed and restarted.
--- a/test/directory/directory_test.cpp
+++ b/test/directory/directory_test.cpp
@@ -235,7 +235,7 @@
 
 }  // namespace
 
-Test(version_orders, two_at_once_until_every_engine_has_the_version) {
+Test(load_scheduler, two_at_once_until_every_engine_has_the_version) {
   SchedulerFixture fixture(5);
   cr_assert(fixture.step().empty(), "no version is published");
   apply(fixture.state, directory::PublishVersion{"m", 2});
@@ -249,7 +249,7 @@
       cr_assert(fixture.scheduler.isLoading(command.instance, fixture.engines, fixture.now));
     }
     cr_assert_leq(commanded.size(), 2U * (round + 1U));
-    cr_assert(fixture.step().empty(), "two are loading");
+    cr_assert(fixture.step().empty(), "two engines are loading");
     fixture.now += base::seconds(1);
     for (const std::string& id : commanded) {
       fixture.engines[id].versions["m"] = 2;
@@ -259,7 +259,7 @@
   cr_assert(fixture.step().empty());
 }
 
-Test(version_orders, engines_with_the_oldest_weights_load_first) {
+Test(load_scheduler, engines_with_the_oldest_weights_load_first) {
   SchedulerFixture fixture(6);
   for (auto& [id, engine] : fixture.engines) {
     engine.versions["m"] = 2;
@@ -277,7 +277,7 @@
             "engines behind by two versions come first");
 }
 
-Test(version_orders, a_fifth_of_a_large_cluster_loads_at_once) {
+Test(load_scheduler, a_fifth_of_a_large_cluster_loads_at_once) {
   SchedulerFixture fixture(45);
   apply(fixture.state, directory::PublishVersion{"m", 2});
   (void)fixture.step();
@@ -317,7 +317,7 @@
 
 }  // namespace
 
-Test(version_orders, only_required_engines_of_a_large_cluster_get_commands) {
+Test(load_scheduler, only_required_engines_of_a_large_cluster_get_commands) {
   LargeFleet fleet(3000);
   (void)fleet.step();
   cr_assert_eq(fleet.activeCount(), 128U, "64 for each model while demand is unknown");
@@ -326,7 +326,7 @@
   }
   fleet.scheduler.setOpenJobs(openJobs({{"m", 800}}), fleet.now);
   (void)fleet.step();
-  cr_assert_eq(fleet.activeCount(), 264U, "200 for 800 items with headroom, at once");
+  cr_assert_eq(fleet.activeCount(), 264U, "800 open items with headroom require 200 engines");
   apply(fleet.state, directory::PublishVersion{"m", 2});
   std::size_t commands = 0;
   for (int round = 0; round < 6; ++round) {
@@ -339,22 +339,22 @@
   cr_assert_eq(commands, 200U);
 }
 
-Test(version_orders, assigned_engines_that_fail_are_replaced) {
+Test(load_scheduler, assigned_engines_that_fail_are_replaced) {
   LargeFleet fleet(3000);
   (void)fleet.step();
   const std::size_t before = fleet.activeCount();
   fleet.now += base::seconds(5);
   std::size_t lost = 0;
   for (auto& [id, engine] : fleet.engines) {
-    const bool dies = !fleet.scheduler.isStandby(fleet.state.instances().at(id)) && lost < 30;
-    engine.lastSeenAt = dies ? fleet.now - base::seconds(5) : fleet.now;
-    lost += dies ? 1 : 0;
+    const bool isFailing = !fleet.scheduler.isStandby(fleet.state.instances().at(id)) && lost < 30;
+    engine.lastSeenAt = isFailing ? fleet.now - base::seconds(5) : fleet.now;
+    lost += isFailing ? 1 : 0;
   }
   (void)fleet.scheduler.step(fleet.state, fleet.engines, {}, 3, fleet.now);
   cr_assert_eq(fleet.activeCount(), before + 30, "unresponsive engines stay assigned");
 }
 
-Test(version_orders, new_leader_assigns_engines_that_hold_the_newest_weights) {
+Test(load_scheduler, new_leader_assigns_engines_that_hold_the_newest_weights) {
   LargeFleet fleet(3000);
   apply(fleet.state, directory::PublishVersion{"m", 7});
   for (int i = 1000; i < 1064; ++i) {
@@ -367,7 +367,7 @@
   }
 }
 
-Test(version_orders, engines_return_to_standby_one_by_one_after_demand_falls) {
+Test(load_scheduler, engines_return_to_standby_one_by_one_after_demand_falls) {
   LargeFleet fleet(3000);
   fleet.scheduler.setOpenJobs(openJobs({{"m", 800}}), fleet.now);
   (void)fleet.step();
@@ -397,7 +397,7 @@
 }
 
 // Guards against a step that sorts all engines of a large cluster.
-Test(version_orders, step_of_a_large_cluster_is_cheap) {
+Test(load_scheduler, step_of_a_large_cluster_is_cheap) {
   LargeFleet fleet(10'000);
   (void)fleet.step();
   constexpr int kTicks = 50;
@@ -408,7 +408,7 @@
   cr_assert_lt(static_cast<double>(std::clock() - startedAt) / CLOCKS_PER_SEC, 2.0);
 }
 
-Test(version_orders, new_leader_waits_until_commands_cannot_alternate) {
+Test(load_scheduler, new_leader_waits_until_commands_cannot_alternate) {
   SchedulerFixture fixture(1);
   apply(fixture.state, directory::PublishVersion{"m", 9});
   fixture.scheduler.reset(fixture.now + base::milliseconds(3100));
@@ -418,7 +418,7 @@
   cr_assert_eq(fixture.step().size(), 1U);
 }
 
-Test(version_orders, each_engine_is_assigned_to_one_model) {
+Test(load_scheduler, each_engine_is_assigned_to_one_model) {
   SchedulerFixture fixture(6, {"m", "n"});
   apply(fixture.state, directory::PublishVersion{"m", 5});
   apply(fixture.state, directory::PublishVersion{"n", 5});
@@ -435,7 +435,7 @@
 }
 
 // Guards against engines that are shared equally although demand differs.
-Test(version_orders, engines_are_assigned_by_demand) {
+Test(load_scheduler, engines_are_assigned_by_demand) {
   SchedulerFixture fixture(9, {"m", "n"});
   fixture.demand = {{"m", 1000.0}, {"n", 2000.0}};
   std::map<std::string, std::set<std::string>> models;
@@ -455,7 +455,7 @@
   cr_assert_eq(models["n"].size(), 6U);
 }
 
-Test(version_orders, new_leader_derives_assignments_from_held_versions) {
+Test(load_scheduler, new_leader_derives_assignments_from_held_versions) {
   SchedulerFixture fixture(4, {"m", "n"});
   apply(fixture.state, directory::PublishVersion{"m", 6});
   apply(fixture.state, directory::PublishVersion{"n", 6});
@@ -477,7 +477,7 @@
 
 // Guards against a model without engines that never gets any, since it does no work: open items
 // must count as demand.
-Test(version_orders, model_without_engines_gets_them_by_its_open_items) {
+Test(load_scheduler, model_without_engines_gets_them_by_its_open_items) {
   SchedulerFixture fixture(12, {"m", "n"});
   directory::EngineAssignments assignments;
   for (const auto& [id, record] : fixture.state.instances()) {
@@ -491,7 +491,7 @@
                          fixture.scheduler.assignments().end(),
                          [&](const auto& assignment) { return assignment.second == model; });
   };
-  cr_assert_geq(assignedCount("n"), 2, "half of its share at once");
+  cr_assert_geq(assignedCount("n"), 2, "the model gets half of its share in one step");
   cr_assert_geq(assignedCount("m"), 6);
 }
 
@@ -505,7 +505,7 @@
   cr_assert_eq(demand.recent(now).at("n"), 50.0);
 }
 
-Test(version_orders, unresponsive_and_draining_engines_get_no_commands) {
+Test(load_scheduler, unresponsive_and_draining_engines_get_no_commands) {
   SchedulerFixture fixture(2);
   apply(fixture.state, directory::PublishVersion{"m", 5});
   auto draining = instance("e0", 1);
@@ -520,7 +520,7 @@
           .empty());
 }
 
-Test(version_orders, lost_command_is_retried) {
+Test(load_scheduler, lost_command_is_retried) {
   SchedulerFixture fixture(1);
   apply(fixture.state, directory::PublishVersion{"m", 5});
   const auto commands = fixture.step();
--- a/test/directory/heartbeat_relay_test.cpp
+++ b/test/directory/heartbeat_relay_test.cpp
@@ -71,7 +71,7 @@
 
 Test(heartbeat_relay, changes_of_a_registration_are_forwarded_to_the_leader) {
   Fixture fixture;
-  cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kForward, "it is draining");
+  cr_assert(fixture.verdict(heartbeat(1, 1, true)) == Verdict::kForward, "the engine is draining");
   directory::InstanceHeartbeat moved = heartbeat(1, 1);
   moved.record.port = 2;
   cr_assert(fixture.verdict(moved) == Verdict::kForward);
--- a/test/directory/incarnation_test.cpp
+++ b/test/directory/incarnation_test.cpp
@@ -13,7 +13,7 @@
 
 const std::string kFirst = Incarnation{"e", 1000}.key();
 const std::string kSecond = Incarnation{"e", 2000}.key();
-const std::string kOther = Incarnation{"e!", 1500}.key();  // sorts between the two
+const std::string kOther = Incarnation{"e!", 1500}.key();  // sorts between kFirst and kSecond
 
 /// Directory state with the index of the last applied command.
 class StateFixture {
--- a/test/directory/step_forecast_test.cpp
+++ b/test/directory/step_forecast_test.cpp
@@ -60,7 +60,7 @@
     trainer.submit(step);
   }
   const auto stepDemands = trainer.stepDemands();
-  cr_assert_eq(stepDemands.size(), 2U, "one with waiting items, and the next");
+  cr_assert_eq(stepDemands.size(), 2U, "one open step with waiting items and one expected step");
   cr_assert(stepDemands[0].open);
   cr_assert_eq(stepDemands[0].version, 4U);
   cr_assert_eq(stepDemands[0].waiting, 100U);
@@ -84,7 +84,7 @@
   for (std::uint64_t step = 1; step <= 5; ++step) {
     trainer.submit(step);
   }
-  trainer.published["m"] = 7;  // of steps 6 and 7, none of which is submitted
+  trainer.published["m"] = 7;  // includes the versions of steps 6 and 7, which are not submitted
   const auto stepDemands = trainer.stepDemands();
   cr_assert_eq(stepDemands.size(), 3U);
   cr_assert_eq(stepDemands[1].version, 5U);
@@ -152,7 +152,7 @@
 
 }  // namespace
 
-Test(load_budget, adapts_to_the_capacity_of_the_store) {
+Test(load_limiter, adapts_to_the_capacity_of_the_store) {
   Store store(8);
   cr_assert_eq(store.limiter.limit(), 4U);
   std::size_t maxLimit = 0;
@@ -164,7 +164,7 @@
   cr_assert_eq(maxLimit, 9U, "the limit exceeded the capacity by at most one");
 }
 
-Test(load_budget, stays_within_its_bounds) {
+Test(load_limiter, stays_within_its_bounds) {
   Store saturated(1);
   Store fast(1000);
   for (int i = 0; i < 40; ++i) {
@@ -175,7 +175,7 @@
   cr_assert_eq(fast.limiter.limit(), 12U, "at most three times the minimum");
 }
 
-Test(load_budget, loads_below_the_limit_do_not_change_it) {
+Test(load_limiter, loads_below_the_limit_do_not_change_it) {
   Store store(8);
   for (int i = 0; i < 20; ++i) {
     store.limiter.onStarted("e", 1, store.now);
@@ -186,7 +186,7 @@
   cr_assert(store.limiter.loadTime() == base::seconds(1));
 }
 
-Test(load_budget, abandoned_loads_do_not_count) {
+Test(load_limiter, abandoned_loads_do_not_count) {
   Store store(8);
   store.limiter.onStarted("e", 4, store.now);
   store.limiter.onAbandoned("e");
--- a/test/directory/unsent_calls_test.cpp
+++ b/test/directory/unsent_calls_test.cpp
@@ -151,7 +151,7 @@
   disturbed.configure();
   cr_assert_eq(disturbed.term(), undisturbed.term());
   cr_assert(disturbed.calledAt.has_value(), "the call was lost");
-  cr_assert(*disturbed.calledAt > *undisturbed.calledAt, "it was not delayed");
+  cr_assert(*disturbed.calledAt > *undisturbed.calledAt, "the failed transfer did not delay it");
 }
 
 Test(unsent_calls, usage_is_reported_after_a_failed_transfer_of_leadership) {
@@ -162,5 +162,6 @@
   disturbed.configure();
   cr_assert_eq(disturbed.term(), undisturbed.term());
   cr_assert(disturbed.reportedAt.has_value(), "the report was lost");
-  cr_assert(*disturbed.reportedAt > *undisturbed.reportedAt, "it was not delayed");
+  cr_assert(*disturbed.reportedAt > *undisturbed.reportedAt,
+            "the failed transfer did not delay it");
 }
--- a/test/directory/view_history_test.cpp
+++ b/test/directory/view_history_test.cpp
@@ -257,7 +257,7 @@
     queue.add({{node}, {}}, watch, now);
   }
   queue.sendReplies(history, configuration, kNodes, {}, now, sendReplies);
-  cr_assert_eq(held.size(), kNodes, "all lack the configuration");
+  cr_assert_eq(held.size(), kNodes, "every node lacks the configuration");
   std::size_t fullViews = 0;
   for (const auto& [node, view] : held) {
     cr_assert_eq(view.configuration->version, 7U);
@@ -267,7 +267,7 @@
   cr_assert_gt(fullViews, 0U);
   cr_assert_lt(fullViews, kNodes);
   cr_assert(held.at(kNodes).isFull, "ledgers come first");
-  // The others watch until they have the full view; the configured rate must not be exceeded.
+  // Nodes without the full view watch again; the configured rate must not be exceeded.
   const base::TimePoint startedAt = now;
   while (now - startedAt < base::seconds(60) && fullViews < kNodes) {
     for (const auto& [node, view] : held) {
@@ -291,7 +291,7 @@
                 kBytesPerSecond * (base::toSeconds(now - startedAt) + kBurstSeconds));
 }
 
-Test(packed_view, is_smaller_and_decodes_to_the_same_view) {
+Test(compressed_view, is_smaller_and_decodes_to_the_same_view) {
   directory::DirectoryReply reply;
   reply.view.emplace();
   for (int i = 0; i < 3000; ++i) {
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -20,7 +20,7 @@
 constexpr base::Duration kDeadline = base::seconds(12);
 constexpr base::Duration kTrainingTime = base::milliseconds(500);
 constexpr double kLoadSeconds = 0.9;
-/// Steps before the forecast is established.
+/// Number of first steps that are excluded from the statistics.
 constexpr std::uint64_t kWarmupSteps = 4;
 
 /// A trainer and the items of its steps.
@@ -340,7 +340,7 @@
       steps += waits.steps;
     }
   }
-  cr_assert_gt(before * 10, steps, "the load order must matter at this load");
+  cr_assert_gt(before * 10, steps, "oldest-first order must cause slow steps");
   cr_assert_lt(after * 50, steps);
 }
 
--- a/test/directory/weights_plan_test.cpp
+++ b/test/directory/weights_plan_test.cpp
@@ -127,7 +127,7 @@
   fleet.reportOpenJobs();
   (void)fleet.step();
   cr_assert_eq(fleet.commanded("m").size(), fleet.scheduler.summary().maxLoads,
-               "all loads that the limit allows, at once");
+               "the number of loads reaches the limit");
   cr_assert(fleet.commanded("n").empty());
 }
 
@@ -137,7 +137,7 @@
   fleet.now += kInterval;
   fleet.submit("m", 6, 48);
   fleet.reportOpenJobs();
-  cr_assert(fleet.step().empty(), "its items may start on version 5");
+  cr_assert(fleet.step().empty(), "items of the step may start on version 5");
   fleet.now += base::milliseconds(100);
   fleet.openJobs["m"].back().waiting = 0;
   fleet.reportOpenJobs();
@@ -207,16 +207,16 @@
   const directory::EngineAssignments assignments = fleet.scheduler.assignments();
   fleet.scheduler.reset(fleet.now + base::seconds(1), assignments);
   fleet.reportOpenJobs();
-  cr_assert(fleet.step().empty(), "not before the command lease has expired");
+  cr_assert(fleet.step().empty(), "the command lease has not expired");
   cr_assert_eq(fleet.scheduler.summary().models.at("m").neededVersion, 6U,
-               "it is in the plan already");
+               "step 7 is already planned");
   fleet.now += base::milliseconds(1050);
   fleet.reportOpenJobs();
   (void)fleet.step();
   cr_assert_eq(fleet.log.size(), 2U);
   for (const directory::LoadCommand& command : fleet.log) {
     cr_assert_eq(command.model, "m");
-    cr_assert_not(first.contains(command.instance), "it holds version 7");
+    cr_assert_not(first.contains(command.instance), "the engine has already loaded the version");
   }
   cr_assert(fleet.scheduler.assignments() == assignments);
 }
@@ -262,7 +262,7 @@
   fleet.submit("m", 7, 48);
   fleet.reportOpenJobs();
   (void)fleet.step();
-  const std::string taken = *fleet.commanded("m").begin();
+  const std::string reverted = *fleet.commanded("m").begin();
   fleet.load();
   fleet.now += base::seconds(1);
   fleet.reportOpenJobs();
@@ -270,12 +270,12 @@
   fleet.load();
   fleet.log.clear();
   fleet.now += base::seconds(1);
-  fleet.engines[taken].versions["m"] = 5;
+  fleet.engines[reverted].versions["m"] = 5;
   fleet.reportOpenJobs();
-  cr_assert_not(fleet.scheduler.isLoading(taken, fleet.engines, fleet.now),
-                "gateways may use the version it holds");
+  cr_assert_not(fleet.scheduler.isLoading(reverted, fleet.engines, fleet.now),
+                "gateways may use the version that the engine holds");
   (void)fleet.step();
-  cr_assert(fleet.commanded("m").contains(taken));
+  cr_assert(fleet.commanded("m").contains(reverted));
 }
 
 Test(weights_plan, engine_that_restarts_while_loading_gets_a_new_command) {
@@ -296,7 +296,7 @@
   fleet.now += base::milliseconds(100);
   fleet.reportOpenJobs();
   (void)fleet.step();
-  cr_assert_eq(fleet.log.size(), 1U, "the load that was lost no longer counts");
+  cr_assert_eq(fleet.log.size(), 1U, "the load of the lost engine is not counted");
   cr_assert_eq(fleet.log[0].model, "m");
 }
 
