--- a/src/edge/api_adapter.h
+++ b/src/edge/api_adapter.h
@@ -21,7 +21,7 @@
 
 namespace tackpick::edge {
 
-/// Names of the headers that the product reads or sets.
+/// Names of the headers that this service reads or sets.
 struct HeaderNames {
   std::string requestId;            ///< id of a request; engines repeat it in their responses
   std::string deadline;             ///< remaining time in milliseconds
@@ -29,11 +29,11 @@
   std::string notExecuted;          ///< in a response: the instance did not run the request
   std::string load;                 ///< in a response: load of the instance
   std::string weightsVersion;       ///< in a response: version of the weights in use
-  std::string weightsVersionField;  ///< the same, as a field of a stream event
+  std::string weightsVersionField;  ///< name of the same value in a stream event
   std::string lastEvent;            ///< number of the event after which a stream continues
-  /// Scheduling priority, 0 to 9: lower values are admitted first and displace higher ones.
+  /// Scheduling priority, 0 to 9: lower values are admitted first and preempt higher ones.
   std::string urgency;
-  std::string signature;   ///< in a response: the instance's signature of it
+  std::string signature;   ///< in a response: signature of the response
   std::string credential;  ///< the caller's key; never forwarded
   std::string tenant;      ///< tenant of a forwarded request
 };
@@ -51,7 +51,7 @@
 struct ForwardCall {};
 /// A request that could not be parsed.
 struct MalformedCall {
-  std::string why;
+  std::string reason;
 };
 /// A call to the ledgers.
 struct JobCall {
@@ -76,7 +76,7 @@
 
   /// Returns the key of a request; empty if there is none.
   [[nodiscard]] virtual std::string apiKey(const http::HeaderList& headers) const = 0;
-  /// Returns the call that a request makes. `route`: of the request; null if unknown.
+  /// Returns the call of a request. `route` is the request's route; null if unknown.
   [[nodiscard]] virtual GatewayCall gatewayCall(const http::RawRequest& request,
                                                 const directory::Route* route) const = 0;
   [[nodiscard]] virtual Response jobResponse(const jobs::JobRequest& request,
@@ -97,12 +97,12 @@
   [[nodiscard]] virtual http::UpstreamRequest usageRequest(const duties::UsageReport& report,
                                                            const std::string& holder) const = 0;
   [[nodiscard]] virtual duties::UsageReportOutcome usageReportOutcome(int status) const = 0;
-  /// Returns the request, without an address, that sets a number of instances at the platform.
+  /// Returns the request, without an address, that sets the number of instances of a pool.
   [[nodiscard]] virtual http::UpstreamRequest scaleRequest(const duties::ScaleCall& call,
                                                            const std::string& holder) const = 0;
   [[nodiscard]] virtual duties::ScaleOutcome scaleOutcome(const duties::ScaleCall& call,
                                                           int status) const = 0;
-  /// Returns the request that asks an engine for its versions of weights.
+  /// Returns the request that queries the weights versions of an engine.
   [[nodiscard]] virtual http::UpstreamRequest versionsRequest(
       const directory::InstanceRecord& engine) const = 0;
   /// Returns versions by model; std::nullopt if the body is malformed.
@@ -111,7 +111,7 @@
   /// Returns the request that runs an item, continuing after `lastEvent`.
   [[nodiscard]] virtual http::UpstreamRequest itemRequest(
       const jobs::LeasedItem& item, std::optional<std::uint64_t> lastEvent) const = 0;
-  /// Returns the request that has a text scored. `tenant`: of the item; empty if none.
+  /// Returns the request to score a text. `tenant` is the item's tenant; empty if none.
   [[nodiscard]] virtual http::UpstreamRequest scoringRequest(const jobs::ScoringCall& call,
                                                              const std::string& tenant) const = 0;
 };
--- a/src/forwarding/concurrency_limiter.h
+++ b/src/forwarding/concurrency_limiter.h
@@ -13,12 +13,13 @@
   double initialLimit = 4;
   double minLimit = 1;
   double maxLimit = 32;
-  /// Minimum interval between two decreases: responses within it report the same burst.
+  /// Minimum interval between two decreases. Overload within one interval counts as one burst.
   base::Duration decreaseInterval = base::milliseconds(60);
 };
 
-/// Additive increase, multiplicative decrease (AIMD) of the number of concurrent calls, by the load
-/// that servers report: requests that queue there delay callers. Deterministic.
+/// Limits the number of concurrent calls by additive increase, multiplicative decrease (AIMD). The
+/// limit decreases while servers are overloaded, because queued requests delay callers.
+/// Deterministic.
 class ConcurrencyLimiter {
  public:
   explicit ConcurrencyLimiter(ConcurrencyLimiterSettings settings = {})
--- a/src/forwarding/instance_table.cpp
+++ b/src/forwarding/instance_table.cpp
@@ -78,8 +78,8 @@
 }
 
 void InstanceTable::upsert(const directory::InstanceView& instance) {
-  const auto [known, added] = m_entries.try_emplace(instance.record.id);
-  InstanceEntry& entry = known->second;
+  const auto [it, added] = m_entries.try_emplace(instance.record.id);
+  InstanceEntry& entry = it->second;
   if (added) {
     retirePreviousIncarnations(instance.record.id, entry);
     entry.subsetHash = base::hashBytes(m_settings.gateway + "/" + instance.record.id);
@@ -97,8 +97,8 @@
   entry.loading = instance.loading;
   entry.standby = instance.standby;
   for (const auto& [model, version] : instance.versions) {
-    std::uint64_t& held = entry.versions[model];
-    held = std::max(held, version);
+    std::uint64_t& knownVersion = entry.versions[model];
+    knownVersion = std::max(knownVersion, version);
   }
   m_byService[entry.record.service][instance.record.id] = &entry;
   addSlots(entry);
@@ -106,13 +106,13 @@
 
 void InstanceTable::retirePreviousIncarnations(const std::string& id, InstanceEntry& successor) {
   const std::string name = directory::instanceName(id);
-  const auto plainEntry = m_entries.find(name);
-  if (id != name && plainEntry != m_entries.end()) {
-    retire(plainEntry->second, successor);
+  const auto withoutIncarnation = m_entries.find(name);
+  if (id != name && withoutIncarnation != m_entries.end()) {
+    retire(withoutIncarnation->second, successor);
   }
-  for (auto known = m_entries.lower_bound(directory::firstKey(name));
-       known != m_entries.end() && known->first < id; ++known) {
-    retire(known->second, successor);
+  for (auto it = m_entries.lower_bound(directory::firstKey(name));
+       it != m_entries.end() && it->first < id; ++it) {
+    retire(it->second, successor);
   }
   if (successor.eventIntervalMs > 0) {
     m_measured.insert(id);
@@ -134,24 +134,24 @@
 }
 
 void InstanceTable::remove(const std::string& id) {
-  const auto known = m_entries.find(id);
-  if (known == m_entries.end()) {
+  const auto found = m_entries.find(id);
+  if (found == m_entries.end()) {
     return;
   }
-  removeSlots(known->second);
-  known->second.isRemoved = true;
+  removeSlots(found->second);
+  found->second.isRemoved = true;
   m_removed.insert(id);
 }
 
 void InstanceTable::purgeRemoved() {
   std::erase_if(m_removed, [&](const std::string& id) {
-    const auto known = m_entries.find(id);
-    if (known->second.inFlight > 0) {
+    const auto found = m_entries.find(id);
+    if (found->second.inFlight > 0) {
       return false;
     }
     m_measured.erase(id);
-    m_byService[known->second.record.service].erase(id);
-    m_entries.erase(known);
+    m_byService[found->second.record.service].erase(id);
+    m_entries.erase(found);
     return true;
   });
 }
@@ -222,8 +222,8 @@
 
 bool InstanceTable::isEligible(const InstanceEntry& entry, const InstanceRequirements& requirements,
                                base::TimePoint now) {
-  const bool loads = entry.loading && !requirements.model.empty();
-  return serves(entry, requirements) && !loads && now >= entry.ejectedUntil;
+  const bool isLoading = entry.loading && !requirements.model.empty();
+  return serves(entry, requirements) && !isLoading && now >= entry.ejectedUntil;
 }
 
 bool InstanceTable::hasFreeSlot(const InstanceEntry& entry, base::TimePoint now) {
@@ -359,13 +359,13 @@
 
 jobs::FreeSlots InstanceTable::freeSlots(const ServiceModels& models) const {
   jobs::FreeSlots freeSlots;
-  for (const auto& [service, run] : models) {
-    const auto known = m_slots.find(service);
-    if (known == m_slots.end()) {
+  for (const auto& [service, servedModels] : models) {
+    const auto found = m_slots.find(service);
+    if (found == m_slots.end()) {
       continue;
     }
-    for (const auto& [model, byVersion] : known->second) {
-      if (!run.contains(model)) {
+    for (const auto& [model, byVersion] : found->second) {
+      if (!servedModels.contains(model)) {
         continue;
       }
       for (const auto& [version, slots] : byVersion) {
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -55,7 +55,7 @@
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
-  /// Present duration of work in percent of normal; more than 100 if other processes use the
+  /// Current duration of work in percent of normal. More than 100 if other processes use the
   /// machine.
   std::uint32_t slowdownPercent = 100;
 };
@@ -73,8 +73,8 @@
 struct InstanceEntry {
   directory::InstanceRecord record;
   std::map<std::string, std::uint64_t> versions;
-  /// Heartbeats are overdue at the controllers. The instance is used only if no other is available:
-  /// it may have failed or be disconnected from the controllers only.
+  /// Heartbeats are overdue at the controllers. The instance is used only if no other is available,
+  /// because it may have failed. It may also have lost only its connection to the controllers.
   bool unresponsive = false;
   std::uint32_t inFlight = 0;
   ReportedLoad load;
@@ -87,11 +87,12 @@
   double latencyMs = 0;  ///< moving average over successful requests; zero: no value yet
   std::uint32_t failures = 0;
   base::TimePoint ejectedUntil{};
-  std::uint64_t subsetHash = 0;  ///< rendezvous hash; the lowest in the zone form the subset
-  bool isRemoved = false;        ///< removed by the controllers or replaced at its address
-  bool restarted = false;        ///< a newer incarnation has registered; its runs are lost
-  bool loading = false;          ///< loading weights; rejects new requests
-  bool standby = false;          ///< used only when the other engines are full
+  /// Rendezvous hash. The instances of the gateway's zone with the lowest hashes form its subset.
+  std::uint64_t subsetHash = 0;
+  bool isRemoved = false;  ///< removed by the controllers or replaced at its address
+  bool restarted = false;  ///< a newer incarnation has registered; runs of this one are lost
+  bool loading = false;    ///< loading weights; rejects new requests
+  bool standby = false;    ///< used only when the other engines are full
 
   [[nodiscard]] std::uint64_t version(const std::string& model) const;
 };
@@ -157,8 +158,8 @@
   [[nodiscard]] std::size_t count(const std::string& service) const;
   /// Slots of engines by model and weights version.
   [[nodiscard]] jobs::FreeSlots freeSlots(const ServiceModels& models) const;
-  /// Share of the slots of a service that are occupied, as last reported or, if that is more, by
-  /// requests of this gateway.
+  /// Occupied share of the slots of a service. Counts the larger of the reported load and the
+  /// requests of this gateway at each instance.
   [[nodiscard]] double occupancy(const std::string& service) const;
   [[nodiscard]] const std::map<std::string, InstanceEntry>& entries() const { return m_entries; }
 
@@ -167,7 +168,7 @@
                                    const InstanceRequirements& requirements);
   /// Number of active requests at an instance, as far as known.
   [[nodiscard]] static double activeRequests(const InstanceEntry& entry, base::TimePoint now);
-  /// Present slowdown as a factor; 1: normal or unknown.
+  /// Current slowdown as a factor; 1 if normal or unknown.
   [[nodiscard]] static double slowdown(const InstanceEntry& entry, base::TimePoint now);
   /// Whether the instance meets the requirements, is not ejected and is not loading weights.
   [[nodiscard]] static bool isEligible(const InstanceEntry& entry,
--- a/src/forwarding/retry_policy.h
+++ b/src/forwarding/retry_policy.h
@@ -22,7 +22,7 @@
 /// State of one request's attempts. Deterministic.
 class RetryPolicy {
  public:
-  /// `deadline`: the caller's; the route's timeout may make it earlier.
+  /// `deadline` is the caller's deadline. The route's timeout may give an earlier one.
   RetryPolicy(const directory::Route& route, base::TimePoint receivedAt, base::TimePoint deadline);
 
   void onAttemptStarted() {
--- a/src/node/control_server.cpp
+++ b/src/node/control_server.cpp
@@ -18,7 +18,7 @@
 using namespace http::status;
 
 constexpr std::size_t kMaxBodyBytes = 40U << 20U;
-/// Callers try another controller after about one second.
+/// Timeout of calls to the leader. Callers may try another controller before it expires.
 constexpr base::Duration kCallTimeout = base::milliseconds(1500);
 constexpr std::string_view kReadWork = "read_work";
 
@@ -65,7 +65,7 @@
   }
   if (const auto* malformed = std::get_if<edge::MalformedCall>(&call)) {
     onMalformedCall(request, *malformed);
-    exchange->respond(kBadRequest, {}, malformed->why);
+    exchange->respond(kBadRequest, {}, malformed->reason);
     return;
   }
   if (std::holds_alternative<edge::ReadWorkCall>(call)) {
@@ -92,11 +92,11 @@
 
 void ControlServer::onMalformedCall(const http::RawRequest& request,
                                     const edge::MalformedCall& call) {
-  node_.metrics().count(telemetry::CounterId::kUnreadableCalls, call.why);
+  node_.metrics().count(telemetry::CounterId::kUnreadableCalls, call.reason);
   if (const auto times = m_malformedLogLimiter.note(node_.now())) {
     telemetry::logEvent(telemetry::EventId::kChangeRefused, telemetry::EventFields()
                                                                 .add("path", request.path())
-                                                                .add("reason", call.why)
+                                                                .add("reason", call.reason)
                                                                 .add("calls", *times)
                                                                 .text());
   }
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -121,7 +121,7 @@
   void onClientDisconnected();
   /// Cancels the attempts in flight, recording them with the given outcome, and releases the
   /// exchange.
-  void finish(AttemptOutcome outcomeOfInFlight);
+  void finish(AttemptOutcome inFlightOutcome);
 
   Node& node_;
   forwarding::InstanceTable& instances_;
@@ -143,7 +143,7 @@
   std::optional<Attempt> m_serverError;                         ///< last complete 5xx response
   std::optional<quarantine::RequestFingerprint> m_fingerprint;  ///< computed on first use
   bool m_connectionLost = false;  ///< a connection was lost before the response was complete
-  bool m_isTrial = false;         ///< this is a trial of a held request: one instance only
+  bool m_isTrial = false;         ///< trial of a held request, sent to one instance only
   bool m_finished = false;
 };
 
@@ -225,9 +225,9 @@
   upstream.target = request_.target;
   upstream.headers = request_.headers;
   upstream.headers.removeHopByHopHeaders();
-  const auto left =
+  const auto remaining =
       std::chrono::duration_cast<std::chrono::milliseconds>(policy_.deadline() - node_.now());
-  upstream.headers.set(names.deadline, std::to_string(left.count()));
+  upstream.headers.set(names.deadline, std::to_string(remaining.count()));
   upstream.headers.set(names.expectedInstance, directory::instanceName(to.record.id));
   if (!tenant_.empty()) {
     upstream.headers.set(names.tenant, tenant_);
@@ -450,13 +450,13 @@
   }
 }
 
-void ForwardedRequest::finish(AttemptOutcome outcomeOfInFlight) {
+void ForwardedRequest::finish(AttemptOutcome inFlightOutcome) {
   m_finished = true;
   deadline_timer_.cancel();
   hedge_timer_.cancel();
   for (const auto& [attemptId, attempt] : m_activeAttempts) {
     node_.upstream().cancel(attempt.exchange);
-    instances_.onEnded(attempt.instance, outcomeOfInFlight, node_.now() - attempt.sentAt,
+    instances_.onEnded(attempt.instance, inFlightOutcome, node_.now() - attempt.sentAt,
                        node_.now());
   }
   m_activeAttempts.clear();
--- a/src/node/gateway_server.cpp
+++ b/src/node/gateway_server.cpp
@@ -18,8 +18,8 @@
 constexpr base::Duration kLedgerCallTimeout = base::milliseconds(2500);
 /// Time during which new connections still arrive after this gateway has reported not ready.
 constexpr base::Duration kReadinessDelay = base::milliseconds(2500);
-/// Time before the end of a stop at which unfinished items are returned with their partial texts,
-/// so that other gateways continue them at once.
+/// Time before the end of a planned stop at which the leases of unfinished items are returned.
+/// Partial texts are saved first, so that other gateways can continue the items.
 constexpr base::Duration kLeaseReleaseTime = base::milliseconds(700);
 
 forwarding::InstanceTableSettings instanceSettings(const Node& node) {
@@ -29,8 +29,8 @@
   return settings;
 }
 
-/// Value of Retry-After: the maximum duration of a watch, after which a connected gateway has
-/// received the latest configuration.
+/// Value of Retry-After in seconds. Equals the maximum duration of a watch: a connected gateway
+/// receives the latest configuration within this time.
 constexpr const char* kRetryAfterSeconds = "0.5";
 
 /// Responds that the request was not run and may be retried, because this gateway has no
@@ -41,7 +41,7 @@
   exchange.respond(kUnavailable, headers, {});
 }
 
-/// Part of the process's memory available for unsent responses: one in this many bytes.
+/// Divisor of the process's memory limit that gives the limit for unsent responses.
 constexpr std::size_t kUnsentMemoryDivisor = 8;
 
 http::ExchangeLimits toExchangeLimits(const directory::RequestLimits& limits,
--- a/src/node/gateway_server.h
+++ b/src/node/gateway_server.h
@@ -39,8 +39,8 @@
 
  private:
   void onRequest(http::RawRequest request, const std::shared_ptr<http::Exchange>& exchange);
-  /// Rejects a request with an unknown route or key: finally with `status` if the configuration in
-  /// force is known to be recent enough, otherwise with a request to retry.
+  /// Rejects a request with an unknown route or key: with `status` if the configuration in force
+  /// is recent enough, otherwise with 503 and Retry-After.
   void rejectUnknown(int status, const std::shared_ptr<http::Exchange>& exchange);
   /// Returns the tenant of a request, or std::nullopt if the request was rejected because its key
   /// is unknown.
@@ -57,7 +57,7 @@
   /// Records the metrics and the log event of a finished job call.
   void recordJobReply(const jobs::JobRequest& request, const jobs::JobReply* reply,
                       const edge::Response& response, base::Duration took);
-  /// Maximum duration of a planned stop, which leaves part of the grace period unused.
+  /// Maximum duration of a planned stop. Shorter than the grace period.
   [[nodiscard]] base::Duration maxStop() const;
   /// Logs connections that were closed because the caller did not read the response.
   void logSlowReaders();
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -21,23 +21,23 @@
 
 constexpr base::Duration kLeaseInterval = base::milliseconds(80);
 constexpr base::Duration kIdleLeaseInterval = base::milliseconds(160);
-/// The leader of the ledgers answers the calls of all gateways, so the interval grows with their
-/// number. The maximum lets a new leader learn in time which items run where.
+/// The lease interval grows with the number of gateways to limit the load of the ledgers' leader.
+/// Its maximum ensures that a new leader soon receives the placement of all running items.
 constexpr base::Duration kLeaseIntervalPerGateway = base::microseconds(2800);
 constexpr base::Duration kMaxLeaseInterval = base::milliseconds(220);
 /// Lease interval of a gateway on standby, whose zone's items run at other gateways.
 constexpr base::Duration kStandbyInterval = base::milliseconds(1000);
 constexpr base::Duration kCallTimeout = base::seconds(2);
-/// Maximum time since the last lease renewal at which attempts may start; after that the job may
-/// have ended.
+/// Maximum time since the last lease renewal at which attempts may start. If more time has passed,
+/// the job may have ended.
 constexpr base::Duration kMaxRenewalAge = base::milliseconds(2000);
 constexpr base::Duration kRetryDelay = base::milliseconds(40);
 /// Interval at which a held item checks whether it may run again.
 constexpr base::Duration kHeldRetryDelay = base::milliseconds(100);
 /// Interval at which event intervals of engines are reported to the ledgers.
 constexpr base::Duration kEventIntervalRefresh = base::milliseconds(500);
-/// Maximum items of a gateway, in percent of its even share of all slots. More than 100: some items
-/// may wait at engines, and a zone may have fewer gateways than its share.
+/// Maximum number of items of a gateway, in percent of its even share of all slots. Exceeds 100
+/// because items may queue at engines and a zone may have less than its share of the gateways.
 constexpr std::uint32_t kOvercommitPercent = 220;
 
 std::uint64_t parseVersion(const std::string& text) {
@@ -187,7 +187,8 @@
   const base::TimePoint now = node_.now();
   if (reply.wantsEventIntervals && !instances_.eventIntervals(now).empty()) {
     m_lastIntervalReportAt = {};
-    // Reports at once: a new leader needs the intervals for its first placement.
+    // Makes the next lease call immediate: a new leader needs the intervals for its first
+    // placement.
     m_lastLeaseCallAt = {};
   }
   logLeased(reply.leased);
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -77,7 +77,7 @@
     base::Duration timeToFirstEvent{0};  ///< from the first attempt to the first event
     std::uint32_t intervalEvents = 0;    ///< events since intervalStart
     base::TimePoint intervalStart{};
-    jobs::RunEventInterval eventInterval;  ///< of the current attempt
+    jobs::RunEventInterval eventInterval;  ///< event interval of the current attempt
     base::TimePoint firstSentAt{};
     bool notExecuted = false;
     bool discardResponse = false;  ///< the response of the current attempt must not be used
@@ -106,8 +106,8 @@
   /// Number of items to lease, by model and minimum version.
   [[nodiscard]] jobs::FreeSlots wantedItems() const;
   [[nodiscard]] jobs::GatewayCapacity capacity() const;
-  /// Whether new attempts may start. False if the leases have not been renewed recently, since the
-  /// job may have ended.
+  /// Whether new attempts may start. False if the leases have not been renewed recently, because
+  /// the job may have ended.
   [[nodiscard]] bool canStart(base::TimePoint now) const;
   void startAttempts(base::TimePoint now);
   /// Whether the item may be run now. False if it is held because it has crashed engines.
@@ -125,8 +125,8 @@
   /// Cancels attempts that have received no data within the read timeout or whose engine has
   /// restarted.
   void cancelTimedOut(base::TimePoint now);
-  /// Moves items that would miss their due time on a slow engine or, without an estimate, have run
-  /// long on an engine much slower than another.
+  /// Moves items that are forecast to miss their due time to faster engines. If there is no
+  /// forecast, moves items that have run long on an engine much slower than another.
   void moveFromSlowEngines(base::TimePoint now);
   [[nodiscard]] const forwarding::InstanceEntry* findFaster(const ActiveItem& item,
                                                             base::TimePoint now) const;
@@ -173,11 +173,12 @@
   ScoringClient m_scoringClient;
   std::map<jobs::ItemKey, std::unique_ptr<ActiveItem>> m_items;
   std::uint32_t m_activeGateways = 1;  ///< number of gateways that run items
-  bool m_activeGatewaysKnown =
-      false;              ///< whether the ledgers have reported it; until then all count
+  /// Whether the ledgers have reported m_activeGateways. Until then it counts all gateways.
+  bool m_activeGatewaysKnown = false;
   bool standby_ = false;  ///< other gateways run the items of this gateway's zone
   forwarding::ServiceModels engine_models_;
-  std::map<std::string, base::TimePoint> m_terminationTimes;  ///< of engines that report one
+  /// Reported termination times, by engine.
+  std::map<std::string, base::TimePoint> m_terminationTimes;
   bool leasing_ = false;
   bool committing_ = false;
   bool stopping_ = false;
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -15,7 +15,7 @@
 using telemetry::EventFields;
 using telemetry::EventId;
 
-/// Timeout after which an attempt without received data is cancelled and continued elsewhere.
+/// Time without received data after which an attempt is cancelled and its item moved.
 constexpr base::Duration kReadTimeout = base::milliseconds(2500);
 /// Number of events over which an event interval is averaged.
 constexpr std::uint32_t kEventsPerSample = 6;
@@ -29,8 +29,8 @@
 
 void ItemRunner::cancelTimedOut(base::TimePoint now) {
   for (const auto& [key, item] : m_items) {
-    // A restarted engine has lost its runs. If its connection did not close, as behind a network
-    // partition, waiting for the read timeout would only delay the retry.
+    // A restarted engine has lost its runs. If its connection was not closed, for example in a
+    // network partition, waiting for the read timeout would only delay the retry.
     const bool restarted = instances_.hasRestarted(item->instance);
     const bool timedOut = now - item->lastByteAt > kReadTimeout || restarted;
     if (item->exchange.valid() && (item->discardResponse || timedOut)) {
@@ -49,7 +49,7 @@
 void ItemRunner::recordEventInterval(ActiveItem& item, base::TimePoint now) {
   item.eventInterval.onEvent(now);
   if (item.intervalStart == base::TimePoint{}) {
-    item.intervalStart = now;  // the first event includes the time for its prompt
+    item.intervalStart = now;  // excludes the time to process the prompt
     return;
   }
   if (++item.intervalEvents < kEventsPerSample) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -27,15 +27,15 @@
 constexpr const char* kDirectoryFolder = "directory";
 constexpr const char* kLedgerFolder = "ledger";
 
-/// Duration above which an iteration of the event loop is logged: the disk is slow, or work should
-/// be split.
+/// Duration above which an iteration of the event loop is logged as slow, for example because of a
+/// slow disk.
 constexpr base::Duration kSlowIteration = base::milliseconds(200);
 
 /// Time for which a replica keeps running after a stop request, so that another can become leader.
 constexpr base::Duration kReplicaStopDelay = base::milliseconds(300);
 
-/// Added to the heartbeat interval to give the heartbeat timeout: a heartbeat may be late, or be
-/// retried at a second controller.
+/// Difference between the heartbeat timeout and the heartbeat interval. Allows for late heartbeats
+/// and retries at a second controller.
 constexpr base::Duration kHeartbeatSlack = base::milliseconds(2800);
 
 std::vector<jobs::EngineInfo> placementEngines(
@@ -110,9 +110,9 @@
     }
     return base::NodeId{stored->node};
   }
-  // The initial controllers have incarnation 0, so that they know each other's ids from the
-  // settings. An empty folder at any other time means a new node, which must not vote as an earlier
-  // one.
+  // The initial controllers have incarnation 0, so that their ids can be derived from the
+  // settings. Any other node with an empty folder is new and must not vote under the id of an
+  // earlier node.
   const bool isInitialVoter =
       settings_.role == directory::NodeRole::kController && settings_.bootstrap && isSeed();
   const base::NodeId self = base::makeNodeId(number, isInitialVoter ? 0 : randomIncarnation());
@@ -203,15 +203,15 @@
   settings.commandLease.enginesEnforceFences = settings_.enginesEnforceFences;
   constexpr double kMicrosPerSecond = 1e6;
   // Usage reports and scaling calls share the rate limit with other callers.
-  constexpr double kShareOfRate = 0.5;
-  constexpr double kCapacityShareOfRate = 0.25;
+  constexpr double kUsageRateShare = 0.5;
+  constexpr double kCapacityRateShare = 0.25;
   settings.usage.windowLength = settings_.usageWindow;
   settings.usage.reportDelay = settings_.usageReportDelay;
   settings.usage.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
-      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kShareOfRate)));
+      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kUsageRateShare)));
   settings.capacity.plan.mode = settings_.capacity;
   settings.capacity.minCallInterval = base::Duration(static_cast<base::Duration::rep>(
-      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kCapacityShareOfRate)));
+      kMicrosPerSecond / (settings_.dutyCallsPerSecond * kCapacityRateShare)));
   directory_ = std::make_unique<directory::DirectoryRole>(ownRecord(), settings, *log_, *random_,
                                                           wall_clock_, now());
   m_platformClient = std::make_unique<PlatformClient>(*this);
@@ -224,7 +224,7 @@
   BOOST_LEAF_AUTO(names, folder->list());
   const bool initialised =
       std::find(names.begin(), names.end(), storage::kIdentityFileName) != names.end();
-  // With a new folder, waits for the controllers to name the initial voters.
+  // A new ledger is opened when a view names the initial voters.
   return initialised ? openLedger({}) : base::Result<void>{};
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -90,7 +90,7 @@
   void sendScaleCall(const duties::ScaleCall& call);
   static void logCapacityDecisions(const std::vector<duties::CapacityDecision>& decisions);
   void updateCapacityGauges();
-  /// Asks an engine for the versions of weights that it holds.
+  /// Queries the weights versions of an engine.
   void queryVersions(const directory::InstanceRecord& engine);
   void sendAll(const transport::Outbox& outbox);
   void tick();
--- a/src/node/node_telemetry.cpp
+++ b/src/node/node_telemetry.cpp
@@ -123,7 +123,7 @@
 
 void Node::updateCapacityGauges() {
   const bool isLeading = replica()->raft().isLeader();
-  const auto valueIfLeading = [isLeading](std::uint32_t figure) { return isLeading ? figure : 0; };
+  const auto valueIfLeading = [isLeading](std::uint32_t value) { return isLeading ? value : 0; };
   for (const duties::PoolSummary& summary : directory_->capacity()) {
     const std::string pool = summary.subject.service + "/" + summary.subject.zone + "/" +
                              std::string(duties::toString(summary.subject.kind));
--- a/src/node/open_jobs_sender.h
+++ b/src/node/open_jobs_sender.h
@@ -14,9 +14,8 @@
 
 class Node;
 
-/// Every watch of the ledgers' leader contains the open jobs, but a watch may be held for half a
-/// second. Changes are therefore also reported by separate calls, since weights and engines are
-/// planned from them.
+/// Reports changes of the open jobs without waiting for the next watch, which also contains them.
+/// The controllers plan weights and engines from the open jobs.
 class OpenJobsSender {
  public:
   explicit OpenJobsSender(Node& node) : m_node(node) {}
@@ -26,7 +25,7 @@
 
  private:
   Node& m_node;
-  std::uint64_t m_reportedRevision = 0;  ///< revision of the open jobs that the controllers have
+  std::uint64_t m_reportedRevision = 0;  ///< last revision that the controllers acknowledged
   bool m_reporting = false;
   base::TimePoint m_lastReportAt{};
 };
--- a/src/node/platform_client.h
+++ b/src/node/platform_client.h
@@ -26,7 +26,6 @@
 
  private:
   struct Call;
-  /// Result of a call.
   struct CallResult {
     bool complete = false;  ///< the response was received completely
     int status = 0;
--- a/src/node/quarantine_client.cpp
+++ b/src/node/quarantine_client.cpp
@@ -14,8 +14,8 @@
 
 /// Timeout of a report, after which the call is repeated.
 constexpr base::Duration kReportTimeout = base::milliseconds(2000);
-/// Timeout of a trial request, for which the caller's request waits. Without a leader the request
-/// stays held.
+/// Timeout of a trial request. The caller's request waits for the reply and stays held if there is
+/// none.
 constexpr base::Duration kTrialTimeout = base::milliseconds(500);
 
 }  // namespace
--- a/src/node/quarantine_client.h
+++ b/src/node/quarantine_client.h
@@ -15,8 +15,8 @@
 class Node;
 
 /// Reports crashes to the controllers and requests trials from them; QuarantineGate decides. The
-/// quarantine is shared by all gateways because callers retry under other ids and at other
-/// gateways.
+/// quarantine is shared by all gateways because callers retry with new request ids and at
+/// other gateways.
 class QuarantineClient {
  public:
   /// Whether a background run, such as an item, may start now.
@@ -41,8 +41,8 @@
   [[nodiscard]] bool isSuspect(const quarantine::RequestFingerprint& request) const;
   /// Time after which a caller of a held request should retry.
   [[nodiscard]] base::Duration untilTrial(const quarantine::RequestFingerprint& request) const;
-  /// Requests the trial that is due. The callback is called later, with true if this gateway may
-  /// send the request once.
+  /// Requests a trial. The callback is called asynchronously, with true if this gateway may send
+  /// the request once.
   void requestTrial(const quarantine::RequestFingerprint& request,
                     std::function<void(bool granted)> callback);
 
@@ -50,14 +50,14 @@
   /// its result.
   [[nodiscard]] RunAdmission admitRun(const quarantine::RequestFingerprint& request);
 
-  /// The connection of a run that was sent at `sentAt` was lost, and the request may have run.
-  /// `id`: of this attempt, for the log.
+  /// Records that the connection of a run sent at `sentAt` was lost and the request may have run.
+  /// `id` is the id of the attempt, for the log.
   void onConnectionLost(const quarantine::Crash& crash, const std::string& id,
                         base::TimePoint sentAt);
-  /// The instance responded to a run that was sent at `sentAt`.
+  /// Records that the instance responded to a run sent at `sentAt`.
   void onAnswered(const std::string& instance, base::TimePoint sentAt);
-  /// An instance completed the request without crashing. Releases the request at the controllers if
-  /// it was suspected.
+  /// Records that an instance completed the request without crashing. Releases the request at the
+  /// controllers if it was suspected.
   void onCompleted(const quarantine::RequestFingerprint& request);
 
  private:
--- a/src/node/rejection_log.h
+++ b/src/node/rejection_log.h
@@ -13,8 +13,8 @@
 /// Limited to one line per second, since callers determine the rate.
 class RejectionLog {
  public:
-  /// Logs a rejection. `version`: of the configuration in force. `age`: time since a controller
-  /// confirmed that it is the newest; std::nullopt if none has.
+  /// Logs a rejection. `version` is the version of the configuration in force, `age` the time since
+  /// a controller confirmed that it is the newest; std::nullopt if none has.
   void log(int status, std::uint64_t version, std::optional<base::Duration> age,
            base::TimePoint now);
 
--- a/src/node/scoring_client.cpp
+++ b/src/node/scoring_client.cpp
@@ -113,8 +113,8 @@
   http::UpstreamRequest request = m_node.apiAdapter().scoringRequest(call.request, call.tenant);
   request.address = {entry->record.host, entry->record.port};
   request.headers.set(names.expectedInstance, directory::instanceName(entry->record.id));
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - now);
-  request.headers.set(names.deadline, std::to_string(left.count()));
+  const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - now);
+  request.headers.set(names.deadline, std::to_string(remaining.count()));
   request.echoHeader = names.requestId;
   request.echoValue = call.request.id;
   http::UpstreamEvents events;
--- a/src/node/scoring_client.h
+++ b/src/node/scoring_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// Has scorers evaluate the complete texts of items.
+/// Calls scorers for the complete texts of items.
 #pragma once
 
 #include <functional>
--- a/src/node/usage_sender.h
+++ b/src/node/usage_sender.h
@@ -12,13 +12,13 @@
 
 class Node;
 
-/// Every watch of this gateway contains its usage counts. Changes are also reported by separate
-/// calls, which limits the loss if the gateway fails.
+/// Reports changes of the usage counts without waiting for the next watch, which also contains
+/// them. This limits the counts lost if the gateway fails.
 class UsageSender {
  public:
   explicit UsageSender(Node& node);
 
-  /// A request of `tenant` began to run.
+  /// Records that a request of `tenant` began to run.
   void onRequestStarted(const std::string& tenant, base::TimePoint at);
   void onView(const directory::DirectoryView& view);
   void tick();
@@ -32,7 +32,7 @@
   Node& m_node;
   duties::UsageCounter m_counter;
   duties::ClusterTimeEstimate m_clusterTime;
-  std::uint64_t m_reportedRevision = 0;  ///< revision of the counts that the controllers have
+  std::uint64_t m_reportedRevision = 0;  ///< last revision that the controllers acknowledged
   bool m_reporting = false;
   base::TimePoint m_lastReportAt{};
 };
--- a/src/quarantine/crash_detector.cpp
+++ b/src/quarantine/crash_detector.cpp
@@ -34,18 +34,18 @@
 void CrashDetector::onAnswered(const std::string& instance, base::TimePoint sentAt,
                                base::TimePoint now) {
   for (auto& [request, suspectedCrashes] : m_suspects) {
-    const auto seen = suspectedCrashes.find(instance);
-    if (seen != suspectedCrashes.end() && !seen->second.confirmed &&
-        provesAlive(seen->second, sentAt, now)) {
-      suspectedCrashes.erase(seen);
+    const auto found = suspectedCrashes.find(instance);
+    if (found != suspectedCrashes.end() && !found->second.confirmed &&
+        provesAlive(found->second, sentAt, now)) {
+      suspectedCrashes.erase(found);
     }
   }
   removeEmpty();
 }
 
 std::size_t CrashDetector::crashCount(const RequestFingerprint& request) const {
-  const auto known = m_suspects.find(request);
-  return known == m_suspects.end() ? 0 : known->second.size();
+  const auto found = m_suspects.find(request);
+  return found == m_suspects.end() ? 0 : found->second.size();
 }
 
 std::vector<Crash> CrashDetector::takeConfirmed(base::TimePoint now) {
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -30,9 +30,10 @@
  public:
   explicit CrashDetector(CrashDetectorSettings settings = {}) : m_settings(settings) {}
 
-  /// The connection of a run that may have started was lost before the response was complete.
+  /// Records that the connection of a run that may have started was lost before the response was
+  /// complete.
   void onConnectionLost(const Crash& crash, base::TimePoint now);
-  /// The instance responded to a run that was sent at `sentAt`.
+  /// Records that the instance responded to a run sent at `sentAt`.
   void onAnswered(const std::string& instance, base::TimePoint sentAt, base::TimePoint now);
   /// Number of instances that crashed while they ran the request, including unconfirmed crashes.
   [[nodiscard]] std::size_t crashCount(const RequestFingerprint& request) const;
--- a/src/quarantine/crash_registry.cpp
+++ b/src/quarantine/crash_registry.cpp
@@ -16,8 +16,8 @@
 }
 
 std::set<std::string> CrashRegistry::instances(const RequestFingerprint& request) const {
-  const auto known = m_requests.find(request);
-  return known == m_requests.end() ? std::set<std::string>{} : known->second.instances;
+  const auto found = m_requests.find(request);
+  return found == m_requests.end() ? std::set<std::string>{} : found->second.instances;
 }
 
 void CrashRegistry::evictExpired(base::TimePoint now) {
--- a/src/quarantine/crash_registry.h
+++ b/src/quarantine/crash_registry.h
@@ -11,8 +11,8 @@
 
 namespace tackpick::quarantine {
 
-/// Held by the leading controller; gateways report again to a new leader. Deterministic; owned by
-/// one thread.
+/// Records the instances that crashed while they ran each request. Exists only at the leading
+/// controller; gateways report crashes again to a new leader. Deterministic; owned by one thread.
 class CrashRegistry {
  public:
   /// Records a crash. Idempotent.
--- a/src/quarantine/quarantine_gate.cpp
+++ b/src/quarantine/quarantine_gate.cpp
@@ -40,7 +40,7 @@
 
 base::Duration QuarantineGate::untilTrial(const RequestFingerprint& request, base::TimePoint now,
                                           base::WallTime wall) const {
-  // Used after the last trial.
+  // Returned if no further trial follows.
   constexpr base::Duration kMaxRetryAfter = std::chrono::hours(1);
   const auto held = m_held.find(request);
   if (held == m_held.end()) {
--- a/src/quarantine/quarantine_gate.h
+++ b/src/quarantine/quarantine_gate.h
@@ -44,7 +44,7 @@
 
  private:
   CrashDetector m_detector;
-  std::map<RequestFingerprint, base::WallTime> m_held;  ///< with the times of the next trials
+  std::map<RequestFingerprint, base::WallTime> m_held;  ///< times of the next trials, by request
   duties::ClusterTimeEstimate m_clusterTime;
 };
 
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -30,7 +30,7 @@
 struct HoldSummary {
   RequestFingerprint request;
   std::string service;
-  std::set<std::string> instances;  ///< crashed before it was held
+  std::set<std::string> instances;  ///< instances that crashed while they ran it
   std::uint32_t trials = 0;
   base::Duration heldFor{0};
   base::Duration untilTrial{0};  ///< zero or less: a trial is due; maximum: no further trial
@@ -70,8 +70,8 @@
   }
 };
 
-/// Releases a request because an instance completed it or an operator asks for it. Also a log
-/// command.
+/// Releases a request after an instance has completed it or when an operator deletes the hold. Also
+/// a log command.
 struct ReleaseRequest {
   RequestFingerprint request;
   template <class Archive>
@@ -108,7 +108,7 @@
 /// A held request, as sent to gateways.
 struct HeldRequest {
   RequestFingerprint request;
-  base::WallTime nextTrialAt;  ///< time of the next trial; in cluster time
+  base::WallTime nextTrialAt;  ///< cluster time of the next trial
   template <class Archive>
   void serialize(Archive& archive) {
     archive(request, nextTrialAt);
--- a/src/quarantine/quarantine_policy.h
+++ b/src/quarantine/quarantine_policy.h
@@ -8,17 +8,17 @@
 
 namespace tackpick::quarantine {
 
-/// Number of crashes after which a request is held. Fewer may be chance: the request may have
-/// shared instances with another that crashed them.
+/// Number of crashes after which a request is held. Fewer may be coincidental: the request may
+/// have shared instances with another request that crashed them.
 inline constexpr std::size_t kMaxCrashes = 3;
 
 /// Maximum trials of a held request, each at one instance. A trial succeeds if a new release
-/// handles the request or if the request was held by chance.
+/// handles the request or if the request was held by mistake.
 inline constexpr std::uint32_t kMaxTrials = 3;
 
 /// Returns the delay from the hold or the last trial to the next trial. The first is short, for
-/// requests that were held by chance; each failed trial makes chance less likely and increases the
-/// delay.
+/// requests that were held by mistake; each failed trial makes a mistake less likely and increases
+/// the delay.
 [[nodiscard]] constexpr base::Duration trialDelay(std::uint32_t trials) {
   constexpr base::Duration kInitialDelay = base::seconds(4);
   constexpr int kBackoffFactor = 10;
--- a/src/quarantine/quarantine_state.h
+++ b/src/quarantine/quarantine_state.h
@@ -16,7 +16,7 @@
 /// A held request.
 struct Hold {
   std::string service;
-  std::set<std::string> instances;  ///< crashed before it was held
+  std::set<std::string> instances;  ///< instances that crashed while they ran it
   std::uint32_t trials = 0;
   base::WallTime since;        ///< time of the hold
   base::WallTime lastEventAt;  ///< time of the hold or the last trial
@@ -28,8 +28,8 @@
   }
 };
 
-/// Part of the controllers' replicated state, so that a hold survives gateways, leaders and a
-/// restart of all processes. Times are cluster times. Deterministic.
+/// Part of the controllers' replicated state, so that holds persist when gateways or leaders
+/// fail and when all processes restart. Times are cluster times. Deterministic.
 class QuarantineState {
  public:
   void apply(const HoldRequest& command);
--- a/src/quarantine/request_fingerprint.h
+++ b/src/quarantine/request_fingerprint.h
@@ -11,8 +11,7 @@
 
 namespace tackpick::quarantine {
 
-/// Parts that identify a request. The id is excluded because each retry of a caller has another
-/// one.
+/// Parts that identify a request. The request id is excluded because each retry has a new one.
 struct RequestIdentity {
   std::string_view method;
   std::string_view host;
@@ -29,7 +28,7 @@
 
   auto operator<=>(const RequestFingerprint&) const = default;
 
-  /// Returns 32 hexadecimal digits.
+  /// Returns the fingerprint as 32 hexadecimal digits.
   [[nodiscard]] std::string text() const;
   /// Parses text(); std::nullopt if malformed.
   [[nodiscard]] static std::optional<RequestFingerprint> parse(std::string_view text);
@@ -41,7 +40,7 @@
 };
 
 /// Returns the fingerprint of a request. `key`: the same in all processes of a cluster. Hashes the
-/// whole body, so callers avoid it where no request is suspected or held.
+/// entire body, so it is called only if a request is suspected or held.
 [[nodiscard]] RequestFingerprint fingerprintOf(const RequestIdentity& request,
                                                std::string_view key);
 
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -162,10 +162,10 @@
     }
   }
   cr_assert_leq(pairs, 3U * kGateways);
-  const auto most = std::max_element(
+  const auto busiest = std::max_element(
       gatewaysAt.begin(), gatewaysAt.end(),
       [](const auto& left, const auto& right) { return left.second < right.second; });
-  cr_assert_lt(most->second, 20, "gateways are spread over the servers of the zone");
+  cr_assert_lt(busiest->second, 20, "gateways are spread over the servers of the zone");
 }
 
 Test(instance_table, other_instances_are_used_when_the_subset_fails_is_slow_or_busy) {
@@ -215,13 +215,13 @@
   }
   Fixture fixture(views);
   fixture.table.onEventInterval("e7", base::milliseconds(40), fixture.now);
-  const std::clock_t begun = std::clock();
+  const std::clock_t startedAt = std::clock();
   for (int i = 0; i < kCalls; ++i) {
     cr_assert_not(fixture.table.freeSlots({{"s", {"m"}}}).empty());
     cr_assert_eq(fixture.table.eventIntervals(fixture.now).size(), 1U);
     fixture.table.applyChanges({view("e" + std::to_string(i), 2)}, {});
   }
-  cr_assert_lt(static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC, 1.0);
+  cr_assert_lt(static_cast<double>(std::clock() - startedAt) / CLOCKS_PER_SEC, 1.0);
 }
 
 Test(instance_table, failing_full_and_loading_instances_are_ejected_temporarily) {
@@ -421,20 +421,20 @@
   Fixture fixture({view("a"), view("b")});
   fixture.table.onLoad("a", {1, 0, 4, 400}, fixture.now);
   fixture.table.onLoad("b", {1, 0, 4, 100}, fixture.now);
-  int atSlow = 0;
-  constexpr int kDrawn = 400;
-  for (int i = 0; i < kDrawn; ++i) {
-    atSlow += fixture.table.select(kRequirements, {}, fixture.random, fixture.now)->record.id == "a"
-                  ? 1
-                  : 0;
+  int slowSelections = 0;
+  constexpr int kSelections = 400;
+  for (int i = 0; i < kSelections; ++i) {
+    slowSelections +=
+        fixture.table.select(kRequirements, {}, fixture.random, fixture.now)->record.id == "a" ? 1
+                                                                                               : 0;
   }
-  cr_assert_lt(atSlow, kDrawn / 3, "selected only if both candidates are a");
+  cr_assert_lt(slowSelections, kSelections / 3, "selected only if both candidates are a");
   fixture.now += base::milliseconds(300);
-  atSlow = 0;
-  for (int i = 0; i < kDrawn; ++i) {
-    atSlow += fixture.table.select(kRequirements, {}, fixture.random, fixture.now)->record.id == "a"
-                  ? 1
-                  : 0;
+  slowSelections = 0;
+  for (int i = 0; i < kSelections; ++i) {
+    slowSelections +=
+        fixture.table.select(kRequirements, {}, fixture.random, fixture.now)->record.id == "a" ? 1
+                                                                                               : 0;
   }
-  cr_assert_gt(atSlow, kDrawn / 3, "the reported slowdown is outdated");
+  cr_assert_gt(slowSelections, kSelections / 3, "the reported slowdown is outdated");
 }
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -90,13 +90,13 @@
   constexpr std::uint32_t kMillis = 80'000;
   constexpr std::uint32_t kLarge = 4;
   constexpr std::uint32_t kSmall = 75;
-  constexpr std::uint32_t kShareOfSmall = 20;  // percent of all requests
+  constexpr std::uint32_t kSmallTenantPercent = 20;  // percent of all requests
   OverloadedService service;
   RequestCounts all;
   for (std::uint32_t at = 0; at < kMillis; ++at) {
     service.now += base::milliseconds(1);
     for (int request = 0; request < 2; ++request) {
-      const bool small = service.random.next() % 100 < kShareOfSmall;
+      const bool small = service.random.next() % 100 < kSmallTenantPercent;
       const std::uint64_t drawn = service.random.next() % (small ? kSmall : kLarge);
       service.request((small ? "small" : "large") + std::to_string(drawn));
     }
--- a/test/quarantine/mistaken_holds_test.cpp
+++ b/test/quarantine/mistaken_holds_test.cpp
@@ -1,5 +1,5 @@
-/// Guards against holding many harmless requests that shared instances with requests that crash
-/// them. docs/design/0009-quarantine.md gives the numbers of these runs.
+/// Guards against holding harmless requests that shared instances with a request that crashes
+/// them. See docs/design/0009-quarantine.md.
 #include <criterion/criterion.h>
 
 #include <cstdint>
@@ -25,7 +25,7 @@
   int runTime = 25;
   double arrivalsPerSecond = 100;
   int restartTime = 3000;
-  int repeats = 5;              ///< maximum retries of a request whose instance crashed
+  int retries = 5;              ///< maximum retries of a request whose instance crashed
   bool poisonRequest = false;   ///< one request crashes each instance halfway through its run
   double crashesPerSecond = 0;  ///< unrelated instance crashes
 };
@@ -33,7 +33,7 @@
 struct Outcome {
   int requests = 0;
   int falsePositives = 0;  ///< harmless requests that were held
-  int crashed = 0;         ///< instance crashes
+  int crashes = 0;         ///< instance crashes
 };
 
 /// Simulates a service in steps of one millisecond.
@@ -69,7 +69,7 @@
   struct Run {
     RequestFingerprint request;
     int until = 0;
-    int repeats = 0;
+    int retries = 0;
   };
   struct Instance {
     int incarnation = 0;
@@ -77,7 +77,7 @@
     std::vector<Run> runs;
   };
 
-  void send(const RequestFingerprint& request, int repeats) {
+  void send(const RequestFingerprint& request, int retries) {
     std::vector<std::size_t> free;
     for (std::size_t i = 0; i < m_instances.size(); ++i) {
       const auto slots = static_cast<std::size_t>(m_workload.slots);
@@ -90,7 +90,7 @@
       return;  // rejected; only the poison request is sent again
     }
     const int time = request == kPoisonRequest ? m_workload.runTime / 2 : m_workload.runTime;
-    m_instances[free[m_random.below(free.size())]].runs.push_back({request, m_now + time, repeats});
+    m_instances[free[m_random.below(free.size())]].runs.push_back({request, m_now + time, retries});
   }
 
   void step() {
@@ -114,7 +114,7 @@
     if (m_now < instance.downUntil) {
       return;
     }
-    ++m_outcome.crashed;
+    ++m_outcome.crashes;
     const std::string name = std::to_string(index) + "/" + std::to_string(instance.incarnation++);
     instance.downUntil = m_now + m_workload.restartTime;
     const std::vector<Run> runs = std::exchange(instance.runs, {});
@@ -123,8 +123,8 @@
       m_registry.record({run.request, "s", name}, now);
       const bool held = m_registry.instances(run.request).size() >= kMaxCrashes;
       m_outcome.falsePositives += held && run.request != kPoisonRequest ? 1 : 0;
-      if (!held && (run.request == kPoisonRequest || run.repeats < m_workload.repeats)) {
-        send(run.request, run.repeats + 1);
+      if (!held && (run.request == kPoisonRequest || run.retries < m_workload.retries)) {
+        send(run.request, run.retries + 1);
       }
     }
   }
@@ -146,10 +146,10 @@
     const Outcome outcome = Service(workload, seed).simulate(milliseconds);
     sum.requests += outcome.requests;
     sum.falsePositives += outcome.falsePositives;
-    sum.crashed += outcome.crashed;
+    sum.crashes += outcome.crashes;
   }
   cr_log_info("%d requests, %d held by mistake, %d instance crashes", sum.requests,
-              sum.falsePositives, sum.crashed);
+              sum.falsePositives, sum.crashes);
   return sum;
 }
 
@@ -159,7 +159,7 @@
 
 Test(mistaken_holds, few_beside_many_short_requests) {
   const Outcome outcome = runSeeds({.arrivalsPerSecond = 300, .poisonRequest = true}, kMinute);
-  cr_assert_eq(outcome.crashed, 50 * static_cast<int>(kMaxCrashes));
+  cr_assert_eq(outcome.crashes, 50 * static_cast<int>(kMaxCrashes));
   cr_assert_leq(outcome.falsePositives, 5, "%d of %d", outcome.falsePositives, outcome.requests);
 }
 
@@ -176,10 +176,10 @@
                              .slots = 12,
                              .runTime = 4000,
                              .arrivalsPerSecond = 30,
-                             .repeats = 100,
+                             .retries = 100,
                              .poisonRequest = true};
   const Outcome outcome = runSeeds(workload, kMinute / 2);
-  cr_assert_eq(outcome.crashed, 50 * static_cast<int>(kMaxCrashes));
+  cr_assert_eq(outcome.crashes, 50 * static_cast<int>(kMaxCrashes));
   cr_assert_leq(outcome.falsePositives, 50, "%d of %d", outcome.falsePositives, outcome.requests);
 }
 
@@ -188,7 +188,7 @@
                              .slots = 12,
                              .runTime = 4000,
                              .arrivalsPerSecond = 25,
-                             .repeats = 100,
+                             .retries = 100,
                              .crashesPerSecond = 0.5};
   const Outcome outcome = runSeeds(workload, kMinute);
   cr_assert_leq(outcome.falsePositives * 100, outcome.requests, "%d of %d", outcome.falsePositives,
