--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr base::Duration kCallResendInterval = base::milliseconds(300);
-/// Bit that distinguishes the ids of calls to one given ledger from those to the leader.
+/// Bit that distinguishes the ids of calls to a specific ledger from those of calls to the leader.
 constexpr std::uint64_t kReplicaCallFlag = std::uint64_t{1} << 62U;
 /// Time after which an unresponsive ledger is not called.
 constexpr base::Duration kLedgerTimeout = base::milliseconds(2500);
@@ -113,11 +113,11 @@
   storeView(update);
   std::vector<base::NodeId> seeds;
   for (const base::NodeId seed : settings_.seeds) {
-    bool known = false;
+    bool isListed = false;
     for (const base::NodeId controller : update.controllers) {
-      known = known || base::nodeNumber(controller) == base::nodeNumber(seed);
+      isListed = isListed || base::nodeNumber(controller) == base::nodeNumber(seed);
     }
-    if (!known) {
+    if (!isListed) {
       seeds.push_back(seed);
     }
   }
@@ -130,7 +130,8 @@
 
 std::vector<base::NodeId> ClusterMember::ledgerTargets() {
   if (!view_.ledgerVoters.empty()) {
-    ledger_voters_ = view_.ledgerVoters;  // A new leader of the controllers reports none at first.
+    // A new leader of the controllers initially reports no voters.
+    ledger_voters_ = view_.ledgerVoters;
   } else if (ledger_voters_.empty()) {
     ledger_voters_ = view_.initialLedgerVoters;
   }
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -68,15 +68,15 @@
   void onPeerLost(std::uint32_t number);
   void tick(base::TimePoint now);
 
-  /// Receives the reply, or nullptr if there was none by the deadline. The request may still take
-  /// effect then.
+  /// Receives the reply, or nullptr if there was none by the deadline, in which case the request
+  /// may still take effect.
   using DirectoryCallback = std::function<void(const directory::DirectoryReply* reply)>;
   void call(const directory::DirectoryRequest& request, base::Duration deadline,
             base::TimePoint now, DirectoryCallback callback);
   using JobCallback = std::function<void(const jobs::JobReply* reply)>;
   void call(const jobs::JobRequest& request, base::Duration deadline, base::TimePoint now,
             JobCallback callback);
-  /// Calls one given ledger, leader or not.
+  /// Calls a specific ledger, whether or not it is the leader.
   void callReplica(base::NodeId ledger, const jobs::JobRequest& request, base::Duration deadline,
                    base::TimePoint now, JobCallback callback);
 
@@ -89,11 +89,11 @@
   /// Returns the most recently seen voter of the ledgers' group in this node's zone, an invalid id
   /// if none is reachable. Reads must go to a voter, since other ledgers hold no batches.
   [[nodiscard]] base::NodeId zoneLedger() const;
-  /// Returns the latest configuration, with version 0 before the first.
+  /// Returns the latest configuration, which has version 0 until one is received.
   [[nodiscard]] const directory::Configuration& configuration() const { return configuration_; }
   /// Returns when the last answered watch was sent: configuration() is known to have been the
-  /// latest at that time. The time of the answer is no such proof, as the answer may have been
-  /// delayed.
+  /// latest at that time. The time at which the answer arrived does not prove this, because the
+  /// answer may have been delayed.
   [[nodiscard]] std::optional<base::TimePoint> configurationConfirmedAt() const {
     return m_configurationConfirmedAt;
   }
@@ -115,7 +115,7 @@
   const ClusterMemberSettings settings_;
   consensus::GroupClient directory_;
   consensus::GroupClient ledgers_;
-  consensus::GroupClient m_replicaClient;  ///< calls to one given ledger
+  consensus::GroupClient m_replicaClient;  ///< calls to a specific ledger
   bool m_watchInFlight = false;
   directory::DirectoryView view_;
   std::set<base::NodeId> ledger_voters_;  ///< last known voters
--- a/src/cluster/group_repair.cpp
+++ b/src/cluster/group_repair.cpp
@@ -23,19 +23,20 @@
 /// the member.
 bool isReplaced(base::NodeId member, const std::vector<GroupNode>& nodes,
                 const GroupRepairSettings& settings) {
-  const GroupNode* known = findNode(nodes, member);
+  const GroupNode* memberNode = findNode(nodes, member);
   return std::any_of(nodes.begin(), nodes.end(), [&](const GroupNode& other) {
     const bool sameAddress = base::nodeNumber(other.node) == base::nodeNumber(member);
     return sameAddress && other.node != member &&
            other.sinceHeartbeat < settings.heartbeatTimeout &&
-           (known == nullptr || other.sinceHeartbeat < known->sinceHeartbeat);
+           (memberNode == nullptr || other.sinceHeartbeat < memberNode->sinceHeartbeat);
   });
 }
 
 bool isHealthy(base::NodeId member, const std::vector<GroupNode>& nodes,
                const GroupRepairSettings& settings) {
-  const GroupNode* known = findNode(nodes, member);
-  return known != nullptr && !known->retiring && known->sinceHeartbeat < settings.heartbeatTimeout;
+  const GroupNode* memberNode = findNode(nodes, member);
+  return memberNode != nullptr && !memberNode->retiring &&
+         memberNode->sinceHeartbeat < settings.heartbeatTimeout;
 }
 
 std::optional<base::NodeId> bestCandidate(const std::set<base::NodeId>& members,
@@ -54,8 +55,8 @@
 
 bool isResponsive(base::NodeId member, const std::vector<GroupNode>& nodes,
                   const GroupRepairSettings& settings) {
-  const GroupNode* known = findNode(nodes, member);
-  return known != nullptr && known->sinceHeartbeat < settings.heartbeatTimeout;
+  const GroupNode* memberNode = findNode(nodes, member);
+  return memberNode != nullptr && memberNode->sinceHeartbeat < settings.heartbeatTimeout;
 }
 
 /// Returns an unresponsive voter that increases the quorum without tolerating more losses.
--- a/src/cluster/group_repair.h
+++ b/src/cluster/group_repair.h
@@ -59,8 +59,8 @@
 ///    machines than `targetSize` would keep each lost voter until no quorum is left.
 /// 3. If fewer than `targetSize` members are healthy, a responsive node is added as a learner.
 /// 4. Retiring or unresponsive members are removed once enough healthy voters remain.
-/// 5. A surplus voter, left when an unresponsive member returned after its replacement, is removed;
-///    never the leader `self`.
+/// 5. A surplus voter other than the leader `self` is removed. A surplus arises when an
+///    unresponsive member returns after another one was added in its place.
 [[nodiscard]] std::optional<MembershipChange> nextMembershipChange(
     base::NodeId self, const consensus::Membership& membership, const std::vector<GroupNode>& nodes,
     const GroupRepairSettings& settings);
--- a/src/cluster/group_service.cpp
+++ b/src/cluster/group_service.cpp
@@ -57,9 +57,9 @@
   if (raft.membershipChangePending()) {
     return;
   }
-  const bool known = std::any_of(nodes.begin(), nodes.end(),
-                                 [&](const GroupNode& node) { return node.node == self_; });
-  if (known) {
+  const bool includesSelf = std::any_of(nodes.begin(), nodes.end(),
+                                        [&](const GroupNode& node) { return node.node == self_; });
+  if (includesSelf) {
     m_health = assessGroup(raft.membership(), nodes, settings);
   }
   const auto change = nextMembershipChange(self_, raft.membership(), nodes, settings);
--- a/src/cluster/group_service.h
+++ b/src/cluster/group_service.h
@@ -29,8 +29,9 @@
   void reply(const ServiceCaller& caller, base::Bytes payload);
   /// Rejects a call with `status`. The response names the leader if it is another node.
   void refuse(const ServiceCaller& caller, transport::CommandStatus status);
-  /// Proposes a command and replies with `payload` once it is applied, or rejects the call if it
-  /// cannot be. A repeated call is not proposed again while its command is pending.
+  /// Proposes a command and replies with `payload` once it is applied, or rejects the call if
+  /// this replica is not the leader or the outcome is unknown. A repeated call is not proposed
+  /// again while its command is pending.
   void proposeFor(const ServiceCaller& caller, base::Bytes command, const base::Bytes& payload,
                   base::TimePoint now);
   /// Proposes a command without a response.
@@ -38,10 +39,10 @@
   /// Starts the next membership change, if one is needed and none is pending.
   void repairMembership(const std::vector<GroupNode>& nodes, const GroupRepairSettings& settings,
                         base::TimePoint now);
-  /// Returns the health of the group at the last repair in this term, std::nullopt before the
-  /// first.
+  /// Returns the health of the group at the last call of repairMembership() in this term,
+  /// std::nullopt before the first call.
   [[nodiscard]] const std::optional<GroupHealth>& health() const { return m_health; }
-  /// Must be called when this replica stops to lead.
+  /// Must be called when this replica loses leadership.
   void endTerm() { m_health.reset(); }
   /// Responses to be sent.
   [[nodiscard]] transport::Outbox& outbox() { return outbox_; }
--- a/src/consensus/group_client.h
+++ b/src/consensus/group_client.h
@@ -18,12 +18,12 @@
   std::vector<base::NodeId> replicas;
   /// Time after which an unanswered call is sent again.
   base::Duration resendInterval = base::milliseconds(700);
-  /// Time after which a call ends without a result. Must exceed the maximum time until a change is
-  /// in force.
+  /// Time after which a call ends without a result. Must exceed the maximum time until a change
+  /// takes effect.
   base::Duration deadline = base::seconds(12);
 };
 
-/// Timeouts of one call, in place of those of the settings.
+/// Timeouts of one call, which override those of GroupClientSettings.
 struct CallTimeouts {
   base::Duration resendInterval{0};
   base::Duration deadline{0};
--- a/src/consensus/log_store.h
+++ b/src/consensus/log_store.h
@@ -42,15 +42,15 @@
   /// Stores the snapshot durably and drops the entries it covers, and all entries if the log does
   /// not continue from the snapshot.
   [[nodiscard]] virtual base::Result<void> saveSnapshot(const Snapshot& snapshot) = 0;
-  /// Like saveSnapshot() for a snapshot of this log's own entries, but may return before it is
-  /// done. Until compacting() is false again, snapshot() and firstIndex() are unchanged, and the
-  /// state of the snapshot must not be read.
+  /// Like saveSnapshot() for a snapshot of this log's own entries, but may return before the
+  /// snapshot is durable. Until compacting() is false again, snapshot() and firstIndex() are
+  /// unchanged, and the state of the snapshot must not be read.
   [[nodiscard]] virtual base::Result<void> beginCompaction(Snapshot snapshot) = 0;
   /// Whether a compaction is in progress. It can only complete during a call of pollSync().
   [[nodiscard]] virtual bool compacting() const { return false; }
-  /// Makes all writes durable and blocks until this is done.
+  /// Makes all writes durable and blocks until they are.
   [[nodiscard]] virtual base::Result<void> sync() = 0;
-  /// Starts to make all writes up to now durable; pollSync() returns true when this is done.
+  /// Starts to make all earlier writes durable; pollSync() returns true once they are.
   /// Further writes are allowed meanwhile. Must not be called while another sync is in progress.
   [[nodiscard]] virtual base::Result<void> beginSync() { return sync(); }
   /// Returns whether no sync is in progress, or an error if the last one failed.
--- a/src/consensus/raft_consensus.h
+++ b/src/consensus/raft_consensus.h
@@ -107,8 +107,9 @@
   [[nodiscard]] bool hasCommittedInTerm() const;
   /// Returns the size of the latest snapshot's state.
   [[nodiscard]] std::size_t snapshotBytes() const { return log_.snapshotBytes(); }
-  /// Whether the log should be replaced by a snapshot: it exceeds `entries`, or `bytes` and half of
-  /// the last snapshot, and at least half of its entries are applied.
+  /// Whether the log should be replaced by a snapshot: at least half of its entries are applied,
+  /// and either their number exceeds `entries`, or their size exceeds both `bytes` and half of the
+  /// size of the last snapshot.
   [[nodiscard]] bool needsCompaction(LogIndex applied, LogIndex entries, std::size_t bytes) const;
   /// Returns the number of entries in the log.
   [[nodiscard]] LogIndex logLength() const { return log_.lastIndex() + 1 - log_.firstIndex(); }
@@ -120,11 +121,11 @@
     LogIndex matchIndex = 0;
     std::uint64_t acknowledgedRound = 0;
     base::TimePoint lastSentAt{};     ///< when entries or a chunk were last sent
-    bool awaitingSnapshot = false;    ///< a snapshot is being sent; entries are not
-    bool inFlight = false;            ///< entries were sent and not acknowledged yet
+    bool awaitingSnapshot = false;    ///< whether a snapshot is sent in place of entries
+    bool inFlight = false;            ///< whether sent entries are not acknowledged yet
     LogIndex sentIndex = 0;           ///< last index of the entries in flight
     LogIndex snapshotIndex = 0;       ///< last index of the snapshot being sent
-    std::uint64_t snapshotBytes = 0;  ///< acknowledged bytes of its state
+    std::uint64_t snapshotBytes = 0;  ///< acknowledged bytes of the state of that snapshot
   };
   /// A broadcast to all members, which confirms the lease when a quorum has answered.
   struct HeartbeatRound {
@@ -160,8 +161,9 @@
   void onTruncated(LogIndex firstRemoved);
   /// Sends a request to all other members and starts a heartbeat round.
   void broadcast(base::TimePoint now);
-  /// Sends new entries and the commit index to the members without entries in flight. The others
-  /// receive them after their next response, which batches entries under load.
+  /// Sends new entries and the commit index to the members without entries in flight. Members with
+  /// entries in flight receive new ones after their next response, which batches entries under
+  /// load.
   void replicatePending(base::TimePoint now);
   /// Returns the other members.
   [[nodiscard]] std::vector<base::NodeId> peers() const;
@@ -176,7 +178,7 @@
   /// Updates the time at which a quorum followed this leader, from the answered rounds.
   void confirmRounds();
   void advanceCommit();
-  /// Makes a leader step down that has lost contact to its quorum (section 6.2).
+  /// Steps down if this server leads and has lost contact with its quorum (section 6.2).
   void checkQuorum(base::TimePoint now);
   /// Returns the term of an entry, zero if it is not in the log.
   [[nodiscard]] Term termAt(LogIndex index) const;
@@ -246,7 +248,7 @@
   LogIndex term_start_index_ = 0;
   base::TimePoint transfer_deadline_{};
   bool transferring_ = false;
-  bool m_replicationPending = false;  ///< entries or a commit index not sent to the others yet
+  bool m_replicationPending = false;  ///< whether entries or a commit index are not sent yet
 };
 
 }  // namespace tackpick::consensus
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -113,7 +113,7 @@
   state_ = RaftState::kLeader;
   leader_ = self_;
   leader_since_ = now;
-  // The votes of a quorum were received; the first round confirms it again.
+  // The votes prove contact with a quorum until the first heartbeat round is answered.
   quorum_confirmed_at_ = now;
   transferring_ = false;
   rounds_.clear();
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -89,8 +89,8 @@
     onSnapshotChunkAck(from, response, now);
     return;
   }
-  // Responses to heartbeats arrive while entries or a snapshot are in flight. Only the response to
-  // the entries ends the wait; otherwise each heartbeat would cause them to be sent again.
+  // Responses to heartbeats arrive while entries or a snapshot are in flight. Only a response to
+  // the entries clears inFlight; otherwise the entries would be sent again with each heartbeat.
   const bool isBackoff = !response.success && response.lastIndex + 1 < progress.nextIndex;
   if (isBackoff || (response.success && response.lastIndex >= progress.sentIndex)) {
     progress.inFlight = false;
@@ -107,7 +107,7 @@
   } else if (isBackoff) {
     progress.nextIndex = std::max(response.lastIndex, progress.matchIndex) + 1;
   }
-  // While a snapshot is being sent, heartbeats alone keep the follower from starting an election.
+  // While a snapshot is being sent, heartbeats keep the follower from starting an election.
   if (progress.nextIndex <= log_.lastIndex() && !progress.awaitingSnapshot) {
     sendAppend(from, progress, now);
   }
@@ -139,9 +139,10 @@
 
 void RaftConsensus::appendSnapshotChunk(const InstallSnapshotRequest& request) {
   const Snapshot& chunk = request.snapshot;
-  const bool same = m_incomingSnapshot && m_incomingSnapshot->lastIndex == chunk.lastIndex &&
-                    m_incomingSnapshot->lastTerm == chunk.lastTerm;
-  if (!same || request.offset == 0) {
+  const bool isSameSnapshot = m_incomingSnapshot &&
+                              m_incomingSnapshot->lastIndex == chunk.lastIndex &&
+                              m_incomingSnapshot->lastTerm == chunk.lastTerm;
+  if (!isSameSnapshot || request.offset == 0) {
     m_incomingSnapshot = Snapshot{chunk.lastIndex, chunk.lastTerm, chunk.membership, {}};
   }
   if (request.offset == m_incomingSnapshot->state.size()) {
@@ -272,11 +273,12 @@
                                        base::TimePoint now) {
   confirmRounds();
   Progress& progress = progress_.at(from);
-  const bool same = progress.snapshotIndex == log_.snapshot().lastIndex;
-  if (!progress.awaitingSnapshot || (same && response.snapshotBytes == progress.snapshotBytes)) {
-    return;  // duplicate
+  const bool isLatestSnapshot = progress.snapshotIndex == log_.snapshot().lastIndex;
+  if (!progress.awaitingSnapshot ||
+      (isLatestSnapshot && response.snapshotBytes == progress.snapshotBytes)) {
+    return;  // The response is a duplicate.
   }
-  if (same) {
+  if (isLatestSnapshot) {
     progress.snapshotBytes = response.snapshotBytes;
   }
   progress.lastSentAt = now;
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -69,7 +69,7 @@
   std::uint32_t active = 0;
   std::uint32_t draining = 0;
   std::uint32_t targetTotal = 0;  ///< planned instances in all zones, of both kinds
-  bool demandKnown = false;       ///< whether the members below are valid
+  bool demandKnown = false;       ///< whether `items`, `waiting` and `demandAge` are valid
   std::uint32_t items = 0;        ///< items of open jobs
   std::uint32_t waiting = 0;      ///< items that wait for a slot
   base::Duration demandAge{0};    ///< age of the report of open jobs
@@ -123,15 +123,18 @@
     base::Duration repeatInterval{0};            ///< time until an accepted call is repeated
     std::optional<std::uint32_t> proposed;       ///< count whose log entry is not applied yet
     base::TimePoint proposedAt{};                ///< when `proposed` was proposed
-    std::optional<std::uint32_t> acceptedCount;  ///< accepted, perhaps not confirmed in the log
-    bool unanswered = false;                     ///< whether the last call has no answer
-    bool instancesLost = false;   ///< instances have left since the last call, which is due again
+    /// Count accepted by the platform, possibly not yet confirmed in the log.
+    std::optional<std::uint32_t> acceptedCount;
+    bool unanswered = false;  ///< whether the last call has no answer
+    /// Whether instances have left since the last call, so that it is repeated.
+    bool instancesLost = false;
     RegisteredCounts lastCounts;  ///< as of the last step
     /// Lowest count of the unanswered calls that the platform may still execute.
     std::optional<std::uint32_t> minUncertainCount;
-    base::TimePoint uncertainUntil{};  ///< end of the time in which it may do so
-    base::TimePoint availableFrom{};   ///< no call is made before
-    base::Duration backoff{0};         ///< current backoff of the pool
+    /// Time until which the platform may still execute an unanswered call.
+    base::TimePoint uncertainUntil{};
+    base::TimePoint availableFrom{};  ///< end of the backoff of the pool
+    base::Duration backoff{0};        ///< current duration of the backoff
     std::uint32_t consecutiveFailures = 0;
   };
   /// A target of the current step.
@@ -179,14 +182,14 @@
   std::map<InstancePool, PoolState> m_pools;
   std::map<InstancePool, PendingTarget> m_pendingTargets;  ///< targets of the current step
   std::vector<PoolSummary> m_summaries;
-  std::vector<ConfirmCapacity> m_pendingConfirmations;  ///< not written to the log yet
+  std::vector<ConfirmCapacity> m_pendingConfirmations;  ///< confirmations to be written to the log
   struct InFlightCall {
     std::uint64_t fence = 0;
     base::TimePoint since{};
   };
   std::optional<InFlightCall> m_inFlightCall;
   std::uint64_t m_staleFence = 0;  ///< fence that the platform rejected; zero: none
-  base::TimePoint m_nextCallAt{};  ///< no call is made before
+  base::TimePoint m_nextCallAt{};  ///< earliest time of the next call
   base::Duration m_retryDelay{0};
 };
 
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -15,7 +15,7 @@
 /// Whether the platform may preempt an instance.
 enum class InstanceKind : std::uint8_t {
   kOnDemand,     ///< runs until it is released
-  kPreemptible,  ///< cheaper; the platform may terminate all of a zone at short notice
+  kPreemptible,  ///< cheaper; the platform may terminate all in a zone at short notice
 };
 
 [[nodiscard]] std::string_view toString(InstanceKind kind);
--- a/src/duties/capacity_planner.cpp
+++ b/src/duties/capacity_planner.cpp
@@ -17,8 +17,8 @@
   return from - std::min(from, other);
 }
 
-/// Whether to replace unresponsive instances. Many at once are more likely to be partitioned from
-/// the controllers than lost.
+/// Whether to replace unresponsive instances. If many instances are unresponsive, a partition
+/// between them and the controllers is more likely than their loss.
 bool shouldReplaceUnresponsive(const CapacityInputs& inputs) {
   constexpr std::uint32_t kMinActivePerUnresponsive = 3;
   std::uint32_t unresponsive = 0;
@@ -212,7 +212,7 @@
       m_scaleInTarget.reset();
       m_surplusSince = inputs.now;
     } else if (poolActive > m_scaleInTarget->count + 1) {
-      // More instances became active; the old count would release several.
+      // More instances became active, so the earlier target would release more than one.
       m_scaleInTarget.reset();
     }
   }
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -70,12 +70,13 @@
   /// Maximum number of instances beyond the baseline, in percent of the baseline. Bounds the cost
   /// of a wrong estimate of the demand.
   std::uint32_t maxExtraPercent = 50;
-  /// Share of preemptible instances, which cost less, in those beyond the baseline. The on-demand
-  /// rest remains when a zone's preemptible instances are terminated.
+  /// Percentage of preemptible instances, which cost less, among the instances beyond the baseline.
+  /// The on-demand instances remain when the preemptible instances of a zone are terminated.
   std::uint32_t preemptiblePercent = 50;
   /// Time for which surplus instances are kept. Each scale-in step restarts it.
   base::Duration scaleInCooldown = base::seconds(30);
-  /// Time without open work after which the baseline is released too, down to the minimum.
+  /// Time without open work after which the instances of the baseline are also released, down to
+  /// the minimum.
   base::Duration idleTimeout = base::seconds(600);
 };
 
@@ -95,7 +96,7 @@
   struct ZonePlan;
 
   [[nodiscard]] bool isIdleTimeoutExpired(const CapacityInputs& inputs) const;
-  /// Whether there is no sign of work and part of the baseline was released after the idle timeout.
+  /// Whether no work is reported and part of the baseline was released after the idle timeout.
   /// The released instances are not requested again until there is work.
   [[nodiscard]] static bool isScaledBelowBaseline(const CapacityInputs& inputs);
   /// Returns how many of the `baseline` instances of a pool are retained.
@@ -113,7 +114,7 @@
   /// Returns the number of instances in all zones that the demand requires.
   [[nodiscard]] std::uint32_t computeTargetCount(const CapacityInputs& inputs);
   /// Adds the missing instances to the plans one by one, cheapest zone first, spread over the zones
-  /// so that the loss of one zone takes only a part of them.
+  /// so that only some of them are lost if a zone fails.
   void addInstances(std::vector<ZonePlan>& plans, std::uint32_t missing,
                     const CapacityInputs& inputs) const;
   /// Returns a target that releases one instance of the most expensive zone, on-demand ones first;
@@ -129,7 +130,7 @@
   std::uint32_t m_targetCount = 0;
   std::optional<base::TimePoint> m_idleSince;     ///< start of the time without open work
   std::optional<base::TimePoint> m_surplusSince;  ///< start of the surplus or last scale-in step
-  std::optional<CapacityTarget> m_scaleInTarget;  ///< kept until the instance has left
+  std::optional<CapacityTarget> m_scaleInTarget;  ///< unchanged until the instance has left
 };
 
 }  // namespace tackpick::duties
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -17,7 +17,7 @@
 enum class CapacityMode : std::uint8_t {
   kFixed,       ///< counts are left as they are; no call is made
   kReactive,    ///< slots for waiting items
-  kPredictive,  ///< slots for the next steps, expected to be as large as recent ones
+  kPredictive,  ///< slots for training steps as large as the largest recent ones
 };
 
 /// Demand for a service.
@@ -25,7 +25,8 @@
   jobs::OpenJobsByModel openJobs;  ///< open jobs of the models of the service
   std::uint32_t activeSlots = 0;   ///< slots of the active instances
   base::Duration reportAge{0};     ///< age of the report of open jobs
-  /// Recent events of streams of these models, of jobs and single requests; decays with time.
+  /// Number of recent stream events of the models of the service, for jobs and single requests.
+  /// Decays with time.
   double recentEvents = 0;
 
   /// Whether there are neither open jobs nor recent events.
@@ -51,7 +52,8 @@
 struct ReactivePolicySettings {
   /// Time for which a shortage of slots must last. Shorter bursts are left to the active engines.
   base::Duration stabilizationWindow = base::milliseconds(500);
-  /// Time for which the highest target is kept, as the next step of a trainer needs it again.
+  /// Time for which the highest target is kept, because the next training step is likely to need as
+  /// many slots.
   base::Duration peakRetention = base::seconds(30);
 };
 
--- a/src/duties/cluster_time.h
+++ b/src/duties/cluster_time.h
@@ -11,9 +11,10 @@
 
 namespace tackpick::duties {
 
-/// Median of the clocks of all nodes, kept by the leader of the controllers. If fewer than half of
-/// the clocks are wrong, the error is at most the difference between correct clocks. The latency of
-/// messages makes the other clocks appear slightly late. Deterministic; owned by one thread.
+/// Median of the clocks of all nodes, maintained by the leader of the controllers. If fewer than
+/// half of the clocks are wrong, the error is at most the difference between correct clocks. The
+/// latency of messages makes the other clocks appear slightly late. Deterministic; owned by one
+/// thread.
 class ClusterClock {
  public:
   /// Records the time that a node's clock showed when it sent a message.
@@ -30,7 +31,8 @@
   std::map<base::NodeId, Offset> m_offsets;
 };
 
-/// Estimate of the leader's time, kept by every other node. Deterministic; owned by one thread.
+/// Estimate of the leader's time, maintained by every other node. Deterministic; owned by one
+/// thread.
 class ClusterTimeEstimate {
  public:
   /// Records the leader's time from a message.
--- a/src/duties/usage_counter.cpp
+++ b/src/duties/usage_counter.cpp
@@ -3,7 +3,7 @@
 namespace tackpick::duties {
 namespace {
 
-/// Maximum number of windows kept while no window is finalized.
+/// Maximum number of windows that are not finalized. The oldest one is discarded beyond it.
 constexpr std::size_t kMaxWindows = 64;
 
 }  // namespace
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -20,15 +20,16 @@
   base::Duration windowLength{0};  ///< zero disables reporting
   /// Time after the end of a window by which its report is due.
   base::Duration reportDelay = base::seconds(10);
-  /// Time after the end of a window for gateways to report requests started at its very end.
+  /// Time to wait after the end of a window for the reports of requests started just before it.
   base::Duration gracePeriod = base::milliseconds(500);
-  /// Maximum share of reportDelay to wait for an unreachable gateway; the rest is left for repeated
-  /// calls.
+  /// Maximum time to wait for an unreachable gateway, in percent of reportDelay. The remaining time
+  /// allows for repeated calls.
   int maxWaitPercent = 65;
-  /// Minimum interval between log entries with the counts of gateways. Bounds how much of a window
-  /// is lost with all machines.
+  /// Minimum interval between log entries with the counts of gateways. Bounds the usage that is
+  /// lost if all machines fail simultaneously.
   base::Duration recordInterval = base::milliseconds(100);
-  /// Interval per count; extends recordInterval when there are many counts, to bound the writes.
+  /// Time per count that is not finalized. The interval between these log entries is at least the
+  /// total of all counts, which bounds the rate of writes.
   base::Duration recordIntervalPerCount = base::microseconds(100);
   /// Minimum time between two calls; the platform limits the rate of all calls.
   base::Duration minCallInterval = base::milliseconds(100);
@@ -101,11 +102,12 @@
   std::set<base::NodeId> m_unrecorded;  ///< gateways with counts not yet in the log
   base::TimePoint m_recordedAt{};
   std::optional<WindowNumber> m_proposedWindow;  ///< window whose FinalizeUsage is not applied yet
-  std::set<WindowNumber> m_acceptedWindows;      ///< perhaps not confirmed in the log yet
+  /// Windows accepted by the platform, possibly not yet confirmed in the log.
+  std::set<WindowNumber> m_acceptedWindows;
   std::optional<WindowNumber> m_pendingConfirmation;  ///< window to be confirmed in the log
   bool m_callInFlight = false;
   std::uint64_t m_staleFence = 0;  ///< fence that the platform rejected; zero: none
-  base::TimePoint m_nextCallAt{};  ///< no call is made before
+  base::TimePoint m_nextCallAt{};  ///< earliest time of the next call
   base::Duration m_retryDelay{0};
 };
 
--- a/src/storage/disk_thread.h
+++ b/src/storage/disk_thread.h
@@ -35,7 +35,7 @@
   mutable std::mutex m_mutex;
   std::condition_variable m_condition;
   Task m_task;                         ///< empty if no task is running
-  std::optional<std::string> m_error;  ///< of the last task
+  std::optional<std::string> m_error;  ///< error of the last task
   bool m_stopping = false;
   std::thread m_thread;  ///< declared last, as it uses the other members
 };
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -43,8 +43,9 @@
   [[nodiscard]] virtual base::Result<void> syncDirectory() = 0;
 };
 
-/// Replaces the content of `name` by `bytes` and `suffix`. After a crash the file has either the
-/// old or the new content: temporary file, sync, rename, directory sync.
+/// Replaces the content of `name` by `bytes` and `suffix`. Writes and syncs a temporary file,
+/// renames it and syncs the directory, so that after a crash the file has either the old or the new
+/// content.
 [[nodiscard]] base::Result<void> writeFileAtomically(FileSystem& files, const std::string& name,
                                                      std::string_view bytes,
                                                      std::string_view suffix = {});
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -195,8 +195,8 @@
     }
   }
   if (!segments.empty()) {
-    // A segment starts with all earlier state and gets its name only once that is durable. Older
-    // segments are left over from a crash and may end with a torn record.
+    // A segment starts with all earlier state and is renamed to its final name only once this state
+    // is durable. Older segments are left over from a crash and may end with a torn record.
     BOOST_LEAF_CHECK(replaySegment(segments.back()));
     segment_number_ = std::stoull(segments.back().substr(kSegmentPrefix.size()));
   }
--- a/src/storage/segmented_log.h
+++ b/src/storage/segmented_log.h
@@ -40,10 +40,10 @@
 /// Files: `identity`, `snapshot`, and segments `segment-NNNNNNNNNN` of records
 /// `[magic u32][length u32][checksum u64][payload]`, little endian. A new segment starts with the
 /// hard state and all entries after the snapshot, so only the latest segment is read. The entries
-/// are also kept in memory, the state of the snapshot is not. The snapshot file consists of a
-/// record that describes the snapshot and its state. A torn record at the end of the last segment
-/// is dropped on opening, because it was never synced and therefore never acknowledged. Damage
-/// before a readable record is reported as kCorrupt. Owned by one thread.
+/// are also held in memory; the state of the snapshot is only on disk. The snapshot file consists
+/// of a record that describes the snapshot and its state. A torn record at the end of the last
+/// segment is dropped on opening, because it was never synced and therefore never acknowledged.
+/// Damage before a readable record is reported as kCorrupt. Owned by one thread.
 ///
 /// With a DiskExecutor, records are buffered in memory and written and synced by the executor, so
 /// that a slow disk delays only messages that depend on a write. It also writes snapshots for
@@ -115,9 +115,9 @@
   base::Bytes m_pendingRecords;   ///< records not handed to the executor yet
   struct Compaction;
   std::shared_ptr<Compaction> compaction_;  ///< compaction in progress, if any
-  bool m_syncQueued = false;                ///< starts when the compaction has completed
-  bool m_syncInFlight = false;              ///< completion not reported by pollSync() yet
-  bool m_syncCompleted = false;             ///< completed before the compaction started
+  bool m_syncQueued = false;     ///< whether a sync starts once the compaction has completed
+  bool m_syncInFlight = false;   ///< whether pollSync() has yet to report the completion of a sync
+  bool m_syncCompleted = false;  ///< whether this sync completed before the compaction started
   consensus::HardState hard_state_;
   consensus::Snapshot snapshot_;  ///< without its state
   std::size_t snapshot_bytes_ = 0;
--- a/src/tenancy/tenant_table.h
+++ b/src/tenancy/tenant_table.h
@@ -23,12 +23,12 @@
   /// Returns the tenant with this key, std::nullopt if none.
   [[nodiscard]] std::optional<std::string> findTenant(std::string_view key) const;
 
-  /// Whether a request is allowed, and its tenant.
+  /// Result of the authorization of a request.
   struct AccessDecision {
     bool allowed = false;
     std::string tenant = {};  ///< empty if the request belongs to no tenant
   };
-  /// Decides on a request with `key`, which is empty if the request has none. `keyRequired` is
+  /// Authorizes a request with `key`, which is empty if the request has none. `keyRequired` is
   /// false on open routes.
   [[nodiscard]] AccessDecision authorize(std::string_view key, bool keyRequired) const;
 
--- a/test/cluster/cluster_member_test.cpp
+++ b/test/cluster/cluster_member_test.cpp
@@ -214,7 +214,8 @@
   cr_assert_eq(fixture.watchedRevision(), 1U);
 }
 
-// The next watch reports the version, so the configuration would not be sent again.
+// Guards against a configuration that is dropped with its view: the next watch reports its version,
+// so the controllers would not send it again.
 Test(cluster_member, configuration_is_passed_on_even_if_its_incremental_view_is_dropped) {
   Fixture fixture;
   std::uint64_t passedVersion = 0;
@@ -234,7 +235,8 @@
   cr_assert_eq(passedVersion, 4U, "an older configuration is ignored");
 }
 
-// The answer may have been delayed, for instance in a frozen process.
+// Guards against a configuration that counts as current as of its arrival: the answer may have been
+// delayed, for instance while the process was frozen.
 Test(cluster_member, configuration_is_confirmed_up_to_when_the_watch_was_sent) {
   Fixture fixture;
   cr_assert_not(fixture.member.configurationConfirmedAt().has_value());
@@ -245,7 +247,7 @@
   cr_assert(fixture.member.lastContactAt() == fixture.now);
 }
 
-// Each lost seed would cost a resend interval with every change of leader.
+// Guards against calls to lost seeds, each of which costs a resend interval at a change of leader.
 Test(cluster_member, seeds_are_contacted_only_if_no_controller_answers) {
   constexpr std::uint32_t kSeed = 2;
   constexpr std::uint32_t kLeader = 13;
--- a/test/cluster/simulated_cluster_test.cpp
+++ b/test/cluster/simulated_cluster_test.cpp
@@ -43,7 +43,7 @@
       }
     }
   }
-  /// Verifies that everything acknowledged can be read.
+  /// Verifies that all acknowledged changes and jobs can be read.
   void verifyAcknowledged() {
     // Pending calls may still be acknowledged.
     m_cluster.run(base::seconds(5), [] {});
@@ -93,7 +93,7 @@
           }
           last_read_ = reply->text.empty() ? 0 : std::stoull(reply->text);
           if (last_read_ < minVersion) {
-            problem_ = "a read returned an older version than acknowledged before it";
+            problem_ = "a read returned a version older than one acknowledged before the read";
           }
         });
   }
@@ -342,8 +342,8 @@
 
 constexpr std::uint32_t kFirstSuccessor = 41;
 
-/// Removes machines of a role one after the other. An empty one is added at another address one
-/// second later and has nine seconds to join the group.
+/// Removes machines of a role one after the other. One second after each removal a machine with an
+/// empty disk is added at another address; it has nine seconds to join the group.
 void replaceNodes(SimulatedCluster& cluster, Clients& clients, directory::NodeRole role,
                   const std::vector<std::uint32_t>& lost) {
   std::uint32_t successor = kFirstSuccessor;
@@ -355,7 +355,7 @@
   }
 }
 
-/// Power loss of all running nodes, which are restarted after one second.
+/// Kills all running nodes and restarts them after one second.
 void losePowerEverywhere(SimulatedCluster& cluster) {
   std::vector<std::uint32_t> lost;
   for (auto& [number, node] : cluster.nodes()) {
@@ -388,7 +388,8 @@
   cr_assert(clients.problem().empty(), "%s", clients.problem().c_str());
 }
 
-// The same for ledgers: the group must still accept and return batches.
+// Guards against lost ledger voters that are never removed: the group must still accept and return
+// batches after all initial ledgers were replaced.
 Test(cluster_world, replaced_ledgers_leave_a_group_below_its_size) {
   SimulatedCluster cluster(
       6, {}, {.toleratedLosses = 2, .controllers = {1, 2, 3, 4, 5}, .ledgers = {11, 12, 13}});
@@ -402,7 +403,7 @@
   cr_assert(clients.problem().empty(), "%s", clients.problem().c_str());
 }
 
-// The maximum number of tolerated disks is lost while all other processes lose power.
+// The maximum tolerated number of disks is lost while all other processes lose power.
 Test(cluster_world, group_of_target_size_tolerates_lost_disks_while_all_others_lose_power) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedCluster cluster(
--- a/test/duties/autoscaler_fixture.h
+++ b/test/duties/autoscaler_fixture.h
@@ -45,7 +45,7 @@
 struct AutoscalerFixture {
   explicit AutoscalerFixture(duties::CapacityMode mode = duties::CapacityMode::kPredictive);
 
-  /// Another leader takes over; it makes no calls for `wait`.
+  /// Replaces the autoscaler by that of a new leader, which makes no calls for `wait`.
   void changeLeader(base::Duration wait = base::Duration{0});
   void step();
   void run(base::Duration time);
--- a/test/duties/capacity_load_test.cpp
+++ b/test/duties/capacity_load_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr base::Duration kRunTime = base::seconds(60);
-/// Engine seconds of 1.5 times the initial engines over the whole run.
+/// Engine seconds of 1.5 times the initial number of engines during kRunTime.
 constexpr double kMaxEngineSeconds = 1.5 * 45 * 60;
 
 SimulationResult runScenario(CapacityMode mode, LoadScenario scenario, std::uint64_t seed) {
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -168,10 +168,10 @@
   cr_assert_eq(fixture.platform.total(), 3U);
   fixture.changeLeader();
   fixture.run(base::seconds(30));
-  cr_assert_eq(fixture.platform.total(), 3U, "a change of leader is not a sign of work");
+  cr_assert_eq(fixture.platform.total(), 3U, "a change of leader does not count as work");
   fixture.demand.reset();
   fixture.run(base::seconds(30));
-  cr_assert_eq(fixture.platform.total(), 3U, "a missing report is not a sign of work");
+  cr_assert_eq(fixture.platform.total(), 3U, "a missing report does not count as work");
   fixture.setDemand(8);
   fixture.run(base::seconds(6));
   cr_assert_eq(fixture.platform.total(), 45U);
--- a/test/duties/engine_simulation.h
+++ b/test/duties/engine_simulation.h
@@ -16,18 +16,19 @@
 struct SimulationResult {
   double waitingItemSeconds = 0;
   double engineSeconds = 0;  ///< of both kinds together
-  double price = 0;          ///< by the prices of zones and kinds
+  double price = 0;          ///< total price of the engine seconds, by zone and kind
   double meanWait = 0;       ///< mean wait of an item, in seconds
   double p90Wait = 0;        ///< 90th percentile of the wait, in seconds
   double lateItems = 0;      ///< items not complete within kDeadline
   std::uint32_t items = 0;
-  std::uint32_t engines = 0;           ///< at the end
+  std::uint32_t engines = 0;           ///< number of engines at the end
   std::vector<std::uint32_t> waiting;  ///< waiting items, sampled once a second
 };
 
 /// Conditions of a simulation.
 struct LoadScenario {
-  /// Whether the preemptible engines of one zone and some of the others are preempted half way.
+  /// Whether the preemptible engines of one zone and some engines of all kinds and zones are
+  /// preempted halfway through the run.
   bool preempt = false;
   std::uint32_t stepPercent = 100;  ///< size of the steps, relative to kStepItems
 };
--- a/test/duties/usage_test.cpp
+++ b/test/duties/usage_test.cpp
@@ -30,14 +30,14 @@
     changeLeader();
   }
 
-  /// Another leader takes over.
+  /// Replaces the reporter by that of a new leader.
   void changeLeader() {
     reporter = std::make_unique<duties::UsageReporter>(settings, random);
     reporter->reset(state, now);
     ++fence;
   }
 
-  /// Runs one step at the given time, which wall clock and monotonic clock share.
+  /// Runs one step with the wall clock and the monotonic clock at `seconds`.
   void step(double seconds) {
     now = base::TimePoint{at(seconds).time_since_epoch()};
     const duties::UsageReporterActions actions =
