--- a/test/cluster/cluster_member_test.cpp
+++ b/test/cluster/cluster_member_test.cpp
@@ -175,7 +175,7 @@
   cr_assert_eq(updates[0].instances.size(), 2U);
   directory::DirectoryView update = viewOfLedgers(2);
   update.isFull = false;
-  update.since = 1;
+  update.baseRevision = 1;
   update.revision = 2;
   update.removed = {"a"};
   update.instances.resize(1);
@@ -195,7 +195,7 @@
   fixture.answerNextWatch(viewOfLedgers(1));
   directory::DirectoryView update = viewOfLedgers(1);
   update.isFull = false;
-  update.since = 7;
+  update.baseRevision = 7;
   update.revision = 8;
   fixture.answerNextWatch(update);
   cr_assert_eq(updates, 1);
@@ -207,7 +207,7 @@
   fixture.answerNextWatch(viewOfLedgers(1));
   directory::DirectoryView incremental = viewOfLedgers(3);
   incremental.isFull = false;
-  incremental.since = 1;
+  incremental.baseRevision = 1;
   incremental.revision = 1;
   fixture.answerNextWatch(incremental);
   cr_assert_eq(fixture.member.view().ledgers.size(), 3U);
@@ -224,7 +224,7 @@
   fixture.answerNextWatch(viewOfLedgers(1));
   directory::DirectoryView update = viewOfLedgers(1);
   update.isFull = false;
-  update.since = 7;
+  update.baseRevision = 7;
   update.revision = 8;
   update.configuration.emplace();
   update.configuration->version = 4;
