--- a/apps/tackpickctl/commands.cpp
+++ b/apps/tackpickctl/commands.cpp
@@ -156,7 +156,7 @@
     node.revision = {item["revision"].get<std::uint64_t>()};
     for (const auto& [name, value] : item["values"].items()) {
       const auto key = control::findSettingKey(name);
-      const auto typed = runtime::settingValue(value);
+      const auto typed = runtime::parseSettingValue(value);
       if (key && typed) {
         node.values[*key] = *typed;
       }
--- a/src/emulator/emulated_engine.cpp
+++ b/src/emulator/emulated_engine.cpp
@@ -95,7 +95,7 @@
 void EmulatedEngine::order(const http::Request& request,
                            const std::shared_ptr<http::Responder>& responder) {
   std::string problem;
-  const auto parsed = base::recover([&] { return runtime::parseEngineOrder(request.body); },
+  const auto parsed = base::recover([&] { return runtime::parseEngineCommand(request.body); },
                                     [&](const base::Error& error) {
                                       problem = error.message;
                                       return engine::EngineCommand{};
@@ -109,7 +109,7 @@
 
 void EmulatedEngine::load(const http::Request& request,
                           const std::shared_ptr<http::Responder>& responder) {
-  runtime::EngineReport report;
+  runtime::EngineLoadReport report;
   report.status = model_.report(clock_.now());
   const std::uint64_t after = numberOr(request.queryValue("cache_after"), 0);
   report.cacheEvents = model_.cacheEventsAfter(after, clock_.now());
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -54,7 +54,7 @@
 
 std::uint32_t drawInstance() {
   constexpr std::uint32_t kInstanceMask = 0xffffffffU;
-  return static_cast<std::uint32_t>(runtime::randomNumber() & kInstanceMask) | 1U;
+  return static_cast<std::uint32_t>(runtime::secureRandomUint64() & kInstanceMask) | 1U;
 }
 
 }  // namespace
@@ -62,7 +62,7 @@
 Node::Node(config::ClusterSettings settings, const edge::ApiAdapter& apiAdapter)
     : settings_(std::move(settings)),
       m_apiAdapter(apiAdapter),
-      random_(std::make_unique<base::SeededRandom>(runtime::randomNumber())),
+      random_(std::make_unique<base::SeededRandom>(runtime::secureRandomUint64())),
       ticker_(context_),
       signals_(context_, SIGINT, SIGTERM, SIGHUP) {}
 
@@ -152,7 +152,7 @@
   member.ledgerGroup = directory::kLedgerGroup;
   member.seeds = seedNodes();
   member_ = std::make_unique<cluster::ClusterMember>(ownRecord(), member,
-                                                     base::CallId{runtime::randomNumber()});
+                                                     base::CallId{runtime::secureRandomUint64()});
   member_->setClock(wall_clock_);
   member_->onView([this](const directory::DirectoryView& view) { onView(view); });
   member_->onConfiguration([this](const directory::Configuration& newest) {
--- a/src/runtime/api_responses.cpp
+++ b/src/runtime/api_responses.cpp
@@ -25,17 +25,17 @@
   headers["X-Verdict"] = std::string(base::toString(verdict));
   if (retryAfter.count() > 0) {
     constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
-    const std::int64_t whole =
+    const std::int64_t wholeSeconds =
         (retryAfter.count() + kMicrosecondsPerSecond - 1) / kMicrosecondsPerSecond;
-    headers["Retry-After"] = std::to_string(whole);
+    headers["Retry-After"] = std::to_string(wholeSeconds);
   }
   responder.respond(status, headers, errorBody(reason, message, verdict, retryAfter));
 }
 
-Json parseBody(const http::Request& request, std::string& problem) {
+Json parseBody(const http::Request& request, std::string& errorMessage) {
   return base::recover([&] { return parseJson(request.body); },
                        [&](const base::Error& error) {
-                         problem = error.message;
+                         errorMessage = error.message;
                          return Json::object();
                        });
 }
--- a/src/runtime/api_responses.h
+++ b/src/runtime/api_responses.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers that the HTTP interfaces of a gateway have in common. Documented in docs/API.md.
+/// Responses shared by the HTTP interfaces of a gateway. Documented in docs/API.md.
 #pragma once
 
 #include <limits>
@@ -27,20 +27,21 @@
 inline constexpr int kBadGateway = 502;
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
-inline constexpr std::int64_t kMaximumInteger = std::numeric_limits<std::int64_t>::max();
-inline constexpr std::int64_t kMaximumUnsigned32 = std::numeric_limits<std::uint32_t>::max();
+inline constexpr std::int64_t kMaxInt64 = std::numeric_limits<std::int64_t>::max();
+inline constexpr std::int64_t kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
 
 [[nodiscard]] const http::Headers& jsonHeaders();
-/// The body of an error: reason, message, verdict and when to come back.
+/// Returns the JSON body of an error response.
 [[nodiscard]] std::string errorBody(const std::string& reason, const std::string& message,
                                     base::Verdict verdict, base::Duration retryAfter);
-/// Answers with an error; its verdict stands in the body and in a header.
+/// Sends an error response. The body and a header contain the verdict.
 void respondError(http::Responder& responder, int status, const std::string& reason,
                   const std::string& message, base::Verdict verdict = base::Verdict::kNotRun,
                   base::Duration retryAfter = base::Duration{0});
-/// The request's body; an empty object, and the problem, when it is not valid JSON.
-[[nodiscard]] Json parseBody(const http::Request& request, std::string& problem);
-/// Which version produced which tokens.
+/// Returns the body of the request; an empty object, with `errorMessage` set, if it is not valid
+/// JSON.
+[[nodiscard]] Json parseBody(const http::Request& request, std::string& errorMessage);
+/// Returns the weights version of each range of tokens as JSON.
 [[nodiscard]] Json spansJson(const std::vector<ledger::VersionSpan>& spans);
 
 }  // namespace tackpick::runtime
--- a/src/runtime/caller_api.cpp
+++ b/src/runtime/caller_api.cpp
@@ -11,10 +11,10 @@
 using base::Verdict;
 using gateway::RejectionReason;
 
-/// A client that leaves more than this unread is cut off.
-constexpr std::size_t kMaximumUnsentBytes = 4U << 20U;
+/// Maximum number of unsent bytes, above which the stream to a slow client is ended.
+constexpr std::size_t kMaxUnsentBytes = 4U << 20U;
 
-int statusOf(RejectionReason reason) {
+int httpStatusOf(RejectionReason reason) {
   switch (reason) {
     case RejectionReason::kInvalid:
       return kUnprocessable;
@@ -39,7 +39,7 @@
   return kUnavailable;
 }
 
-std::string textOf(const std::vector<engine::Token>& tokens) {
+std::string detokenize(const std::vector<engine::Token>& tokens) {
   std::string text;
   for (const engine::Token token : tokens) {
     text += " t" + std::to_string(token);
@@ -47,13 +47,13 @@
   return text;
 }
 
-Json answerJson(base::CallerId caller, const gateway::VersionedTokens& answer,
-                const std::string& finishReason) {
+Json completionJson(base::CallerId caller, const gateway::VersionedTokens& answer,
+                    const std::string& finishReason) {
   return {{"id", "cmpl-" + std::to_string(caller.value)},
           {"object", "text_completion"},
           {"choices",
            {{{"index", 0},
-             {"text", textOf(answer.tokens)},
+             {"text", detokenize(answer.tokens)},
              {"token_ids", answer.tokens},
              {"finish_reason", finishReason}}}},
           {"usage", {{"completion_tokens", answer.tokens.size()}}},
@@ -74,66 +74,67 @@
   return record == nullptr ? std::nullopt : std::optional(*record);
 }
 
-void CallerApi::handle(const http::Request& request, const ResponderPointer& responder) {
+void CallerApi::handle(const http::Request& request, const ResponderPtr& responder) {
   if (!daemon_.gateway()->view().revision().valid()) {
-    // Before the first configuration no token can be known: this says nothing about the token.
+    // Tokens cannot be checked before the first configuration arrives.
     respondError(*responder, kUnavailable, "no_lease", "this gateway has no configuration yet",
                  Verdict::kNotRun, base::seconds(1));
     return;
   }
   const auto credential = authenticate(request);
   if (!credential) {
-    respondError(*responder, kUnauthorized, "unauthorized", "a known bearer token is needed");
+    respondError(*responder, kUnauthorized, "unauthorized", "missing or unknown bearer token");
     return;
   }
   const bool post = request.method == "POST";
   if (post && request.path == "/v1/completions") {
-    completions(request, *credential, responder);
+    createCompletion(request, *credential, responder);
     return;
   }
-  const bool trainerPath = request.path.starts_with("/v1/batches") || request.path == "/v1/weights";
-  if (!trainerPath) {
+  const bool isTrainerPath =
+      request.path.starts_with("/v1/batches") || request.path == "/v1/weights";
+  if (!isTrainerPath) {
     respondError(*responder, kNotFound, "not_found", "no such path");
   } else if (credential->role == control::CredentialRole::kCaller) {
-    respondError(*responder, kForbidden, "forbidden", "this token is not a trainer's");
+    respondError(*responder, kForbidden, "forbidden", "the token does not have the trainer role");
   } else {
     trainer_api_.handle(request, *credential, responder);
   }
 }
 
-void CallerApi::completions(const http::Request& request,
-                            const control::CredentialRecord& credential,
-                            const ResponderPointer& responder) {
-  std::string problem;
-  const Json body = parseBody(request, problem);
+void CallerApi::createCompletion(const http::Request& request,
+                                 const control::CredentialRecord& credential,
+                                 const ResponderPtr& responder) {
+  std::string errorMessage;
+  const Json body = parseBody(request, errorMessage);
   JsonReader reader(body);
-  gateway::CallerRequest call;
-  call.id = {++last_caller_};
-  call.tenant = credential.tenant;
-  call.workload = {credential.tenant.value + "/" + reader.requiredText("workload")};
-  call.prompt = reader.requiredText("prompt");
-  call.seed = static_cast<std::uint64_t>(reader.integer("seed", 0, 0, kMaximumInteger));
-  call.maximumTokens =
-      static_cast<std::uint32_t>(reader.integer("max_tokens", 16, 1, kMaximumUnsigned32));
+  gateway::CallerRequest callerRequest;
+  callerRequest.id = {++m_lastRequestId};
+  callerRequest.tenant = credential.tenant;
+  callerRequest.workload = {credential.tenant.value + "/" + reader.getRequiredString("workload")};
+  callerRequest.prompt = reader.getRequiredString("prompt");
+  callerRequest.seed = static_cast<std::uint64_t>(reader.getInteger("seed", 0, 0, kMaxInt64));
+  callerRequest.maximumTokens =
+      static_cast<std::uint32_t>(reader.getInteger("max_tokens", 16, 1, kMaxUint32));
   constexpr std::int64_t kMaxMillis = 86'400'000;
-  call.deadline = base::milliseconds(reader.integer("deadline_ms", 0, 0, kMaxMillis));
-  call.stream = reader.flag("stream", false);
-  call.notRepeatable = reader.flag("not_repeatable", false);
-  call.key = {request.header("idempotency-key")};
-  if (problem.empty()) {
-    problem = reader.firstProblem();
-  }
-  if (!problem.empty()) {
-    respondError(*responder, kBadRequest, "invalid", problem);
+  callerRequest.deadline = base::milliseconds(reader.getInteger("deadline_ms", 0, 0, kMaxMillis));
+  callerRequest.stream = reader.getBool("stream", false);
+  callerRequest.notRepeatable = reader.getBool("not_repeatable", false);
+  callerRequest.key = {request.header("idempotency-key")};
+  if (errorMessage.empty()) {
+    errorMessage = reader.firstError();
+  }
+  if (!errorMessage.empty()) {
+    respondError(*responder, kBadRequest, "invalid", errorMessage);
     return;
   }
-  callers_[call.id] = {responder, call.stream, false};
-  responder->onClosed([this, id = call.id] {
-    callers_.erase(id);
+  m_openRequests[callerRequest.id] = {responder, callerRequest.stream, false};
+  responder->onClosed([this, id = callerRequest.id] {
+    m_openRequests.erase(id);
     daemon_.gateway()->onCallerGone(id, daemon_.now());
-    daemon_.wake();
+    daemon_.scheduleIteration();
   });
-  daemon_.gateway()->onCallerRequest(call, daemon_.now());
+  daemon_.gateway()->onCallerRequest(callerRequest, daemon_.now());
 }
 
 void CallerApi::execute(const gateway::Action& action) {
@@ -141,99 +142,101 @@
     execute(*tokens);
   } else if (const auto* answer = std::get_if<gateway::CompleteRequest>(&action)) {
     execute(*answer);
-  } else if (const auto* repeat = std::get_if<gateway::ReplayResponse>(&action)) {
-    execute(*repeat);
-  } else if (const auto* refusal = std::get_if<gateway::RejectRequest>(&action)) {
-    execute(*refusal);
+  } else if (const auto* replay = std::get_if<gateway::ReplayResponse>(&action)) {
+    execute(*replay);
+  } else if (const auto* rejection = std::get_if<gateway::RejectRequest>(&action)) {
+    execute(*rejection);
   }
 }
 
 void CallerApi::execute(const gateway::StreamTokens& tokens) {
-  const auto found = callers_.find(tokens.caller);
-  if (found == callers_.end()) {
+  const auto found = m_openRequests.find(tokens.caller);
+  if (found == m_openRequests.end()) {
     return;
   }
-  Caller& caller = found->second;
-  if (!caller.streaming) {
-    caller.streaming = true;
-    caller.responder->beginStream({});
+  OpenRequest& openRequest = found->second;
+  if (!openRequest.streamStarted) {
+    openRequest.streamStarted = true;
+    openRequest.responder->beginStream({});
   }
-  if (caller.responder->unsentBytes() > kMaximumUnsentBytes) {
-    caller.responder->endStream();
-    callers_.erase(found);
+  if (openRequest.responder->unsentBytes() > kMaxUnsentBytes) {
+    openRequest.responder->endStream();
+    m_openRequests.erase(found);
     daemon_.gateway()->onCallerGone(tokens.caller, daemon_.now());
     return;
   }
-  // Written by hand: this is the hot path of a stream.
+  // Formatted without the JSON library because this is the hot path of a stream.
   std::string event =
       "{\"object\":\"text_completion.chunk\",\"offset\":" + std::to_string(tokens.offset) +
       ",\"version\":" + std::to_string(tokens.version.value) +
-      ",\"choices\":[{\"index\":0,\"text\":\"" + textOf(tokens.tokens) + "\",\"token_ids\":[";
+      ",\"choices\":[{\"index\":0,\"text\":\"" + detokenize(tokens.tokens) + "\",\"token_ids\":[";
   for (std::size_t i = 0; i < tokens.tokens.size(); ++i) {
     event += (i == 0 ? "" : ",") + std::to_string(tokens.tokens[i]);
   }
   event += "]}]}";
-  caller.responder->sendEvent(event);
+  openRequest.responder->sendEvent(event);
 }
 
 void CallerApi::execute(const gateway::CompleteRequest& answer) {
-  const auto found = callers_.find(answer.caller);
-  if (found == callers_.end()) {
+  const auto found = m_openRequests.find(answer.caller);
+  if (found == m_openRequests.end()) {
     return;
   }
-  const Caller caller = std::move(found->second);
-  callers_.erase(found);
-  if (!caller.stream) {
-    caller.responder->respond(kOk, jsonHeaders(),
-                              answerJson(answer.caller, answer.answer, answer.finishReason).dump());
+  const OpenRequest openRequest = std::move(found->second);
+  m_openRequests.erase(found);
+  if (!openRequest.wantsStream) {
+    openRequest.responder->respond(
+        kOk, jsonHeaders(),
+        completionJson(answer.caller, answer.answer, answer.finishReason).dump());
     return;
   }
-  if (!caller.streaming) {
-    caller.responder->beginStream({});
-  }
-  // The count lets the client check that it has everything.
-  caller.responder->sendEvent(Json{{"object", "text_completion.end"},
-                                   {"finish_reason", answer.finishReason},
-                                   {"completion_tokens", answer.answer.tokens.size()},
-                                   {"weights", spansJson(answer.answer.spans)}}
-                                  .dump());
-  caller.responder->sendEvent("[DONE]");
-  caller.responder->endStream();
+  if (!openRequest.streamStarted) {
+    openRequest.responder->beginStream({});
+  }
+  // The token count allows the client to check that it has received all tokens.
+  openRequest.responder->sendEvent(Json{
+      {"object", "text_completion.end"},
+      {"finish_reason", answer.finishReason},
+      {"completion_tokens", answer.answer.tokens.size()},
+      {"weights",
+       spansJson(answer.answer.spans)}}.dump());
+  openRequest.responder->sendEvent("[DONE]");
+  openRequest.responder->endStream();
 }
 
-void CallerApi::execute(const gateway::ReplayResponse& repeat) {
-  const auto answer = gateway::decodeAnswer(repeat.answer);
-  const auto found = callers_.find(repeat.caller);
-  if (!answer || found == callers_.end()) {
+void CallerApi::execute(const gateway::ReplayResponse& replay) {
+  const auto answer = gateway::decodeAnswer(replay.answer);
+  const auto found = m_openRequests.find(replay.caller);
+  if (!answer || found == m_openRequests.end()) {
     return;
   }
-  gateway::CompleteRequest again = *answer;
-  again.caller = repeat.caller;
-  if (found->second.stream) {
-    found->second.streaming = true;
+  gateway::CompleteRequest replayed = *answer;
+  replayed.caller = replay.caller;
+  if (found->second.wantsStream) {
+    found->second.streamStarted = true;
     found->second.responder->beginStream({});
-    execute(gateway::StreamTokens{repeat.caller, 0, ledger::oldestVersion(again.answer.spans),
-                                  again.answer.tokens});
+    execute(gateway::StreamTokens{replay.caller, 0, ledger::oldestVersion(replayed.answer.spans),
+                                  replayed.answer.tokens});
   }
-  execute(again);
+  execute(replayed);
 }
 
-void CallerApi::execute(const gateway::RejectRequest& refusal) {
-  const auto found = callers_.find(refusal.caller);
-  if (found == callers_.end()) {
+void CallerApi::execute(const gateway::RejectRequest& rejection) {
+  const auto found = m_openRequests.find(rejection.caller);
+  if (found == m_openRequests.end()) {
     return;
   }
-  const Caller caller = std::move(found->second);
-  callers_.erase(found);
-  const std::string reason(gateway::toString(refusal.reason));
-  if (caller.streaming) {
-    caller.responder->sendEvent(
-        errorBody(reason, refusal.message, refusal.verdict, refusal.retryAfter));
-    caller.responder->endStream();
+  const OpenRequest openRequest = std::move(found->second);
+  m_openRequests.erase(found);
+  const std::string reason(gateway::toString(rejection.reason));
+  if (openRequest.streamStarted) {
+    openRequest.responder->sendEvent(
+        errorBody(reason, rejection.message, rejection.verdict, rejection.retryAfter));
+    openRequest.responder->endStream();
     return;
   }
-  respondError(*caller.responder, statusOf(refusal.reason), reason, refusal.message,
-               refusal.verdict, refusal.retryAfter);
+  respondError(*openRequest.responder, httpStatusOf(rejection.reason), reason, rejection.message,
+               rejection.verdict, rejection.retryAfter);
 }
 
 }  // namespace tackpick::runtime
--- a/src/runtime/caller_api.h
+++ b/src/runtime/caller_api.h
@@ -1,6 +1,5 @@
 /// \file
-/// HTTP interface of a gateway: callers, and the way to the trainers' part. Documented in
-/// docs/API.md.
+/// HTTP interface of a gateway for callers. Documented in docs/API.md.
 #pragma once
 
 #include <memory>
@@ -16,38 +15,39 @@
 
 namespace tackpick::runtime {
 
-/// Translates between HTTP and the Gateway. Runs on the daemon's thread.
+/// Translates between HTTP and the Gateway. Forwards the requests of trainers to TrainerApi. Runs
+/// on the daemon's thread.
 class CallerApi {
  public:
   explicit CallerApi(Daemon& daemon) : daemon_(daemon), trainer_api_(daemon) {}
 
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-  /// Carries out an action meant for a caller.
+  /// Executes an action that concerns a caller.
   void execute(const gateway::Action& action);
-  /// Callers whose answer is not complete.
-  [[nodiscard]] std::size_t openRequests() const { return callers_.size(); }
+  /// Returns the number of requests without a complete response.
+  [[nodiscard]] std::size_t openRequestCount() const { return m_openRequests.size(); }
 
  private:
-  using ResponderPointer = std::shared_ptr<http::Responder>;
-  struct Caller {
-    ResponderPointer responder;
-    bool stream = false;
-    bool streaming = false;  ///< the stream has begun
+  using ResponderPtr = std::shared_ptr<http::Responder>;
+  struct OpenRequest {
+    ResponderPtr responder;
+    bool wantsStream = false;
+    bool streamStarted = false;  ///< whether the event stream has begun
   };
 
   [[nodiscard]] std::optional<control::CredentialRecord> authenticate(
       const http::Request& request) const;
-  void completions(const http::Request& request, const control::CredentialRecord& credential,
-                   const ResponderPointer& responder);
+  void createCompletion(const http::Request& request, const control::CredentialRecord& credential,
+                        const ResponderPtr& responder);
   void execute(const gateway::StreamTokens& tokens);
   void execute(const gateway::CompleteRequest& answer);
   void execute(const gateway::ReplayResponse& answer);
-  void execute(const gateway::RejectRequest& refusal);
+  void execute(const gateway::RejectRequest& rejection);
 
   Daemon& daemon_;
   TrainerApi trainer_api_;
-  std::uint64_t last_caller_ = 0;
-  std::unordered_map<base::CallerId, Caller> callers_;
+  std::uint64_t m_lastRequestId = 0;
+  std::unordered_map<base::CallerId, OpenRequest> m_openRequests;
 };
 
 }  // namespace tackpick::runtime
--- a/src/runtime/control_api.cpp
+++ b/src/runtime/control_api.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kMisdirected = 421;
 
-void respondProblem(http::Responder& responder, int status, const std::string& message) {
+void respondControlError(http::Responder& responder, int status, const std::string& message) {
   responder.respond(
       status, jsonHeaders(),
       Json{{"error", {{"message", message}}}}.dump(-1, ' ', false, Json::error_handler_t::replace));
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-void ControlApi::handle(const http::Request& request, const ResponderPointer& responder) {
+void ControlApi::handle(const http::Request& request, const ResponderPtr& responder) {
   if (!isOperator(request)) {
-    respondProblem(*responder, kUnauthorized, "an operator's bearer token is needed");
+    respondControlError(*responder, kUnauthorized, "missing or unknown operator bearer token");
     return;
   }
   const bool post = request.method == "POST";
@@ -61,15 +61,15 @@
   } else if (path == "/v1/control/history") {
     history(request, responder);
   } else if (post && path == "/v1/control/apply") {
-    apply(request, responder);
+    applyChange(request, responder);
   } else if (post && path == "/v1/control/drain") {
     drain(request, responder);
   } else if (post && path == "/v1/control/credentials") {
     putCredential(request, responder);
   } else if (post && path == "/v1/control/members") {
-    members(request, responder);
+    changeMembership(request, responder);
   } else {
-    respondProblem(*responder, kNotFound, "no such path");
+    respondControlError(*responder, kNotFound, "no such path");
   }
 }
 
@@ -93,7 +93,7 @@
   return false;
 }
 
-void ControlApi::status(const ResponderPointer& responder) {
+void ControlApi::status(const ResponderPtr& responder) {
   control::Controller& controller = *daemon_.controller();
   Json gateways = Json::array();
   for (const auto& [node, lease] : controller.leases().leases()) {
@@ -123,7 +123,7 @@
                          .dump());
 }
 
-void ControlApi::state(const ResponderPointer& responder) {
+void ControlApi::state(const ResponderPtr& responder) {
   control::Controller& controller = *daemon_.controller();
   if (!controller.canRead(daemon_.now())) {
     respondNotLeader(responder);
@@ -132,15 +132,15 @@
   responder->respond(kOk, jsonHeaders(), stateJson(controller.state().deltaSince({})).dump());
 }
 
-void ControlApi::history(const http::Request& request, const ResponderPointer& responder) {
+void ControlApi::history(const http::Request& request, const ResponderPtr& responder) {
   control::Controller& controller = *daemon_.controller();
   if (!controller.canRead(daemon_.now())) {
     respondNotLeader(responder);
     return;
   }
   const std::string after = request.queryValue("after");
-  constexpr std::size_t kMaximumDigits = 18;
-  const bool valid = !after.empty() && after.size() <= kMaximumDigits &&
+  constexpr std::size_t kMaxDigits = 18;
+  const bool valid = !after.empty() && after.size() <= kMaxDigits &&
                      after.find_first_not_of("0123456789") == std::string::npos;
   const control::ReadHistory query{base::Revision{valid ? std::stoull(after) : 0}};
   const auto result = base::decode<control::HistoryResult>(
@@ -149,68 +149,69 @@
                      historyJson(result.value_or(control::HistoryResult{})).dump());
 }
 
-void ControlApi::apply(const http::Request& request, const ResponderPointer& responder) {
-  std::string problem;
-  const auto command = base::recover([&] { return parseApply(request.body); },
+void ControlApi::applyChange(const http::Request& request, const ResponderPtr& responder) {
+  std::string errorMessage;
+  const auto command = base::recover([&] { return parseApplyRequest(request.body); },
                                      [&](const base::Error& error) {
-                                       problem = error.message;
+                                       errorMessage = error.message;
                                        return control::ControlCommand{};
                                      });
-  if (!problem.empty()) {
-    respondProblem(*responder, kBadRequest, problem);
+  if (!errorMessage.empty()) {
+    respondControlError(*responder, kBadRequest, errorMessage);
     return;
   }
   submit(command, responder);
 }
 
-void ControlApi::drain(const http::Request& request, const ResponderPointer& responder) {
+void ControlApi::drain(const http::Request& request, const ResponderPtr& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
   control::DrainEngine drain;
-  drain.engine = {static_cast<std::uint64_t>(reader.integer("engine", 0, 1, kMaximumInteger))};
-  drain.drained = reader.flag("drained", true);
-  if (!reader.firstProblem().empty()) {
-    respondProblem(*responder, kBadRequest, reader.firstProblem());
+  drain.engine = {static_cast<std::uint64_t>(reader.getInteger("engine", 0, 1, kMaxInt64))};
+  drain.drained = reader.getBool("drained", true);
+  if (!reader.firstError().empty()) {
+    respondControlError(*responder, kBadRequest, reader.firstError());
     return;
   }
-  submit({reader.text("request_id"), drain}, responder);
+  submit({reader.getString("request_id"), drain}, responder);
 }
 
-void ControlApi::putCredential(const http::Request& request, const ResponderPointer& responder) {
+void ControlApi::putCredential(const http::Request& request, const ResponderPtr& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
   control::PutCredential put;
-  put.record.tokenHash = reader.requiredText("token_hash");
-  put.record.tenant = {reader.text("tenant")};
-  put.record.removed = reader.flag("removed", false);
-  const std::string role = reader.text("role", "caller");
+  put.record.tokenHash = reader.getRequiredString("token_hash");
+  put.record.tenant = {reader.getString("tenant")};
+  put.record.removed = reader.getBool("removed", false);
+  const std::string role = reader.getString("role", "caller");
   if (role == "trainer") {
     put.record.role = control::CredentialRole::kTrainer;
   } else if (role == "operator") {
     put.record.role = control::CredentialRole::kOperator;
   } else if (role != "caller") {
-    reader.problem("role: expected caller, trainer or operator");
+    reader.addError("role: expected caller, trainer or operator");
   }
   if (put.record.role != control::CredentialRole::kOperator && !put.record.tenant.valid()) {
-    reader.problem("tenant: required for callers and trainers");
+    reader.addError("tenant: required for callers and trainers");
   }
-  if (!reader.firstProblem().empty()) {
-    respondProblem(*responder, kBadRequest, reader.firstProblem());
+  if (!reader.firstError().empty()) {
+    respondControlError(*responder, kBadRequest, reader.firstError());
     return;
   }
-  submit({reader.text("request_id"), put}, responder);
+  submit({reader.getString("request_id"), put}, responder);
 }
 
-void ControlApi::members(const http::Request& request, const ResponderPointer& responder) {
+void ControlApi::changeMembership(const http::Request& request, const ResponderPtr& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
-  const std::string node = reader.requiredText("node");
-  const bool remove = reader.flag("remove", false);
-  constexpr std::size_t kMaximumDigits = 19;
-  const bool numeric =
-      node.size() <= kMaximumDigits && node.find_first_not_of("0123456789") == std::string::npos;
-  if (!reader.firstProblem().empty() || !numeric || node.empty()) {
-    respondProblem(*responder, kBadRequest, "node: expected the node's identity as a decimal text");
+  const std::string node = reader.getRequiredString("node");
+  const bool remove = reader.getBool("remove", false);
+  constexpr std::size_t kMaxDigits = 19;
+  const bool isNumeric =
+      node.size() <= kMaxDigits && node.find_first_not_of("0123456789") == std::string::npos;
+  if (!reader.firstError().empty() || !isNumeric || node.empty()) {
+    respondControlError(*responder, kBadRequest,
+                        "node: expected the node's identity as a decimal string");
     return;
   }
   consensus::RaftConsensus& raft = daemon_.controller()->replica().raft();
@@ -223,17 +224,18 @@
     logEvent(EventId::kMembershipChanged, (remove ? "removed=" : "added=") + node);
     responder->respond(kOk, jsonHeaders(), R"({"status":"accepted"})");
   } else {
-    respondProblem(*responder, kConflict, "another membership change is under way");
+    respondControlError(*responder, kConflict, "another membership change is in progress");
   }
 }
 
-void ControlApi::submit(const control::ControlCommand& command, const ResponderPointer& responder) {
-  const bool leads = daemon_.controller()->submit(
+void ControlApi::submit(const control::ControlCommand& command, const ResponderPtr& responder) {
+  const bool submitted = daemon_.controller()->submit(
       command, daemon_.now(), [responder](const control::ChangeOutcome* outcome) {
         if (outcome == nullptr) {
-          respondProblem(*responder, kUnavailable,
-                         "leadership was lost: the change may or may not take effect; resend it "
-                         "with the same request_id");
+          respondControlError(
+              *responder, kUnavailable,
+              "leadership was lost: the change may or may not take effect; resend it "
+              "with the same request_id");
           return;
         }
         const bool accepted = outcome->status == control::ChangeStatus::kAccepted;
@@ -248,12 +250,12 @@
         }
         responder->respond(status, jsonHeaders(), outcomeJson(*outcome).dump());
       });
-  if (!leads) {
+  if (!submitted) {
     respondNotLeader(responder);
   }
 }
 
-void ControlApi::respondNotLeader(const ResponderPointer& responder) {
+void ControlApi::respondNotLeader(const ResponderPtr& responder) {
   const base::NodeId leader = daemon_.controller()->replica().raft().leader();
   responder->respond(kMisdirected, jsonHeaders(),
                      Json{{"error", {{"message", "this controller does not lead"}}},
--- a/src/runtime/control_api.h
+++ b/src/runtime/control_api.h
@@ -19,18 +19,18 @@
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
 
  private:
-  using ResponderPointer = std::shared_ptr<http::Responder>;
+  using ResponderPtr = std::shared_ptr<http::Responder>;
 
   [[nodiscard]] bool isOperator(const http::Request& request) const;
-  void status(const ResponderPointer& responder);
-  void state(const ResponderPointer& responder);
-  void history(const http::Request& request, const ResponderPointer& responder);
-  void apply(const http::Request& request, const ResponderPointer& responder);
-  void drain(const http::Request& request, const ResponderPointer& responder);
-  void putCredential(const http::Request& request, const ResponderPointer& responder);
-  void members(const http::Request& request, const ResponderPointer& responder);
-  void submit(const control::ControlCommand& command, const ResponderPointer& responder);
-  void respondNotLeader(const ResponderPointer& responder);
+  void status(const ResponderPtr& responder);
+  void state(const ResponderPtr& responder);
+  void history(const http::Request& request, const ResponderPtr& responder);
+  void applyChange(const http::Request& request, const ResponderPtr& responder);
+  void drain(const http::Request& request, const ResponderPtr& responder);
+  void putCredential(const http::Request& request, const ResponderPtr& responder);
+  void changeMembership(const http::Request& request, const ResponderPtr& responder);
+  void submit(const control::ControlCommand& command, const ResponderPtr& responder);
+  void respondNotLeader(const ResponderPtr& responder);
 
   Daemon& daemon_;
 };
--- a/src/runtime/control_json.cpp
+++ b/src/runtime/control_json.cpp
@@ -5,51 +5,51 @@
 namespace tackpick::runtime {
 namespace {
 
-constexpr std::int64_t kMaximumInteger = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxInt64 = std::numeric_limits<std::int64_t>::max();
 
-void readSet(const Json& item, control::NodeChange& change, JsonReader& reader) {
+void parseSetValues(const Json& item, control::NodeChange& change, JsonReader& reader) {
   if (!item.contains("set")) {
     return;
   }
   if (!item["set"].is_object()) {
-    reader.problem("set: expected an object");
+    reader.addError("set: expected an object");
     return;
   }
   for (const auto& [name, value] : item["set"].items()) {
     const auto key = control::findSettingKey(name);
-    const auto typed = settingValue(value);
+    const auto typed = parseSettingValue(value);
     if (!key || !typed) {
-      reader.problem(change.path + ": " + name + ": " +
-                     (key ? "expected true, false, an integer or a text" : "no such setting"));
+      reader.addError(change.path + ": " + name + ": " +
+                      (key ? "expected true, false, an integer or a string" : "no such setting"));
       return;
     }
     change.set[*key] = *typed;
   }
 }
 
-control::NodeChange readChange(const Json& item, JsonReader& outer) {
+control::NodeChange parseNodeChange(const Json& item, JsonReader& parent) {
   JsonReader reader(item);
   control::NodeChange change;
-  change.path = reader.text("path");
+  change.path = reader.getString("path");
   if (item.is_object() && item.contains("expected_revision")) {
     change.expectedRevision = base::Revision{
-        static_cast<std::uint64_t>(reader.integer("expected_revision", 0, 0, kMaximumInteger))};
+        static_cast<std::uint64_t>(reader.getInteger("expected_revision", 0, 0, kMaxInt64))};
   }
-  change.remove = reader.flag("remove", false);
-  change.replace = reader.flag("replace", false);
+  change.remove = reader.getBool("remove", false);
+  change.replace = reader.getBool("replace", false);
   if (item.is_object()) {
-    readSet(item, change, reader);
+    parseSetValues(item, change, reader);
     for (const Json& name : item.value("unset", Json::array())) {
       const auto key =
           name.is_string() ? control::findSettingKey(name.get<std::string>()) : std::nullopt;
       if (!key) {
-        reader.problem(change.path + ": unset: no such setting");
+        reader.addError(change.path + ": unset: no such setting");
         break;
       }
       change.unset.push_back(*key);
     }
   }
-  outer.problem(reader.firstProblem());
+  parent.addError(reader.firstError());
   return change;
 }
 
@@ -92,7 +92,7 @@
   return object;
 }
 
-std::optional<control::SettingValue> settingValue(const Json& value) {
+std::optional<control::SettingValue> parseSettingValue(const Json& value) {
   if (value.is_boolean()) {
     return control::SettingValue{value.get<bool>()};
   }
@@ -165,19 +165,19 @@
   return {{"entries", std::move(entries)}, {"truncated", history.truncated}};
 }
 
-base::Result<control::ControlCommand> parseApply(const std::string& body) {
+base::Result<control::ControlCommand> parseApplyRequest(const std::string& body) {
   BOOST_LEAF_AUTO(object, parseJson(body));
   JsonReader reader(object);
   control::ControlCommand command;
-  command.requestId = reader.text("request_id");
+  command.requestId = reader.getString("request_id");
   control::ApplyChange change;
-  change.author = reader.text("author");
-  change.dryRun = reader.flag("dry_run", false);
-  for (const Json& item : reader.array("changes")) {
-    change.changes.push_back(readChange(item, reader));
+  change.author = reader.getString("author");
+  change.dryRun = reader.getBool("dry_run", false);
+  for (const Json& item : reader.getArray("changes")) {
+    change.changes.push_back(parseNodeChange(item, reader));
   }
-  if (!reader.firstProblem().empty()) {
-    return base::fail(base::ErrorCode::kInvalidInput, reader.firstProblem());
+  if (!reader.firstError().empty()) {
+    return base::fail(base::ErrorCode::kInvalidInput, reader.firstError());
   }
   command.operation = std::move(change);
   return command;
--- a/src/runtime/control_json.h
+++ b/src/runtime/control_json.h
@@ -1,5 +1,5 @@
 /// \file
-/// JSON of the operators' interface, shared by controllers and tackpickctl.
+/// JSON format of the operator interface, shared by the controllers and tackpickctl.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,15 @@
 namespace tackpick::runtime {
 
 [[nodiscard]] Json valuesJson(const std::map<control::SettingKey, control::SettingValue>& values);
-/// A value as it stands in JSON, or nothing when it has another type.
-[[nodiscard]] std::optional<control::SettingValue> settingValue(const Json& value);
+/// Returns the setting value; std::nullopt if the JSON value has an unsupported type.
+[[nodiscard]] std::optional<control::SettingValue> parseSettingValue(const Json& value);
 
 [[nodiscard]] Json stateJson(const control::ControlDelta& state);
 [[nodiscard]] Json outcomeJson(const control::ChangeOutcome& outcome);
 [[nodiscard]] Json historyJson(const control::HistoryResult& history);
 
-/// The body of POST /v1/control/apply: `{request_id, author, dry_run, changes}`.
-[[nodiscard]] base::Result<control::ControlCommand> parseApply(const std::string& body);
+/// Parses the body of POST /v1/control/apply: `{request_id, author, dry_run, changes}`.
+[[nodiscard]] base::Result<control::ControlCommand> parseApplyRequest(const std::string& body);
 
 [[nodiscard]] std::string toString(control::ChangeStatus status);
 [[nodiscard]] std::string toString(control::CredentialRole role);
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -19,11 +19,11 @@
 using telemetry::logEvent;
 
 constexpr auto kTickInterval = std::chrono::milliseconds(10);
-/// A planned stop that takes longer cuts what is left.
+/// Timeout of a planned shutdown, after which the remaining work is aborted.
 constexpr base::Duration kMaxStop = base::seconds(60);
-std::uint64_t wallSeconds() {
+std::uint64_t unixSeconds() {
   constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
-  return wallMicroseconds() / kMicrosecondsPerSecond;
+  return unixMicroseconds() / kMicrosecondsPerSecond;
 }
 
 std::vector<base::NodeId> toNodeIds(const std::vector<std::uint32_t>& numbers) {
@@ -43,8 +43,8 @@
 
 Daemon::Daemon(config::ProcessSettings settings)
     : settings_(std::move(settings)),
-      random_(std::make_unique<base::SeededRandom>(randomNumber())),
-      ticker_(context_),
+      random_(std::make_unique<base::SeededRandom>(secureRandomUint64())),
+      m_tickTimer(context_),
       signals_(context_, SIGINT, SIGTERM) {}
 
 Daemon::~Daemon() = default;
@@ -57,20 +57,20 @@
 }
 
 base::Result<void> Daemon::open(DirectoryMode mode) {
-  BOOST_LEAF_ASSIGN(key_, transport::readKeyFile(settings_.keyFile));
-  BOOST_LEAF_CHECK(openIdentity(mode));
+  BOOST_LEAF_ASSIGN(m_clusterKey, transport::readKeyFile(settings_.keyFile));
+  BOOST_LEAF_CHECK(loadIdentity(mode));
   BOOST_LEAF_CHECK(openRoles(mode));
   client_ = std::make_unique<http::Client>(context_);
-  engine_link_ = std::make_unique<EngineLink>(*client_, engineEvents());
+  m_engineClient = std::make_unique<EngineClient>(*client_, makeEngineEvents());
   if (settings_.roles.contains(config::ProcessRole::kGateway)) {
     openGateway();
   }
   return openNetwork();
 }
 
-base::Result<void> Daemon::openIdentity(DirectoryMode mode) {
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory));
-  BOOST_LEAF_AUTO(identity, openNodeIdentity(*folder, settings_, mode));
+base::Result<void> Daemon::loadIdentity(DirectoryMode mode) {
+  BOOST_LEAF_AUTO(directory, storage::PosixFileSystem::create(settings_.dataDirectory));
+  BOOST_LEAF_AUTO(identity, loadNodeIdentity(*directory, settings_, mode));
   self_ = {identity.node};
   incarnation_ = {identity.incarnation};
   return {};
@@ -79,8 +79,9 @@
 base::Result<consensus::LogStore*> Daemon::openLog(const std::string& name,
                                                    const config::GroupSettings& group,
                                                    DirectoryMode mode) {
-  BOOST_LEAF_AUTO(folder, storage::PosixFileSystem::create(settings_.dataDirectory + "/" + name));
-  folders_.push_back(std::move(folder));
+  BOOST_LEAF_AUTO(directory,
+                  storage::PosixFileSystem::create(settings_.dataDirectory + "/" + name));
+  m_directories.push_back(std::move(directory));
   consensus::Membership initial;
   if (mode == DirectoryMode::kInitialise) {
     for (const base::NodeId node : toNodeIds(group.nodes)) {
@@ -88,7 +89,7 @@
     }
   }
   const storage::FolderIdentity identity{settings_.cluster, self_, group.group};
-  BOOST_LEAF_AUTO(log, storage::SegmentedLog::open(*folders_.back(), identity, initial));
+  BOOST_LEAF_AUTO(log, storage::SegmentedLog::open(*m_directories.back(), identity, initial));
   logs_.push_back(std::move(log));
   return logs_.back().get();
 }
@@ -98,8 +99,9 @@
     BOOST_LEAF_AUTO(log, openLog("control", settings_.controllers, mode));
     control::ControllerSettings controller;
     controller.rollout.concurrentLoads = settings_.concurrentWeightLoads;
-    constexpr base::Duration kListWait = base::seconds(3);
-    controller.machineListWait = settings_.machineListUrl.empty() ? base::Duration{0} : kListWait;
+    constexpr base::Duration kMachineListTimeout = base::seconds(3);
+    controller.machineListWait =
+        settings_.machineListUrl.empty() ? base::Duration{0} : kMachineListTimeout;
     controller_ = std::make_unique<control::Controller>(self_, settings_.controllers.group,
                                                         controller, *log, *random_, now());
   }
@@ -133,7 +135,7 @@
 base::Result<void> Daemon::openNetwork() {
   transport::PeerNetworkSettings network;
   network.self = self_;
-  network.key = key_;
+  network.key = m_clusterKey;
   network.listen = settings_.internal;
   network.peers = settings_.peers;
   try {
@@ -161,7 +163,7 @@
   server_ = std::make_unique<http::Server>(
       context_, server,
       [this](const http::Request& request, const std::shared_ptr<http::Responder>& responder) {
-        onHttp(request, responder);
+        onHttpRequest(request, responder);
       });
 }
 
@@ -170,57 +172,58 @@
            "node=" + std::to_string(self_.value) + " http_port=" + std::to_string(server_->port()));
   signals_.async_wait([this](const asio::error_code& error, int) {
     if (!error) {
-      beginStop();
+      beginShutdown();
     }
   });
   tick();
   context_.run();
   logEvent(EventId::kProcessStopped, "");
-  return reported_failure_ ? 1 : 0;
+  return m_replicaFailed ? 1 : 0;
 }
 
 void Daemon::tick() {
   const base::TimePoint at = now();
   if (controller_) {
     controller_->tick(at);
-    readMachineList();
+    fetchMachineList();
   }
   for (const auto& ledger : ledgers_) {
-    ledger->tick(at, wallSeconds());
+    ledger->tick(at, unixSeconds());
   }
   if (gateway_) {
     gateway_->tick(at);
   }
-  turn();
-  observe();
-  if (stopping_) {
-    finishStop();
+  runIteration();
+  logStateChanges();
+  if (m_shuttingDown) {
+    finishShutdown();
   }
   telemetry::flushLog();
-  ticker_.expires_after(kTickInterval);
-  ticker_.async_wait([this](const asio::error_code& error) {
+  m_tickTimer.expires_after(kTickInterval);
+  m_tickTimer.async_wait([this](const asio::error_code& error) {
     if (!error) {
       tick();
     }
   });
 }
 
-void Daemon::wake() {
-  if (turn_scheduled_) {
+void Daemon::scheduleIteration() {
+  if (m_iterationScheduled) {
     return;
   }
-  turn_scheduled_ = true;
-  asio::post(context_, [this] { turn(); });
+  m_iterationScheduled = true;
+  asio::post(context_, [this] { runIteration(); });
 }
 
-void Daemon::turn() {
-  turn_scheduled_ = false;
+void Daemon::runIteration() {
+  m_iterationScheduled = false;
   if (controller_) {
     const control::ControllerActions actions = controller_->finish(now());
-    for (const engine::OutgoingEngineCommand& order : actions.orders) {
-      const control::EngineRecord& record = controller_->state().engines().at(order.engine);
-      engine_link_->setAddress(order.engine, record.host, record.port);
-      engine_link_->sendLoadCommand(order.engine, order.order);
+    for (const engine::OutgoingEngineCommand& outgoingCommand : actions.orders) {
+      const control::EngineRecord& record =
+          controller_->state().engines().at(outgoingCommand.engine);
+      m_engineClient->setAddress(outgoingCommand.engine, record.host, record.port);
+      m_engineClient->sendLoadCommand(outgoingCommand.engine, outgoingCommand.order);
     }
     sendAll(actions.messages);
   }
@@ -230,10 +233,10 @@
   if (!gateway_) {
     return;
   }
-  if (addresses_at_ != gateway_->view().revision()) {
-    addresses_at_ = gateway_->view().revision();
+  if (m_addressesRevision != gateway_->view().revision()) {
+    m_addressesRevision = gateway_->view().revision();
     for (const auto& [id, entry] : gateway_->engines().entries()) {
-      engine_link_->setAddress(id, entry.record.host, entry.record.port);
+      m_engineClient->setAddress(id, entry.record.host, entry.record.port);
     }
   }
   const gateway::GatewayActions actions = gateway_->takeActions();
@@ -245,32 +248,32 @@
 
 void Daemon::execute(const gateway::Action& action) {
   if (const auto* start = std::get_if<gateway::StartAttempt>(&action)) {
-    engine_link_->startAttempt(start->engine, start->request);
+    m_engineClient->startAttempt(start->engine, start->request);
   } else if (const auto* cancel = std::get_if<gateway::CancelAttempt>(&action)) {
-    engine_link_->cancelAttempt(cancel->engine, cancel->attempt);
+    m_engineClient->cancelAttempt(cancel->engine, cancel->attempt);
   } else if (const auto* read = std::get_if<gateway::PollEngine>(&action)) {
-    engine_link_->readReport(read->engine);
+    m_engineClient->pollLoad(read->engine);
   } else {
     caller_api_->execute(action);
   }
 }
 
-EngineEvents Daemon::engineEvents() {
+EngineEvents Daemon::makeEngineEvents() {
   EngineEvents events;
   events.onChunk = [this](const engine::Chunk& chunk) {
     gateway_->onChunk(chunk, now());
-    wake();
+    scheduleIteration();
   };
   events.onEnd = [this](const engine::AttemptEnd& end) {
     gateway_->onAttemptEnd(end, now());
-    wake();
+    scheduleIteration();
   };
-  events.onReport = [this](base::EngineId engine, const EngineReport& report) {
+  events.onReport = [this](base::EngineId engine, const EngineLoadReport& report) {
     gateway_->onEngineStatus(report.status, now());
-    for (const engine::SequencedCacheEvent& numbered : report.cacheEvents) {
-      gateway_->onCacheEvent(engine, numbered.event);
+    for (const engine::SequencedCacheEvent& cacheEvent : report.cacheEvents) {
+      gateway_->onCacheEvent(engine, cacheEvent.event);
     }
-    wake();
+    scheduleIteration();
   };
   events.onCommandReply = [this](base::EngineId engine, const engine::EngineCommandReply& reply) {
     if (reply.status == engine::EngineCommandStatus::kStaleFence) {
@@ -278,9 +281,9 @@
                "engine=" + std::to_string(engine.value) + " reason=stale_fence");
     }
     controller_->onCommandReply(reply, now());
-    wake();
+    scheduleIteration();
   };
-  events.onOrderFailed = [](base::EngineId engine) {
+  events.onCommandFailed = [](base::EngineId engine) {
     logEvent(EventId::kEngineOrderFailed,
              "engine=" + std::to_string(engine.value) + " reason=unreachable");
   };
@@ -301,11 +304,11 @@
   }
   roles.gateway = gateway_.get();
   roles::deliver(roles, from, message, now());
-  wake();
+  scheduleIteration();
 }
 
-void Daemon::onHttp(const http::Request& request,
-                    const std::shared_ptr<http::Responder>& responder) {
+void Daemon::onHttpRequest(const http::Request& request,
+                           const std::shared_ptr<http::Responder>& responder) {
   constexpr int kOk = 200;
   constexpr int kNotFound = 404;
   constexpr int kUnavailable = 503;
@@ -317,7 +320,7 @@
     responder->respond(ready ? kOk : kUnavailable, json,
                        ready ? R"({"ready":true})" : R"({"ready":false})");
   } else if (request.path == "/metrics") {
-    responder->respond(kOk, {{"Content-Type", "text/plain; version=0.0.4"}}, metricsText(*this));
+    responder->respond(kOk, {{"Content-Type", "text/plain; version=0.0.4"}}, renderMetrics(*this));
   } else if (control_api_ && request.path.starts_with("/v1/control")) {
     control_api_->handle(request, responder);
   } else if (caller_api_) {
@@ -325,47 +328,47 @@
   } else {
     responder->respond(kNotFound, json, R"({"error":{"message":"no such path"}})");
   }
-  wake();
+  scheduleIteration();
 }
 
 bool Daemon::isReady() const {
-  if (stopping_) {
+  if (m_shuttingDown) {
     return false;
   }
   if (gateway_ && !gateway_->view().canServe(now())) {
     return false;
   }
-  return !reported_failure_;
+  return !m_replicaFailed;
 }
 
-void Daemon::readMachineList() {
+void Daemon::fetchMachineList() {
   constexpr base::Duration kInterval = base::milliseconds(500);
-  if (settings_.machineListUrl.empty() || list_read_outstanding_ || !controller_->canRead(now()) ||
-      now() - list_read_at_ < kInterval) {
+  if (settings_.machineListUrl.empty() || m_machineListFetchPending ||
+      !controller_->canRead(now()) || now() - m_machineListFetchedAt < kInterval) {
     return;
   }
-  list_read_at_ = now();
-  list_read_outstanding_ = true;
+  m_machineListFetchedAt = now();
+  m_machineListFetchPending = true;
   http::ClientRequest request;
   request.url = settings_.machineListUrl;
   request.timeout = base::seconds(1);
   client_->start(request, nullptr, [this](const http::ClientResult& result) {
-    list_read_outstanding_ = false;
+    m_machineListFetchPending = false;
     const auto machines = result.complete ? parseMachineList(result.body) : std::nullopt;
     if (machines) {
       controller_->onMachineList(*machines, now());
-      wake();
+      scheduleIteration();
     } else {
       logEvent(EventId::kMachineListUnreadable, result.error);
     }
   });
 }
 
-void Daemon::observe() {
+void Daemon::logStateChanges() {
   if (controller_) {
     const bool leads = controller_->replica().raft().isLeader();
-    if (leads != reported_leader_) {
-      reported_leader_ = leads;
+    if (leads != m_loggedLeader) {
+      m_loggedLeader = leads;
       logEvent(leads ? EventId::kBecameLeader : EventId::kLostLeadership,
                "group=" + std::to_string(controller_->replica().group().value) +
                    " term=" + std::to_string(controller_->replica().raft().currentTerm()));
@@ -375,32 +378,31 @@
   for (const auto& ledger : ledgers_) {
     failed = failed || ledger->replica().raft().failed();
   }
-  if (failed && !reported_failure_) {
-    reported_failure_ = true;
+  if (failed && !m_replicaFailed) {
+    m_replicaFailed = true;
     logEvent(EventId::kReplicaFailed, "the process stops");
     context_.stop();
   }
   if (!gateway_) {
     return;
   }
-  const bool leased = gateway_->view().canServe(now());
-  if (leased != reported_lease_) {
-    reported_lease_ = leased;
-    logEvent(leased ? EventId::kLeaseGained : EventId::kLeaseLost, "");
+  const bool hasLease = gateway_->view().canServe(now());
+  if (hasLease != m_loggedLease) {
+    m_loggedLease = hasLease;
+    logEvent(hasLease ? EventId::kLeaseGained : EventId::kLeaseLost, "");
   }
-  if (reported_revision_ != gateway_->view().revision()) {
-    reported_revision_ = gateway_->view().revision();
-    logEvent(EventId::kConfigurationInForce,
-             "revision=" + std::to_string(reported_revision_.value));
+  if (m_loggedRevision != gateway_->view().revision()) {
+    m_loggedRevision = gateway_->view().revision();
+    logEvent(EventId::kConfigurationInForce, "revision=" + std::to_string(m_loggedRevision.value));
   }
 }
 
-void Daemon::beginStop() {
-  if (stopping_) {
+void Daemon::beginShutdown() {
+  if (m_shuttingDown) {
     return;
   }
-  stopping_ = true;
-  stop_deadline_ = now() + kMaxStop;
+  m_shuttingDown = true;
+  m_shutdownDeadline = now() + kMaxStop;
   logEvent(EventId::kProcessStopping, "");
   if (gateway_) {
     logEvent(EventId::kDrainBegun, "jobs=" + std::to_string(gateway_->jobCount()));
@@ -412,27 +414,27 @@
   for (const auto& ledger : ledgers_) {
     ledger->replica().raft().transferLeadership(now());
   }
-  wake();
+  scheduleIteration();
 }
 
-void Daemon::finishStop() {
-  const bool drained = !gateway_ || (gateway_->isDrained() && caller_api_->openRequests() == 0);
-  // A replica that led waits until another leads, or until there is nobody to take over.
-  const auto led = [](const consensus::Replica& replica) {
+void Daemon::finishShutdown() {
+  const bool drained = !gateway_ || (gateway_->isDrained() && caller_api_->openRequestCount() == 0);
+  // A leader waits until another replica has taken over, unless it is the only voter.
+  const auto mustTransferLeadership = [](const consensus::Replica& replica) {
     return replica.raft().isLeader() && replica.raft().membership().voters.size() > 1;
   };
-  bool leading = controller_ && led(controller_->replica());
+  bool leading = controller_ && mustTransferLeadership(controller_->replica());
   for (const auto& ledger : ledgers_) {
-    leading = leading || led(ledger->replica());
+    leading = leading || mustTransferLeadership(ledger->replica());
   }
   constexpr base::Duration kMaxHandOver = base::seconds(3);
-  const bool handOverFailed = now() >= stop_deadline_ - kMaxStop + kMaxHandOver;
-  if ((drained && (!leading || handOverFailed)) || now() >= stop_deadline_) {
+  const bool leadershipTransferTimedOut = now() >= m_shutdownDeadline - kMaxStop + kMaxHandOver;
+  if ((drained && (!leading || leadershipTransferTimedOut)) || now() >= m_shutdownDeadline) {
     if (gateway_) {
       logEvent(EventId::kDrainComplete, drained ? "" : "cut=true");
     }
-    // One more round of the loop lets the last messages leave.
-    ticker_.cancel();
+    // Runs the event loop once more so that the last messages are sent.
+    m_tickTimer.cancel();
     asio::post(context_, [this] { context_.stop(); });
   }
 }
--- a/src/runtime/daemon.h
+++ b/src/runtime/daemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// A tackpickd process: hosts the roles of its settings on one event loop.
+/// The tackpickd process of a static cluster.
 #pragma once
 
 #include <asio.hpp>
@@ -15,7 +15,7 @@
 #include "http/client.h"
 #include "http/server.h"
 #include "ledger/ledger.h"
-#include "runtime/engine_link.h"
+#include "runtime/engine_client.h"
 #include "runtime/node_identity.h"
 #include "storage/posix_file_system.h"
 #include "storage/segmented_log.h"
@@ -26,21 +26,21 @@
 class CallerApi;
 class ControlApi;
 
-/// Thin: decisions are made by Controller, Ledger and Gateway; this class moves their messages,
-/// orders and answers. Single-threaded.
+/// Runs the roles of a process on one event loop. Controller, Ledger and Gateway make all
+/// decisions; this class transports their messages, commands and responses. Single-threaded.
 class Daemon {
  public:
-  /// Opens data folders and ports. Fails when a folder is refused or a port is taken.
+  /// Opens data directories and ports. Fails if a directory is rejected or a port is in use.
   [[nodiscard]] static base::Result<std::unique_ptr<Daemon>> create(
       const config::ProcessSettings& settings, DirectoryMode mode);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Runs until a planned stop is complete. Returns the exit code.
+  /// Runs until a planned shutdown is complete. Returns the exit code.
   int run();
 
-  // For the HTTP interfaces.
+  // Functions for the HTTP interfaces.
   [[nodiscard]] const config::ProcessSettings& settings() const { return settings_; }
   [[nodiscard]] base::TimePoint now() const { return clock_.now(); }
   [[nodiscard]] gateway::Gateway* gateway() { return gateway_.get(); }
@@ -50,18 +50,18 @@
   }
   [[nodiscard]] base::NodeId self() const { return self_; }
   [[nodiscard]] const transport::PeerNetwork& network() const { return *network_; }
-  /// Ends the current turn soon: roles sync and their actions are carried out. Call after every
-  /// event given to a role.
-  void wake();
-  /// True once this process can serve its roles.
+  /// Schedules an iteration, in which the roles sync and their actions are executed. Must be called
+  /// after every event passed to a role.
+  void scheduleIteration();
+  /// Whether this process can serve its roles.
   [[nodiscard]] bool isReady() const;
-  void beginStop();
+  void beginShutdown();
 
  private:
   explicit Daemon(config::ProcessSettings settings);
 
   [[nodiscard]] base::Result<void> open(DirectoryMode mode);
-  [[nodiscard]] base::Result<void> openIdentity(DirectoryMode mode);
+  [[nodiscard]] base::Result<void> loadIdentity(DirectoryMode mode);
   [[nodiscard]] base::Result<consensus::LogStore*> openLog(const std::string& name,
                                                            const config::GroupSettings& group,
                                                            DirectoryMode mode);
@@ -70,15 +70,16 @@
   void openGateway();
   void openHttp();
   void onMessage(base::NodeId from, const transport::InternalMessage& message);
-  void onHttp(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
+  void onHttpRequest(const http::Request& request,
+                     const std::shared_ptr<http::Responder>& responder);
   void tick();
-  void turn();
+  void runIteration();
   void execute(const gateway::Action& action);
   void sendAll(const transport::Outbox& outbox);
-  void readMachineList();
-  void observe();
-  void finishStop();
-  [[nodiscard]] EngineEvents engineEvents();
+  void fetchMachineList();
+  void logStateChanges();
+  void finishShutdown();
+  [[nodiscard]] EngineEvents makeEngineEvents();
 
   const config::ProcessSettings settings_;
   asio::io_context context_;
@@ -86,9 +87,9 @@
   std::unique_ptr<base::Random> random_;
   base::NodeId self_;
   base::Incarnation incarnation_;
-  base::Bytes key_;
+  base::Bytes m_clusterKey;
 
-  std::vector<std::unique_ptr<storage::FileSystem>> folders_;
+  std::vector<std::unique_ptr<storage::FileSystem>> m_directories;
   std::vector<std::unique_ptr<storage::SegmentedLog>> logs_;
   std::unique_ptr<control::Controller> controller_;
   std::vector<std::unique_ptr<ledger::Ledger>> ledgers_;
@@ -96,25 +97,25 @@
 
   std::unique_ptr<transport::PeerNetwork> network_;
   std::unique_ptr<http::Client> client_;
-  std::unique_ptr<EngineLink> engine_link_;
+  std::unique_ptr<EngineClient> m_engineClient;
   std::unique_ptr<CallerApi> caller_api_;
   std::unique_ptr<ControlApi> control_api_;
   std::unique_ptr<http::Server> server_;
 
-  base::Timer ticker_;
+  base::Timer m_tickTimer;
   asio::signal_set signals_;
-  bool turn_scheduled_ = false;
-  bool stopping_ = false;
-  base::TimePoint stop_deadline_{};
-  base::TimePoint list_read_at_{};
-  bool list_read_outstanding_ = false;
-  base::Revision addresses_at_;
+  bool m_iterationScheduled = false;
+  bool m_shuttingDown = false;
+  base::TimePoint m_shutdownDeadline{};
+  base::TimePoint m_machineListFetchedAt{};
+  bool m_machineListFetchPending = false;
+  base::Revision m_addressesRevision;
 
-  // What was last reported as events.
-  bool reported_leader_ = false;
-  bool reported_lease_ = false;
-  bool reported_failure_ = false;
-  base::Revision reported_revision_;
+  // State that was last logged as events.
+  bool m_loggedLeader = false;
+  bool m_loggedLease = false;
+  bool m_replicaFailed = false;
+  base::Revision m_loggedRevision;
 };
 
 }  // namespace tackpick::runtime
--- a/src/runtime/engine_link.h
+++ b/src/runtime/engine_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// A gateway's or controller's connections to the engines, over HTTP.
+/// HTTP client of gateways and controllers for the engines.
 #pragma once
 
 #include <functional>
@@ -16,26 +16,27 @@
 
 namespace tackpick::runtime {
 
-/// Events from engines. Called on the event loop's thread, never from within a call to EngineLink.
+/// Callbacks for events from engines. Called on the thread of the event loop, never from within a
+/// call to EngineClient.
 struct EngineEvents {
   std::function<void(const engine::Chunk&)> onChunk;
   std::function<void(const engine::AttemptEnd&)> onEnd;
-  std::function<void(base::EngineId, const EngineReport&)> onReport;
+  std::function<void(base::EngineId, const EngineLoadReport&)> onReport;
   std::function<void(base::EngineId, const engine::EngineCommandReply&)> onCommandReply;
-  std::function<void(base::EngineId)> onOrderFailed;
+  std::function<void(base::EngineId)> onCommandFailed;
 };
 
-/// Turns attempts, reads and orders into HTTP requests.
-class EngineLink {
+/// Sends attempts, load polls and commands to engines as HTTP requests.
+class EngineClient {
  public:
-  EngineLink(http::Client& client, EngineEvents events)
+  EngineClient(http::Client& client, EngineEvents events)
       : client_(client), events_(std::move(events)) {}
 
   void setAddress(base::EngineId engine, const std::string& host, std::uint16_t port);
   void startAttempt(base::EngineId engine, const engine::GenerateRequest& request);
   void cancelAttempt(base::EngineId engine, base::AttemptId attempt);
-  void readReport(base::EngineId engine);
-  void sendLoadCommand(base::EngineId engine, const engine::EngineCommand& order);
+  void pollLoad(base::EngineId engine);
+  void sendLoadCommand(base::EngineId engine, const engine::EngineCommand& command);
 
  private:
   struct RunningAttempt {
@@ -52,7 +53,7 @@
   EngineEvents events_;
   std::map<base::EngineId, std::string> addresses_;
   std::unordered_map<base::AttemptId, RunningAttempt> attempts_;
-  std::map<base::EngineId, http::TransferId> reads_;
+  std::map<base::EngineId, http::TransferId> m_pendingPolls;
   std::map<base::EngineId, std::uint64_t> cache_sequences_;
 };
 
--- a/src/runtime/json.cpp
+++ b/src/runtime/json.cpp
@@ -3,12 +3,12 @@
 namespace tackpick::runtime {
 
 base::Result<Json> parseJson(const std::string& text) {
-  constexpr int kMaximumDepth = 16;
+  constexpr int kMaxDepth = 16;
   bool tooDeep = false;
   const auto limitDepth = [&](int depth, Json::parse_event_t event, Json& /*parsed*/) {
     const bool opens =
         event == Json::parse_event_t::object_start || event == Json::parse_event_t::array_start;
-    tooDeep = tooDeep || (opens && depth > kMaximumDepth);
+    tooDeep = tooDeep || (opens && depth > kMaxDepth);
     return !tooDeep;
   };
   Json parsed = Json::parse(text, limitDepth, false);
@@ -23,69 +23,69 @@
 
 JsonReader::JsonReader(const Json& object) : object_(object) {
   if (!object_.is_object()) {
-    problem("expected a JSON object");
+    addError("expected a JSON object");
   }
 }
 
-void JsonReader::problem(const std::string& message) {
-  if (problem_.empty()) {
-    problem_ = message;
+void JsonReader::addError(const std::string& message) {
+  if (m_firstError.empty()) {
+    m_firstError = message;
   }
 }
 
-std::string JsonReader::text(const char* key, const std::string& fallback) {
+std::string JsonReader::getString(const char* key, const std::string& fallback) {
   if (!object_.is_object() || !object_.contains(key)) {
     return fallback;
   }
   const Json& value = object_[key];
   if (!value.is_string()) {
-    problem(std::string(key) + ": expected a text");
+    addError(std::string(key) + ": expected a string");
     return fallback;
   }
   return value.get<std::string>();
 }
 
-std::string JsonReader::requiredText(const char* key) {
-  std::string value = text(key);
+std::string JsonReader::getRequiredString(const char* key) {
+  std::string value = getString(key);
   if (value.empty()) {
-    problem(std::string(key) + ": expected a text; it is required");
+    addError(std::string(key) + ": expected a string; the field is required");
   }
   return value;
 }
 
-std::int64_t JsonReader::integer(const char* key, std::int64_t fallback, std::int64_t minimum,
-                                 std::int64_t maximum) {
+std::int64_t JsonReader::getInteger(const char* key, std::int64_t fallback, std::int64_t min,
+                                    std::int64_t max) {
   if (!object_.is_object() || !object_.contains(key)) {
     return fallback;
   }
   const Json& value = object_[key];
-  const bool tooLarge = value.is_number_unsigned() &&
-                        value.get<std::uint64_t>() > static_cast<std::uint64_t>(maximum);
-  if (!value.is_number_integer() || tooLarge || value.get<std::int64_t>() < minimum ||
-      value.get<std::int64_t>() > maximum) {
-    problem(std::string(key) + ": expected an integer from " + std::to_string(minimum) + " to " +
-            std::to_string(maximum));
+  const bool tooLarge =
+      value.is_number_unsigned() && value.get<std::uint64_t>() > static_cast<std::uint64_t>(max);
+  if (!value.is_number_integer() || tooLarge || value.get<std::int64_t>() < min ||
+      value.get<std::int64_t>() > max) {
+    addError(std::string(key) + ": expected an integer from " + std::to_string(min) + " to " +
+             std::to_string(max));
     return fallback;
   }
   return value.get<std::int64_t>();
 }
 
-bool JsonReader::flag(const char* key, bool fallback) {
+bool JsonReader::getBool(const char* key, bool fallback) {
   if (!object_.is_object() || !object_.contains(key)) {
     return fallback;
   }
   const Json& value = object_[key];
   if (!value.is_boolean()) {
-    problem(std::string(key) + ": expected true or false");
+    addError(std::string(key) + ": expected true or false");
     return fallback;
   }
   return value.get<bool>();
 }
 
-const Json& JsonReader::array(const char* key) {
+const Json& JsonReader::getArray(const char* key) {
   static const Json kEmpty = Json::array();
   if (!object_.is_object() || !object_.contains(key) || !object_[key].is_array()) {
-    problem(std::string(key) + ": expected an array");
+    addError(std::string(key) + ": expected an array");
     return kEmpty;
   }
   return object_[key];
--- a/src/runtime/json.h
+++ b/src/runtime/json.h
@@ -1,5 +1,5 @@
 /// \file
-/// Checked JSON: bounded nesting, typed fields, errors that name the field.
+/// Validating JSON parser and reader.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,31 @@
 
 using Json = nlohmann::json;
 
-/// Parses a body. Refuses invalid UTF-8 and deep nesting.
+/// Parses a JSON text. Fails on invalid UTF-8 and deep nesting.
 [[nodiscard]] base::Result<Json> parseJson(const std::string& text);
 
-/// Reads fields of an object and collects the first problem.
+/// Reads typed fields of an object and stores the first error, which names the field. Invalid
+/// values are replaced by the fallback.
 class JsonReader {
  public:
   explicit JsonReader(const Json& object);
 
-  std::string text(const char* key, const std::string& fallback = {});
-  std::string requiredText(const char* key);
-  /// An integer in [minimum, maximum].
-  std::int64_t integer(const char* key, std::int64_t fallback, std::int64_t minimum,
-                       std::int64_t maximum);
-  bool flag(const char* key, bool fallback);
-  /// The array under `key`; an empty one, and a problem, when it is missing or something else.
-  const Json& array(const char* key);
-  void problem(const std::string& message);
-  /// The first problem, or an empty text.
-  [[nodiscard]] const std::string& firstProblem() const { return problem_; }
+  std::string getString(const char* key, const std::string& fallback = {});
+  std::string getRequiredString(const char* key);
+  /// Returns the integer under `key`, which must be in [min, max].
+  std::int64_t getInteger(const char* key, std::int64_t fallback, std::int64_t min,
+                          std::int64_t max);
+  bool getBool(const char* key, bool fallback);
+  /// Returns the array under `key`. If it is missing or has another type, returns an empty array
+  /// and stores an error.
+  const Json& getArray(const char* key);
+  void addError(const std::string& message);
+  /// Returns the first error; empty if there is none.
+  [[nodiscard]] const std::string& firstError() const { return m_firstError; }
 
  private:
   const Json& object_;
-  std::string problem_;
+  std::string m_firstError;
 };
 
 }  // namespace tackpick::runtime
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -5,7 +5,7 @@
 namespace tackpick::runtime {
 namespace {
 
-/// Builds the text: one metric after the other.
+/// Writes metrics in the Prometheus text format.
 class MetricsWriter {
  public:
   void counter(const std::string& name, const std::string& help, double value) {
@@ -14,38 +14,42 @@
   void gauge(const std::string& name, const std::string& help, double value) {
     write(name, help, "gauge", value);
   }
-  [[nodiscard]] const std::string& text() const { return text_; }
+  [[nodiscard]] const std::string& render() const { return m_text; }
 
  private:
   void write(const std::string& name, const std::string& help, const std::string& type,
              double value) {
-    text_ += "# HELP tackpick_" + name + " " + help + "\n# TYPE tackpick_" + name + " " + type +
-             "\ntackpick_" + name + " " + std::to_string(value) + "\n";
+    m_text += "# HELP tackpick_" + name + " " + help + "\n# TYPE tackpick_" + name + " " + type +
+              "\ntackpick_" + name + " " + std::to_string(value) + "\n";
   }
 
-  std::string text_;
+  std::string m_text;
 };
 
-void writeGateway(const gateway::Gateway& gateway, base::TimePoint now, MetricsWriter& writer) {
+void writeGatewayMetrics(const gateway::Gateway& gateway, base::TimePoint now,
+                         MetricsWriter& writer) {
   const gateway::GatewayCounters& counters = gateway.counters();
-  const auto count = [&](const std::string& name, const std::string& help, std::uint64_t value) {
+  const auto writeCounter = [&](const std::string& name, const std::string& help,
+                                std::uint64_t value) {
     writer.counter(name, help, static_cast<double>(value));
   };
-  count("requests_received_total", "callers' requests", counters.requestsReceived);
-  count("requests_answered_total", "whole answers", counters.requestsCompleted);
-  count("requests_refused_not_run_total", "requests refused and not run",
-        counters.requestsRefusedNotRun);
-  count("requests_unclear_total", "requests that ended and may have run",
-        counters.requestsIndeterminate);
-  count("attempts_started_total", "dispatches to engines", counters.attemptsStarted);
-  count("attempts_retried_total", "dispatches after a failure", counters.attemptsRetried);
-  count("attempts_hedged_total", "second dispatches of slow samples", counters.attemptsHedged);
-  count("attempts_stalled_total", "attempts given up for silence", counters.attemptsStalled);
-  count("tokens_received_total", "tokens from engines", counters.tokensReceived);
-  count("tokens_wasted_total", "tokens received and not used", counters.tokensDiscarded);
-  count("samples_leased_total", "samples leased from ledgers", counters.samplesLeased);
-  count("samples_committed_total", "samples committed first", counters.samplesCommitted);
-  count("samples_too_old_total", "samples refused by the staleness bound", counters.samplesTooOld);
+  writeCounter("requests_received_total", "callers' requests", counters.requestsReceived);
+  writeCounter("requests_answered_total", "whole answers", counters.requestsCompleted);
+  writeCounter("requests_refused_not_run_total", "requests refused and not run",
+               counters.requestsRefusedNotRun);
+  writeCounter("requests_unclear_total", "requests that ended and may have run",
+               counters.requestsIndeterminate);
+  writeCounter("attempts_started_total", "dispatches to engines", counters.attemptsStarted);
+  writeCounter("attempts_retried_total", "dispatches after a failure", counters.attemptsRetried);
+  writeCounter("attempts_hedged_total", "second dispatches of slow samples",
+               counters.attemptsHedged);
+  writeCounter("attempts_stalled_total", "attempts given up for silence", counters.attemptsStalled);
+  writeCounter("tokens_received_total", "tokens from engines", counters.tokensReceived);
+  writeCounter("tokens_wasted_total", "tokens received and not used", counters.tokensDiscarded);
+  writeCounter("samples_leased_total", "samples leased from ledgers", counters.samplesLeased);
+  writeCounter("samples_committed_total", "samples committed first", counters.samplesCommitted);
+  writeCounter("samples_too_old_total", "samples refused by the staleness bound",
+               counters.samplesTooOld);
   writer.gauge("jobs", "requests and samples in this gateway",
                static_cast<double>(gateway.jobCount()));
   writer.gauge("jobs_queued", "jobs waiting for an engine",
@@ -58,10 +62,10 @@
 
 }  // namespace
 
-std::string metricsText(Daemon& daemon) {
+std::string renderMetrics(Daemon& daemon) {
   MetricsWriter writer;
   if (const gateway::Gateway* gateway = daemon.gateway()) {
-    writeGateway(*gateway, daemon.now(), writer);
+    writeGatewayMetrics(*gateway, daemon.now(), writer);
   }
   if (const control::Controller* controller = daemon.controller()) {
     const consensus::RaftConsensus& raft = controller->replica().raft();
@@ -87,7 +91,7 @@
                  static_cast<double>(daemon.network().bytesReceived()));
   writer.counter("internal_connections_refused_total", "wrong key, version or frame",
                  static_cast<double>(daemon.network().rejectedConnections()));
-  return writer.text();
+  return writer.render();
 }
 
 }  // namespace tackpick::runtime
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -8,6 +8,7 @@
 
 class Daemon;
 
-[[nodiscard]] std::string metricsText(Daemon& daemon);
+/// Returns the metrics of all roles of the process.
+[[nodiscard]] std::string renderMetrics(Daemon& daemon);
 
 }  // namespace tackpick::runtime
--- a/src/runtime/node_identity.h
+++ b/src/runtime/node_identity.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which node a data folder belongs to.
+/// Identity of the node that a data directory belongs to.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace tackpick::runtime {
 
-/// How an empty data folder of a replica is to be treated.
+/// How an empty data directory of a replica is treated.
 enum class DirectoryMode {
-  kMustExist,   ///< it must not be empty
-  kInitialise,  ///< a new cluster: the nodes of the settings are its first voters
-  kJoin,        ///< a new node of an existing group: it knows no member and never votes
+  kMustExist,   ///< an empty directory is an error
+  kInitialise,  ///< creates a new cluster with the nodes in the settings as its initial voters
+  kJoin,        ///< joins existing groups without voting and without an initial membership
 };
 
-/// What stands in the `node` file of a data folder.
+/// Content of the `node` file of a data directory.
 struct NodeIdentity {
   std::string cluster;
   std::uint64_t node = 0;
@@ -30,15 +30,16 @@
   }
 };
 
-/// Reads the folder's identity, or gives an empty folder one, and begins a new incarnation. Fails
-/// when the folder belongs to another node or cluster, or is empty and must not be.
-[[nodiscard]] base::Result<NodeIdentity> openNodeIdentity(storage::FileSystem& folder,
+/// Reads the identity in the directory, or creates one if the directory is empty, and starts a new
+/// incarnation. Fails if the directory belongs to another node or cluster, or if it is empty and
+/// the mode is kMustExist.
+[[nodiscard]] base::Result<NodeIdentity> loadNodeIdentity(storage::FileSystem& directory,
                                                           const config::ProcessSettings& settings,
                                                           DirectoryMode mode);
 
-/// Wall clock, microseconds since 1970.
-[[nodiscard]] std::uint64_t wallMicroseconds();
-/// A number that nobody can guess.
-[[nodiscard]] std::uint64_t randomNumber();
+/// Returns the wall-clock time in microseconds since 1970.
+[[nodiscard]] std::uint64_t unixMicroseconds();
+/// Returns a cryptographically secure random number.
+[[nodiscard]] std::uint64_t secureRandomUint64();
 
 }  // namespace tackpick::runtime
--- a/src/runtime/trainer_api.cpp
+++ b/src/runtime/trainer_api.cpp
@@ -11,7 +11,7 @@
 
 using base::Verdict;
 
-int statusOf(ledger::LedgerStatus status) {
+int httpStatusOf(ledger::LedgerStatus status) {
   switch (status) {
     case ledger::LedgerStatus::kOk:
     case ledger::LedgerStatus::kAlreadyDone:
@@ -33,45 +33,45 @@
 }  // namespace
 
 void TrainerApi::handle(const http::Request& request, const control::CredentialRecord& credential,
-                        const ResponderPointer& responder) {
+                        const ResponderPtr& responder) {
   const bool post = request.method == "POST";
   if (post && request.path == "/v1/batches") {
     submitBatch(request, credential, responder);
   } else if (post && request.path == "/v1/weights") {
     publishWeights(request, responder);
   } else {
-    batchPath(request, credential, responder);
+    routeBatchRequest(request, credential, responder);
   }
 }
 
 void TrainerApi::submitBatch(const http::Request& request,
                              const control::CredentialRecord& credential,
-                             const ResponderPointer& responder) {
-  std::string problem;
-  const Json body = parseBody(request, problem);
+                             const ResponderPtr& responder) {
+  std::string errorMessage;
+  const Json body = parseBody(request, errorMessage);
   JsonReader reader(body);
   ledger::SubmitBatch submission;
-  submission.batch = {credential.tenant.value + "/" + reader.requiredText("batch")};
-  submission.workload = {credential.tenant.value + "/" + reader.requiredText("workload")};
-  const auto trainerVersion = reader.integer("trainer_version", 0, 0, kMaximumInteger);
-  for (const Json& item : reader.array("samples")) {
+  submission.batch = {credential.tenant.value + "/" + reader.getRequiredString("batch")};
+  submission.workload = {credential.tenant.value + "/" + reader.getRequiredString("workload")};
+  const auto trainerVersion = reader.getInteger("trainer_version", 0, 0, kMaxInt64);
+  for (const Json& item : reader.getArray("samples")) {
     JsonReader sample(item);
     ledger::SampleSpec specification;
     specification.index = static_cast<std::uint32_t>(submission.samples.size());
-    specification.prompt = sample.requiredText("prompt");
-    specification.seed = static_cast<std::uint64_t>(sample.integer("seed", 0, 0, kMaximumInteger));
+    specification.prompt = sample.getRequiredString("prompt");
+    specification.seed = static_cast<std::uint64_t>(sample.getInteger("seed", 0, 0, kMaxInt64));
     specification.maximumTokens =
-        static_cast<std::uint32_t>(sample.integer("max_tokens", 256, 1, kMaximumUnsigned32));
-    reader.problem(sample.firstProblem());
+        static_cast<std::uint32_t>(sample.getInteger("max_tokens", 256, 1, kMaxUint32));
+    reader.addError(sample.firstError());
     submission.samples.push_back(std::move(specification));
   }
-  problem = problem.empty() ? reader.firstProblem() : problem;
+  errorMessage = errorMessage.empty() ? reader.firstError() : errorMessage;
   const control::SettingsTree& tree = daemon_.gateway()->view().settings();
-  if (problem.empty() && tree.find(submission.workload.value) == nullptr) {
-    problem = "no workload " + submission.workload.value;
+  if (errorMessage.empty() && tree.find(submission.workload.value) == nullptr) {
+    errorMessage = "no workload " + submission.workload.value;
   }
-  if (!problem.empty()) {
-    respondError(*responder, kBadRequest, "invalid", problem);
+  if (!errorMessage.empty()) {
+    respondError(*responder, kBadRequest, "invalid", errorMessage);
     return;
   }
   submission.model = tree.text(submission.workload.value, control::SettingKey::kModel);
@@ -82,10 +82,11 @@
   sendToLedger(submission.batch, submission, responder);
 }
 
-void TrainerApi::batchPath(const http::Request& request,
-                           const control::CredentialRecord& credential,
-                           const ResponderPointer& responder) {
-  // /v1/batches/NAME/ACTION; the tenant's prefix keeps one tenant from another's batches.
+void TrainerApi::routeBatchRequest(const http::Request& request,
+                                   const control::CredentialRecord& credential,
+                                   const ResponderPtr& responder) {
+  // The path is /v1/batches/NAME/ACTION. The tenant prefix prevents access to the batches of other
+  // tenants.
   constexpr std::string_view kPrefix = "/v1/batches/";
   const std::string rest =
       request.path.starts_with(kPrefix) ? request.path.substr(kPrefix.size()) : std::string();
@@ -101,33 +102,33 @@
   } else if (action == "acknowledge" && request.method == "POST") {
     acknowledge(request, batch, responder);
   } else if (action == "tighten" && request.method == "POST") {
-    tighten(request, batch, responder);
+    raiseMinVersion(request, batch, responder);
   } else {
     respondError(*responder, kNotFound, "not_found", "no such path");
   }
 }
 
 void TrainerApi::readSamples(const http::Request& request, const base::BatchId& batch,
-                             const ResponderPointer& responder) {
-  const auto number = [&](const std::string& name, std::uint32_t fallback) {
-    constexpr std::size_t kMaximumDigits = 9;
+                             const ResponderPtr& responder) {
+  const auto queryUint = [&](const std::string& name, std::uint32_t fallback) {
+    constexpr std::size_t kMaxDigits = 9;
     const std::string text = request.queryValue(name);
-    const bool valid = !text.empty() && text.size() <= kMaximumDigits &&
+    const bool valid = !text.empty() && text.size() <= kMaxDigits &&
                        text.find_first_not_of("0123456789") == std::string::npos;
     return valid ? static_cast<std::uint32_t>(std::stoul(text)) : fallback;
   };
-  constexpr std::uint32_t kDefaultMaximum = 64;
+  constexpr std::uint32_t kDefaultMaxSamples = 64;
   ledger::ReadSamples read;
   read.batch = batch;
-  read.cursor = number("cursor", 0);
-  read.maximum = number("max", kDefaultMaximum);
+  read.cursor = queryUint("cursor", 0);
+  read.maximum = queryUint("max", kDefaultMaxSamples);
   daemon_.gateway()->callLedger(
       batch, transport::CommandKind::kQuery, base::encode(ledger::LedgerQuery{read}), daemon_.now(),
       [responder](const base::Bytes* result, base::TimePoint) {
         const auto decoded =
             result == nullptr ? std::nullopt : base::decode<ledger::ReadResult>(*result);
         if (!decoded) {
-          respondError(*responder, kUnavailable, "ledger_unavailable", "the ledger did not answer",
+          respondError(*responder, kUnavailable, "ledger_unavailable", "the ledger did not respond",
                        Verdict::kNotRun, base::seconds(1));
           return;
         }
@@ -153,36 +154,36 @@
 }
 
 void TrainerApi::acknowledge(const http::Request& request, const base::BatchId& batch,
-                             const ResponderPointer& responder) {
+                             const ResponderPtr& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
   ledger::AcknowledgeSamples command;
   command.batch = batch;
-  command.cursor = static_cast<std::uint32_t>(reader.integer("cursor", 0, 0, kMaximumUnsigned32));
-  if (!reader.firstProblem().empty()) {
-    respondError(*responder, kBadRequest, "invalid", reader.firstProblem());
+  command.cursor = static_cast<std::uint32_t>(reader.getInteger("cursor", 0, 0, kMaxUint32));
+  if (!reader.firstError().empty()) {
+    respondError(*responder, kBadRequest, "invalid", reader.firstError());
     return;
   }
   sendToLedger(batch, command, responder);
 }
 
-void TrainerApi::tighten(const http::Request& request, const base::BatchId& batch,
-                         const ResponderPointer& responder) {
+void TrainerApi::raiseMinVersion(const http::Request& request, const base::BatchId& batch,
+                                 const ResponderPtr& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
   ledger::RaiseMinimumVersion command;
   command.batch = batch;
   command.minimumVersion = {
-      static_cast<std::uint64_t>(reader.integer("minimum_version", 0, 0, kMaximumInteger))};
-  if (!reader.firstProblem().empty()) {
-    respondError(*responder, kBadRequest, "invalid", reader.firstProblem());
+      static_cast<std::uint64_t>(reader.getInteger("minimum_version", 0, 0, kMaxInt64))};
+  if (!reader.firstError().empty()) {
+    respondError(*responder, kBadRequest, "invalid", reader.firstError());
     return;
   }
   sendToLedger(batch, command, responder);
 }
 
 void TrainerApi::sendToLedger(const base::BatchId& batch, const ledger::LedgerOperation& operation,
-                              const ResponderPointer& responder) {
+                              const ResponderPtr& responder) {
   daemon_.gateway()->callLedger(
       batch, transport::CommandKind::kCommand, base::encode(operation), daemon_.now(),
       [responder](const base::Bytes* result, base::TimePoint) {
@@ -190,11 +191,11 @@
             result == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*result);
         if (!decoded) {
           respondError(*responder, kUnavailable, "ledger_unavailable",
-                       "the ledger did not answer; resending is safe", Verdict::kMayHaveRun,
+                       "the ledger did not respond; resending is safe", Verdict::kMayHaveRun,
                        base::seconds(1));
           return;
         }
-        const int status = statusOf(decoded->status);
+        const int status = httpStatusOf(decoded->status);
         if (status == kOk) {
           const bool repeated = decoded->status == ledger::LedgerStatus::kAlreadyDone;
           responder->respond(kAccepted, jsonHeaders(), Json{{"repeated", repeated}}.dump());
@@ -204,14 +205,14 @@
       });
 }
 
-void TrainerApi::publishWeights(const http::Request& request, const ResponderPointer& responder) {
+void TrainerApi::publishWeights(const http::Request& request, const ResponderPtr& responder) {
   const Json body = Json::parse(request.body, nullptr, false);
   JsonReader reader(body);
   control::PublishWeights command;
-  command.model = reader.requiredText("model");
-  command.version = {static_cast<std::uint64_t>(reader.integer("version", 0, 1, kMaximumInteger))};
-  if (!reader.firstProblem().empty() || !command.version.valid()) {
-    respondError(*responder, kBadRequest, "invalid", reader.firstProblem());
+  command.model = reader.getRequiredString("model");
+  command.version = {static_cast<std::uint64_t>(reader.getInteger("version", 0, 1, kMaxInt64))};
+  if (!reader.firstError().empty() || !command.version.valid()) {
+    respondError(*responder, kBadRequest, "invalid", reader.firstError());
     return;
   }
   daemon_.gateway()->callControllers(
@@ -221,7 +222,7 @@
             result == nullptr ? std::nullopt : base::decode<control::ChangeOutcome>(*result);
         if (!outcome) {
           respondError(*responder, kUnavailable, "control_unavailable",
-                       "no controller answered; resending is safe", Verdict::kMayHaveRun,
+                       "no controller responded; resending is safe", Verdict::kMayHaveRun,
                        base::seconds(1));
         } else if (outcome->status == control::ChangeStatus::kAccepted ||
                    outcome->status == control::ChangeStatus::kUnchanged) {
--- a/src/runtime/trainer_api.h
+++ b/src/runtime/trainer_api.h
@@ -15,29 +15,29 @@
 /// Translates between HTTP and the ledgers and controllers. Runs on the daemon's thread.
 class TrainerApi {
  public:
-  using ResponderPointer = std::shared_ptr<http::Responder>;
+  using ResponderPtr = std::shared_ptr<http::Responder>;
 
   explicit TrainerApi(Daemon& daemon) : daemon_(daemon) {}
 
   /// Handles a request below /v1/batches or to /v1/weights of a trainer or operator.
   void handle(const http::Request& request, const control::CredentialRecord& credential,
-              const ResponderPointer& responder);
+              const ResponderPtr& responder);
 
  private:
   void submitBatch(const http::Request& request, const control::CredentialRecord& credential,
-                   const ResponderPointer& responder);
+                   const ResponderPtr& responder);
   void readSamples(const http::Request& request, const base::BatchId& batch,
-                   const ResponderPointer& responder);
+                   const ResponderPtr& responder);
   void acknowledge(const http::Request& request, const base::BatchId& batch,
-                   const ResponderPointer& responder);
-  void tighten(const http::Request& request, const base::BatchId& batch,
-               const ResponderPointer& responder);
-  void publishWeights(const http::Request& request, const ResponderPointer& responder);
-  void batchPath(const http::Request& request, const control::CredentialRecord& credential,
-                 const ResponderPointer& responder);
+                   const ResponderPtr& responder);
+  void raiseMinVersion(const http::Request& request, const base::BatchId& batch,
+                       const ResponderPtr& responder);
+  void publishWeights(const http::Request& request, const ResponderPtr& responder);
+  void routeBatchRequest(const http::Request& request, const control::CredentialRecord& credential,
+                         const ResponderPtr& responder);
   /// Sends a ledger command whose result is only a status.
   void sendToLedger(const base::BatchId& batch, const ledger::LedgerOperation& operation,
-                    const ResponderPointer& responder);
+                    const ResponderPtr& responder);
 
   Daemon& daemon_;
 };
--- a/src/telemetry/metric.cpp
+++ b/src/telemetry/metric.cpp
@@ -103,10 +103,9 @@
                      "pool"),
       describeMetric(G::kInstancesLeaving, "tackpick_instances_leaving",
                      "at the controllers' leader: instances that leave", "pool"),
-      describeMetric(
-          G::kInstancesRefused, "tackpick_instances_refused",
-          "at the controllers' leader: times in a describeMetric that the platform had none",
-          "pool"),
+      describeMetric(G::kInstancesRefused, "tackpick_instances_refused",
+                     "at the controllers' leader: times in a row that the platform had none",
+                     "pool"),
       describeMetric(G::kHeldRequests, "tackpick_held_requests",
                      "requests under which so many instances ended that they are sent nowhere"),
       describeMetric(G::kItemsRunning, "tackpick_items_running", "items leased to this gateway"),
--- a/test/runtime/bad_bytes_test.cpp
+++ b/test/runtime/bad_bytes_test.cpp
@@ -1,5 +1,5 @@
-/// Seeded random damage to everything that is read from outside: internal frames, HTTP bodies,
-/// settings, snapshots. Nothing may crash or hang; valid input still round-trips.
+/// Fuzz tests of the decoders for internal messages, commands, HTTP bodies and settings files.
+/// Guards against crashes and hangs on corrupt input.
 #include <criterion/criterion.h>
 
 #include <cstdlib>
@@ -24,42 +24,42 @@
 
 namespace {
 
-constexpr int kRounds = 20'000;
+constexpr int kIterations = 20'000;
 
-/// Flips, cuts, repeats and inserts bytes.
-base::Bytes damaged(const base::Bytes& good, base::Random& random) {
-  base::Bytes bad = good;
+/// Returns a copy of `valid` with random bytes replaced, truncated, repeated or inserted.
+base::Bytes mutate(const base::Bytes& valid, base::Random& random) {
+  base::Bytes mutated = valid;
   const std::uint64_t changes = 1 + random.below(4);
-  for (std::uint64_t i = 0; i < changes && !bad.empty(); ++i) {
-    const std::size_t at = random.below(bad.size());
+  for (std::uint64_t i = 0; i < changes && !mutated.empty(); ++i) {
+    const std::size_t at = random.below(mutated.size());
     switch (random.below(4)) {
       case 0:
-        bad[at] = static_cast<char>(random.below(256));
+        mutated[at] = static_cast<char>(random.below(256));
         break;
       case 1:
-        bad.resize(at);
+        mutated.resize(at);
         break;
       case 2:
-        bad.insert(at, bad.substr(at, random.below(16)));
+        mutated.insert(at, mutated.substr(at, random.below(16)));
         break;
       default:
-        bad.insert(at, 1, static_cast<char>(random.below(256)));
+        mutated.insert(at, 1, static_cast<char>(random.below(256)));
     }
   }
-  return bad;
+  return mutated;
 }
 
 template <typename T>
-void survivesDamage(const T& value, std::uint64_t seed) {
+void fuzzDecoder(const T& value, std::uint64_t seed) {
   base::SeededRandom random(seed);
-  const base::Bytes good = base::encode(value);
-  cr_assert(base::decode<T>(good).has_value());
-  for (int i = 0; i < kRounds; ++i) {
-    (void)base::decode<T>(damaged(good, random));
+  const base::Bytes valid = base::encode(value);
+  cr_assert(base::decode<T>(valid).has_value());
+  for (int i = 0; i < kIterations; ++i) {
+    (void)base::decode<T>(mutate(valid, random));
   }
 }
 
-transport::InternalMessage someMessage() {
+transport::InternalMessage sampleMessage() {
   transport::WatchResponse response;
   response.delta.nodes.push_back({"t/w", {3}, false, {{control::SettingKey::kModel, "m"}}});
   response.delta.credentials.push_back(
@@ -69,19 +69,19 @@
 
 }  // namespace
 
-Test(bad_bytes, internal_messages) { survivesDamage(someMessage(), 1); }
+Test(bad_bytes, internal_messages) { fuzzDecoder(sampleMessage(), 1); }
 
 Test(bad_bytes, ledger_commands) {
   ledger::SubmitBatch batch{
       {"t/b"}, {"t/w"}, "m", {1}, {{0, "prompt", 1, 10}, {1, "other", 2, 10}}};
-  survivesDamage(ledger::LedgerCommand{1, batch}, 2);
+  fuzzDecoder(ledger::LedgerCommand{1, batch}, 2);
 }
 
 Test(bad_bytes, control_commands) {
   control::NodeChange change;
   change.path = "t";
   change.set[control::SettingKey::kPriority] = std::int64_t{1};
-  survivesDamage(control::ControlCommand{"id", control::ApplyChange{"a", false, {change}}}, 3);
+  fuzzDecoder(control::ControlCommand{"id", control::ApplyChange{"a", false, {change}}}, 3);
 }
 
 Test(bad_bytes, http_bodies) {
@@ -91,35 +91,35 @@
   const base::Bytes apply =
       R"({"request_id":"x","author":"a","changes":[{"path":"t","set":{"priority":1}}]})";
   const auto ignore = [](const base::Error&) { return 0; };
-  for (int i = 0; i < kRounds; ++i) {
+  for (int i = 0; i < kIterations; ++i) {
     base::recover(
         [&]() -> base::Result<int> {
-          BOOST_LEAF_CHECK(runtime::parseGenerateRequest(damaged(generate, random)));
+          BOOST_LEAF_CHECK(runtime::parseGenerateRequest(mutate(generate, random)));
           return 0;
         },
         ignore);
     base::recover(
         [&]() -> base::Result<int> {
-          BOOST_LEAF_CHECK(runtime::parseApply(damaged(apply, random)));
+          BOOST_LEAF_CHECK(runtime::parseApplyRequest(mutate(apply, random)));
           return 0;
         },
         ignore);
     (void)runtime::parseMachineList(
-        damaged(R"([{"engine":"1","host":"127.0.0.1","port":1}])", random));
+        mutate(R"([{"engine":"1","host":"127.0.0.1","port":1}])", random));
   }
 }
 
 Test(bad_bytes, settings_files) {
   base::SeededRandom random(5);
   std::string pattern = "/tmp/tackpick-settings-XXXXXX";
-  const std::string folder = mkdtemp(pattern.data());
-  const std::string good =
+  const std::string directory = mkdtemp(pattern.data());
+  const std::string valid =
       "cluster: c\nnode: 1\nzone: z\ndata_folder: d\nkey_file: k\ninternal: 127.0.0.1:0\n"
       "http: 127.0.0.1:0\nroles: [controller]\ncontrollers: {group: 1, nodes: [1]}\n";
   constexpr int kFiles = 1500;
   for (int i = 0; i < kFiles; ++i) {
-    const std::string file = folder + "/settings.yaml";
-    std::ofstream(file) << damaged(good, random);
+    const std::string file = directory + "/settings.yaml";
+    std::ofstream(file) << mutate(valid, random);
     base::recover(
         [&]() -> base::Result<int> {
           BOOST_LEAF_CHECK(config::loadProcessSettings(file));
@@ -130,13 +130,13 @@
           return 1;
         });
   }
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
 }
 
 Test(settings, every_problem_is_named_with_file_and_line) {
   std::string pattern = "/tmp/tackpick-settings-XXXXXX";
-  const std::string folder = mkdtemp(pattern.data());
-  const std::string file = folder + "/settings.yaml";
+  const std::string directory = mkdtemp(pattern.data());
+  const std::string file = directory + "/settings.yaml";
   std::ofstream(file) << "cluster: c\nnode: many\nzone: z\ndata_folder: d\nkey_file: k\n"
                          "internal: here\nhttp: 127.0.0.1:0\nroles: [king]\nunknown: 1\n"
                          "controllers: {group: 1, nodes: [1]}\n";
@@ -151,16 +151,16 @@
     cr_assert_neq(message.find(expected), std::string::npos, "%s in\n%s", expected.c_str(),
                   message.c_str());
   }
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
 }
 
 Test(settings, declarations_of_both_deployments_are_valid) {
   const char* root = std::getenv("TACKPICK_ROOT");
   for (const std::string site : {"zoekwerk", "strait-ferry"}) {
-    const std::string folder = std::string(root == nullptr ? "." : root) + "/deploy/" + site;
+    const std::string directory = std::string(root == nullptr ? "." : root) + "/deploy/" + site;
     const std::size_t nodes = base::recover(
         [&]() -> base::Result<std::size_t> {
-          BOOST_LEAF_AUTO(declared, config::loadDeclarations(folder));
+          BOOST_LEAF_AUTO(declared, config::loadDeclarations(directory));
           return declared.size();
         },
         [](const base::Error& error) {
--- a/test/runtime/timer_test.cpp
+++ b/test/runtime/timer_test.cpp
@@ -1,5 +1,4 @@
-/// Timers of an event loop on a machine that is suspended for some seconds. The machine is
-/// suspended by a stand-in for the system call that reads clocks.
+/// Guards against timers that do not count the time in which the machine is suspended.
 #include "base/timer.h"
 
 #include <criterion/criterion.h>
@@ -17,16 +16,16 @@
   asio::io_context context;
   base::Timer deadline(context);
   base::Timer ticker(context);
-  bool over = false;
+  bool expired = false;
   int ticks = 0;
   deadline.expires_after(base::seconds(30));
   deadline.async_wait([&](const asio::error_code& error) {
-    over = !error;
+    expired = !error;
     ticker.cancel();
   });
   std::function<void()> tick = [&] {
     suspendedSeconds = ++ticks == 2 ? 40 : suspendedSeconds.load();
-    if (over || ticks > 50) {
+    if (expired || ticks > 50) {
       deadline.cancel();
       return;
     }
@@ -39,5 +38,5 @@
   };
   tick();
   context.run();
-  cr_assert(over, "the deadline was 30 s away, and the machine was suspended for 40 s");
+  cr_assert(expired, "the deadline was 30 s away, and the machine was suspended for 40 s");
 }
--- a/test/runtime/unanswered_test.cpp
+++ b/test/runtime/unanswered_test.cpp
@@ -1,4 +1,4 @@
-/// Answers to callers whose call found no leader in time.
+/// Tests of the responses to calls for which no leader was found in time.
 #include <criterion/criterion.h>
 
 #include "edge/timeout_responses.h"
@@ -7,7 +7,8 @@
 namespace jobs = tackpick::jobs;
 
 Test(unanswered, submission_without_reply_is_not_promised_to_be_refused) {
-  cr_assert_eq(edge::jobTimeoutResponse(jobs::SubmitJob{}).status, 504, "it may have been taken");
+  cr_assert_eq(edge::jobTimeoutResponse(jobs::SubmitJob{}).status, 504,
+               "the job may have been accepted");
   cr_assert_eq(edge::jobTimeoutResponse(jobs::ReadJob{}).status, 503);
   cr_assert_eq(edge::controlTimeoutResponse().status, 503);
 }
