--- a/src/runtime/caller_api.cpp
+++ b/src/runtime/caller_api.cpp
@@ -11,7 +11,7 @@
 using base::Verdict;
 using gateway::RejectionReason;
 
-/// A client that leaves more than this unread is cut off.
+/// Maximum number of unsent bytes, above which the stream to a slow client is ended.
 constexpr std::size_t kMaxUnsentBytes = 4U << 20U;
 
 int httpStatusOf(RejectionReason reason) {
@@ -76,14 +76,14 @@
 
 void CallerApi::handle(const http::Request& request, const ResponderPtr& responder) {
   if (!daemon_.gateway()->view().revision().valid()) {
-    // Before the first configuration no token can be known: this says nothing about the token.
+    // Tokens cannot be checked before the first configuration arrives.
     respondError(*responder, kUnavailable, "no_lease", "this gateway has no configuration yet",
                  Verdict::kNotRun, base::seconds(1));
     return;
   }
   const auto credential = authenticate(request);
   if (!credential) {
-    respondError(*responder, kUnauthorized, "unauthorized", "a known bearer token is needed");
+    respondError(*responder, kUnauthorized, "unauthorized", "missing or unknown bearer token");
     return;
   }
   const bool post = request.method == "POST";
@@ -96,7 +96,7 @@
   if (!isTrainerPath) {
     respondError(*responder, kNotFound, "not_found", "no such path");
   } else if (credential->role == control::CredentialRole::kCaller) {
-    respondError(*responder, kForbidden, "forbidden", "this token is not a trainer's");
+    respondError(*responder, kForbidden, "forbidden", "the token does not have the trainer role");
   } else {
     trainer_api_.handle(request, *credential, responder);
   }
@@ -165,7 +165,7 @@
     daemon_.gateway()->onCallerDisconnected(tokens.caller, daemon_.now());
     return;
   }
-  // Written by hand: this is the hot path of a stream.
+  // Formatted without the JSON library because this is the hot path of a stream.
   std::string event =
       "{\"object\":\"text_completion.chunk\",\"offset\":" + std::to_string(tokens.offset) +
       ",\"version\":" + std::to_string(tokens.version.value) +
@@ -193,7 +193,7 @@
   if (!openRequest.streamStarted) {
     openRequest.responder->beginStream({});
   }
-  // The count lets the client check that it has everything.
+  // The token count allows the client to check that it has received all tokens.
   openRequest.responder->sendEvent(Json{
       {"object", "text_completion.end"},
       {"finish_reason", answer.finishReason},
--- a/src/runtime/caller_api.h
+++ b/src/runtime/caller_api.h
@@ -1,6 +1,5 @@
 /// \file
-/// HTTP interface of a gateway: callers, and the way to the trainers' part. Documented in
-/// docs/API.md.
+/// HTTP interface of a gateway for callers. Documented in docs/API.md.
 #pragma once
 
 #include <memory>
@@ -16,15 +15,16 @@
 
 namespace tackpick::runtime {
 
-/// Translates between HTTP and the Gateway. Runs on the daemon's thread.
+/// Translates between HTTP and the Gateway. Forwards the requests of trainers to TrainerApi. Runs
+/// on the daemon's thread.
 class CallerApi {
  public:
   explicit CallerApi(Daemon& daemon) : daemon_(daemon), trainer_api_(daemon) {}
 
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-  /// Carries out an action meant for a caller.
+  /// Executes an action that concerns a caller.
   void execute(const gateway::Action& action);
-  /// Callers whose answer is not complete.
+  /// Returns the number of requests without a complete response.
   [[nodiscard]] std::size_t openRequestCount() const { return m_openRequests.size(); }
 
  private:
@@ -32,7 +32,7 @@
   struct OpenRequest {
     ResponderPtr responder;
     bool wantsStream = false;
-    bool streamStarted = false;  ///< the stream has begun
+    bool streamStarted = false;  ///< whether the event stream has begun
   };
 
   [[nodiscard]] std::optional<control::CredentialRecord> authenticate(
--- a/src/runtime/control_api.cpp
+++ b/src/runtime/control_api.cpp
@@ -49,7 +49,7 @@
 
 void ControlApi::handle(const http::Request& request, const ResponderPtr& responder) {
   if (!isOperator(request)) {
-    respondControlError(*responder, kUnauthorized, "an operator's bearer token is needed");
+    respondControlError(*responder, kUnauthorized, "missing or unknown operator bearer token");
     return;
   }
   const bool post = request.method == "POST";
@@ -211,7 +211,7 @@
       node.size() <= kMaxDigits && node.find_first_not_of("0123456789") == std::string::npos;
   if (!reader.firstError().empty() || !isNumeric || node.empty()) {
     respondControlError(*responder, kBadRequest,
-                        "node: expected the node's identity as a decimal text");
+                        "node: expected the node's identity as a decimal string");
     return;
   }
   consensus::RaftConsensus& raft = daemon_.controller()->replica().raft();
@@ -224,7 +224,7 @@
     logEvent(EventId::kMembershipChanged, (remove ? "removed=" : "added=") + node);
     responder->respond(kOk, jsonHeaders(), R"({"status":"accepted"})");
   } else {
-    respondControlError(*responder, kConflict, "another membership change is under way");
+    respondControlError(*responder, kConflict, "another membership change is in progress");
   }
 }
 
--- a/src/runtime/control_json.cpp
+++ b/src/runtime/control_json.cpp
@@ -20,7 +20,7 @@
     const auto typed = parseSettingValue(value);
     if (!key || !typed) {
       reader.addError(change.path + ": " + name + ": " +
-                      (key ? "expected true, false, an integer or a text" : "no such setting"));
+                      (key ? "expected true, false, an integer or a string" : "no such setting"));
       return;
     }
     change.set[*key] = *typed;
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -19,7 +19,7 @@
 using telemetry::logEvent;
 
 constexpr auto kTickInterval = std::chrono::milliseconds(10);
-/// A planned stop that takes longer cuts what is left.
+/// Timeout of a planned shutdown, after which the remaining work is aborted.
 constexpr base::Duration kMaxStop = base::seconds(60);
 std::uint64_t unixSeconds() {
   constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
@@ -219,10 +219,11 @@
   m_iterationScheduled = false;
   if (controller_) {
     const control::ControllerActions actions = controller_->finish(now());
-    for (const engine::OutgoingEngineCommand& outgoing : actions.engineCommands) {
-      const control::EngineRecord& record = controller_->state().engines().at(outgoing.engine);
-      m_engineClient->setAddress(outgoing.engine, record.host, record.port);
-      m_engineClient->sendLoadCommand(outgoing.engine, outgoing.command);
+    for (const engine::OutgoingEngineCommand& outgoingCommand : actions.engineCommands) {
+      const control::EngineRecord& record =
+          controller_->state().engines().at(outgoingCommand.engine);
+      m_engineClient->setAddress(outgoingCommand.engine, record.host, record.port);
+      m_engineClient->sendLoadCommand(outgoingCommand.engine, outgoingCommand.command);
     }
     sendAll(actions.messages);
   }
@@ -418,8 +419,7 @@
 
 void Daemon::finishShutdown() {
   const bool drained = !gateway_ || (gateway_->isDrained() && caller_api_->openRequestCount() == 0);
-  // A replica that mustTransferLeadership waits until another leads, or until there is nobody to
-  // take over.
+  // A leader waits until another replica has taken over, unless it is the only voter.
   const auto mustTransferLeadership = [](const consensus::Replica& replica) {
     return replica.raft().isLeader() && replica.raft().membership().voters.size() > 1;
   };
@@ -433,7 +433,7 @@
     if (gateway_) {
       logEvent(EventId::kDrainComplete, drained ? "" : "cut=true");
     }
-    // One more round of the loop lets the last messages leave.
+    // Runs the event loop once more so that the last messages are sent.
     m_tickTimer.cancel();
     asio::post(context_, [this] { context_.stop(); });
   }
--- a/src/runtime/daemon.h
+++ b/src/runtime/daemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// A tackpickd process: hosts the roles of its settings on one event loop.
+/// The tackpickd process of a static cluster.
 #pragma once
 
 #include <asio.hpp>
@@ -26,21 +26,21 @@
 class CallerApi;
 class ControlApi;
 
-/// Thin: decisions are made by Controller, Ledger and Gateway; this class moves their messages,
-/// orders and answers. Single-threaded.
+/// Runs the roles of a process on one event loop. Controller, Ledger and Gateway make all
+/// decisions; this class transports their messages, commands and responses. Single-threaded.
 class Daemon {
  public:
-  /// Opens data folders and ports. Fails when a directory is refused or a port is taken.
+  /// Opens data directories and ports. Fails if a directory is rejected or a port is in use.
   [[nodiscard]] static base::Result<std::unique_ptr<Daemon>> create(
       const config::ProcessSettings& settings, DirectoryMode mode);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Runs until a planned stop is complete. Returns the exit code.
+  /// Runs until a planned shutdown is complete. Returns the exit code.
   int run();
 
-  // For the HTTP interfaces.
+  // Functions for the HTTP interfaces.
   [[nodiscard]] const config::ProcessSettings& settings() const { return settings_; }
   [[nodiscard]] base::TimePoint now() const { return clock_.now(); }
   [[nodiscard]] gateway::Gateway* gateway() { return gateway_.get(); }
@@ -50,10 +50,10 @@
   }
   [[nodiscard]] base::NodeId self() const { return self_; }
   [[nodiscard]] const transport::PeerNetwork& network() const { return *network_; }
-  /// Ends the current runIteration soon: roles sync and their actions are carried out. Call after
-  /// every event given to a role.
+  /// Schedules an iteration, in which the roles sync and their actions are executed. Must be called
+  /// after every event passed to a role.
   void scheduleIteration();
-  /// True once this process can serve its roles.
+  /// Whether this process can serve its roles.
   [[nodiscard]] bool isReady() const;
   void beginShutdown();
 
@@ -111,7 +111,7 @@
   bool m_machineListFetchPending = false;
   base::Revision m_addressesRevision;
 
-  // What was last reported as events.
+  // State that was last logged as events.
   bool m_loggedLeader = false;
   bool m_loggedLease = false;
   bool m_replicaFailed = false;
--- a/src/runtime/engine_client.cpp
+++ b/src/runtime/engine_client.cpp
@@ -31,7 +31,8 @@
   if (found == attempts_.end()) {
     return;
   }
-  // Events may cancel the attempt, which erases it: collect first, then report.
+  // The events are collected before they are reported, because a callback may cancel and erase the
+  // attempt.
   std::vector<StreamEvent> parsed;
   bool valid = found->second.parser.feed(bytes, [&](std::string_view data) {
     if (auto event = parseStreamEvent(data, attempt)) {
@@ -76,7 +77,7 @@
   if (rejected) {
     end.kind = engine::EndKind::kRejected;
     end.verdict = base::Verdict::kNotRun;
-    end.message = body.value("error", "rejected");
+    end.message = body.value("error", "refused");
   }
   events_.onEnd(end);
 }
@@ -86,7 +87,7 @@
   if (found == attempts_.end()) {
     return;
   }
-  // Closing the connection is the engines' cancel.
+  // Engines cancel an attempt when its connection is closed.
   client_.cancel(found->second.transfer);
   attempts_.erase(found);
 }
--- a/src/runtime/engine_client.h
+++ b/src/runtime/engine_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// A gateway's or controller's connections to the engines, over HTTP.
+/// HTTP client of gateways and controllers for the engines.
 #pragma once
 
 #include <functional>
@@ -16,8 +16,8 @@
 
 namespace tackpick::runtime {
 
-/// Events from engines. Called on the event loop's thread, never from within a call to
-/// EngineClient.
+/// Callbacks for events from engines. Called on the thread of the event loop, never from within a
+/// call to EngineClient.
 struct EngineEvents {
   std::function<void(const engine::Chunk&)> onChunk;
   std::function<void(const engine::AttemptEnd&)> onEnd;
@@ -26,7 +26,7 @@
   std::function<void(base::EngineId)> onCommandFailed;
 };
 
-/// Turns attempts, reads and orders into HTTP requests.
+/// Sends attempts, load polls and commands to engines as HTTP requests.
 class EngineClient {
  public:
   EngineClient(http::Client& client, EngineEvents events)
--- a/src/runtime/engine_json.cpp
+++ b/src/runtime/engine_json.cpp
@@ -8,7 +8,8 @@
 constexpr std::int64_t kMaxInt64 = std::numeric_limits<std::int64_t>::max();
 constexpr std::int64_t kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
 
-// 64-bit identifiers are written as decimal texts: JSON numbers do not carry 64 bits everywhere.
+// 64-bit identifiers are written as decimal strings, because not all JSON implementations support
+// 64-bit numbers.
 std::string idToString(std::uint64_t value) { return std::to_string(value); }
 
 std::uint64_t parseId(const Json& object, const char* key) {
@@ -109,7 +110,7 @@
       static_cast<std::uint64_t>(reader.getInteger("minimum_version", 0, 0, kMaxInt64))};
   request.notRepeatable = reader.getBool("not_repeatable", false);
   if (!request.attempt.valid()) {
-    reader.addError("attempt: expected a decimal text");
+    reader.addError("attempt: expected a decimal string");
   }
   if (!reader.firstError().empty()) {
     return base::fail(base::ErrorCode::kInvalidInput, reader.firstError());
@@ -118,7 +119,7 @@
 }
 
 std::string toJson(const engine::Chunk& chunk) {
-  // Written by hand: this is the hot path of a stream.
+  // Formatted without the JSON library because this is the hot path of a stream.
   std::string text = "{\"offset\":" + std::to_string(chunk.offset) +
                      ",\"version\":" + std::to_string(chunk.version.value) + ",\"tokens\":[";
   for (std::size_t i = 0; i < chunk.tokens.size(); ++i) {
--- a/src/runtime/engine_json.h
+++ b/src/runtime/engine_json.h
@@ -1,5 +1,5 @@
 /// \file
-/// JSON of the engines' HTTP interface, shared by the gateway's client and the emulator's server.
+/// JSON format of the engines' HTTP interface, shared by the gateway and the engine emulator.
 #pragma once
 
 #include <optional>
@@ -16,10 +16,10 @@
 [[nodiscard]] std::string toJson(const engine::GenerateRequest& request);
 [[nodiscard]] base::Result<engine::GenerateRequest> parseGenerateRequest(const std::string& body);
 
-/// Data of one server-sent event.
+/// Returns the data of one server-sent event.
 [[nodiscard]] std::string toJson(const engine::Chunk& chunk);
 [[nodiscard]] std::string toJson(const engine::AttemptEnd& end);
-/// One event of a stream, either a chunk or its end.
+/// One event of a stream: either a chunk or the end of the attempt.
 struct StreamEvent {
   std::optional<engine::Chunk> chunk;
   std::optional<engine::AttemptEnd> end;
@@ -27,11 +27,11 @@
 [[nodiscard]] std::optional<StreamEvent> parseStreamEvent(std::string_view data,
                                                           base::AttemptId attempt);
 
-/// A load report, with the cache events that came with it.
+/// Load report of an engine, with its cache events.
 struct EngineLoadReport {
   engine::EngineStatus status;
   std::vector<engine::SequencedCacheEvent> cacheEvents;
-  std::uint64_t cacheSequence = 0;  ///< of the newest event that is due
+  std::uint64_t cacheSequence = 0;  ///< sequence number of the newest reported event
 };
 [[nodiscard]] std::string toJson(const EngineLoadReport& report);
 [[nodiscard]] std::optional<EngineLoadReport> parseEngineLoadReport(const std::string& body);
@@ -42,15 +42,16 @@
 [[nodiscard]] std::optional<engine::EngineCommandReply> parseEngineCommandReply(
     const std::string& body);
 
-/// The platform's machine list.
+/// Returns the JSON format of the platform's machine list.
 [[nodiscard]] std::string toJson(const std::vector<control::MachineListEntry>& machines);
 [[nodiscard]] std::optional<std::vector<control::MachineListEntry>> parseMachineList(
     const std::string& body);
 
-/// Splits a stream of server-sent events into the data of each.
+/// Splits a stream of server-sent events into the data of the events.
 class EventStreamParser {
  public:
-  /// Feeds bytes; calls `onData` for each complete event. False when an event grows beyond bounds.
+  /// Parses `bytes` and calls `onData` for each complete event. Returns false if an event exceeds
+  /// the maximum size.
   template <typename OnData>
   bool feed(std::string_view bytes, OnData&& onData) {
     constexpr std::size_t kMaxEventBytes = 4U << 20U;
--- a/src/runtime/json.cpp
+++ b/src/runtime/json.cpp
@@ -39,7 +39,7 @@
   }
   const Json& value = object_[key];
   if (!value.is_string()) {
-    addError(std::string(key) + ": expected a text");
+    addError(std::string(key) + ": expected a string");
     return fallback;
   }
   return value.get<std::string>();
@@ -48,7 +48,7 @@
 std::string JsonReader::getRequiredString(const char* key) {
   std::string value = getString(key);
   if (value.empty()) {
-    addError(std::string(key) + ": expected a text; it is required");
+    addError(std::string(key) + ": expected a string; the field is required");
   }
   return value;
 }
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -5,7 +5,7 @@
 namespace tackpick::runtime {
 namespace {
 
-/// Builds the text: one metric after the other.
+/// Writes metrics in the Prometheus text format.
 class MetricsWriter {
  public:
   void counter(const std::string& name, const std::string& help, double value) {
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -8,6 +8,7 @@
 
 class Daemon;
 
+/// Returns the metrics of all roles of the process.
 [[nodiscard]] std::string renderMetrics(Daemon& daemon);
 
 }  // namespace tackpick::runtime
--- a/src/runtime/node_identity.cpp
+++ b/src/runtime/node_identity.cpp
@@ -11,7 +11,7 @@
 
 const std::string kIdentityFile = "node";
 
-/// An identity of its own for an empty directory.
+/// Returns a new identity for an empty directory.
 base::Result<NodeIdentity> createIdentity(const config::ProcessSettings& settings,
                                           DirectoryMode mode) {
   const bool replica = settings.roles.contains(config::ProcessRole::kController) ||
@@ -22,7 +22,7 @@
                           ": empty; start once with --init for a new cluster, or with --join to "
                           "replace a lost node");
   }
-  // The first voters of a cluster have instance 0 so that settings can name them.
+  // The initial voters of a cluster have instance 0, so that settings can refer to them.
   constexpr std::uint32_t kInstanceMask = 0xffffffffU;
   const bool joins = mode == DirectoryMode::kJoin;
   const auto instance =
--- a/src/runtime/trainer_api.cpp
+++ b/src/runtime/trainer_api.cpp
@@ -85,7 +85,8 @@
 void TrainerApi::routeBatchRequest(const http::Request& request,
                                    const control::CredentialRecord& credential,
                                    const ResponderPtr& responder) {
-  // /v1/batches/NAME/ACTION; the tenant's prefix keeps one tenant from another's batches.
+  // The path is /v1/batches/NAME/ACTION. The tenant prefix prevents access to the batches of other
+  // tenants.
   constexpr std::string_view kPrefix = "/v1/batches/";
   const std::string rest =
       request.path.starts_with(kPrefix) ? request.path.substr(kPrefix.size()) : std::string();
@@ -127,7 +128,7 @@
         const auto decoded =
             result == nullptr ? std::nullopt : base::decode<ledger::ReadResult>(*result);
         if (!decoded) {
-          respondError(*responder, kUnavailable, "ledger_unavailable", "the ledger did not answer",
+          respondError(*responder, kUnavailable, "ledger_unavailable", "the ledger did not respond",
                        Verdict::kNotRun, base::seconds(1));
           return;
         }
@@ -190,7 +191,7 @@
             result == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*result);
         if (!decoded) {
           respondError(*responder, kUnavailable, "ledger_unavailable",
-                       "the ledger did not answer; resending is safe", Verdict::kMayHaveRun,
+                       "the ledger did not respond; resending is safe", Verdict::kMayHaveRun,
                        base::seconds(1));
           return;
         }
@@ -221,7 +222,7 @@
             result == nullptr ? std::nullopt : base::decode<control::ChangeOutcome>(*result);
         if (!outcome) {
           respondError(*responder, kUnavailable, "control_unavailable",
-                       "no controller answered; resending is safe", Verdict::kMayHaveRun,
+                       "no controller responded; resending is safe", Verdict::kMayHaveRun,
                        base::seconds(1));
         } else if (outcome->status == control::ChangeStatus::kAccepted ||
                    outcome->status == control::ChangeStatus::kUnchanged) {
--- a/test/runtime/bad_bytes_test.cpp
+++ b/test/runtime/bad_bytes_test.cpp
@@ -1,5 +1,5 @@
-/// Seeded random damage to everything that is read from outside: internal frames, HTTP bodies,
-/// settings, snapshots. Nothing may crash or hang; valid input still round-trips.
+/// Fuzz tests of the decoders for internal messages, commands, HTTP bodies and settings files.
+/// Guards against crashes and hangs on corrupt input.
 #include <criterion/criterion.h>
 
 #include <cstdlib>
@@ -26,7 +26,7 @@
 
 constexpr int kIterations = 20'000;
 
-/// Flips, cuts, repeats and inserts bytes.
+/// Returns a copy of `valid` with random bytes replaced, truncated, repeated or inserted.
 base::Bytes mutate(const base::Bytes& valid, base::Random& random) {
   base::Bytes mutated = valid;
   const std::uint64_t changes = 1 + random.below(4);
--- a/test/runtime/timer_test.cpp
+++ b/test/runtime/timer_test.cpp
@@ -1,5 +1,4 @@
-/// Timers of an event loop on a machine that is suspended for some seconds. The machine is
-/// suspended by a stand-in for the system call that reads clocks.
+/// Guards against timers that do not count the time in which the machine is suspended.
 #include "base/timer.h"
 
 #include <criterion/criterion.h>
--- a/test/runtime/work_call_test.cpp
+++ b/test/runtime/work_call_test.cpp
@@ -1,4 +1,4 @@
-/// The operators' call about what waits and why, as they get it.
+/// Tests of the operators' call for the waiting work.
 #include "edge/work_call.h"
 
 #include <criterion/criterion.h>
@@ -67,7 +67,7 @@
   cr_assert_eq(job["places_ready"], 0);
   cr_assert(job["slack_s"].is_null(), "nothing says when it is due");
   cr_assert_eq(parsed["ledgers"]["total_jobs"], 201);
-  cr_assert(parsed["ledgers"]["engines"][0]["pace_ms"].is_null(), "no gateway has parsed it");
+  cr_assert(parsed["ledgers"]["engines"][0]["pace_ms"].is_null(), "no gateway has reported it");
   cr_assert_eq(parsed["ledgers"]["gateways"][0]["gateway"], "127.0.3.1");
   cr_assert_eq(parsed["ledgers"]["gateways"][0]["slow_s"], 1.5);
   const Json model = parsed["controllers"]["models"][0];
