--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -43,7 +43,7 @@
 base::Bytes ControlState::apply(consensus::LogIndex index, const base::Bytes& command) {
   const auto decoded = base::decode<ControlCommand>(command);
   if (!decoded) {
-    return base::encode(rejectedOutcome(ChangeStatus::kInvalid, "malformed command"));
+    return base::encode(rejectedOutcome(ChangeStatus::kInvalid, "unreadable command"));
   }
   return base::encode(applyOnce(base::Revision{index}, *decoded, command));
 }
@@ -104,7 +104,7 @@
 
 std::string ControlState::validateNodeChange(const NodeChange& change) const {
   if (!isValidPath(change.path)) {
-    return change.path + ": path must consist of lower-case names joined by slashes";
+    return change.path + ": a path is lower-case names joined by slashes";
   }
   if (change.remove && (change.path.empty() || m_data.settings.hasChildren(change.path))) {
     return change.path + ": only a node without children can be removed";
@@ -149,7 +149,7 @@
     // The machine list is delayed and may be inconsistent: an older incarnation never replaces a
     // newer one, and an incarnation that was draining stays draining.
     if (record.incarnation < before.incarnation) {
-      return rejectedOutcome(ChangeStatus::kUnchanged, "a newer incarnation is registered");
+      return rejectedOutcome(ChangeStatus::kUnchanged, "an older incarnation");
     }
     record.drained = before.drained;
     const bool sameIncarnation = record.incarnation == before.incarnation;
@@ -159,7 +159,7 @@
                       record.model == before.model && record.zone == before.zone &&
                       record.removed == before.removed;
     if (same) {
-      return rejectedOutcome(ChangeStatus::kUnchanged, "the engine is already registered");
+      return rejectedOutcome(ChangeStatus::kUnchanged, "already known");
     }
   }
   m_data.engines[record.engine] = record;
@@ -170,10 +170,10 @@
                                            const DrainEngine& command) {
   const auto found = m_data.engines.find(command.engine);
   if (found == m_data.engines.end()) {
-    return rejectedOutcome(ChangeStatus::kInvalid, "unknown engine");
+    return rejectedOutcome(ChangeStatus::kInvalid, "no such engine");
   }
   if (found->second.drained == command.drained) {
-    return rejectedOutcome(ChangeStatus::kUnchanged, "the engine is already in this state");
+    return rejectedOutcome(ChangeStatus::kUnchanged, "already so");
   }
   found->second.drained = command.drained;
   found->second.revision = nextRevision;
@@ -197,7 +197,7 @@
                                            const PutCredential& command) {
   constexpr std::size_t kHashLength = 64;
   if (command.record.tokenHash.size() != kHashLength) {
-    return rejectedOutcome(ChangeStatus::kInvalid, "token hash must have 64 hexadecimal digits");
+    return rejectedOutcome(ChangeStatus::kInvalid, "a token hash has 64 hexadecimal digits");
   }
   CredentialRecord record = command.record;
   record.revision = nextRevision;
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -198,7 +198,7 @@
                                                 .count()));
   headers.add("Content-Type", "text/plain");
   recordResponse(kBadGateway);
-  exchange_->respond(kBadGateway, headers, "request is held: instances crashed while running it\n");
+  exchange_->respond(kBadGateway, headers, "held back: instances ended while they ran it\n");
   finish(AttemptOutcome::kFailed);
 }
 
