--- a/src/jobs/engine_event_interval.cpp
+++ b/src/jobs/engine_event_interval.cpp
@@ -28,7 +28,7 @@
 /// Time for which a slowdown reported by the engine is valid.
 constexpr base::Duration kTransientWindow = base::milliseconds(500);
 constexpr std::uint32_t kNormalPercent = 100;
-/// Larger slowdown reports are clamped to this.
+/// Maximum slowdown; larger reported values are clamped.
 constexpr std::uint32_t kMaxPercent = 10'000;
 
 bool isPlausible(double eventIntervalMs) {
--- a/src/jobs/engine_placement.h
+++ b/src/jobs/engine_placement.h
@@ -1,6 +1,6 @@
 /// \file
-/// Selects the engine on which a leased item should run. It runs at the ledgers' leader, which sees
-/// the items of all gateways.
+/// Selects the engine on which a leased item should run. The selection is made by the ledgers'
+/// leader, because only the leader has the items of all gateways.
 #pragma once
 
 #include <cstddef>
--- a/src/jobs/estimate_calibration.h
+++ b/src/jobs/estimate_calibration.h
@@ -5,8 +5,8 @@
 namespace tackpick::jobs {
 
 /// Linear regression of the logarithms of actual lengths on those of estimates, with decaying
-/// weights of older observations. If estimates are poor, extreme ones are drawn towards the mean.
-/// Deterministic.
+/// weights of older observations. If estimates correlate poorly with lengths, predictions regress
+/// towards the mean. Deterministic.
 class EstimateCalibration {
  public:
   /// Whether there are no observations. The unit of the estimates is then unknown.
--- a/src/jobs/gateway_selector.h
+++ b/src/jobs/gateway_selector.h
@@ -47,10 +47,10 @@
   std::optional<base::TimePoint> slowSince;
 };
 
-/// Selects in each zone as many active gateways as the engines need. The others are on standby and
-/// send requests rarely, which saves calls, connections to engines and commits. Larger gateways are
-/// selected before smaller ones and slow ones last; ties are resolved by the lowest id. Runs at the
-/// ledgers' leader. Deterministic.
+/// Selects in each zone as many active gateways as the engines need. The remaining gateways are on
+/// standby and send requests rarely, which saves calls, connections to engines and commits. Larger
+/// gateways are selected before smaller ones and slow ones last; ties are resolved by the lowest
+/// id. Runs at the ledgers' leader. Deterministic.
 class GatewaySelector {
  public:
   explicit GatewaySelector(GatewaySelectorSettings settings = {}) : m_settings(settings) {}
--- a/src/jobs/item_leases.cpp
+++ b/src/jobs/item_leases.cpp
@@ -282,7 +282,7 @@
     if (!zone.empty() && !affinity_.mayRun(gateway, zone, now)) {
       continue;
     }
-    // With a single model all engines are alike, and any gateway may fill them.
+    // Engine affinity is not used with a single model, because then all engines are alike.
     request.affinityOnly = m_models.size() > 1 && zone == request.zone;
     for (auto& [position, planned] : jobs) {
       leasePlanned(request, planned, state, leased);
--- a/src/jobs/item_queue.h
+++ b/src/jobs/item_queue.h
@@ -19,7 +19,7 @@
   std::string id;
   std::uint64_t submittedAt = 0;  ///< Job::submittedAt
   std::deque<std::uint32_t> items;
-  /// Items with complete text that need a score and no engine.
+  /// Items whose text is complete; they need a score but no engine.
   std::deque<std::uint32_t> scoringOnly;
 };
 
--- a/src/jobs/job_role.h
+++ b/src/jobs/job_role.h
@@ -118,7 +118,7 @@
   void onRequest(const Caller& caller, const CommitResults& request, base::TimePoint now);
   void onRequest(const Caller& caller, const SaveProgress& request, base::TimePoint now);
   void onRequest(const Caller& caller, const GetWorkReport& request, base::TimePoint now);
-  /// Also handled by replicas that are not the leader.
+  /// Fetches of results are also handled by replicas that are not the leader.
   void onRequest(const Caller& caller, const FetchResults& request, base::TimePoint now);
 
   void replyWith(const Caller& caller, const JobReply& reply);
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -21,8 +21,8 @@
 }
 
 /// Whether `progress` continues the saved text or replaces it. A text consists of runs of
-/// successive gateways, each continuing after the last event of the previous one; a delta that
-/// follows anything else would mix two runs.
+/// successive gateways, each continuing after the last event of the previous one; a delta with
+/// any other predecessor would mix the texts of two runs.
 bool canApply(const PartialText* saved, const ItemProgress& progress) {
   const ProgressPoint& reached = progress.delta.point;
   if (progress.after) {
@@ -195,7 +195,7 @@
 base::Bytes JobState::takeSnapshot() const { return base::encodePresized(jobs_); }
 
 void JobState::loadSnapshot(const base::Bytes& snapshot) {
-  jobs_.clear();  // frees memory: two states at once may not fit
+  jobs_.clear();  // two states may exceed the available memory
   jobs_ = base::decode<Jobs>(snapshot).value_or(Jobs{});
   ++revision_;
   ++m_jobsRevision;
--- a/src/jobs/lease_plan.h
+++ b/src/jobs/lease_plan.h
@@ -11,7 +11,7 @@
 
 namespace tackpick::jobs {
 
-/// An item and its planned engine; empty: the gateway selects one.
+/// An item and its planned engine. If the engine is empty, the gateway selects one.
 struct PlannedItem {
   ItemKey key;
   std::string engine;
--- a/src/jobs/long_poll_policy.h
+++ b/src/jobs/long_poll_policy.h
@@ -21,9 +21,9 @@
   std::size_t historySize = 5;
 };
 
-/// Holds long polls until a job's required groups are expected to be complete. A caller reads again
-/// only some time after a reply, so a reply with the first new result just before the last required
-/// one would delay the caller. A read is held, within the wait requested by its caller, if the
+/// Holds long polls until a job's required groups are expected to be complete. A caller waits
+/// for some time between a reply and its next read, so a reply shortly before the last required
+/// result would delay the caller. A read is held, within the wait requested by its caller, if the
 /// required groups are expected to complete by the end of that wait. The expected duration is that
 /// of recent jobs of the model. Deterministic; kept in the memory of the ledgers' leader only.
 class LongPollPolicy {
--- a/src/jobs/result_reader.cpp
+++ b/src/jobs/result_reader.cpp
@@ -5,7 +5,7 @@
 namespace tackpick::jobs {
 namespace {
 
-/// A local replica usually replies within a few milliseconds.
+/// Timeout of a fetch from the local replica, which usually replies within a few milliseconds.
 constexpr base::Duration kFetchDeadline = base::milliseconds(150);
 constexpr base::Duration kFullReadDeadline = base::seconds(2);
 /// Time for which a replica that lagged or did not reply is not used.
--- a/src/jobs/run_decisions.h
+++ b/src/jobs/run_decisions.h
@@ -51,9 +51,9 @@
 
 /// Returns a conservative estimate of the remaining events of a text with `events` events, of which
 /// `sinceLease` were generated under this lease; `remainingAtLease`: expected remaining events at
-/// the start of the lease. Zero: unknown. The result includes a margin of one standard
-/// deviation; without it, a text that exceeds its estimate would be moved too late. A text that
-/// exceeds the margin is expected to grow by a share of its length.
+/// the start of the lease; zero: unknown, in which case the result is zero. The result includes a
+/// margin of one standard deviation; without it, a text that exceeds its estimate would be moved
+/// too late. A text that exceeds the margin is expected to grow by a share of its length.
 [[nodiscard]] inline double remainingEventsOf(double remainingAtLease, std::uint64_t sinceLease,
                                               std::uint64_t events) {
   constexpr double kLengthMargin = 1.65;
--- a/src/jobs/scoring_attempts.h
+++ b/src/jobs/scoring_attempts.h
@@ -31,8 +31,9 @@
   explicit ScoringAttempts(std::uint32_t attempts) : m_attempts(attempts) {}
 
   [[nodiscard]] ScoringAction onResponse(const ScorerResponse& response);
-  /// Returns the delay before the next call: zero after a failure of the scorer, which another
-  /// server may not share; exponential backoff while servers refuse calls or cannot be reached.
+  /// Returns the delay before the next call: zero after a failure of the scorer, because
+  /// another server may succeed; exponential backoff while servers refuse calls or cannot be
+  /// reached.
   [[nodiscard]] base::Duration delay() const;
 
  private:
--- a/src/jobs/slowness_detector.h
+++ b/src/jobs/slowness_detector.h
@@ -18,8 +18,8 @@
   /// Time of uninterrupted lateness after which the gateway is slow; longer than one window of an
   /// EventLoopLag.
   base::Duration confirmTime = base::milliseconds(800);
-  /// Time without lateness after which a slow gateway has recovered; doubled each time that it soon
-  /// becomes slow again.
+  /// Time without lateness after which a slow gateway has recovered; doubled each time that it
+  /// becomes slow again soon after a recovery.
   base::Duration recoveryTime = base::seconds(2);
   base::Duration maxRecoveryTime = base::seconds(16);
   /// Time since recovery after which the recovery time is reset to its initial value.
--- a/src/jobs/speed_tiers.cpp
+++ b/src/jobs/speed_tiers.cpp
@@ -10,8 +10,8 @@
 /// Utilization from which slots of faster tiers are scarce. Below it, items may use faster tiers
 /// than they need, which makes them robust against estimation errors.
 constexpr double kScarceUtilization = 0.85;
-/// Time beside the generation of events: delivery of the lease, processing of the prompt, commit of
-/// the result.
+/// Overhead of an item in addition to the generation of its events: delivery of the lease,
+/// processing of the prompt, commit of the result.
 constexpr base::Duration kDispatchOverhead = base::milliseconds(500);
 
 }  // namespace
--- a/test/jobs/engine_affinity_test.cpp
+++ b/test/jobs/engine_affinity_test.cpp
@@ -326,7 +326,8 @@
 
 // Guards against a frozen gateway that holds up all items of its engines until it is unresponsive.
 Test(engine_affinity, frozen_gateway_delays_no_item) {
-  // Right before a submission, and before the gateway counts as unresponsive.
+  // The gateway freezes right before a submission, so that it does not yet count as unresponsive
+  // when the items are planned.
   const base::TimePoint at = kNow + base::seconds(10) - base::milliseconds(5);
   for (std::uint32_t frozen = 1; frozen <= kGateways; ++frozen) {
     ZoneSimulation run({}, frozen);
--- a/test/jobs/gateway_selector_test.cpp
+++ b/test/jobs/gateway_selector_test.cpp
@@ -70,7 +70,7 @@
   cr_assert(gatewaySelector.isActive(gateway(5), "a", kNow));
   gatewaySelector.remove(2);
   cr_assert(gatewaySelector.isActive(gateway(6), "a", kNow));
-  // Active gateways send requests often; standby ones may be silent for longer.
+  // The timeout of active gateways is shorter than that of standby gateways.
   const base::TimePoint later = kNow + base::milliseconds(700);
   gatewaySelector.recordRequest(gateway(4), "a", true, later);
   cr_assert(gatewaySelector.isActive(gateway(7), "a", later), "3 is unresponsive");
@@ -201,7 +201,7 @@
   cr_assert_not(gatewaySelector.isActive(gateway(2), "a", now));
 }
 
-// A new leader knows no capacities until the gateways have reported them.
+// A new leader has no capacities until the gateways have reported them.
 Test(gateway_selector, new_leader_selects_by_id_until_capacities_arrive) {
   jobs::GatewaySelector gatewaySelector = makeMixedZone();
   base::TimePoint now = kNow;
--- a/test/jobs/job_role_test.cpp
+++ b/test/jobs/job_role_test.cpp
@@ -279,7 +279,7 @@
   cr_assert_str_eq(order.c_str(), "zzzyyyyxxxx");
 }
 
-// Guards against a resubmitted job that takes the age of the removed one and is removed at once.
+// Guards against a resubmitted job that inherits the age of the removed job and expires at once.
 Test(job_role, removed_job_may_be_submitted_again) {
   SingleLedger ledger;
   (void)ledger.send(submission("a"));
--- a/test/jobs/job_scheduler_test.cpp
+++ b/test/jobs/job_scheduler_test.cpp
@@ -153,7 +153,7 @@
 Test(job_scheduler, job_without_an_engine_does_not_block_other_jobs) {
   jobs::SlackScheduler scheduler;
   const std::vector<jobs::SchedulableJob> work{{"a", "x", 0, kUrgent}, {"b", "y", 0, kRelaxed}};
-  // "b" is owed items, and has no engine.
+  // Job "b" is owed items but has no engine.
   for (int i = 0; i < 1000; ++i) {
     scheduler.begin(work);
     std::size_t next = *scheduler.next();
@@ -164,7 +164,7 @@
     cr_assert_eq(next, 0U);
     scheduler.onLeased("a");
   }
-  // With an engine it receives the items it is owed, which are bounded.
+  // Once it has an engine, it receives the owed items, whose number is bounded.
   const auto leased = leaseOneByOne(scheduler, work, 40);
   cr_assert_leq(leased[1], 8U + 40U / 8U + 1U);
   cr_assert_geq(leased[1], 40U / 8U);
@@ -180,8 +180,8 @@
   cr_assert_eq(*scheduler.next(), 1U);
 }
 
-// Guards against a job that changes its priority and stays owed items at the previous one, where it
-// would be returned after it is exhausted.
+// Guards against a job that is still owed items at its previous priority after a change: the
+// scheduler would return the job there although it is exhausted.
 Test(job_scheduler, job_that_changes_its_priority_is_owed_nothing_at_the_previous_one) {
   jobs::SlackScheduler scheduler;
   std::vector<jobs::SchedulableJob> work{{"a", "x", 1, kRelaxed}, {"b", "x", 1, kUrgent}};
--- a/test/jobs/placement_load_test.cpp
+++ b/test/jobs/placement_load_test.cpp
@@ -272,8 +272,8 @@
                : 0;
   }
 
-  /// Returns the least loaded engine of the zone with at most this event interval; a gateway knows
-  /// only its zone.
+  /// Returns the least loaded engine of the zone with at most this event interval; a gateway moves
+  /// texts only within its zone.
   Engine* findWithinInterval(const std::string& zone, double maxMs) {
     Engine* best = nullptr;
     for (auto& [id, engine] : m_engines) {
