--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -210,7 +210,7 @@
     return;
   }
   if (m_unsentBytes > m_serverState->limits.maxUnsentBytes) {
-    return;  // until the client has read the earlier responses
+    return;  // parsing resumes when the client has read the earlier responses
   }
   if (!m_requestStarted) {
     m_requestStarted = true;
--- a/src/http/upstream_client.h
+++ b/src/http/upstream_client.h
@@ -76,8 +76,8 @@
 
 class UpstreamPool;
 
-/// HTTP client for any number of concurrent exchanges. Runs on the thread of its io_context. Events
-/// are never called from within start() or cancel().
+/// HTTP client for any number of concurrent exchanges. Runs on the thread of its io_context. The
+/// callbacks in UpstreamEvents are never called from within start() or cancel().
 class UpstreamClient {
  public:
   UpstreamClient(asio::io_context& context, UpstreamClientSettings settings);
@@ -89,7 +89,7 @@
   /// Stops reading the response until resume().
   void pause(ExchangeId exchange);
   void resume(ExchangeId exchange);
-  /// Aborts the exchange by closing its connection. Its events are no longer called.
+  /// Aborts the exchange by closing its connection. Its callbacks are no longer called.
   void cancel(ExchangeId exchange);
   /// Returns the number of exchanges in progress.
   [[nodiscard]] std::size_t active() const;
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -220,7 +220,7 @@
     if (error == HPE_PAUSED) {
       offset += parsed;
       if (!m_responseComplete) {
-        resetParser();  // it was an interim response or belongs to another request
+        resetParser();  // the response was interim or belongs to another request
       }
       continue;
     }
--- a/src/telemetry/event.cpp
+++ b/src/telemetry/event.cpp
@@ -8,128 +8,155 @@
   using Id = EventId;
   using enum Severity;
   static const std::vector<EventDescription> kCatalogue = {
-      {Id::kProcessStarted, "process_started", kInfo, "the process serves its roles", ""},
-      {Id::kProcessStopping, "process_stopping", kInfo, "a planned stop has begun", ""},
-      {Id::kProcessStopped, "process_stopped", kInfo, "the process ends", ""},
-      {Id::kSettingsRefused, "settings_refused", kError, "the settings file breaks a rule",
-       "correct the named line; `tackpickd --check` checks without starting"},
+      {Id::kProcessStarted, "process_started", kInfo,
+       "the process has started and serves its roles", ""},
+      {Id::kProcessStopping, "process_stopping", kInfo, "a planned shutdown has begun", ""},
+      {Id::kProcessStopped, "process_stopped", kInfo, "the process exits", ""},
+      {Id::kSettingsRefused, "settings_refused", kError, "the settings file is invalid",
+       "correct the reported line; `tackpickd --check` validates the file without starting"},
       {Id::kSettingsChanged, "settings_changed", kInfo,
-       "the process was told that its settings file changed; it runs on with those it has", ""},
+       "the process was notified that its settings file changed; it keeps its current settings",
+       ""},
       {Id::kSlowTurn, "slow_turn", kWarning,
-       "a turn of the event loop took long, its syncs included",
-       "look for a slow disk, or for a machine without processor time"},
+       "an iteration of the event loop, including its syncs, took too long",
+       "check for a slow disk or a lack of CPU time on the machine"},
       {Id::kDiskUnavailable, "disk_unavailable", kWarning,
-       "the data folder cannot be opened or written; the process waits and tries again",
-       "make room on the disk, or replace the machine"},
-      {Id::kBecameLeader, "became_leader", kInfo, "this replica leads its group", ""},
-      {Id::kLostLeadership, "lost_leadership", kInfo, "this replica no longer leads its group",
-       "look for a cut network or a slow disk when it happens often"},
+       "the data directory cannot be opened or written; the process waits and retries",
+       "free disk space, or replace the machine"},
+      {Id::kBecameLeader, "became_leader", kInfo, "this replica became the leader of its group",
+       ""},
+      {Id::kLostLeadership, "lost_leadership", kInfo,
+       "this replica is no longer the leader of its group",
+       "if this happens often, check for network failures or a slow disk"},
       {Id::kReplicaFailed, "replica_failed", kError,
-       "a write or sync failed, or the log contradicts the group's: the replica has stopped",
-       "check the disk, then replace the replica as a new node"},
+       "a write or sync failed, or the log conflicts with the log of the group; the replica has "
+       "stopped",
+       "check the disk, then replace the replica with a new node"},
       {Id::kDataFolderRefused, "data_folder_refused", kError,
-       "the data folder is damaged or belongs to another node",
-       "do not repair it by hand: empty it and join as a new node"},
+       "the data directory is corrupt or belongs to another node",
+       "do not repair the directory manually; empty it and join as a new node"},
       {Id::kMembershipChanged, "membership_changed", kInfo, "the replicas of a group changed", ""},
       {Id::kGroupBelowSize, "group_below_size", kWarning,
-       "a group has fewer voters that are heard than the losses it must bear need: voters, heard, "
-       "wanted",
-       "give the role more machines, or bring the silent ones back, before another one is lost"},
+       "a group has fewer reachable voters than required to tolerate the configured number of "
+       "losses; reports the voters, the reachable voters and the required voters",
+       "add machines for the role, or restore the unreachable ones, before another machine is "
+       "lost"},
       {Id::kGroupOfSize, "group_of_size", kInfo,
-       "a group has as many voters that are heard as the losses it must bear need", ""},
-      {Id::kChangeAccepted, "change_accepted", kInfo, "an operator's change is in force", ""},
-      {Id::kChangeRefused, "change_refused", kInfo, "an operator's change was refused", ""},
+       "a group has as many reachable voters as required to tolerate the configured number of "
+       "losses",
+       ""},
+      {Id::kChangeAccepted, "change_accepted", kInfo,
+       "an operator's configuration change has taken effect", ""},
+      {Id::kChangeRefused, "change_refused", kInfo,
+       "an operator's configuration change was rejected", ""},
       {Id::kWeightsPublished, "weights_published", kInfo, "a trainer published weights", ""},
       {Id::kEngineOrderFailed, "engine_order_failed", kWarning,
-       "an order did not reach an engine or was refused", "it is repeated; look at the engine"},
+       "a command did not reach an engine or was rejected by it",
+       "the command is retried; check the engine"},
       {Id::kMachineListUnreadable, "machine_list_unreadable", kWarning,
-       "the platform's machine list could not be read", "engines' own flags still count"},
-      {Id::kEngineOrdered, "engine_ordered", kInfo, "an engine was ordered to change its weights",
-       ""},
+       "the platform's machine list could not be read",
+       "the states reported by the engines themselves still apply"},
+      {Id::kEngineOrdered, "engine_ordered", kInfo,
+       "an engine was instructed to change its weights", ""},
       {Id::kCallUnanswered, "call_unanswered", kInfo,
-       "a call of an operator, trainer or instance found no leader in time; it may take effect",
-       "the caller repeats it; look at the controllers when it happens often"},
+       "no leader was found in time for a call of an operator, trainer or instance; the call may "
+       "still take effect",
+       "the caller resends the call; if this happens often, check the controllers"},
       {Id::kInstanceLeaving, "instance_leaving", kInfo,
-       "an engine or server has said that it drains or leaves", ""},
+       "an engine or server has announced that it is draining or leaving", ""},
       {Id::kUsageReported, "usage_reported", kInfo,
-       "the platform took the report of a window's usage: its total, and the fence it was sent "
-       "under",
+       "the platform accepted the usage report of a window; reports the total and the fence of the "
+       "report",
        ""},
       {Id::kUsageReportFailed, "usage_report_failed", kWarning,
-       "a usage report was refused or got no answer",
-       "it is repeated unchanged; refused means that another controller leads by now. Look at the "
-       "platform when it goes on"},
+       "a usage report was rejected or not answered",
+       "the same report is resent; a rejection means that another controller has become the "
+       "leader. If this persists, check the platform"},
       {Id::kCapacityDecided, "capacity_decided", kInfo,
-       "the number of instances that a zone should have of one kind has changed: the new count, "
-       "the one before, how many are there and leave, how many are wanted in all zones, and the "
-       "open work and its age that this was decided from",
+       "the desired number of instances of one kind in a zone changed; reports the new and the "
+       "previous number, the present and the leaving instances, the number desired in all zones, "
+       "and the amount and age of the open work on which the decision is based",
        ""},
       {Id::kCapacityAsked, "capacity_asked", kInfo,
-       "the platform took a call that sets a number of instances", ""},
+       "the platform accepted a call that sets a number of instances", ""},
       {Id::kCapacityCallFailed, "capacity_call_failed", kWarning,
-       "the platform refused or did not answer a call that sets a number of instances",
-       "none_available: other zones and kinds are asked, and this one later; refused: another "
-       "controller leads by now; else it is repeated. Look at the platform when it goes on"},
+       "the platform rejected or did not answer a call that sets a number of instances",
+       "none_available: other zones and kinds are requested, and this one again later; refused: "
+       "another controller has become the leader; otherwise, the call is retried. If this "
+       "persists, check the platform"},
       {Id::kLeaseLost, "lease_lost", kWarning,
-       "this gateway has lost its serving lease and refuses new work",
-       "check that a majority of controllers runs and is reachable"},
-      {Id::kLeaseGained, "lease_gained", kInfo, "this gateway may serve", ""},
+       "this gateway lost its serving lease and rejects new work",
+       "check that a majority of the controllers is running and reachable"},
+      {Id::kLeaseGained, "lease_gained", kInfo, "this gateway acquired its serving lease", ""},
       {Id::kConfigurationInForce, "configuration_in_force", kInfo,
-       "this gateway runs a new revision", ""},
-      {Id::kEngineLeaving, "engine_leaving", kInfo, "an engine gets no new work", ""},
-      {Id::kDrainBegun, "drain_begun", kInfo, "new work is refused, running work finishes", ""},
-      {Id::kDrainComplete, "drain_complete", kInfo, "nothing runs any more", ""},
+       "this gateway applied a new configuration revision", ""},
+      {Id::kEngineLeaving, "engine_leaving", kInfo, "an engine no longer receives new work", ""},
+      {Id::kDrainBegun, "drain_begun", kInfo,
+       "draining has begun: new work is rejected, running work is completed", ""},
+      {Id::kDrainComplete, "drain_complete", kInfo, "draining is complete: no work is running", ""},
       {Id::kRequestGivenUp, "request_given_up", kInfo,
-       "a caller's request got an answer of our own: which instances were tried, and whether it "
-       "may "
-       "have run",
-       "look for the instances' failures at that time"},
-      {Id::kItemGivenUp, "item_given_up", kInfo, "an item of a batch was ended without a result",
-       "its status says what the engine answered"},
+       "a gateway answered a caller's request with an error of its own; reports the instances "
+       "tried and whether the request may have run",
+       "check these instances for failures at that time"},
+      {Id::kItemGivenUp, "item_given_up", kInfo, "an item of a batch ended without a result",
+       "the status of the item contains the engine's response"},
       {Id::kItemFinished, "item_finished", kInfo,
-       "an item of a batch has its result: how long it waited and ran, and over how many attempts",
+       "an item of a batch has a result; reports its waiting time, its running time and the number "
+       "of attempts",
        ""},
       {Id::kItemMoved, "item_moved", kInfo,
-       "an item goes on at another engine: that one is much faster, or this one has no place", ""},
-      {Id::kJobSubmitted, "job_submitted", kInfo, "a job was accepted or refused", ""},
-      {Id::kJobEnded, "job_ended", kInfo, "a caller has ended its job", ""},
+       "an item continues on another engine, which is much faster or replaces an engine without a "
+       "free slot",
+       ""},
+      {Id::kJobSubmitted, "job_submitted", kInfo, "a job was accepted or rejected", ""},
+      {Id::kJobEnded, "job_ended", kInfo, "a caller ended its job", ""},
       {Id::kJobCallUnanswered, "job_call_unanswered", kInfo,
-       "a caller's call about a job found no ledger in time; a submission may have been taken",
-       "the caller repeats it; look at the ledgers when it happens often"},
-      {Id::kItemLeased, "items_leased", kInfo, "this gateway was given items to run", ""},
+       "no ledger was found in time for a caller's call about a job; a submission may have been "
+       "accepted",
+       "the caller resends the call; if this happens often, check the ledgers"},
+      {Id::kItemLeased, "items_leased", kInfo, "this gateway leased items to run", ""},
       {Id::kItemsReleased, "items_released", kInfo,
-       "a stopping gateway gave its unfinished items back", ""},
+       "a gateway that is shutting down released its unfinished items", ""},
       {Id::kAttemptFailed, "item_attempt_failed", kInfo,
-       "a run of an item ended without its whole text; it is repeated or continued", ""},
+       "an attempt at an item ended before its text was complete; the item is retried or continued",
+       ""},
       {Id::kScoringCallFailed, "scoring_call_failed", kInfo,
-       "a call to an item's scorer brought no score; it is repeated, or the item is given up", ""},
+       "a call to the scorer of an item returned no score; the call is retried, or the item ends "
+       "without a result",
+       ""},
       {Id::kUnknownRefused, "unknown_refused", kInfo,
-       "requests were turned away since their route or key is not in the configuration in force: "
-       "its version, and how long ago a controller confirmed that; at most one line a second",
-       "where the age is long, look at the way from this gateway to the controllers' leader"},
+       "requests were rejected because their route or key is not in the applied configuration; "
+       "reports the version of the configuration and the time since a controller confirmed it; "
+       "logged at most once per second",
+       "if that time is long, check the network between this gateway and the leader of the "
+       "controllers"},
       {Id::kRunBroken, "run_broken", kInfo,
-       "the connection to an instance ended under a request, item or scoring call that may have "
-       "run there: its id, its fingerprint, which is the same at each try and gateway, and at how "
-       "many instances this gateway has seen that",
-       "where one fingerprint stands under several instances that ended, it may have ended them"},
+       "the connection to an instance ended during a request, item or scoring call that may have "
+       "run there; reports its id, its fingerprint, which is the same for all attempts and "
+       "gateways, and the number of instances on which this gateway has observed this for the "
+       "fingerprint",
+       "if one fingerprint is reported for several instances that ended, the request may have "
+       "caused their failure"},
       {Id::kRequestHeld, "request_held", kWarning,
-       "instances ended under a request, at any gateway, so often that it is sent nowhere any "
-       "more, but for a few trials",
-       "find it by its fingerprint in the run_broken lines; `tackpickctl quarantine` lists all, "
-       "`tackpickctl release` ends the hold"},
+       "a request is quarantined because too many instances ended while they ran it, counted over "
+       "all gateways; it is only sent in a few trials",
+       "search the run_broken lines for its fingerprint; `tackpickctl quarantine` lists all "
+       "quarantined requests, `tackpickctl release` releases one"},
       {Id::kRequestReleased, "request_released", kInfo,
-       "a held request is free again: an instance has borne it, an operator released it, or its "
-       "time is over",
+       "a quarantined request was released: an instance completed a trial, an operator released "
+       "it, or the quarantine expired",
        ""},
       {Id::kTrialBegun, "trial_begun", kInfo,
-       "this gateway may send a held request to one instance, to see whether it is borne", ""},
+       "this gateway may send a quarantined request to one instance as a trial", ""},
       {Id::kConnectionRefused, "connection_refused", kWarning,
-       "an internal connection showed a wrong key, version or frame",
-       "look for a process of another cluster or release"},
+       "an internal connection was rejected because of a wrong key, version or frame",
+       "check for a process of another cluster or release"},
       {Id::kSlowReaderCut, "slow_reader_cut", kInfo,
-       "a caller left its answer unread, and its connection was cut so that the memory for answers "
-       "holds: how many since the last line, and what is held now; at most one line a second",
-       "callers should read their answers, or ask again; look at tackpick_unread_answer_bytes"},
+       "connections of callers that did not read their responses were aborted to limit the memory "
+       "for unread responses; reports the number since the last line and the bytes now unread; "
+       "logged at most once per second",
+       "callers should read their responses or resend their requests; check "
+       "tackpick_unread_answer_bytes"},
   };
   return kCatalogue;
 }
--- a/src/telemetry/metric.h
+++ b/src/telemetry/metric.h
@@ -52,7 +52,7 @@
   kControllersHeardAge,
   kConfigurationAge,
   kInstances,         ///< by state
-  kInstancesDesired,  ///< by service, zone and kind, as are the next four
+  kInstancesDesired,  ///< this and the next four gauges: by service, zone and kind
   kInstancesThere,
   kInstancesStarting,
   kInstancesLeaving,
--- a/src/telemetry/prometheus_metrics.cpp
+++ b/src/telemetry/prometheus_metrics.cpp
@@ -16,7 +16,7 @@
 const prometheus::Histogram::BucketBoundaries kBuckets = {
     0.001, 0.003, 0.01, 0.03, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0, 40.0};
 
-/// Returns the numeric value of an id, the key of the maps below.
+/// Returns the numeric value of `id`, used as the key in the maps of Implementation.
 template <typename Id>
 std::uint8_t indexOf(Id id) {
   return static_cast<std::uint8_t>(id);
--- a/src/transport/peer_network.cpp
+++ b/src/transport/peer_network.cpp
@@ -137,7 +137,7 @@
   }
   const std::uint32_t number = base::nodeNumber(to);
   if (number == base::nodeNumber(settings_.self)) {
-    return;  // an earlier instance of this node
+    return;  // the addressee is an earlier instance of this node
   }
   const bool configured = settings_.peers.contains(number);
   const auto inbound = m_inboundConnections.find(to);
--- a/test/base/compression_test.cpp
+++ b/test/base/compression_test.cpp
@@ -32,14 +32,14 @@
   }
 }
 
-Test(compression, random_letters_shrink_and_random_bytes_hardly_grow) {
+Test(compression, random_letters_shrink_and_random_bytes_grow_slightly) {
   const base::Bytes text = randomLetters(100'000, 26, 1);
   cr_assert_lt(base::compress(text).size(), text.size() * 2 / 3);
   const base::Bytes noise = randomLetters(100'000, 256, 1);
   cr_assert_leq(base::compress(noise).size(), noise.size() + 1);
 }
 
-Test(compression, frames_over_the_limit_and_damaged_ones_are_refused) {
+Test(compression, oversized_and_corrupt_frames_are_rejected) {
   cr_assert_not(base::decompress({}, kMaxSize).has_value());
   const base::Bytes message = randomLetters(10'000, 2, 1);
   const base::Bytes frame = base::compress(message);
--- a/test/base/event_loop_lag_test.cpp
+++ b/test/base/event_loop_lag_test.cpp
@@ -23,14 +23,14 @@
 
 }  // namespace
 
-Test(event_loop_lag, is_zero_while_ticks_come_in_time) {
+Test(event_loop_lag, is_zero_while_ticks_are_on_time) {
   Loop loop;
   cr_assert_eq(loop.lag.average(), base::Duration{0});
   loop.run(base::seconds(2), kInterval);
   cr_assert_eq(loop.lag.average(), base::Duration{0});
 }
 
-Test(event_loop_lag, shows_a_starved_loop_as_long_as_it_lasts) {
+Test(event_loop_lag, reports_lag_while_the_loop_lacks_cpu_time) {
   Loop loop;
   loop.run(base::seconds(2), base::milliseconds(100));
   cr_assert_eq(loop.lag.average(), base::milliseconds(80));
--- a/test/http/exchange_server_test.cpp
+++ b/test/http/exchange_server_test.cpp
@@ -38,7 +38,7 @@
 }  // namespace
 
 // Guards against a disconnect that is not detected while the request is handled.
-Test(exchange_server, hang_up_while_a_request_is_handled_is_noticed) {
+Test(exchange_server, disconnect_while_a_request_is_handled_is_detected) {
   for (const bool reset : {false, true}) {
     Fixture fixture;
     RawPeer peer(fixture.context, fixture.server.port());
@@ -56,7 +56,7 @@
   }
 }
 
-Test(exchange_server, hang_up_during_a_stream_is_noticed) {
+Test(exchange_server, disconnect_during_a_stream_is_detected) {
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
@@ -70,7 +70,7 @@
   cr_assert(runUntil(fixture.context, [&] { return closed; }));
 }
 
-Test(exchange_server, request_is_passed_on_unaltered) {
+Test(exchange_server, request_is_passed_on_unmodified) {
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
@@ -99,7 +99,7 @@
   cr_assert_lt(answers.find("one"), answers.find("two"));
 }
 
-Test(exchange_server, chunked_body_arrives_whole) {
+Test(exchange_server, chunked_body_is_received_completely) {
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(
@@ -109,7 +109,7 @@
   cr_assert_eq(fixture.requests[0].body, "abcde");
 }
 
-Test(exchange_server, bad_input_gets_a_clear_refusal) {
+Test(exchange_server, invalid_input_is_rejected_with_a_status) {
   struct Case {
     std::string bytes;
     std::string status;
@@ -135,7 +135,7 @@
   }
 }
 
-Test(exchange_server, slow_header_is_refused_and_idle_connection_closed) {
+Test(exchange_server, slow_header_is_rejected_and_idle_connection_closed) {
   http::ExchangeLimits limits;
   limits.headerTimeout = base::milliseconds(30);
   limits.idleTimeout = base::milliseconds(30);
@@ -160,7 +160,7 @@
   cr_assert(peer.received().starts_with("HTTP/1.1 413"));
 }
 
-Test(exchange_server, aborted_answer_does_not_look_complete) {
+Test(exchange_server, aborted_response_is_detectably_incomplete) {
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
@@ -173,7 +173,7 @@
   cr_assert_eq(peer.received().find("0\r\n\r\n"), std::string::npos);
 }
 
-Test(exchange_server, dropped_exchange_cuts_its_connection) {
+Test(exchange_server, dropped_exchange_resets_its_connection) {
   Fixture fixture;
   RawPeer peer(fixture.context, fixture.server.port());
   peer.send(kGet);
@@ -183,7 +183,7 @@
   cr_assert(peer.received().empty());
 }
 
-Test(exchange_server, drain_ends_connections_with_their_answers) {
+Test(exchange_server, drain_closes_connections_after_their_responses) {
   Fixture fixture;
   const std::uint16_t port = fixture.server.port();
   RawPeer idle(fixture.context, port);
--- a/test/http/stream_relay_test.cpp
+++ b/test/http/stream_relay_test.cpp
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-Test(stream_relay, caller_that_does_not_read_holds_its_server_back) {
+Test(stream_relay, caller_that_does_not_read_pauses_the_upstream) {
   RelayedStream stream;
   const std::string body(kChunkCount * kChunkBytes, 'x');
   asio::async_write(stream.upstream->socket(),
@@ -106,7 +106,7 @@
   cr_assert_eq(stream.server.unreadResponses().disconnectCount, 0U);
 }
 
-Test(stream_relay, caller_that_reads_is_not_held_back) {
+Test(stream_relay, caller_that_reads_does_not_pause_the_upstream) {
   RelayedStream stream;
   stream.upstream->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (int i = 0; i < 20; ++i) {
@@ -118,7 +118,7 @@
   cr_assert(stream.end.has_value() && stream.end->complete);
 }
 
-Test(unread_answers, stream_beyond_the_bound_is_cut_and_does_not_look_complete) {
+Test(unread_answers, stream_over_the_limit_is_aborted_and_incomplete) {
   http::ExchangeLimits limits;
   limits.maxUnsentBytes = 1U << 20U;
   ServerFixture fixture(limits);
@@ -144,7 +144,7 @@
 }
 
 // Guards against a caller that requests any number of responses without reading them.
-Test(unread_answers, no_further_request_is_taken_while_answers_are_unread) {
+Test(unread_answers, no_request_is_accepted_while_responses_are_unread) {
   http::ExchangeLimits limits;
   limits.maxUnsentBytes = kChunkBytes;
   ServerFixture fixture(limits);
@@ -176,7 +176,7 @@
   cr_assert_eq(fixture.server.unreadResponses().bytes, 0U);
 }
 
-Test(unread_answers, all_together_are_bounded_and_the_longest_unread_is_cut) {
+Test(unread_answers, total_is_limited_and_the_longest_stalled_is_aborted) {
   http::ExchangeLimits limits;
   limits.maxTotalUnsentBytes = 40U << 20U;
   limits.minStallTime = base::milliseconds(20);
@@ -204,7 +204,7 @@
 
 // Guards against an exchange that is never closed because its connection was aborted while the
 // request was parsed.
-Test(unread_answers, connection_that_is_cut_while_it_asks_takes_no_request) {
+Test(unread_answers, connection_aborted_during_parsing_accepts_no_request) {
   http::ExchangeLimits limits;
   limits.maxTotalUnsentBytes = 1U << 20U;
   limits.maxUnsentBytes = 64U << 20U;
--- a/test/http/upstream_client_test.cpp
+++ b/test/http/upstream_client_test.cpp
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-Test(upstream_client, connection_is_used_again) {
+Test(upstream_client, connection_is_reused) {
   Fixture fixture;
   fixture.request("1");
   RawPeer server = fixture.accept();
@@ -84,7 +84,7 @@
   cr_assert_eq(fixture.client.counters().connectionsOpened, 1U);
 }
 
-Test(upstream_client, late_answer_to_an_earlier_request_is_passed_over) {
+Test(upstream_client, late_response_to_an_earlier_request_is_ignored) {
   Fixture fixture;
   fixture.request("2");
   RawPeer server = fixture.accept();
@@ -96,7 +96,7 @@
   cr_assert_eq(fixture.client.counters().mismatchedResponses, 1U);
 }
 
-Test(upstream_client, bytes_after_an_answer_end_the_connection) {
+Test(upstream_client, bytes_after_a_response_close_the_connection) {
   Fixture fixture;
   fixture.request("1");
   RawPeer server = fixture.accept();
@@ -107,7 +107,7 @@
   cr_assert(server.waitClosed());
 }
 
-Test(upstream_client, bytes_on_an_idle_connection_end_it) {
+Test(upstream_client, bytes_on_an_idle_connection_close_it) {
   Fixture fixture;
   fixture.request("1");
   RawPeer server = fixture.accept();
@@ -118,7 +118,7 @@
   cr_assert(server.waitClosed());
 }
 
-Test(upstream_client, unframed_answer_ends_with_its_connection_but_not_with_a_reset) {
+Test(upstream_client, unframed_response_ends_with_a_close_but_not_with_a_reset) {
   for (const bool reset : {false, true}) {
     Fixture fixture;
     fixture.request("1");
@@ -137,7 +137,7 @@
   }
 }
 
-Test(upstream_client, cut_and_malformed_answers_may_have_run) {
+Test(upstream_client, truncated_and_malformed_responses_may_have_run) {
   for (const std::string& bytes :
        {std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
         std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"),
@@ -168,7 +168,7 @@
 }
 
 // Guards against the reuse of a connection on which the server may still read a request body.
-Test(upstream_client, early_answer_to_a_long_body_ends_the_connection) {
+Test(upstream_client, early_response_to_a_long_body_closes_the_connection) {
   Fixture fixture;
   fixture.request("1", std::string(64U << 20U, 'x'));
   RawPeer server = fixture.accept();
--- a/test/runtime/bad_bytes_test.cpp
+++ b/test/runtime/bad_bytes_test.cpp
@@ -133,7 +133,7 @@
   std::filesystem::remove_all(directory);
 }
 
-Test(settings, every_problem_is_named_with_file_and_line) {
+Test(settings, every_error_is_reported_with_file_and_line) {
   std::string pattern = "/tmp/tackpick-settings-XXXXXX";
   const std::string directory = mkdtemp(pattern.data());
   const std::string file = directory + "/settings.yaml";
--- a/test/runtime/resource_limits_test.cpp
+++ b/test/runtime/resource_limits_test.cpp
@@ -69,7 +69,7 @@
   cr_assert_eq(loaded.limits.networkMbps.value(), 1000.0);
 }
 
-Test(process_limits, bad_values_are_told_with_their_key) {
+Test(process_limits, invalid_values_are_reported_with_their_key) {
   for (const std::string key :
        {"processor_share", "processor_speed", "memory_mb", "file_descriptors", "link_mbps"}) {
     for (const std::string value : {"-1", "0", "many", "[1]", ".nan", "1e30"}) {
@@ -80,8 +80,8 @@
   }
 }
 
-// Guards against rejecting the list as an unknown key, which would prevent the process from
-// starting.
+// Guards against rejecting platform_duties as an unknown key, which would prevent the process
+// from starting.
 Test(capacity_mode, duties_without_a_platform_are_read_and_change_nothing) {
   const LoadedSettings loaded("platform_duties: [usage, scaling]\n");
   cr_assert(loaded.errorMessage.empty(), "%s", loaded.errorMessage.c_str());
--- a/test/runtime/timer_test.cpp
+++ b/test/runtime/timer_test.cpp
@@ -12,7 +12,7 @@
 namespace base = tackpick::base;
 using tackpick::test::suspendedSeconds;
 
-Test(timer, deadline_that_passed_in_a_suspension_is_over_at_the_resume) {
+Test(timer, deadline_passed_during_suspension_expires_at_resume) {
   asio::io_context context;
   base::Timer deadline(context);
   base::Timer ticker(context);
--- a/test/runtime/unanswered_test.cpp
+++ b/test/runtime/unanswered_test.cpp
@@ -6,7 +6,7 @@
 namespace edge = tackpick::edge;
 namespace jobs = tackpick::jobs;
 
-Test(unanswered, submission_without_reply_is_not_promised_to_be_refused) {
+Test(unanswered, submission_without_reply_may_have_been_accepted) {
   cr_assert_eq(edge::jobTimeoutResponse(jobs::SubmitJob{}).status, 504,
                "the job may have been accepted");
   cr_assert_eq(edge::jobTimeoutResponse(jobs::ReadJob{}).status, 503);
--- a/test/runtime/work_call_test.cpp
+++ b/test/runtime/work_call_test.cpp
@@ -60,12 +60,12 @@
   cr_assert_not(edge::workCall(request("GET", "/v1/workers")));
 }
 
-Test(work_call, answer_tells_what_both_leaders_told) {
+Test(work_call, response_combines_the_reports_of_both_leaders) {
   const Json parsed = body({makeReport(), makeWeights()});
   const Json job = parsed["ledgers"]["jobs"][0];
   cr_assert_eq(job["minimum_version"], 7);
   cr_assert_eq(job["places_ready"], 0);
-  cr_assert(job["slack_s"].is_null(), "nothing says when it is due");
+  cr_assert(job["slack_s"].is_null(), "the due time of the job is unknown");
   cr_assert_eq(parsed["ledgers"]["total_jobs"], 201);
   cr_assert(parsed["ledgers"]["engines"][0]["pace_ms"].is_null(), "no gateway has reported it");
   cr_assert_eq(parsed["ledgers"]["gateways"][0]["gateway"], "127.0.3.1");
@@ -77,7 +77,7 @@
   cr_assert_eq(parsed["controllers"]["load_budget"], 2);
 }
 
-Test(work_call, part_without_an_answer_is_null_and_without_any_the_call_fails) {
+Test(work_call, missing_report_is_null_and_call_fails_without_any) {
   const Json noLedgers = body({std::nullopt, makeWeights()});
   cr_assert(noLedgers["ledgers"].is_null());
   cr_assert_not(noLedgers["controllers"].is_null());
--- a/test/telemetry/telemetry_test.cpp
+++ b/test/telemetry/telemetry_test.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-Test(line_buffer, stalled_reader_loses_lines_and_is_told_how_many) {
+Test(line_buffer, stalled_reader_loses_lines_and_receives_their_number) {
   ThrottledSink reader;
   telemetry::LineBuffer buffer(reader, 40);
   for (const std::string line : {"first", "second", "a line that no longer fits in", "x"}) {
