--- a/src/engine/engine_commands.h
+++ b/src/engine/engine_commands.h
@@ -20,7 +20,7 @@
 };
 
 /// Command of a controller to an engine. The engine rejects a command whose fence is lower than the
-/// highest it has received, so a controller that has been replaced cannot change it.
+/// highest it has received, so a replaced controller cannot change the engine.
 struct EngineCommand {
   base::Fence fence;
   EngineCommandKind kind = EngineCommandKind::kPrepareWeights;
--- a/src/engine/engine_simulator.cpp
+++ b/src/engine/engine_simulator.cpp
@@ -161,7 +161,7 @@
     const GenerateRequest& request = sequence.request;
     if (sequence.generatedTokens < sequence.outputLength) {
       if (sequence.chunk.version != m_activeVersion) {
-        flushChunk(sequence, output);  // weights were swapped while it was preempted
+        flushChunk(sequence, output);  // weights were swapped during preemption
       }
       if (sequence.chunk.tokens.empty()) {
         sequence.chunk = {request.attempt, sequence.generatedTokens, m_activeVersion, {}};
--- a/src/engine/engine_simulator.h
+++ b/src/engine/engine_simulator.h
@@ -87,7 +87,7 @@
   void startDraining() { m_draining = true; }
   void failNextSwap() { fail_next_swap_ = true; }
 
-  /// Returns the status as a poll sees it: the load figures are delayed.
+  /// Returns the status reported to a poll, with delayed load figures.
   [[nodiscard]] EngineStatus loadReport(base::TimePoint now);
   /// Returns the current status.
   [[nodiscard]] EngineStatus status() const;
--- a/src/gateway/control_view.cpp
+++ b/src/gateway/control_view.cpp
@@ -42,9 +42,9 @@
   const bool changed = applyDelta(response.delta);
   const auto sent = m_requestSentAt.find(response.sequence);
   if (sent != m_requestSentAt.end() && response.delta.to <= revision_) {
-    constexpr int kWholePercent = 100;
+    constexpr int kHundredPercent = 100;
     const base::Duration effectiveLease =
-        response.lease * (kWholePercent - settings_.clockDriftPercent) / kWholePercent;
+        response.lease * (kHundredPercent - settings_.clockDriftPercent) / kHundredPercent;
     lease_end_ = std::max(lease_end_, sent->second + effectiveLease);
   }
   if (changed) {
--- a/src/gateway/control_view.h
+++ b/src/gateway/control_view.h
@@ -18,7 +18,7 @@
   base::Incarnation incarnation;
   std::vector<base::NodeId> controllers;
   base::Duration watchInterval = base::milliseconds(400);
-  int clockDriftPercent = 2;  ///< maximum drift; the lease is shortened by it
+  int clockDriftPercent = 2;  ///< maximum clock drift; shortens the lease
 
   struct Mutants {
     bool serveWithoutLease = false;
@@ -28,7 +28,8 @@
 
 /// Watches the controllers for configuration changes. The revision never decreases. The gateway may
 /// serve only while its lease is valid. The lease starts when the watch request was sent, by the
-/// clock of this gateway, so a partitioned or suspended gateway stops serving without a message.
+/// clock of this gateway, so a partitioned or suspended gateway stops serving when the lease
+/// expires.
 class ControlView {
  public:
   explicit ControlView(ControlViewSettings settings) : settings_(std::move(settings)) {}
@@ -40,7 +41,7 @@
   bool onWatchResponse(base::NodeId from, const transport::WatchResponse& response,
                        base::TimePoint now, transport::Outbox& outbox);
   void onRedirect(base::NodeId from, const transport::WatchRedirect& redirect);
-  /// Returns the serving lease to the controllers after draining.
+  /// Releases the serving lease after draining and notifies the controllers.
   void releaseLease(base::TimePoint now, transport::Outbox& outbox);
 
   [[nodiscard]] bool canServe(base::TimePoint now) const {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -53,9 +53,9 @@
 void Gateway::onMessage(base::NodeId from, const transport::InternalMessage& message,
                         base::TimePoint now) {
   if (const auto* response = std::get_if<transport::WatchResponse>(&message)) {
-    const base::Revision before = m_controlView.revision();
+    const base::Revision previousRevision = m_controlView.revision();
     m_controlView.onWatchResponse(from, *response, now, actions_.messages);
-    if (response->delta.to >= before) {
+    if (response->delta.to >= previousRevision) {
       engines_.apply(filterEngines(response->delta));
     }
     dispatch(now);
@@ -90,10 +90,10 @@
   constexpr base::Duration kRateInterval = base::milliseconds(500);
   if (now - m_rateMeasuredAt >= kRateInterval) {
     constexpr double kSmoothingFactor = 0.3;
-    const double rate = static_cast<double>(counters_.tokensReceived - m_rateBaseTokens) /
+    const double rate = static_cast<double>(counters_.tokensReceived - m_tokensAtRateMeasurement) /
                         base::toSeconds(now - m_rateMeasuredAt);
     tokens_per_second_ += kSmoothingFactor * (rate - tokens_per_second_);
-    m_rateBaseTokens = counters_.tokensReceived;
+    m_tokensAtRateMeasurement = counters_.tokensReceived;
     m_rateMeasuredAt = now;
   }
   if (draining_ && isDrained() && !m_leaseReleased) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -130,7 +130,8 @@
   void callControllers(transport::CommandKind kind, base::Bytes payload, base::TimePoint now,
                        consensus::GroupClient::Callback callback);
 
-  /// Rejects new work from now on, returns samples that are not running, and finishes the rest.
+  /// Rejects new work from now on, releases samples that are not running, and finishes all
+  /// other tasks.
   void beginDrain(base::TimePoint now);
   [[nodiscard]] bool isDraining() const { return draining_; }
   /// Whether draining is complete: no task is left and every ledger call has been answered.
@@ -168,7 +169,7 @@
                                                             base::TimePoint now);
   Task& createCallerTask(const CallerRequest& request, base::TimePoint now);
   void requestClaim(Task& task, base::TimePoint now);
-  /// Records that a claimed request did not run, after it ended before the claim was confirmed.
+  /// Records that a request did not run, because it ended before its claim was confirmed.
   void releaseClaim(const ledger::ClaimRequest& claim, base::TimePoint now);
   void onClaimResult(TaskId id, const base::Bytes* result, base::TimePoint now);
   /// Returns how long a new request of this priority is expected to wait in the queue.
@@ -191,7 +192,7 @@
   // Implemented in gateway_attempts.cpp.
   /// Returns the task of an attempt, or null if the attempt has ended.
   [[nodiscard]] Task* findTask(base::AttemptId attempt);
-  /// Ends an attempt and keeps its output for the next one; `cancel` also cancels it on the engine.
+  /// Ends an attempt and keeps its output for a retry; `cancel` also cancels it on the engine.
   void removeAttempt(Task& task, base::AttemptId attempt, bool cancel, base::TimePoint now);
   void onAttemptFailed(Task& task, base::TimePoint now);
   /// Schedules another attempt after a backoff, or fails the task if no retry is allowed.
@@ -251,7 +252,7 @@
   base::TimePoint m_lastExpiryCheckAt{};
   base::TimePoint started_at_{};
   double tokens_per_second_ = 0.0;  ///< moving average over all engines in use
-  std::uint64_t m_rateBaseTokens = 0;
+  std::uint64_t m_tokensAtRateMeasurement = 0;
   base::TimePoint m_rateMeasuredAt{};
   GatewayCounters counters_;
   GatewayActions actions_;
--- a/src/gateway/gateway_admission.cpp
+++ b/src/gateway/gateway_admission.cpp
@@ -181,7 +181,7 @@
       result == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*result);
   const base::CallerId caller = task.caller->id;
   if (!decoded) {
-    // The request was not dispatched, and no other request shares this claimId number.
+    // The request was not dispatched, and no other request has this claim id.
     reject({caller, RejectionReason::kLedgerUnavailable, base::Verdict::kNotRun,
             "the claim could not be registered", base::seconds(2)});
     removeTask(id);
@@ -213,7 +213,7 @@
     return;
   }
   Task& task = m_tasks.at(found->second);
-  // A not-repeatable request continues: its recorded outcome answers a repeated request.
+  // A not-repeatable request continues, so that its recorded outcome can answer a resent request.
   if (task.claim == ClaimState::kNone && !task.outcomeDecided) {
     failTask(task, RejectionReason::kDeadline, "the caller disconnected", now);
   }
--- a/src/gateway/gateway_attempts.cpp
+++ b/src/gateway/gateway_attempts.cpp
@@ -73,7 +73,7 @@
     VersionedTokens output = attempt->output;
     const std::string reason = complete ? end.finishReason : "stop";
     attempt->resumeOffset =
-        static_cast<std::uint32_t>(output.tokens.size());  // no token counts as discarded
+        static_cast<std::uint32_t>(output.tokens.size());  // do not count tokens as discarded
     task->outcomeDecided = true;
     removeAttempt(*task, end.attempt, false, now);
     completeTask(*task, std::move(output), reason, now);
--- a/src/gateway/gateway_dispatch.cpp
+++ b/src/gateway/gateway_dispatch.cpp
@@ -21,8 +21,9 @@
   const std::uint32_t predicted =
       task.sample ? task.sample->expectedTokens
                   : m_lengthEstimator.estimate(task.workload, task.prompt, task.maximumTokens);
-  const auto done = static_cast<std::uint32_t>(task.partialOutput.tokens.size());
-  entry.expectedTokens = std::max<std::uint32_t>(predicted > done ? predicted - done : 1, 1);
+  const auto generatedTokens = static_cast<std::uint32_t>(task.partialOutput.tokens.size());
+  entry.expectedTokens =
+      std::max<std::uint32_t>(predicted > generatedTokens ? predicted - generatedTokens : 1, 1);
   entry.longestFirst = task.sample.has_value() && settings_.longestFirst;
   entry.enqueuedAt = now;
   queue_.push(entry);
--- a/src/gateway/gateway_samples.cpp
+++ b/src/gateway/gateway_samples.cpp
@@ -41,7 +41,7 @@
                     ledger::GatewayHeartbeat{settings_.self, settings_.incarnation}}),
                 now, [](const base::Bytes*, base::TimePoint) {});
     }
-    // Request samples less often from a group that had none.
+    // Request samples less often from a group whose latest response contained no samples.
     const auto interval =
         groupState.lastLeaseEmpty ? settings_.leaseInterval * 3 : settings_.leaseInterval;
     if (!mayLease || groupState.leaseInFlight || now - groupState.lastLeaseSentAt < interval) {
@@ -74,7 +74,7 @@
   const auto decoded =
       result == nullptr ? std::nullopt : base::decode<ledger::LedgerResult>(*result);
   if (!decoded) {
-    // The outcome is unknown: repeating the request with the same number returns the same samples.
+    // The outcome is unknown. A request with the same sequence number returns the same samples.
     --groupState.leaseSequence;
     return;
   }
--- a/src/gateway/task.h
+++ b/src/gateway/task.h
@@ -55,8 +55,8 @@
 /// State of the claim of a not-repeatable request.
 enum class ClaimState { kNone, kRequested, kHeld };
 
-/// Caller's request or leased sample. A task is being claimed, queued, waiting for a retry, running
-/// (with a second attempt if hedged), or having its outcome recorded. Owned by Gateway.
+/// Caller's request or leased sample. A task is waiting for its claim, queued, waiting for a retry,
+/// running (with a second attempt if hedged), or having its outcome recorded. Owned by Gateway.
 struct Task {
   TaskId id;
   std::optional<CallerRequest> caller;         ///< set for callers' requests
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -62,7 +62,7 @@
   std::erase_if(m_lastContactAt,
                 [&](const auto& entry) { return !leaseHolders.contains(entry.first); });
   for (const LeaseHolder& holder : leaseHolders) {
-    // A new leader has no times of contact and starts the timeout of each holder now.
+    // A new leader has no contact times, so the timeout of each holder starts now.
     const auto [lastContact, added] = m_lastContactAt.try_emplace(holder, now);
     if (now - lastContact->second < settings_.gatewayTimeout) {
       continue;
--- a/src/ledger/ledger_commands.h
+++ b/src/ledger/ledger_commands.h
@@ -107,7 +107,7 @@
   }
 };
 
-/// Returns the lease of one sample, for example because the gateway is draining.
+/// Ends the lease of one sample, for example because the gateway is draining.
 struct ReturnSample {
   base::BatchId batch;
   std::uint32_t index = 0;
--- a/src/ledger/ledger_state.cpp
+++ b/src/ledger/ledger_state.cpp
@@ -106,10 +106,10 @@
   }
   LedgerResult result = makeResult(LedgerStatus::kOk);
   const LeaseHolder holder{command.gateway, command.incarnation};
-  for (const SampleKey& name : lastResponse.leasedSamples) {
-    const auto batch = m_data.batches.find(name.batch);
-    if (batch != m_data.batches.end() && batch->second.isLeasedTo(name.index, holder)) {
-      result.leased.push_back(batch->second.leasedSample(name.index));
+  for (const SampleKey& key : lastResponse.leasedSamples) {
+    const auto batch = m_data.batches.find(key.batch);
+    if (batch != m_data.batches.end() && batch->second.isLeasedTo(key.index, holder)) {
+      result.leased.push_back(batch->second.leasedSample(key.index));
     }
   }
   return result;
--- a/src/ledger/length_estimator.h
+++ b/src/ledger/length_estimator.h
@@ -12,7 +12,7 @@
 
 namespace tackpick::ledger {
 
-/// Moving averages of the length by prompt, and by workload for unknown prompts. Training steps
+/// Moving averages of answer lengths by prompt, and by workload for unknown prompts. Training steps
 /// often reuse the prompts of earlier steps. Part of the replicated state of ledger groups, so it
 /// uses only integer arithmetic; also used by gateways for callers' requests.
 class LengthEstimator {
--- a/src/routing/dispatch_queue.cpp
+++ b/src/routing/dispatch_queue.cpp
@@ -73,7 +73,8 @@
     return;
   }
   const QueuedEntry queuedEntry = found->second;
-  // Under overload many tasks exceed the timeout: only a dispatch of the oldest one counts.
+  // Only a dispatch of the oldest task resets the counter: under overload many tasks exceed the
+  // timeout.
   const bool isOldest = m_bySequence.begin()->second == task;
   const bool starved = isOldest &&
                        now - queuedEntry.entry.enqueuedAt >= settings_.starvationTimeout &&
--- a/src/routing/dispatch_queue.h
+++ b/src/routing/dispatch_queue.h
@@ -22,9 +22,9 @@
 struct DispatchQueueSettings {
   /// Time in the queue after which a task precedes all priority classes.
   base::Duration starvationTimeout = base::seconds(20);
-  /// At most one in this many dispatches goes to a task that exceeded `starvationTimeout`.
+  /// Number of dispatches of which at most one goes to a task that exceeded `starvationTimeout`.
   std::uint32_t dispatchesPerStarved = 10;
-  /// Use one queue in order of arrival, for comparison.
+  /// Use one queue in order of arrival; baseline for comparisons.
   bool fifo = false;
 };
 
--- a/src/routing/engine_selector.h
+++ b/src/routing/engine_selector.h
@@ -15,7 +15,7 @@
 /// Policy by which engines are selected.
 enum class SelectionPolicy {
   kPowerOfTwoChoices,  ///< lowest cost of two random engines
-  kRoundRobin,         ///< for comparison
+  kRoundRobin,         ///< baseline for comparisons
 };
 
 /// Settings of EngineSelector.
--- a/src/routing/engine_table.cpp
+++ b/src/routing/engine_table.cpp
@@ -52,8 +52,8 @@
   if (!entry.hasStatus || restarted || measuredAt >= entry.statusMeasuredAt) {
     entry.statusMeasuredAt = measuredAt;
     entry.dispatchedSinceStatus = std::min(entry.dispatchedSinceStatus, entry.inFlight);
-    // The report does not include attempts dispatched during its delay. Half of the recent
-    // dispatches is an approximation; the in-flight count of this gateway limits the error.
+    // The status does not include attempts dispatched during the report delay. Their number is
+    // estimated as half of the recent dispatches, limited by the in-flight count of this gateway.
     entry.dispatchedSinceStatus /= 2;
   }
   entry.status = status;
@@ -102,8 +102,8 @@
 void EngineTable::onCacheEventsLost(base::EngineId engine) {
   const auto found = entries_.find(engine);
   constexpr std::size_t kMaxTrackedBlocks = 8192;
-  // Lost events make the cache hints inaccurate but never change an answer, so the table is cleared
-  // only when it is too large.
+  // Lost events make the cache hints inaccurate but never change an answer, so `cachedBlocks` is
+  // cleared only when it is too large.
   if (found != entries_.end() && found->second.cachedBlocks.size() > kMaxTrackedBlocks) {
     found->second.cachedBlocks.clear();
   }
--- a/src/routing/engine_table.h
+++ b/src/routing/engine_table.h
@@ -23,7 +23,7 @@
   base::Duration statusTimeout = base::milliseconds(2500);
 
   struct Mutants {
-    bool ignoreDraining = false;  ///< dispatch to draining engines and with outdated status
+    bool ignoreDraining = false;  ///< dispatch to draining engines and on outdated status
   } mutants;
 };
 
@@ -32,7 +32,7 @@
   control::EngineRecord record;
   engine::EngineStatus status;
   bool hasStatus = false;
-  base::TimePoint statusMeasuredAt{};         ///< time of the figures in `status`
+  base::TimePoint statusMeasuredAt{};         ///< time at which `status` was measured
   base::TimePoint lastConfirmedAt{};          ///< the engine was reachable at this time or later
   std::optional<base::TimePoint> pollSentAt;  ///< oldest unanswered poll
   bool draining = false;                      ///< stays set until the next incarnation
@@ -49,13 +49,13 @@
 
   void apply(const control::ControlDelta& delta);
   void onStatus(const engine::EngineStatus& status, base::TimePoint now);
-  /// Records that a poll was sent. The response is dated by the time of the poll, because it may
-  /// have been received long before this process read it.
+  /// Records that a poll was sent. The response is treated as being as old as the poll, because
+  /// it may have been received long before this process read it.
   void onPollSent(base::EngineId engine, base::TimePoint now);
   void onDispatch(base::EngineId engine);
   void onAttemptFinished(base::EngineId engine);
   void onCacheEvent(base::EngineId engine, const engine::CacheEvent& event);
-  /// Handles a gap in the cache events: `cachedBlocks` may be inaccurate.
+  /// Handles lost cache events, which make `cachedBlocks` inaccurate.
   void onCacheEventsLost(base::EngineId engine);
 
   /// Whether this engine may get new work of `model` with at least `minimumVersion`.
--- a/test/engine/engine_simulator_test.cpp
+++ b/test/engine/engine_simulator_test.cpp
@@ -27,8 +27,8 @@
     model.advance(end, output);
     return output;
   }
-  engine::EngineCommandReply order(engine::EngineCommandKind kind, std::uint64_t version,
-                                   base::Fence fence, base::TimePoint now) {
+  engine::EngineCommandReply execute(engine::EngineCommandKind kind, std::uint64_t version,
+                                     base::Fence fence, base::TimePoint now) {
     engine::EngineCommand command;
     command.kind = kind;
     command.version = {version};
@@ -74,29 +74,29 @@
 Test(engine_simulator, stale_fences_are_rejected) {
   EngineFixture fixture;
   using Kind = engine::EngineCommandKind;
-  cr_assert(fixture.order(Kind::kPrepareWeights, 2, {3, 1}, kStart).status ==
+  cr_assert(fixture.execute(Kind::kPrepareWeights, 2, {3, 1}, kStart).status ==
             engine::EngineCommandStatus::kAccepted);
-  cr_assert(fixture.order(Kind::kPrepareWeights, 1, {2, 9}, kStart).status ==
+  cr_assert(fixture.execute(Kind::kPrepareWeights, 1, {2, 9}, kStart).status ==
             engine::EngineCommandStatus::kStaleFence);
-  cr_assert(fixture.order(Kind::kActivateWeights, 2, {3, 2}, kStart).status ==
+  cr_assert(fixture.execute(Kind::kActivateWeights, 2, {3, 2}, kStart).status ==
             engine::EngineCommandStatus::kNotPrepared);
 }
 
-Test(engine_simulator, failed_swap_leaves_it_out_of_service_until_a_swap_succeeds) {
+Test(engine_simulator, engine_is_out_of_service_after_a_failed_swap_until_a_swap_succeeds) {
   EngineFixture fixture;
   using Kind = engine::EngineCommandKind;
-  fixture.order(Kind::kPrepareWeights, 2, {1, 1}, kStart);
+  fixture.execute(Kind::kPrepareWeights, 2, {1, 1}, kStart);
   fixture.runUntil(kStart + base::seconds(1));
   fixture.model.failNextSwap();
   fixture.model.submit(fixture.request(1, 900), kStart + base::seconds(1));
-  fixture.order(Kind::kActivateWeights, 2, {1, 2}, kStart + base::seconds(1));
+  fixture.execute(Kind::kActivateWeights, 2, {1, 2}, kStart + base::seconds(1));
   const engine::EngineOutput output = fixture.runUntil(kStart + base::seconds(3));
   cr_assert(output.ends.back().kind == engine::EndKind::kFailed);
   cr_assert_not(fixture.model.status().activeVersion.valid());
   cr_assert(fixture.model.submit(fixture.request(2, 5), kStart + base::seconds(3)).has_value());
-  fixture.order(Kind::kPrepareWeights, 2, {1, 3}, kStart + base::seconds(3));
+  fixture.execute(Kind::kPrepareWeights, 2, {1, 3}, kStart + base::seconds(3));
   fixture.runUntil(kStart + base::seconds(5));
-  fixture.order(Kind::kActivateWeights, 2, {1, 4}, kStart + base::seconds(5));
+  fixture.execute(Kind::kActivateWeights, 2, {1, 4}, kStart + base::seconds(5));
   fixture.runUntil(kStart + base::seconds(7));
   cr_assert_eq(fixture.model.status().activeVersion.value, 2U);
 }
--- a/test/ledger/ledger_state_test.cpp
+++ b/test/ledger/ledger_state_test.cpp
@@ -89,7 +89,7 @@
   cr_assert_eq(leased[2].sample.index, 0U);
 }
 
-Test(ledger_state, nothing_is_dropped_before_it_is_acknowledged) {
+Test(ledger_state, results_are_kept_until_acknowledged) {
   LedgerFixture fixture;
   fixture.submit(2);
   fixture.commit(0, 1, 1);
@@ -118,7 +118,7 @@
   cr_assert_eq(repeated.answer, "a");
 }
 
-Test(ledger_state, snapshot_holds_everything_and_claims_are_forgotten_after_retention) {
+Test(ledger_state, snapshot_restores_state_and_claims_expire_after_retention) {
   LedgerFixture fixture;
   fixture.submit(2);
   fixture.commit(0, 1, 9);
--- a/test/routing/routing_test.cpp
+++ b/test/routing/routing_test.cpp
@@ -78,7 +78,7 @@
   cr_assert(budget.tryAcquire());
 }
 
-Test(dispatch_queue, higher_classes_go_first_and_nobody_starves) {
+Test(dispatch_queue, higher_priorities_go_first_without_starvation) {
   routing::DispatchQueue queue({});
   queue.push(makeEntry(1, 5, "t/slow", 10));
   for (std::uint64_t task = 2; task < 40; ++task) {
@@ -119,7 +119,7 @@
   cr_assert_eq(dispatchNext(queue, kStart), 5U);
 }
 
-Test(outlier_detector, ejects_after_failures_and_returns_on_probation) {
+Test(outlier_detector, ejects_after_failures_and_becomes_half_open) {
   routing::OutlierDetector outliers({});
   const base::EngineId engine{7};
   outliers.onFailure(engine, kStart);
@@ -127,8 +127,8 @@
   cr_assert_not(outliers.isEjected(engine, kStart));
   outliers.onFailure(engine, kStart);
   cr_assert(outliers.isEjected(engine, kStart));
-  const base::TimePoint back = kStart + base::milliseconds(1001);
-  cr_assert_not(outliers.isEjected(engine, back));
+  const base::TimePoint afterEjection = kStart + base::milliseconds(1001);
+  cr_assert_not(outliers.isEjected(engine, afterEjection));
   cr_assert(outliers.isHalfOpen(engine));
   outliers.onSuccess(engine);
   cr_assert_not(outliers.isHalfOpen(engine));
@@ -153,10 +153,10 @@
   draining.draining = true;
   table.onStatus(draining, kStart);
   draining.draining = false;
-  table.onStatus(draining, kStart);  // the flag is reset
+  table.onStatus(draining, kStart);  // a status without the draining flag
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(selector.select(table, outliers, criteria, kStart)->value, 2U,
-                 "draining is sticky");
+                 "draining lasts until the next incarnation");
   }
 }
 
