--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -110,15 +110,15 @@
 }
 
 /// Returns the CPU usage of one node of a role, in percent of one core.
-double cpuPercent(const RoleCost& meter, double nodes, double seconds) {
-  return static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond / seconds / nodes *
+double cpuPercent(const RoleCost& cost, double nodes, double seconds) {
+  return static_cast<double>(cost.cpuNanoseconds) / kNanosecondsPerSecond / seconds / nodes *
          kPercent;
 }
 
 /// Returns the bytes that one node of a role sends and receives per second.
-double bytesPerSecond(const RoleCost& meter, double nodes, double seconds) {
+double bytesPerSecond(const RoleCost& cost, double nodes, double seconds) {
   const auto bytes =
-      static_cast<double>(RoleCost::totalBytes(meter.sent) + RoleCost::totalBytes(meter.received));
+      static_cast<double>(RoleCost::totalBytes(cost.sent) + RoleCost::totalBytes(cost.received));
   return bytes / seconds / nodes;
 }
 
@@ -237,14 +237,14 @@
       apply.changes.push_back(change);
     }
     const base::Bytes command = base::encode(control::ControlCommand{"capacity", apply});
-    RoleCost meter;
+    RoleCost cost;
     {
-      const simulation::CpuTimer timer(&meter);
+      const simulation::CpuTimer timer(&cost);
       (void)state.apply(1, command);
     }
     table.row({static_cast<double>(workloads), static_cast<double>(state.takeSnapshot().size()),
                static_cast<double>(heapBytes() - before),
-               static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond * kMillisPerSecond,
+               static_cast<double>(cost.cpuNanoseconds) / kNanosecondsPerSecond * kMillisPerSecond,
                static_cast<double>(base::encode(state.deltaSince({})).size())});
   }
 }
@@ -257,12 +257,12 @@
     constexpr std::uint32_t kTokens = 300;
     const std::size_t before = heapBytes();
     ledger::LedgerState state;
-    RoleCost meter;
-    RoleCost snapshotMeter;
+    RoleCost cost;
+    RoleCost snapshotCost;
     std::uint64_t index = 0;
     const auto apply = [&](const ledger::LedgerOperation& operation) {
       const base::Bytes command = base::encode(ledger::LedgerCommand{0, operation});
-      const simulation::CpuTimer timer(&meter);
+      const simulation::CpuTimer timer(&cost);
       return base::decode<ledger::LedgerResult>(state.apply(++index, command));
     };
     ledger::SubmitBatch submit{{"t/capacity"}, {"t/train"}, "default", {1}, {}};
@@ -282,14 +282,14 @@
     const std::size_t heap = heapBytes() - before;
     std::size_t snapshot = 0;
     {
-      const simulation::CpuTimer timer(&snapshotMeter);
+      const simulation::CpuTimer timer(&snapshotCost);
       snapshot = state.takeSnapshot().size();
     }
     constexpr double kNanosecondsPerMicrosecond = 1e3;
     table.row({static_cast<double>(samples), static_cast<double>(snapshot),
                static_cast<double>(heap),
-               static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerMicrosecond / samples,
-               static_cast<double>(snapshotMeter.cpuNanoseconds) / kNanosecondsPerSecond *
+               static_cast<double>(cost.cpuNanoseconds) / kNanosecondsPerMicrosecond / samples,
+               static_cast<double>(snapshotCost.cpuNanoseconds) / kNanosecondsPerSecond *
                    kMillisPerSecond});
   }
 }
@@ -306,16 +306,16 @@
     options.load.trainingTime = base::seconds(1);
     options.loadDuration = base::seconds(30);
     const RunResult result = runOnce(options);
-    const RoleCost& meter = result.roleCosts[kLedger];
+    const RoleCost& cost = result.roleCosts[kLedger];
     const auto delivered = static_cast<double>(result.statistics.samplesDelivered);
     table.row({static_cast<double>(samples),
-               static_cast<double>(meter.cpuNanoseconds) / kNanosecondsPerSecond *
-                   kMillisPerSecond / delivered,
-               static_cast<double>(RoleCost::totalBytes(meter.sent)) / delivered});
+               static_cast<double>(cost.cpuNanoseconds) / kNanosecondsPerSecond * kMillisPerSecond /
+                   delivered,
+               static_cast<double>(RoleCost::totalBytes(cost.sent)) / delivered});
   }
 }
 
-/// A measured series; `folder` is where its data file is written, empty for none.
+/// A benchmark. `measure` writes a data file to `folder` unless `folder` is empty.
 struct Benchmark {
   std::string name;
   void (*measure)(const std::string& folder);
--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -103,8 +103,8 @@
   double worst = 0;
 };
 
-/// Measures plans of the queue while all engines are full except for the slots that one gateway in
-/// a hundred has released.
+/// Measures queue plans while all engine slots are leased except those that one in a hundred
+/// gateways has released.
 PlanCost measurePlans(std::uint32_t items, std::uint32_t engines, jobs::SchedulerPolicy policy) {
   constexpr std::uint32_t kPlans = 100;
   constexpr std::uint32_t kGatewaysPerRelease = 100;
--- a/bench/placement/main.cpp
+++ b/bench/placement/main.cpp
@@ -104,7 +104,7 @@
 }  // namespace
 
 int main() {
-  std::printf("microseconds\n%8s %10s %14s %20s\n", "engines", "an item", "a plan's begin",
+  std::printf("microseconds\n%8s %10s %14s %20s\n", "engines", "per item", "plan start",
               "interval reports");
   for (const std::uint32_t engines : {100U, 1000U, 10000U}) {
     const Costs costs = measure(engines);
--- a/test/integration/cluster_test.cpp
+++ b/test/integration/cluster_test.cpp
@@ -152,7 +152,7 @@
   cluster.start(cluster.machine(controller), false);
   cluster.start(cluster.machine(ledger), false);
 
-  // Each ledger loses its disk and becomes a voter again before the next one does.
+  // The ledgers lose their disks one by one; each must be a voter again before the next loss.
   for (int i = 1; i <= 3; ++i) {
     const std::string address = "127.0.2." + std::to_string(i);
     const std::string voterLogLine = "voters=3 learners=0";
--- a/test/integration/fake_engine.h
+++ b/test/integration/fake_engine.h
@@ -26,10 +26,10 @@
 /// Speed and initial weights of a fake engine.
 struct FakeEngineOptions {
   base::Duration eventInterval{0};  ///< time between two events of a stream
-  /// Time to load weights, during which requests are rejected; zero: load commands are accepted but
-  /// never carried out.
+  /// Time to load weights, during which requests are rejected. If zero, load commands are accepted
+  /// but never executed.
   base::Duration loadTime{0};
-  EngineVersions versions = {{"m", 1}};  ///< loaded at its start
+  EngineVersions versions = {{"m", 1}};  ///< weights loaded at startup
 };
 
 /// HTTP server that responds to each request with a stream of numbered events, loads weights on
@@ -41,25 +41,25 @@
   FakeEngine(const FakeEngine&) = delete;
   FakeEngine& operator=(const FakeEngine&) = delete;
 
-  /// From now on, each stream stops after its first event and is left open.
+  /// Makes each stream stop after its first event and stay open.
   void stallStreams() { m_stallStreams = true; }
-  /// From now on, a request whose path starts with `pathPrefix` crashes the engine: all connections
-  /// are closed and no further ones are accepted.
+  /// Makes the engine crash on a request whose path starts with `pathPrefix`: it closes all
+  /// connections and accepts no new ones.
   void crashOn(const std::string& pathPrefix);
   [[nodiscard]] bool hasCrashed() const { return m_crashed; }
-  /// Returns the number of load commands that it has accepted.
+  /// Returns the number of accepted load commands.
   [[nodiscard]] std::size_t loadCommandCount() const { return m_loadCommandCount; }
   [[nodiscard]] EngineVersions versions() const;
   /// Returns the number of streams that were left open.
   [[nodiscard]] std::size_t stalledStreams() const;
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
-  /// Heartbeats advertise this port instead of its own, for example that of a proxy.
+  /// Sets the port that heartbeats advertise instead of the engine's own, for example a proxy's.
   void advertise(std::uint16_t port) { m_advertisedPort = port; }
   /// Returns a heartbeat as JSON; a `startTime` of zero is omitted.
   [[nodiscard]] runtime::Json heartbeat(std::uint64_t sequence, std::uint64_t startTime = 0) const;
   [[nodiscard]] const std::string& id() const { return m_id; }
-  /// Counts requests so far whose path starts with `pathPrefix`, by tenant. Requests that carry an
-  /// API key are counted under "key".
+  /// Returns the number of requests whose path starts with `pathPrefix`, by tenant. Requests with
+  /// an API key are counted under "key".
   [[nodiscard]] std::map<std::string, int> requestsByTenant(const std::string& pathPrefix) const;
 
  private:
--- a/test/integration/fleet.h
+++ b/test/integration/fleet.h
@@ -55,13 +55,13 @@
     return m_folder + "/" + node.folder;
   }
 
-  // Calls of operators.
+  // Operator calls.
   /// Posts to the controllers until one responds with a status other than 421 and 503.
   HttpResponse callController(const std::string& path, const Json& body);
   /// Sets a value at a path of the settings tree and returns the response.
   HttpResponse setSetting(const std::string& path, const std::string& key, const Json& value);
 
-  // Calls of callers and trainers.
+  // Caller and trainer calls.
   [[nodiscard]] HttpResponse requestCompletion(const Node& gateway, const Json& body,
                                                const std::string& key = "") const;
   /// Submits a batch of samples with the given lengths; retries until it is accepted.
--- a/test/integration/fleet_test.cpp
+++ b/test/integration/fleet_test.cpp
@@ -1,5 +1,5 @@
-/// Tests with real processes behind the fault proxy. They wait for conditions, never for fixed
-/// times.
+/// Tests with real processes behind the fault proxy. They wait for conditions instead of
+/// fixed delays.
 #include "integration/fleet.h"
 
 #include <arpa/inet.h>
@@ -202,14 +202,14 @@
         const Json voters = fleet.controllerStatus(fleet.leader())["control"]["voters"];
         return std::find(voters.begin(), voters.end(), Json(identity)) != voters.end();
       },
-      "the new machine votes");
+      "the new machine is a voter");
   waitUntil(
       [&] {
         return fleet.callController("members", {{"node", oldIdentity}, {"remove", true}}).status ==
                200;
       },
       "the lost identity is removed");
-  // Loses a second controller immediately after.
+  // Kills a second controller right after the replacement and deletes its data.
   second->process->kill();
   std::filesystem::remove_all(fleet.directoryOf(*second) + "/data");
   const HttpResponse changed = fleet.setSetting("t", "token_limit", 112);
--- a/test/integration/process.h
+++ b/test/integration/process.h
@@ -57,8 +57,7 @@
 /// Sends a request on a curl handle, which keeps its connection open for the next request.
 [[nodiscard]] HttpResponse sendRequestOn(void* connection, const HttpRequest& request);
 
-/// Polls until the condition holds; fails the test after a timeout far longer than any healthy run
-/// needs.
+/// Polls until the condition holds; fails the test after a timeout.
 void waitUntil(const std::function<bool()>& condition, const std::string& what);
 
 }  // namespace tackpick::test
--- a/test/integration/quarantine_test.cpp
+++ b/test/integration/quarantine_test.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t kMaxCrashes = 3;
 /// Time after which a crashed engine is replaced.
 constexpr auto kRestartDelay = std::chrono::milliseconds(400);
-/// Time within which all gateways must learn of crashes that one of them has seen.
+/// Time within which crashes detected by one gateway must be known to all gateways.
 constexpr auto kPropagationTime = std::chrono::milliseconds(3000);
 
 /// Engines that crash on requests to `path`. Each crashed engine is replaced by a new one.
@@ -128,7 +128,7 @@
   cr_assert_geq(engines.crashCount(), kMaxCrashes);
 }
 
-/// Returns the quarantined requests as operators see them.
+/// Returns the quarantined requests from the operators' API.
 Json readQuarantine(Cluster& cluster) {
   return Json::parse(cluster.callController("GET", "/v1/quarantine", nullptr).body)["held"];
 }
@@ -166,7 +166,7 @@
     const HttpResponse response = client.send("/q/end");
     cr_expect(response.status == kBadGateway, "expected 502 since earlier attempts ran, got %d",
               response.status);
-    cr_expect(response.headers.contains("retry-after"), "the response names a retry delay");
+    cr_expect(response.headers.contains("retry-after"), "the response has a Retry-After header");
     cr_expect_neq(response.status, kUnavailable, "503 would mean that the request never ran");
     engines.replaceCrashed();
     waitUntil([&] { return client.send("/q/sound").status == kOk; }, "other requests are served");
@@ -220,7 +220,7 @@
       "a released request is sent again");
 }
 
-// Guards against an item that crashes one engine after the other until its time is over.
+// Guards against an item that crashes engine after engine until its queue timeout expires.
 Test(quarantine, crashing_item_is_quarantined_and_others_complete) {
   Cluster cluster({.gateways = kGatewayCount});
   RoundRobinClient client(cluster);
--- a/test/integration/soak_test.cpp
+++ b/test/integration/soak_test.cpp
@@ -4,7 +4,7 @@
 ///
 /// TACKPICK_SOAK_SEEDS=101-150 selects the seeds. TACKPICK_SOAK_GATEWAYS=40 selects a larger
 /// cluster with that number of gateways and with five controllers and five ledgers. There is no
-/// spare ledger, since it would take the place of the replacement that the test waits for.
+/// spare ledger, since it would become a voter instead of the replacement.
 #include <criterion/criterion.h>
 
 #include <chrono>
@@ -108,7 +108,7 @@
     return m_cluster.machine(all.at(m_random.below(all.size())));
   }
 
-  /// Injects a random fault. Faults overlap: the recovery is scheduled in m_recoveries.
+  /// Injects a random fault and schedules its recovery, so faults can overlap.
   void injectFault() {
     test::Machine& machine = randomMachine();
     const std::string address = machine.address;
@@ -126,7 +126,7 @@
         scheduleRecovery(address, 3000, [&machine] { machine.process->signal(SIGCONT); });
         break;
       case 2:
-        // A process that has not started yet would be terminated by the signal itself.
+        // A process that has not started yet has no SIGTERM handler.
         if (!m_cluster.hasStarted(machine)) {
           return;
         }
@@ -141,8 +141,7 @@
         });
         break;
       case 3:
-        // A process that has not started yet would be terminated by the signal, and nothing would
-        // restart it.
+        // A process that has not started yet would be terminated by SIGHUP and not restarted.
         if (m_cluster.hasStarted(machine)) {
           machine.process->signal(SIGHUP);
         }
@@ -200,8 +199,8 @@
             newAddress + " votes");
   }
 
-  /// Three crashes quarantine the request, and three trials may follow. Crashes that a gateway did
-  /// not report before it was killed itself come on top.
+  /// Checks the number of engine crashes: three before the request is quarantined, up to three
+  /// trials afterwards, and crashes that a gateway did not report because it was killed.
   void checkCrashCount() {
     constexpr std::size_t kMaxCrashes = 6;
     constexpr std::size_t kMaxUnreportedCrashes = 4;
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -128,7 +128,7 @@
 }
 
 Test(platform_json, invalid_scaling_is_rejected) {
-  // Values that the parser accepts must be rejected by the validation of the controllers.
+  // Either the parser or directory::validate() must reject each value.
   for (const std::string scaling :
        {R"(7)", R"("x")", R"([])", R"({})", R"({"minimum":-1,"maximum":3})",
         R"({"minimum":1,"maximum":2.5})", R"({"minimum":4,"maximum":3})",
@@ -398,8 +398,8 @@
 
 }  // namespace
 
-// A malformed heartbeat must not register an instance: one with billions of slots would attract all
-// work, one with an invalid address would lose it.
+// Guards against registering an instance from a malformed heartbeat. Work would be sent to an
+// instance that has an invalid address or far fewer slots than reported.
 Test(platform_json, unusable_heartbeats_are_rejected) {
   cr_assert(heartbeatOf(heartbeatCall(kHeartbeat)).has_value());
   const std::vector<std::string> unusable = {
@@ -498,7 +498,7 @@
         mutated.insert(at, mutated.substr(random.below(mutated.size()), random.below(30)));
         break;
       default: {
-        // Replaces the value behind a colon.
+        // Replaces the value after a colon.
         const std::size_t colon = mutated.find(':', at);
         if (colon != std::string::npos) {
           const std::size_t end = mutated.find_first_of(",}]", colon);
