--- a/apps/emulator/main.cpp
+++ b/apps/emulator/main.cpp
@@ -33,8 +33,8 @@
   std::uint16_t adminPort = 0;
   std::string portFile;
   std::vector<std::uint16_t> enginePorts;  ///< empty: chosen by the operating system
-  std::vector<std::uint16_t>
-      announcePorts;  ///< ports to announce instead, such as those of a proxy
+  /// Ports to announce instead of the engines' ports, for example the ports of a proxy.
+  std::vector<std::uint16_t> announcePorts;
   std::uint64_t seed = 1;
   std::uint64_t storeBytesPerSecond = 0;
   engine::EngineSimulatorSettings model;
--- a/apps/faultproxy/route.cpp
+++ b/apps/faultproxy/route.cpp
@@ -98,7 +98,7 @@
     return;
   }
   asio::error_code ignored;
-  // Resets the connections, so that the peers do not take this for an orderly end.
+  // Resets the connections, so that the peers do not mistake this for an orderly shutdown.
   m_client.set_option(asio::socket_base::linger(true, 0), ignored);
   target_.set_option(asio::socket_base::linger(true, 0), ignored);
   m_client.close(ignored);
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -107,7 +107,7 @@
 void Callers::onEvent(Call& call, std::string_view data) {
   const Json event = Json::parse(data, nullptr, false);
   if (!event.is_object()) {
-    return;  // [DONE]
+    return;  // the final `[DONE]` event
   }
   if (event.contains("error")) {
     call.failed = true;
--- a/apps/load/main.cpp
+++ b/apps/load/main.cpp
@@ -38,7 +38,7 @@
   bool execute() {
     started_at_ = clock_.now();
     const base::TimePoint end = started_at_ + options_.duration;
-    // Time for outstanding work after the load has ended.
+    // Maximum time for outstanding work after the load has ended.
     constexpr base::Duration kCompletionTimeout = base::seconds(90);
     m_deadline = end + kCompletionTimeout;
     callers_.start(end);
--- a/apps/sim/main.cpp
+++ b/apps/sim/main.cpp
@@ -45,8 +45,8 @@
   return seeds.first <= seeds.last ? std::optional(seeds) : std::nullopt;
 }
 
-/// Runs the seeds on several threads, each simulation on one of them. Returns the results in the
-/// order of the seeds.
+/// Runs the simulations of all seeds in parallel, each on a single thread. Returns the results in
+/// the order of the seeds.
 std::vector<RunResult> runSeeds(const RunOptions& options) {
   std::atomic<std::uint64_t> next{options.seeds.first};
   std::atomic<bool> failed{false};
@@ -86,7 +86,7 @@
     std::cout << "  seed " << result.seed << " at "
               << tackpick::base::toSeconds(violation.at.time_since_epoch())
               << " s: " << tackpick::simulation::toString(violation.invariant) << ": "
-              << violation.what << '\n';
+              << violation.description << '\n';
   }
 }
 
--- a/apps/tackpickctl/commands.cpp
+++ b/apps/tackpickctl/commands.cpp
@@ -128,8 +128,8 @@
   }
 }
 
-/// Returns the changes that turn the current settings into the declarations of -f. Returns
-/// std::nullopt on failure and sets `exitCode`.
+/// Returns the changes that turn the current settings into the declared ones (option -f). Returns
+/// std::nullopt and sets `exitCode` on failure.
 std::optional<Json> plannedChanges(const Invocation& invocation, Nodes& current, int& exitCode) {
   exitCode = kUsageError;
   bool valid = true;
--- a/apps/tackpickctl/commands.h
+++ b/apps/tackpickctl/commands.h
@@ -14,7 +14,7 @@
 inline constexpr int kRejected = 1;      ///< the controllers rejected the change
 inline constexpr int kUsageError = 2;    ///< wrong flags or files
 inline constexpr int kUnreachable = 3;   ///< no leader answered
-inline constexpr int kConflictExit = 4;  ///< the node was changed by someone else
+inline constexpr int kConflictExit = 4;  ///< the settings node was changed concurrently
 inline constexpr int kDiffers = 5;       ///< `diff` found differences
 
 /// Parsed command line.
--- a/apps/tackpickctl/main.cpp
+++ b/apps/tackpickctl/main.cpp
@@ -63,7 +63,7 @@
       "arguments", "arguments", cxxopts::value<std::vector<std::string>>())(
       "controllers", "URLs of the controllers, separated by commas (TACKPICK_CONTROLLERS)",
       cxxopts::value<std::string>()->default_value(environmentVariable("TACKPICK_CONTROLLERS")))(
-      "token-file", "file with the operator's token (default: TACKPICK_TOKEN)",
+      "token-file", "file with the operator's token (default: the token in TACKPICK_TOKEN)",
       cxxopts::value<std::string>()->default_value(""))(
       "f,folder", "folder or file with declarations",
       cxxopts::value<std::string>()->default_value(""))(
--- a/apps/tackpickctl/quarantine_commands.cpp
+++ b/apps/tackpickctl/quarantine_commands.cpp
@@ -51,7 +51,7 @@
     return kUnreachable;
   }
   if (response.status != kOk) {
-    std::cerr << "no held request has this fingerprint\n";
+    std::cerr << "no quarantined request has this fingerprint\n";
     return kRejected;
   }
   std::cout << "released\n";
--- a/apps/tackpickctl/work_commands.cpp
+++ b/apps/tackpickctl/work_commands.cpp
@@ -14,8 +14,8 @@
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-/// Calls each controller at most once. A controller asks the leaders of both groups itself, and
-/// without a leader the command should fail without retries.
+/// Calls each controller at most once, without retries. Every controller queries the leaders of
+/// both groups, so that further calls would not help if a leader is missing.
 ControlResponse fetchWork(const ControlAddress& address) {
   ControlResponse last;
   for (const std::string& url : address.urls) {
--- a/apps/tackpickctl/work_table.cpp
+++ b/apps/tackpickctl/work_table.cpp
@@ -11,7 +11,7 @@
 
 /// Description of a section.
 struct Section {
-  std::string name;   ///< also the field with its rows
+  std::string name;   ///< name of the section and of the field with its rows
   std::string group;  ///< group whose leader returns the section
   std::string total;  ///< field with the total number of rows; empty if no rows are omitted
   std::vector<std::string> columns;        ///< fields of a row that are shown
--- a/apps/tackpickd/main.cpp
+++ b/apps/tackpickd/main.cpp
@@ -133,8 +133,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  // SIGHUP asks for a reload of the settings and must not end the process before its handler is
-  // installed.
+  // SIGHUP requests a reload of the settings. It is ignored until its handler is installed, because
+  // its default action ends the process.
   std::signal(SIGHUP, SIG_IGN);
   configureMalloc();
   telemetry::initialiseLogging("tackpickd");
--- a/src/emulator/emulated_engine.h
+++ b/src/emulator/emulated_engine.h
@@ -37,7 +37,7 @@
   [[nodiscard]] const EmulatedEngineSettings& settings() const { return settings_; }
   [[nodiscard]] engine::EngineSimulator& model() { return model_; }
   /// Returns the number of executions of not-repeatable requests, identified by prompt and seed,
-  /// beyond the first of each. Must be zero.
+  /// beyond the first execution of each request. Must be zero.
   [[nodiscard]] std::uint64_t notRepeatableDuplicates() const;
 
  private:
--- a/src/emulator/emulated_platform.cpp
+++ b/src/emulator/emulated_platform.cpp
@@ -53,19 +53,19 @@
   const base::TimePoint now = clock_.now();
   for (const control::MachineListEntry& machine :
        runtime::parseMachineList(body).value_or(std::vector<control::MachineListEntry>{})) {
-    SeenMachine& known = m_machines[machine.engine.engine];
+    AnnouncedMachine& known = m_machines[machine.engine.engine];
     if (machine.engine.incarnation < known.machine.engine.incarnation) {
       continue;
     }
     if (machine.engine.incarnation != known.machine.engine.incarnation) {
       known = {};
-      known.firstSeenAt = now;
+      known.firstAnnouncedAt = now;
     }
     if (machine.engine.draining && !known.machine.engine.draining) {
-      known.drainingSeenAt = now;
+      known.drainingAnnouncedAt = now;
     }
     known.machine = machine;
-    known.lastSeenAt = now;
+    known.lastAnnouncedAt = now;
   }
 }
 
@@ -73,13 +73,14 @@
   const base::TimePoint now = clock_.now();
   std::vector<control::MachineListEntry> list;
   for (const auto& [id, known] : m_machines) {
-    const bool visible = now - known.firstSeenAt >= settings_.listLag &&
-                         now - known.lastSeenAt < settings_.announceTimeout + settings_.listLag;
+    const bool visible =
+        now - known.firstAnnouncedAt >= settings_.listLag &&
+        now - known.lastAnnouncedAt < settings_.announceTimeout + settings_.listLag;
     if (!visible) {
       continue;
     }
     control::MachineListEntry machine = known.machine;
-    const bool drainingVisible = now - known.drainingSeenAt >= settings_.listLag;
+    const bool drainingVisible = now - known.drainingAnnouncedAt >= settings_.listLag;
     machine.engine.draining = machine.engine.draining && drainingVisible;
     list.push_back(machine);
   }
--- a/src/emulator/emulated_platform.h
+++ b/src/emulator/emulated_platform.h
@@ -34,11 +34,11 @@
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
 
  private:
-  struct SeenMachine {
+  struct AnnouncedMachine {
     control::MachineListEntry machine;
-    base::TimePoint firstSeenAt{};
-    base::TimePoint lastSeenAt{};
-    base::TimePoint drainingSeenAt{};
+    base::TimePoint firstAnnouncedAt{};
+    base::TimePoint lastAnnouncedAt{};
+    base::TimePoint drainingAnnouncedAt{};
   };
 
   void handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
@@ -49,7 +49,7 @@
   asio::io_context& context_;
   const EmulatedPlatformSettings settings_;
   base::MonotonicTimeSource clock_;
-  std::map<base::EngineId, SeenMachine> m_machines;
+  std::map<base::EngineId, AnnouncedMachine> m_machines;
   http::Server server_;
 };
 
--- a/src/simulation/caller_actor.cpp
+++ b/src/simulation/caller_actor.cpp
@@ -62,7 +62,7 @@
   planned.request.stream = random.chance(load.streamFraction);
   planned.request.notRepeatable = planned.sent.notRepeatable;
   planned.request.key = {"key-" + std::to_string(m_lastRequestNumber)};
-  // Requests the accepted limit itself, which a gateway with an older configuration would reject.
+  // Requests exactly the accepted token limit, which a gateway with older settings would reject.
   planned.sent.maximumTokens = static_cast<std::uint32_t>(environment_.checker.acceptedCounter());
   planned.request.maximumTokens = planned.sent.maximumTokens;
   const bool resend = planned.sent.notRepeatable && random.chance(load.resendFraction);
--- a/src/simulation/environment.cpp
+++ b/src/simulation/environment.cpp
@@ -14,13 +14,13 @@
 Environment::~Environment() = default;
 
 SimulatedNode* Environment::node(std::uint32_t number) {
-  const bool known = number >= 1 && number <= nodes.size();
-  return known ? nodes[number - 1].get() : nullptr;
+  const bool exists = number >= 1 && number <= nodes.size();
+  return exists ? nodes[number - 1].get() : nullptr;
 }
 
 SimulatedEngine* Environment::engine(base::EngineId id) {
-  const bool known = id.value >= 1 && id.value <= engines.size();
-  return known ? engines[id.value - 1].get() : nullptr;
+  const bool exists = id.value >= 1 && id.value <= engines.size();
+  return exists ? engines[id.value - 1].get() : nullptr;
 }
 
 base::Duration Environment::randomDuration(base::Duration min, base::Duration max) {
--- a/src/simulation/environment.h
+++ b/src/simulation/environment.h
@@ -45,8 +45,8 @@
   std::vector<std::unique_ptr<SimulatedEngine>> engines;
   std::unique_ptr<SimulatedPlatform> platform;
 
-  /// Return the node or engine of a number, or null. Numbers start at one, in the order of the
-  /// lists.
+  /// Returns the node or engine with the given number, or null. Numbers start at one and follow the
+  /// order of `nodes` and `engines`.
   [[nodiscard]] SimulatedNode* node(std::uint32_t number);
   [[nodiscard]] SimulatedEngine* engine(base::EngineId id);
   [[nodiscard]] base::Duration randomDuration(base::Duration min, base::Duration max);
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -10,7 +10,7 @@
 
 constexpr base::Duration kMinOutage = base::milliseconds(20);
 constexpr base::Duration kMaxOutage = base::milliseconds(2500);
-/// Longer than every lease.
+/// Minimum duration of a suspension; longer than every lease.
 constexpr base::Duration kMinSuspension = base::milliseconds(300);
 constexpr base::Duration kMaxSuspension = base::seconds(8);
 constexpr base::Duration kMembershipRetryInterval = base::milliseconds(150);
@@ -191,21 +191,21 @@
                                   });
 }
 
-void FaultInjector::isolateFromGroup(SimulatedNode* leader, base::Duration max) {
-  environment_.writeTraceLine("node " + std::to_string(leader->number()) +
+void FaultInjector::isolateFromGroup(SimulatedNode* node, base::Duration max) {
+  environment_.writeTraceLine("node " + std::to_string(node->number()) +
                               " is partitioned from its group");
-  const auto others = nodesWithRole(leader->role());
+  const auto others = nodesWithRole(node->role());
   for (const SimulatedNode* other : others) {
-    environment_.network.partition(leader->machine(), other->machine());
-    environment_.network.partition(other->machine(), leader->machine());
+    environment_.network.partition(node->machine(), other->machine());
+    environment_.network.partition(other->machine(), node->machine());
   }
-  environment_.loop.scheduleAfter(
-      environment_.randomDuration(base::seconds(1), max), [this, leader, others] {
-        for (const SimulatedNode* other : others) {
-          environment_.network.heal(leader->machine(), other->machine());
-          environment_.network.heal(other->machine(), leader->machine());
-        }
-      });
+  environment_.loop.scheduleAfter(environment_.randomDuration(base::seconds(1), max),
+                                  [this, node, others] {
+                                    for (const SimulatedNode* other : others) {
+                                      environment_.network.heal(node->machine(), other->machine());
+                                      environment_.network.heal(other->machine(), node->machine());
+                                    }
+                                  });
 }
 
 void FaultInjector::deposeLeader() {
@@ -304,9 +304,9 @@
       m_rolesUnderRepair.erase(role);
       return;
     }
-    const transport::MembershipRequest request{node->replica()->group(), {}, added, false};
+    const transport::MembershipRequest addition{node->replica()->group(), {}, added, false};
     const transport::MembershipRequest removal{node->replica()->group(), {}, lost, true};
-    const auto& next = membership.isVoter(added) ? removal : request;
+    const auto& next = membership.isVoter(added) ? removal : addition;
     node->post(node->epoch(), [node, next] { node->receive({}, next); });
   }
   environment_.loop.scheduleAfter(kMembershipRetryInterval,
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -37,7 +37,7 @@
   [[nodiscard]] SimulatedNode* randomNodeWithRole(NodeRole role) {
     return randomNode(nodesWithRole(role));
   }
-  /// Returns usually a replica that considers itself the leader, otherwise any node of the role.
+  /// Usually returns a node that considers itself the leader, otherwise a random node of the role.
   [[nodiscard]] SimulatedNode* leaderOrRandom(NodeRole role);
   [[nodiscard]] SimulatedEngine* randomEngine();
 
@@ -48,8 +48,8 @@
   void partitionLink();
   /// Partitions the node from the other nodes of its role for up to `max`.
   void isolateFromGroup(SimulatedNode* node, base::Duration max);
-  /// Partitions one controller from the leader, then the leader from all controllers, so that the
-  /// first one can be elected.
+  /// Partitions one controller from the leader, then the leader from all controllers, so that
+  /// the controller that was partitioned first can be elected.
   void deposeLeader();
   void killAllControllers();
   void failSync();
--- a/src/simulation/invariant_checker.cpp
+++ b/src/simulation/invariant_checker.cpp
@@ -40,9 +40,9 @@
   return "unknown";
 }
 
-void InvariantChecker::reportViolation(Invariant invariant, std::string what) {
+void InvariantChecker::reportViolation(Invariant invariant, std::string description) {
   if (violations_.size() < kMaxViolations) {
-    violations_.push_back({invariant, clock_.now(), std::move(what)});
+    violations_.push_back({invariant, clock_.now(), std::move(description)});
   }
 }
 
@@ -184,10 +184,10 @@
 }
 
 void InvariantChecker::onMinVersionRaised(const base::BatchId& batch, std::uint32_t position,
-                                          base::WeightsVersion oldest) {
+                                          base::WeightsVersion minVersion) {
   BatchRecord& record = batches_[batch];
   record.minVersionFrom = position;
-  record.raisedMinVersion = oldest;
+  record.raisedMinVersion = minVersion;
 }
 
 void InvariantChecker::onChangeAccepted(const std::string& requestId, base::Revision revision,
--- a/src/simulation/invariant_checker.h
+++ b/src/simulation/invariant_checker.h
@@ -40,7 +40,7 @@
 struct Violation {
   Invariant invariant = Invariant::kLiveness;
   base::TimePoint at{};
-  std::string what;  ///< description for the log
+  std::string description;
 };
 
 /// A request as its caller sent it.
@@ -100,7 +100,7 @@
   // Engines.
   void onRequestDispatched(base::EngineId engine, base::Incarnation incarnation);
   void onEngineDraining(base::EngineId engine, base::Incarnation incarnation);
-  /// Call before an operator ends a drain.
+  /// Ends the check for new work on a draining engine. Call before an operator ends a drain.
   void onDrainEnding(base::EngineId engine, base::Incarnation incarnation) {
     m_drainingSince.erase({engine, incarnation});
   }
@@ -119,9 +119,9 @@
   void onSample(const SentBatch& batch, std::uint32_t position, const ledger::SampleResult& sample);
   void onBatchMissing(const SentBatch& batch);
   void onBatchComplete(const SentBatch& batch);
-  /// Requires that samples from `position` on have at least the version `oldest`.
+  /// Requires that samples from `position` on have at least the version `minVersion`.
   void onMinVersionRaised(const base::BatchId& batch, std::uint32_t position,
-                          base::WeightsVersion oldest);
+                          base::WeightsVersion minVersion);
 
   // Operators. Each change increments a counter that is stored as a setting.
   void onChangeAccepted(const std::string& requestId, base::Revision revision,
@@ -131,7 +131,7 @@
   void onCounterRead(std::int64_t counter, std::int64_t acceptedBefore);
   [[nodiscard]] std::int64_t acceptedCounter() const { return accepted_counter_; }
 
-  void reportViolation(Invariant invariant, std::string what);
+  void reportViolation(Invariant invariant, std::string description);
   /// Runs the checks that need the complete run. `finalCounters` holds the counter in the view of
   /// each running gateway.
   void checkFinalState(const std::vector<std::int64_t>& finalCounters);
--- a/src/simulation/operator_actor.cpp
+++ b/src/simulation/operator_actor.cpp
@@ -71,7 +71,7 @@
         if (outcome != nullptr) {
           onOutcome(*outcome);
         } else {
-          // This controller is not or no longer the leader: try again at a random one.
+          // The controller is not the leader. Retries at a random controller.
           environment_.loop.scheduleAfter(kRetryDelay, [this, isCurrent] {
             if (isCurrent()) {
               submit();
--- a/src/simulation/operator_actor.h
+++ b/src/simulation/operator_actor.h
@@ -12,7 +12,7 @@
 namespace tackpick::simulation {
 
 /// Repeatedly reads the counter in the root settings node and submits a change that increments it,
-/// with the revision that was read as the expected one. Resends changes that were not answered.
+/// expecting the revision that was read. Resends changes that were not answered.
 class OperatorActor {
  public:
   OperatorActor(Environment& environment, std::uint32_t number)
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -29,11 +29,11 @@
   base::Duration suspendNode{0};  ///< suspends a node for longer than every lease
   /// Drops messages between a node and another node or an engine, in one or both directions.
   base::Duration partitionLink{0};
-  base::Duration deposeLeader{0};  ///< partitions one controller from the leader, then all of them
+  base::Duration deposeLeader{0};  ///< partitions one, then all controllers from the leader
   /// Partitions the leading controller from the other controllers.
   base::Duration isolateLeader{0};
   base::Duration loseDisk{0};            ///< the machine is replaced by a new one
-  base::Duration failSync{0};            ///< syncs of a replica's disk fail; then it is restarted
+  base::Duration failSync{0};            ///< syncs of a replica's disk fail until it is restarted
   base::Duration stopController{0};      ///< graceful shutdown and restart
   base::Duration stopLedger{0};          ///< graceful shutdown and restart
   base::Duration stopGateway{0};         ///< graceful shutdown and restart
--- a/src/simulation/role_cost.h
+++ b/src/simulation/role_cost.h
@@ -36,7 +36,7 @@
   }
 };
 
-/// Adds the thread CPU time of its scope to a RoleCost. Does nothing if that is null.
+/// Adds the CPU time that the thread spends in the timer's scope to a RoleCost, unless it is null.
 class CpuTimer {
  public:
   explicit CpuTimer(RoleCost* roleCost) : m_roleCost(roleCost) {
--- a/src/simulation/simulated_disk.h
+++ b/src/simulation/simulated_disk.h
@@ -31,7 +31,7 @@
   void crash(base::Random& random);
   /// Simulates the loss of the disk: removes all files.
   void wipe();
-  /// Lets all syncs fail until repair() is called.
+  /// Makes all syncs fail until repair() is called.
   void failSyncs() { m_failSyncs = true; }
   void repair() { m_failSyncs = false; }
   /// Flips a bit in the first half of the largest file.
--- a/src/simulation/simulated_engine.h
+++ b/src/simulation/simulated_engine.h
@@ -25,7 +25,7 @@
                   engine::WeightStore& store);
 
   void start();
-  /// Ends the process; the gateways see their streams as lost.
+  /// Ends the process. The streams to gateways end as lost connections.
   void crash();
   [[nodiscard]] bool isRunning() const { return model_.has_value(); }
   /// Sets the draining flag that the engine itself reports.
@@ -38,7 +38,7 @@
   /// Sends the status and the cache events since the previous read to `gateway`.
   void read(ProcessInstance gateway);
   void handleCommand(ProcessInstance controller, const engine::EngineCommand& command);
-  /// Reports the attempts that the running incarnation executed to the invariant checker.
+  /// Passes the attempts that the running incarnation executed to the invariant checker.
   void reportExecutions();
 
   [[nodiscard]] std::uint32_t runningSequences() const {
@@ -65,7 +65,7 @@
   std::map<base::AttemptId, ProcessInstance> streams_;  ///< gateway by running attempt
   /// Sequence number of the last cache event sent, by gateway.
   std::map<SimulatedNode*, std::uint64_t> cache_sequences_;
-  std::uint64_t m_timerGeneration = 0;  ///< only the most recently scheduled timer acts
+  std::uint64_t m_timerGeneration = 0;  ///< number of the latest timer; earlier timers are ignored
 };
 
 }  // namespace tackpick::simulation
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -21,7 +21,7 @@
 struct NetworkFaults {
   double loss = 0.0;         ///< probability that a message is lost
   double duplication = 0.0;  ///< probability that a message is delivered twice
-  /// Maximum of a uniform additional delay; messages are reordered.
+  /// Maximum of the uniformly distributed additional delay, which reorders messages.
   base::Duration maxExtraDelay{0};
   double stragglers = 0.0;  ///< fraction of messages that are delayed by up to 2 s
 };
--- a/src/simulation/simulated_node.h
+++ b/src/simulation/simulated_node.h
@@ -46,7 +46,7 @@
   void bootstrap();
   void kill();
   void restart();  ///< keeps the data directory as the crash left it
-  /// Simulates the loss of the disk: a new machine with a new node id takes over. Returns the id.
+  /// Replaces the node by one with an empty disk and a new node id. Returns the new id.
   base::NodeId replace();
   void suspend();
   void resume();
@@ -54,8 +54,8 @@
   SimulatedDisk& disk() { return disk_; }
 
   // Deliveries from the network.
-  /// Runs `action` in the process, after the suspension if it is suspended. Does nothing if the
-  /// process instance `epoch` has ended.
+  /// Runs `action` in the process, or defers it until resume() if the process is suspended. Does
+  /// nothing if the process instance `epoch` has ended.
   void post(std::uint64_t epoch, const EventLoop::Callback& action);
   void receive(base::NodeId from, const transport::InternalMessage& message);
   void onChunk(const engine::Chunk& chunk);
--- a/src/simulation/simulated_node_clients.cpp
+++ b/src/simulation/simulated_node_clients.cpp
@@ -54,9 +54,9 @@
           gateway_->callLedger(
               batch, kind, payload, localNow(),
               [this, handler](const base::Bytes* result, base::TimePoint) {
-                const bool known = result != nullptr;
-                sendToClient([handler, known, copy = known ? *result : base::Bytes{}] {
-                  handler(known ? &copy : nullptr);
+                const bool hasResult = result != nullptr;
+                sendToClient([handler, hasResult, copy = hasResult ? *result : base::Bytes{}] {
+                  handler(hasResult ? &copy : nullptr);
                 });
               });
         });
@@ -70,9 +70,9 @@
           gateway_->callControllers(
               transport::CommandKind::kCommand, payload, localNow(),
               [this, handler](const base::Bytes* result, base::TimePoint) {
-                const bool known = result != nullptr;
-                sendToClient([handler, known, copy = known ? *result : base::Bytes{}] {
-                  handler(known ? &copy : nullptr);
+                const bool hasResult = result != nullptr;
+                sendToClient([handler, hasResult, copy = hasResult ? *result : base::Bytes{}] {
+                  handler(hasResult ? &copy : nullptr);
                 });
               });
         });
@@ -84,9 +84,9 @@
       kClientMachine, machine_, [this, command, handler = std::move(handler)] {
         post(epoch_, [this, command, handler] {
           const auto completion = [this, handler](const control::ChangeOutcome* outcome) {
-            const bool known = outcome != nullptr;
-            const auto copy = known ? *outcome : control::ChangeOutcome{};
-            sendToClient([handler, known, copy] { handler(known ? &copy : nullptr); });
+            const bool hasResult = outcome != nullptr;
+            const auto copy = hasResult ? *outcome : control::ChangeOutcome{};
+            sendToClient([handler, hasResult, copy] { handler(hasResult ? &copy : nullptr); });
           };
           if (!controller_->submit(command, localNow(), completion)) {
             completion(nullptr);
--- a/src/simulation/simulator.cpp
+++ b/src/simulation/simulator.cpp
@@ -216,7 +216,7 @@
 }
 
 void Simulator::checkFinalState() {
-  // Gives all gateways time to receive the last change.
+  // Waits long enough for all gateways to receive the last change.
   environment_.loop.runUntil(environment_.loop.now() + base::seconds(5));
   for (const auto& engine : environment_.engines) {
     engine->reportExecutions();
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -123,7 +123,7 @@
   }
   if (environment_.options.load.trainersRestart && environment_.random.chance(0.03)) {
     ++m_restartCount;
-    batches_.front().cursor = 0;  // no sample is acknowledged yet: reads from the start
+    batches_.front().cursor = 0;  // samples are acknowledged with the complete batch
   }
   // Sometimes repeats the read of an earlier position.
   const std::uint32_t from =
@@ -171,18 +171,19 @@
 
 void TrainerActor::raiseMinVersion() {
   batches_.front().minVersionRaised = true;
-  const base::WeightsVersion oldest{published_version_};
-  const ledger::RaiseMinimumVersion command{batches_.front().sent.batch, oldest};
+  const base::WeightsVersion minVersion{published_version_};
+  const ledger::RaiseMinimumVersion command{batches_.front().sent.batch, minVersion};
   call(batches_.front().sent.batch, transport::CommandKind::kCommand,
-       base::encode(ledger::LedgerOperation{command}), [this, oldest](const base::Bytes&) {
+       base::encode(ledger::LedgerOperation{command}), [this, minVersion](const base::Bytes&) {
          // Reads the number of committed samples: later ones must have the new minimum version.
          const ledger::ReadSamples query{batches_.front().sent.batch, batches_.front().cursor, 1};
          call(batches_.front().sent.batch, transport::CommandKind::kQuery,
-              base::encode(ledger::LedgerQuery{query}), [this, oldest](const base::Bytes& bytes) {
+              base::encode(ledger::LedgerQuery{query}),
+              [this, minVersion](const base::Bytes& bytes) {
                 const auto result = base::decode<ledger::ReadResult>(bytes);
                 if (result && result->status == ledger::LedgerStatus::kOk) {
                   environment_.checker.onMinVersionRaised(batches_.front().sent.batch,
-                                                          result->committed, oldest);
+                                                          result->committed, minVersion);
                 }
                 read();
               });
--- a/test/replay/replay_test.cpp
+++ b/test/replay/replay_test.cpp
@@ -42,7 +42,7 @@
     const sim::RunResult result = simulator.run();
     const sim::TraceExpectation& expected = options.load.trace->expectation;
     cr_expect(result.violations.empty(), "%s, seed %lu: %s", name.c_str(), seed,
-              result.violations.empty() ? "" : result.violations.front().what.c_str());
+              result.violations.empty() ? "" : result.violations.front().description.c_str());
     cr_expect_eq(result.statistics.requestsSent, expected.requests);
     cr_expect_geq(result.statistics.requestsCompleted, expected.minAnswered, "%s, seed %lu",
                   name.c_str(), seed);
--- a/test/simulation/scenario_test.cpp
+++ b/test/simulation/scenario_test.cpp
@@ -16,7 +16,7 @@
 std::string describe(const sim::RunResult& result) {
   std::string text = "seed " + std::to_string(result.seed);
   for (const sim::Violation& violation : result.violations) {
-    text += "; " + std::string(sim::toString(violation.invariant)) + ": " + violation.what;
+    text += "; " + std::string(sim::toString(violation.invariant)) + ": " + violation.description;
   }
   return text;
 }
