--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -209,7 +209,7 @@
                                  const ChangeOutcome& outcome) {
   m_data.requests[id] = {id, hash, outcome};
   m_data.requestOrder.push_back(id);
-  // Removing in blocks keeps the cost of erasing from the front of a vector low.
+  // Ids are removed in blocks, since erasing from the front of a vector is expensive.
   if (m_data.requestOrder.size() < limits_.retainedRequestIds * 2) {
     return;
   }
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -19,8 +19,8 @@
   ServingLeaseSettings leases;
   WeightsRolloutSettings rollout;
   /// Maximum time for which a new leader delays serving leases until the contents of the machine
-  /// list are committed; zero without a list. Gateways would otherwise serve before they learn
-  /// which engines are draining.
+  /// list are committed; zero without a list. Without the delay, gateways would send
+  /// requests to draining engines.
   base::Duration machineListTimeout{0};
 
   struct Mutants {
--- a/src/control/weights_rollout.cpp
+++ b/src/control/weights_rollout.cpp
@@ -74,7 +74,7 @@
 }
 
 WeightsRollout::InFlightCounts WeightsRollout::countInFlight(base::TimePoint now) const {
-  // A command that is not answered stops counting after this number of retry intervals.
+  // Number of retry intervals after which an unanswered command no longer counts as in flight.
   constexpr int kMaxRetryIntervals = 25;
   InFlightCounts counts;
   for (const auto& [id, engineProgress] : m_engines) {
--- a/src/directory/command_lease.cpp
+++ b/src/directory/command_lease.cpp
@@ -34,7 +34,7 @@
   if (!m_latestClaim || m_latestClaim->holder == m_self) {
     return {};
   }
-  // The time between the commands and the start of this process is unknown.
+  // Engines reject delayed commands of a leader that was replaced before this process started.
   if (predatesProcess(*m_latestClaim) && m_settings.enginesEnforceFences) {
     return {};
   }
--- a/src/directory/command_lease.h
+++ b/src/directory/command_lease.h
@@ -13,22 +13,22 @@
 
 /// Settings of CommandLease.
 struct CommandLeaseSettings {
-  /// Minimum time between the last command of one holder and the first of another when they would
-  /// alternate.
+  /// Duration of a lease: minimum time between the last command of one holder and the first command
+  /// of the next holder if the two alternate.
   base::Duration duration = base::milliseconds(3100);
   /// Maximum time that a command of a former leader may be in transit: the timeout of an upstream
   /// connection attempt plus a margin.
   base::Duration maxTransitTime = base::milliseconds(700);
-  /// Whether engines reject commands with a fence lower than the highest that they have seen. A
-  /// leader that was replaced while this process was not running can then not override commands of
-  /// this process.
+  /// Whether engines reject commands with a fence lower than the highest that they have seen. If
+  /// so, delayed commands of a leader that was replaced before this process started cannot override
+  /// commands of this process.
   bool enginesEnforceFences = false;
 };
 
 /// Prevents controllers from alternating as senders of load commands. A leader writes a claim to
-/// the log before it sends commands. If the claims show that this process, another one, and this
-/// process again would send within the lease duration, the new leader waits for the rest of the
-/// other holder's lease; otherwise it waits until commands of the former leader have arrived.
+/// the log before it sends commands. After a claim of another holder, a new leader waits until
+/// commands of that holder are no longer in transit. If the new leader itself sent commands within
+/// the lease duration before that claim, it also waits until the other holder's lease has expired.
 /// Deterministic; owned by one thread.
 class CommandLease {
  public:
@@ -43,7 +43,7 @@
   /// Returns the time from which this process, leader since `leaderSince`, may send commands.
   [[nodiscard]] base::TimePoint earliestCommandTime(base::TimePoint leaderSince) const;
   /// Returns the end of another holder's lease, or a time in the past if this process need not
-  /// wait. For calls that may take effect long after they were sent.
+  /// wait. Applies to calls that may take effect long after they were sent.
   [[nodiscard]] base::TimePoint leaseExpiry() const;
 
  private:
@@ -69,7 +69,7 @@
   const consensus::LogIndex m_startIndex;
   const base::TimePoint m_startedAt;
   std::optional<LeaseClaim> m_latestClaim;
-  std::optional<LeaseClaim> m_ownClaim;  ///< also claims of this machine before it lost its disk
+  std::optional<LeaseClaim> m_ownClaim;  ///< latest claim with the node number of m_self
 };
 
 }  // namespace tackpick::directory
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -169,7 +169,7 @@
           return entry.second.record.name == retiringName && ledgers.contains(entry.first);
         });
     // A group that cannot grow because no other ledger is reachable must not block the
-    // retirement; otherwise the machine would never be released.
+    // retirement, or the machine could never be removed.
     const bool canComplete =
         ledgers.voters.size() >= settings_.repair.targetSize ||
         !cluster::canAddMember(ledgers, nodesOf(NodeRole::kLedger, now), settings_.repair);
--- a/src/directory/directory_role.h
+++ b/src/directory/directory_role.h
@@ -151,8 +151,8 @@
   void proposeFor(const Caller& caller, const DirectoryCommand& command, const std::string& text,
                   base::TimePoint now);
   void proposeWithoutReply(const DirectoryCommand& command, base::TimePoint now);
-  /// Proposes the command unless `inFlight` is set, which it stays until the command is committed
-  /// or lost.
+  /// Proposes the command and sets `inFlight` until the command is committed or lost. Does nothing
+  /// if `inFlight` is already set.
   void proposeIfIdle(const DirectoryCommand& command, bool& inFlight, base::TimePoint now);
   /// Returns the current view without instances and configuration.
   [[nodiscard]] DirectoryView currentView(base::TimePoint now) const;
@@ -167,7 +167,7 @@
   void updateUsage(base::TimePoint now);
   /// Requests the required number of instances from the platform.
   void updateCapacity(base::TimePoint now);
-  /// Marks calls that were decided but not sent as due again.
+  /// Schedules calls again that were decided but not sent.
   void requeueUnsent(const std::vector<duties::UsageReport>& reports,
                      const std::vector<duties::ScaleCall>& scaleCalls, base::TimePoint now);
   void setOpenJobs(const jobs::OpenJobsByModel& openJobs, base::TimePoint now);
--- a/src/directory/directory_state.cpp
+++ b/src/directory/directory_state.cpp
@@ -60,7 +60,7 @@
   if (holder == m_idsByAddress.end() || holder->second == record.id) {
     return;
   }
-  // The latest registration at an address wins.
+  // The latest registration at an address replaces earlier ones.
   deregister(std::string(holder->second));
 }
 
--- a/src/directory/directory_state.h
+++ b/src/directory/directory_state.h
@@ -46,8 +46,8 @@
   [[nodiscard]] const CommandLeaseClaims& commandLeaseClaims() const {
     return data_.commandLeaseClaims;
   }
-  /// Whether the instance was deregistered for good, another instance took over its address, or a
-  /// newer incarnation is registered.
+  /// Whether the instance was deregistered permanently, another instance registered at its address,
+  /// or a newer incarnation is registered.
   [[nodiscard]] bool isDeregistered(const std::string& id) const {
     return m_deregistered.contains(id) || isSuperseded(id);
   }
@@ -126,7 +126,7 @@
   void removeOlderIncarnations(const InstanceRecord& record);
   /// Whether a newer incarnation of the same instance is registered.
   [[nodiscard]] bool isSuperseded(const std::string& id) const;
-  /// Erases an instance for good: a delayed heartbeat must not register it again.
+  /// Removes an instance permanently, so that a delayed heartbeat does not register it again.
   void deregister(const std::string& id);
   void erase(const std::string& id);
   void rememberDeregistered(const std::string& id);
--- a/src/directory/load_limiter.cpp
+++ b/src/directory/load_limiter.cpp
@@ -62,7 +62,7 @@
   if (mean > tolerated) {
     m_limit = std::max(m_minLimit, m_limit - 1);
     m_saturatedAt = now;
-    // Adapts the baseline to a store that has become permanently slower.
+    // Raises the baseline gradually, in case the weights store has become permanently slower.
     constexpr int kBaselineSmoothing = 20;
     m_baselineLoadTime = baseline + (mean - baseline) / kBaselineSmoothing;
     return;
--- a/src/directory/load_limiter.h
+++ b/src/directory/load_limiter.h
@@ -57,7 +57,7 @@
   std::map<std::string, StartedLoad> m_started;  ///< by instance
   std::size_t m_samples = 0;
   base::Duration m_sum{0};
-  std::optional<base::Duration> m_baselineLoadTime;  ///< lowest mean load time
+  std::optional<base::Duration> m_baselineLoadTime;  ///< lowest mean, raised on saturation
   std::optional<base::Duration> m_loadTime;
   std::optional<base::TimePoint> m_saturatedAt;
 };
--- a/src/directory/model_demand.cpp
+++ b/src/directory/model_demand.cpp
@@ -5,7 +5,7 @@
 namespace tackpick::directory {
 namespace {
 
-/// Time after which work counts half.
+/// Half-life of recorded work.
 constexpr double kHalfLifeSeconds = 12.0;
 /// Interval at which decay is applied.
 constexpr base::Duration kDecayInterval = base::milliseconds(250);
--- a/src/directory/model_ranking.cpp
+++ b/src/directory/model_ranking.cpp
@@ -39,7 +39,7 @@
 }
 
 bool ModelRanking::isDueSoon(const StepDemand& step) const {
-  // Half of the engines load first and the rest second.
+  // Engines load in two rounds, half of them in each.
   constexpr int kLoadRounds = 2;
   return step.version <= m_model.published &&
          (step.open || step.expectedAt - m_now <= m_gracePeriod + m_loadTime * kLoadRounds);
@@ -79,7 +79,7 @@
 }
 
 void ModelRanking::rankUnneeded(const Candidates& candidates, std::vector<RankedLoad>& ranked) {
-  // The newest version may be older than every open or expected step requires.
+  // If all known steps require a newer version than the published one, loads are deferred longer.
   const bool serves =
       std::any_of(m_model.stepDemands.begin(), m_model.stepDemands.end(),
                   [&](const StepDemand& step) { return step.version <= m_model.published; });
--- a/src/directory/step_forecast.cpp
+++ b/src/directory/step_forecast.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-/// Whether a median of an even number of values is the lower or the upper one.
+/// Selects the lower or the upper middle value as the median of an even number of values.
 enum class Median : std::uint8_t { kLower, kUpper };
 template <class Value>
 Value medianOf(const std::deque<Value>& values, const Value& fallback,
@@ -81,7 +81,7 @@
   if (!steps.submittedAt.empty()) {
     const base::TimePoint last = steps.submittedAt.back();
     if (submittedAt < last) {
-      return;  // the ledgers' leader has changed and its clock differs: the interval is not usable
+      return;  // the clock of a new ledgers' leader may differ; the interval is unusable
     }
     pushBounded(steps.intervals, submittedAt - last, m_settings.historySize);
     const std::uint64_t increment =
--- a/src/directory/step_forecast.h
+++ b/src/directory/step_forecast.h
@@ -19,7 +19,7 @@
   bool open = false;             ///< submitted with waiting items; otherwise expected
   std::uint64_t version = 0;     ///< minimum weights version
   std::uint32_t slots = 0;       ///< items without a result
-  std::uint32_t waiting = 0;     ///< items that are at no engine
+  std::uint32_t waiting = 0;     ///< items that are not at any engine
   base::TimePoint expectedAt{};  ///< submission time, or earliest expected submission time
   base::Duration slack = base::Duration::max();
 };
@@ -45,8 +45,8 @@
   /// Updates the open jobs as reported at `reportedAt` and the newest published versions by model.
   void update(const jobs::OpenJobsByModel& openJobs,
               const std::map<std::string, std::uint64_t>& published, base::TimePoint reportedAt);
-  /// Returns open steps with waiting items, sorted by slack, followed by expected steps. Empty if
-  /// too little is known of the model's steps.
+  /// Returns open steps with waiting items, sorted by slack, followed by expected steps. Empty
+  /// until two submissions of the model have been recorded.
   [[nodiscard]] std::vector<StepDemand> stepDemands(const std::string& model,
                                                     std::uint64_t published,
                                                     base::TimePoint now) const;
@@ -62,7 +62,7 @@
     std::uint64_t lastMinVersion = 0;         ///< minimum version of the newest step
     std::deque<base::Duration> intervals;
     std::deque<std::uint64_t> increments;  ///< increments of the minimum version between steps
-    std::deque<std::uint64_t> lags;        ///< distance of the minimum version from the newest
+    std::deque<std::uint64_t> lags;        ///< newest published minus minimum version at submission
     std::deque<std::uint32_t> items;
     base::Duration slack = base::Duration::max();  ///< slack of the newest step at submission
   };
--- a/test/directory/command_lease_test.cpp
+++ b/test/directory/command_lease_test.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// Guards against a new leader that waits for a whole lease although it has sent no commands that
-// could alternate.
+// Guards against a new leader that waits for a full lease duration although it has sent no commands
+// before.
 Test(command_lease, new_leader_waits_for_commands_in_transit) {
   const base::TimePoint start{base::seconds(100)};
   directory::CommandLease lease = commandLease(false, start);
@@ -55,7 +55,7 @@
   cr_assert(lease.earliestCommandTime(leading) == leading + kTransit);
 }
 
-// Holders are compared by node number, which stays when the machine has lost its disk.
+// Holders are compared by node number, which does not change when a machine gets a new disk.
 Test(command_lease, machine_with_a_new_disk_counts_as_the_same_holder) {
   const base::TimePoint start{base::seconds(100)};
   const base::TimePoint claimedAt = start + base::milliseconds(10);
--- a/test/directory/incarnation_test.cpp
+++ b/test/directory/incarnation_test.cpp
@@ -79,8 +79,8 @@
   cr_assert_not(fixture.has(kFirst));
 }
 
-// After a clock was set back, the registered incarnation with the later start time wins until it
-// expires.
+// After a clock was set back, the registered incarnation with the later start time stays registered
+// until it expires.
 Test(incarnation, earlier_start_time_is_accepted_once_the_later_one_expired) {
   StateFixture fixture;
   fixture.registerInstance(kSecond);
--- a/test/directory/weights_load_test.cpp
+++ b/test/directory/weights_load_test.cpp
@@ -20,7 +20,7 @@
 constexpr base::Duration kDeadline = base::seconds(12);
 constexpr base::Duration kTrainingTime = base::milliseconds(500);
 constexpr double kLoadSeconds = 0.9;
-/// Number of first steps that are excluded from the statistics.
+/// Number of initial steps that are excluded from the statistics.
 constexpr std::uint64_t kWarmupSteps = 4;
 
 /// A trainer and the items of its steps.
