--- a/src/edge/api_adapter.h
+++ b/src/edge/api_adapter.h
@@ -29,7 +29,7 @@
   std::string notExecuted;          ///< in a response: the instance did not run the request
   std::string load;                 ///< in a response: load of the instance
   std::string weightsVersion;       ///< in a response: version of the weights in use
-  std::string weightsVersionField;  ///< name of the same value in a stream event
+  std::string weightsVersionField;  ///< name of the stream event field with that version
   std::string lastEvent;            ///< number of the event after which a stream continues
   /// Scheduling priority, 0 to 9: lower values are admitted first and preempt higher ones.
   std::string urgency;
--- a/src/forwarding/concurrency_limiter.h
+++ b/src/forwarding/concurrency_limiter.h
@@ -13,7 +13,7 @@
   double initialLimit = 4;
   double minLimit = 1;
   double maxLimit = 32;
-  /// Minimum interval between two decreases. Overload within one interval counts as one burst.
+  /// Minimum interval between two decreases. Overload within it decreases the limit only once.
   base::Duration decreaseInterval = base::milliseconds(60);
 };
 
--- a/src/forwarding/instance_table.h
+++ b/src/forwarding/instance_table.h
@@ -64,7 +64,7 @@
 struct InstanceRequirements {
   std::string service;
   std::string model;                 ///< empty: any
-  std::uint64_t minimumVersion = 0;  ///< of that model's weights
+  std::uint64_t minimumVersion = 0;  ///< minimum version of the model's weights
   bool longRunning = false;          ///< expected to run long: speed matters more than balance
   bool preferIdle = false;  ///< prefer the least loaded instance, since the request may crash it
 };
@@ -112,6 +112,7 @@
                     const std::vector<std::string>& removed);
   /// Selects an instance for a request; null if there is none. Prefers healthy instances to
   /// standby, unresponsive, ejected and tried ones, and the cheapest of a few random candidates.
+  /// With `preferIdle`, returns the least loaded healthy instance.
   [[nodiscard]] const InstanceEntry* select(const InstanceRequirements& requirements,
                                             const std::set<std::string>& triedInstances,
                                             base::Random& random, base::TimePoint now) const;
@@ -134,7 +135,8 @@
                                                         double maxEventIntervalMs,
                                                         base::Random& random,
                                                         base::TimePoint now) const;
-  /// Returns an eligible instance with a free slot that has not been tried; null if there is none.
+  /// Returns an eligible instance with a free slot that is neither tried nor on standby; null if
+  /// there is none.
   [[nodiscard]] const InstanceEntry* findWithFreeSlot(const InstanceRequirements& requirements,
                                                       const std::set<std::string>& triedInstances,
                                                       base::Random& random,
--- a/src/node/forwarder.cpp
+++ b/src/node/forwarder.cpp
@@ -294,8 +294,8 @@
   const bool rejected =
       status == kMisdirected || headers.has(node_.apiAdapter().headers().notExecuted);
   if (!rejected) {
-    // A stream's headers arrive with its first data; other responses arrive when the request is
-    // done.
+    // The headers of a streamed response arrive with its first data. Any other response arrives
+    // when the request has completed, so the time at which it was sent is used.
     usage_.onRequestStarted(tenant_, route_.streaming ? node_.now() : attempt.sentAt);
   }
   if (route_.streaming && status < kFirstError) {
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -122,8 +122,8 @@
   [[nodiscard]] static bool isTextComplete(const ActiveItem& item);
   static void logLeased(const std::vector<jobs::LeasedItem>& leased);
   void retryLater(ActiveItem& item, base::Duration delay);
-  /// Cancels attempts that have received no data within the read timeout or whose engine has
-  /// restarted.
+  /// Cancels attempts whose response must not be used, that have received no data within the read
+  /// timeout or whose engine has restarted.
   void cancelTimedOut(base::TimePoint now);
   /// Moves items that are forecast to miss their due time to faster engines. If there is no
   /// forecast, moves items that have run long on an engine much slower than another.
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -15,7 +15,7 @@
 using telemetry::EventFields;
 using telemetry::EventId;
 
-/// Time without received data after which an attempt is cancelled and its item moved.
+/// Time without received data after which an attempt is cancelled and its item retried.
 constexpr base::Duration kReadTimeout = base::milliseconds(2500);
 /// Number of events over which an event interval is averaged.
 constexpr std::uint32_t kEventsPerSample = 6;
@@ -152,11 +152,11 @@
       reported.emplace(instance.record.id, now + timeToTermination);
     }
   }
-  // merge() keeps existing entries: the earliest record of a termination time is the most accurate.
   if (view.isFull) {
     std::erase_if(m_terminationTimes,
                   [&](const auto& entry) { return !reported.contains(entry.first); });
   }
+  // merge() keeps existing entries: the earliest record of a termination time is the most accurate.
   m_terminationTimes.merge(reported);
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -287,7 +287,7 @@
       return;
     }
     if (signal == SIGHUP) {
-      // The settings file holds nothing that may change at run time.
+      // SIGHUP is only logged: no setting may change at run time.
       logEvent(EventId::kSettingsChanged, EventFields().add("name", settings_.name).text());
     } else {
       beginStop();
--- a/src/node/platform_client.cpp
+++ b/src/node/platform_client.cpp
@@ -10,7 +10,7 @@
 namespace tackpick::node {
 namespace {
 
-/// Timeout of a call; the platform may still carry it out afterwards.
+/// Timeout of a call; the platform may still execute it afterwards.
 constexpr base::Duration kCallTimeout = base::milliseconds(1500);
 
 std::uint64_t totalCount(const duties::WindowUsage& usage) {
--- a/src/node/scoring_client.h
+++ b/src/node/scoring_client.h
@@ -26,7 +26,8 @@
 /// queue at a server.
 class ScoringClient {
  public:
-  /// Receives the score, or null if the scorer has failed too often.
+  /// Receives the score, or null if the scorer has failed too often. Not called if the deadline
+  /// passes while no attempt is in flight.
   using Callback = std::function<void(const std::string* score)>;
 
   ScoringClient(Node& node, forwarding::InstanceTable& instances,
--- a/src/node/work_reader.cpp
+++ b/src/node/work_reader.cpp
@@ -7,7 +7,7 @@
 namespace tackpick::node {
 namespace {
 
-/// The state of two concurrent calls.
+/// The state shared by the callbacks of the two concurrent calls.
 struct PendingWorkRead {
   edge::WorkResponses responses;
   int pendingCalls = 2;
--- a/src/quarantine/quarantine_gate.cpp
+++ b/src/quarantine/quarantine_gate.cpp
@@ -40,7 +40,7 @@
 
 base::Duration QuarantineGate::untilTrial(const RequestFingerprint& request, base::TimePoint now,
                                           base::WallTime wall) const {
-  // Returned if no further trial follows.
+  // Time until a retry of a request that has no further trial.
   constexpr base::Duration kMaxRetryAfter = std::chrono::hours(1);
   const auto held = m_held.find(request);
   if (held == m_held.end()) {
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -87,7 +87,7 @@
 struct HoldRequest {
   RequestFingerprint request;
   std::string service;
-  std::set<std::string> instances;  ///< crashed while they ran it
+  std::set<std::string> instances;  ///< instances that crashed while they ran it
   base::WallTime at;
   template <class Archive>
   void serialize(Archive& archive) {
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -90,7 +90,7 @@
   constexpr std::uint32_t kMillis = 80'000;
   constexpr std::uint32_t kLarge = 4;
   constexpr std::uint32_t kSmall = 75;
-  constexpr std::uint32_t kSmallTenantPercent = 20;  // percent of all requests
+  constexpr std::uint32_t kSmallTenantPercent = 20;  // share of requests by small tenants
   OverloadedService service;
   RequestCounts all;
   for (std::uint32_t at = 0; at < kMillis; ++at) {
--- a/test/quarantine/mistaken_holds_test.cpp
+++ b/test/quarantine/mistaken_holds_test.cpp
@@ -169,8 +169,8 @@
   cr_assert_eq(outcome.falsePositives, 0, "%d of %d", outcome.falsePositives, outcome.requests);
 }
 
-// Worst case: long texts occupy all slots of a few engines and meet the poison request again after
-// each move.
+// Worst case: long-running requests occupy all slots of a few engines and share an engine with the
+// poison request again after each move.
 Test(mistaken_holds, few_beside_long_texts_on_full_engines) {
   const Workload workload = {.instances = 11,
                              .slots = 12,
