--- a/src/consensus/log_store.h
+++ b/src/consensus/log_store.h
@@ -28,7 +28,7 @@
   [[nodiscard]] virtual std::size_t snapshotBytes() const = 0;
   /// Returns the size of the payloads of all entries in the log.
   [[nodiscard]] virtual std::size_t logBytes() const = 0;
-  /// Returns the index of the last entry, that of the snapshot if the log is empty.
+  /// Returns the index of the last entry, or the last index of the snapshot if the log is empty.
   [[nodiscard]] virtual LogIndex lastIndex() const = 0;
   /// Returns the index of the first entry, lastIndex() + 1 if the log is empty.
   [[nodiscard]] virtual LogIndex firstIndex() const = 0;
@@ -39,8 +39,8 @@
   /// Removes all entries starting with `firstRemoved`.
   [[nodiscard]] virtual base::Result<void> truncateSuffix(LogIndex firstRemoved) = 0;
   [[nodiscard]] virtual base::Result<void> saveHardState(const HardState& state) = 0;
-  /// Stores the snapshot durably and drops the entries it covers, and all entries if the log does
-  /// not continue from the snapshot.
+  /// Stores the snapshot durably and drops the entries it covers. If the log does not continue from
+  /// the snapshot, all entries are dropped.
   [[nodiscard]] virtual base::Result<void> saveSnapshot(const Snapshot& snapshot) = 0;
   /// Like saveSnapshot() for a snapshot of this log's own entries, but may return before the
   /// snapshot is durable. Until compacting() is false again, snapshot() and firstIndex() are
--- a/src/consensus/raft_consensus.cpp
+++ b/src/consensus/raft_consensus.cpp
@@ -15,8 +15,8 @@
       delivered_index_(log.snapshot().lastIndex),
       m_durableIndex(log.lastIndex()),
       m_lastLeaderContactAt(now) {
-  // m_lastLeaderContactAt starts at now: the server may have granted a lease before it restarted,
-  // so it must not vote before that lease has expired.
+  // m_lastLeaderContactAt is initialized with the current time: the server may have granted a lease
+  // before it restarted, so it must not vote before that lease has expired.
   reloadMembership();
   resetElectionTimer(now);
   constexpr std::size_t kMinCompactionPercent = 75;
--- a/src/consensus/raft_consensus.h
+++ b/src/consensus/raft_consensus.h
@@ -27,7 +27,7 @@
   /// Maximum difference between the clock rates of two servers, in percent.
   int clockDriftPercent = 2;
   std::size_t maxEntriesPerMessage = 512;
-  /// Size of a message from which no further entry is added to it.
+  /// Size at which no further entries are added to a message.
   std::size_t maxBytesPerMessage = 256U << 10U;
   /// Time after which an unacknowledged chunk of a snapshot is sent again.
   base::Duration snapshotResendInterval = base::milliseconds(800);
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -139,7 +139,7 @@
   Term term = 0;
   std::uint64_t round = 0;
   Snapshot snapshot;             ///< its state holds only the chunk
-  std::uint64_t offset = 0;      ///< of the chunk in the state
+  std::uint64_t offset = 0;      ///< offset of the chunk in the state
   std::uint64_t totalBytes = 0;  ///< size of the complete state
 
   template <class Archive>
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -20,8 +20,8 @@
   /// Size of the log at which it is replaced by a snapshot, if it also exceeds half of the size of
   /// the last snapshot. The log is also kept in memory.
   std::size_t compactionBytes = 12U << 20U;
-  /// Size of the last snapshot from which a leader transfers leadership before it compacts, because
-  /// encoding a large snapshot blocks the replica.
+  /// Minimum size of the last snapshot for which a leader transfers leadership before it compacts
+  /// the log, because encoding a large snapshot blocks the replica.
   std::size_t leadershipTransferBytes = 64U << 20U;
 
   /// Deliberate faults for tests.
@@ -45,7 +45,7 @@
   void tick(base::TimePoint now) { raft_.tick(now); }
 
   /// Receives the result of a command once it is applied, or nullptr if this replica lost
-  /// leadership before, so that the outcome is unknown.
+  /// leadership before the command was applied, so that the outcome is unknown.
   using Completion = std::function<void(const base::Bytes* result, LogIndex index)>;
   /// Proposes a command. Returns false if this replica is not the leader.
   bool propose(base::Bytes command, base::TimePoint now, Completion completion);
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -230,7 +230,7 @@
     if (!isCallDue(pool, pendingTarget, state, stepInputs.now)) {
       continue;
     }
-    // Calls that add instances come first, then the call that was sent the longest time ago.
+    // Scale-in steps come last; otherwise the pool whose last call is the oldest comes first.
     const std::tuple<bool, base::TimePoint> rank{
         pendingTarget.target.isScaleIn, m_pools[pool].requestedAt.value_or(base::TimePoint{})};
     if (!next || rank < nextRank) {
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -45,9 +45,9 @@
 
 /// Registered instances of a service in a zone.
 struct RegisteredInstances {
-  std::uint32_t onDemand = 0;      ///< not draining
-  std::uint32_t preemptible = 0;   ///< not draining
-  std::uint32_t unresponsive = 0;  ///< of both kinds, not draining
+  std::uint32_t onDemand = 0;      ///< on-demand instances that are not draining
+  std::uint32_t preemptible = 0;   ///< preemptible instances that are not draining
+  std::uint32_t unresponsive = 0;  ///< unresponsive instances of both kinds that are not draining
   std::uint32_t onDemandDraining = 0;
   std::uint32_t preemptibleDraining = 0;
 };
@@ -56,7 +56,7 @@
 struct ScaledService {
   std::string name;
   Scaling scaling;
-  std::uint32_t slots = 1;                           ///< per instance
+  std::uint32_t slots = 1;                           ///< slots per instance
   std::map<std::string, RegisteredInstances> zones;  ///< by zone
   std::optional<CapacityDemand> demand;              ///< std::nullopt if unknown or outdated
 };
@@ -126,7 +126,7 @@
     /// Count accepted by the platform, possibly not yet confirmed in the log.
     std::optional<std::uint32_t> acceptedCount;
     bool unanswered = false;  ///< whether the last call has no answer
-    /// Whether instances have left since the last call, so that it is repeated.
+    /// Whether instances have left since the last call, which must then be repeated.
     bool instancesLost = false;
     RegisteredCounts lastCounts;  ///< as of the last step
     /// Lowest count of the unanswered calls that the platform may still execute.
@@ -166,8 +166,8 @@
   /// Returns the next call to be sent, std::nullopt if none is due.
   [[nodiscard]] std::optional<ScaleCall> nextCall(const CapacityState& state,
                                                   const StepInputs& stepInputs);
-  /// Returns a call that repeats the current count of a pool after an older unanswered call may
-  /// have been executed late.
+  /// Returns a call that repeats the current count of a pool, in case the platform executed an
+  /// earlier unanswered call late; std::nullopt if none is needed.
   [[nodiscard]] std::optional<ScaleCall> reassertionCall(const CapacityState& state,
                                                          const StepInputs& stepInputs);
   void onSent(const ScaleCall& call, base::TimePoint now);
--- a/src/duties/capacity_messages.h
+++ b/src/duties/capacity_messages.h
@@ -14,8 +14,9 @@
 
 /// Whether the platform may preempt an instance.
 enum class InstanceKind : std::uint8_t {
-  kOnDemand,     ///< runs until it is released
-  kPreemptible,  ///< cheaper; the platform may terminate all in a zone at short notice
+  kOnDemand,  ///< runs until it is released
+  /// Costs less; the platform may terminate all preemptible instances of a zone at short notice.
+  kPreemptible,
 };
 
 [[nodiscard]] std::string_view toString(InstanceKind kind);
@@ -106,7 +107,7 @@
 /// Outcome of a ScaleCall.
 enum class ScaleOutcome : std::uint8_t {
   kAccepted,
-  kStaleFence,  ///< the platform has seen a higher fence, of a newer leader
+  kStaleFence,  ///< the platform has received a higher fence from a newer leader
   kNoCapacity,  ///< no preemptible instances are available in the zone
   kThrottled,   ///< rejected by the rate limit of the platform
   kUnknown,     ///< no conclusive answer; the call may still be executed
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -32,7 +32,7 @@
   PoolCounts onDemand;
   PoolCounts preemptible;
   std::uint32_t unresponsive = 0;  ///< active instances whose heartbeats are overdue
-  std::uint32_t draining = 0;      ///< of both kinds
+  std::uint32_t draining = 0;      ///< draining instances of both kinds
   std::uint32_t baseline = 0;      ///< on-demand instances before the first call to the platform
   std::uint32_t preemptibleBaseline = 0;  ///< preemptible instances before the first call
 
@@ -45,7 +45,7 @@
 /// Inputs of a decision.
 struct CapacityInputs {
   Scaling scaling;
-  std::uint32_t slots = 1;  ///< per instance
+  std::uint32_t slots = 1;  ///< slots per instance
   std::vector<ZoneCounts> zones;
   /// Demand of the service; std::nullopt if unknown or outdated.
   std::optional<CapacityDemand> demand;
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -6,8 +6,8 @@
 namespace tackpick::duties {
 namespace {
 
-/// Returns the number of waiting items beyond the free slots. Items that wait while slots are free
-/// wait for weights to be loaded, which more engines would not speed up.
+/// Returns the number of waiting items beyond the free slots. If slots are free, items wait because
+/// weights are being loaded, which additional engines do not accelerate.
 std::uint32_t slotShortage(const CapacityDemand& demand) {
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
@@ -36,7 +36,7 @@
 }
 
 std::uint32_t ReactivePolicy::sustainedShortage(const CapacityDemand& demand, base::TimePoint now) {
-  // A report that is evaluated again does not prolong the shortage.
+  // The shortage is timed by reports, so that repeated evaluation of a report does not prolong it.
   const base::TimePoint reportedAt = now - demand.reportAge;
   const std::uint32_t shortage = slotShortage(demand);
   if (shortage == 0) {
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -57,7 +57,7 @@
   base::Duration peakRetention = base::seconds(30);
 };
 
-/// Requires a slot for each item that waits while no slot is free.
+/// Requires an additional slot for each waiting item beyond the free slots.
 class ReactivePolicy final : public CapacityPolicy {
  public:
   explicit ReactivePolicy(ReactivePolicySettings settings = {}) : m_settings(settings) {}
@@ -65,8 +65,8 @@
                                           base::TimePoint now) override;
 
  private:
-  /// Returns the minimum shortage over the stabilization window, zero until it has lasted that
-  /// long.
+  /// Returns the minimum shortage over the stabilization window, zero if the shortage has not
+  /// lasted for the complete window.
   [[nodiscard]] std::uint32_t sustainedShortage(const CapacityDemand& demand, base::TimePoint now);
 
   const ReactivePolicySettings m_settings;
--- a/src/duties/cluster_time.h
+++ b/src/duties/cluster_time.h
@@ -13,8 +13,8 @@
 
 /// Median of the clocks of all nodes, maintained by the leader of the controllers. If fewer than
 /// half of the clocks are wrong, the error is at most the difference between correct clocks. The
-/// latency of messages makes the other clocks appear slightly late. Deterministic; owned by one
-/// thread.
+/// latency of messages makes the clocks of other nodes appear slightly late. Deterministic; owned
+/// by one thread.
 class ClusterClock {
  public:
   /// Records the time that a node's clock showed when it sent a message.
--- a/src/duties/usage_counter.cpp
+++ b/src/duties/usage_counter.cpp
@@ -3,7 +3,7 @@
 namespace tackpick::duties {
 namespace {
 
-/// Maximum number of windows that are not finalized. The oldest one is discarded beyond it.
+/// Maximum number of windows that are not finalized. Beyond it the oldest window is discarded.
 constexpr std::size_t kMaxWindows = 64;
 
 }  // namespace
--- a/src/duties/usage_messages.h
+++ b/src/duties/usage_messages.h
@@ -43,7 +43,7 @@
 /// All counts of a gateway in windows that are not finalized. Counts only increase, so duplicate
 /// and delayed reports are harmless.
 struct GatewayUsage {
-  WindowNumber currentWindow = 0;  ///< window at the time of the report; earlier ones are complete
+  WindowNumber currentWindow = 0;  ///< at the time of the report; earlier windows are complete
   std::vector<WindowUsage> windows;
 
   template <class Archive>
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -28,8 +28,8 @@
   /// Minimum interval between log entries with the counts of gateways. Bounds the usage that is
   /// lost if all machines fail simultaneously.
   base::Duration recordInterval = base::milliseconds(100);
-  /// Time per count that is not finalized. The interval between these log entries is at least the
-  /// total of all counts, which bounds the rate of writes.
+  /// Time that is multiplied by the number of counts that are not finalized. The product is another
+  /// lower bound of the interval between log entries with counts and limits the rate of writes.
   base::Duration recordIntervalPerCount = base::microseconds(100);
   /// Minimum time between two calls; the platform limits the rate of all calls.
   base::Duration minCallInterval = base::milliseconds(100);
@@ -41,7 +41,7 @@
 /// Outcome of a report to the platform.
 enum class UsageReportOutcome : std::uint8_t {
   kAccepted,
-  kStaleFence,  ///< the platform has seen a higher fence, of a newer leader
+  kStaleFence,  ///< the platform has received a higher fence from a newer leader
   kThrottled,   ///< rejected by the rate limit of the platform
   kUnknown,     ///< no conclusive answer
 };
@@ -98,7 +98,7 @@
   base::Random& m_random;
   std::map<WindowNumber, UsageState::UsageByGateway>
       m_usageByWindow;                                    ///< windows that are not finalized
-  std::map<base::NodeId, WindowNumber> m_currentWindows;  ///< by gateway, at its last report
+  std::map<base::NodeId, WindowNumber> m_currentWindows;  ///< by gateway, as of its last report
   std::set<base::NodeId> m_unrecorded;  ///< gateways with counts not yet in the log
   base::TimePoint m_recordedAt{};
   std::optional<WindowNumber> m_proposedWindow;  ///< window whose FinalizeUsage is not applied yet
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -14,7 +14,7 @@
 namespace tackpick::storage {
 namespace {
 
-/// Restricted to the owner, as logs and snapshots contain the API keys of tenants.
+/// Only the owner may access files, as logs and snapshots contain the API keys of tenants.
 constexpr int kFileMode = 0600;
 
 std::string errnoMessage(const std::string& operation, const std::string& path) {
--- a/src/storage/segmented_log.h
+++ b/src/storage/segmented_log.h
@@ -115,14 +115,15 @@
   base::Bytes m_pendingRecords;   ///< records not handed to the executor yet
   struct Compaction;
   std::shared_ptr<Compaction> compaction_;  ///< compaction in progress, if any
-  bool m_syncQueued = false;     ///< whether a sync starts once the compaction has completed
-  bool m_syncInFlight = false;   ///< whether pollSync() has yet to report the completion of a sync
-  bool m_syncCompleted = false;  ///< whether this sync completed before the compaction started
+  bool m_syncQueued = false;    ///< whether a sync starts once the compaction has completed
+  bool m_syncInFlight = false;  ///< whether pollSync() has yet to report the completion of a sync
+  /// Whether a sync completed before the compaction started and pollSync() has yet to report it.
+  bool m_syncCompleted = false;
   consensus::HardState hard_state_;
   consensus::Snapshot snapshot_;  ///< without its state
   std::size_t snapshot_bytes_ = 0;
-  std::size_t snapshot_offset_ = 0;  ///< of the state in the snapshot file
-  std::size_t log_bytes_ = 0;        ///< payloads of entries_
+  std::size_t snapshot_offset_ = 0;  ///< offset of the state in the snapshot file
+  std::size_t log_bytes_ = 0;        ///< total size of the payloads in entries_
   std::deque<consensus::LogEntry> entries_;
   std::uint64_t segment_number_ = 0;
   std::unique_ptr<AppendFile> segment_;
--- a/test/cluster/group_repair_test.cpp
+++ b/test/cluster/group_repair_test.cpp
@@ -47,7 +47,8 @@
   cr_assert(change == (cluster::MembershipChange{node(3, 77), false}));
 }
 
-// Two instances at one address: a late heartbeat of the earlier one must not remove the later one.
+// Guards against the removal of the later of two instances at one address because a heartbeat of
+// the earlier instance arrives late.
 Test(group_repair, successor_does_not_count_as_replaced) {
   const auto group = voters({node(1), node(2), node(3, 77)});
   const auto change = cluster::nextMembershipChange(node(1), group,
@@ -127,7 +128,8 @@
             (cluster::MembershipChange{node(3), true}));
 }
 
-// An unresponsive voter of three may return, while the group tolerates no loss without it.
+// An unresponsive voter of three must not be removed: it may return, and a group of two voters
+// tolerates no loss.
 Test(group_repair, unresponsive_voter_of_an_odd_group_stays_until_another_votes) {
   const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   const auto group = voters({node(1), node(2), node(3)});
--- a/test/cluster/simulated_cluster.h
+++ b/test/cluster/simulated_cluster.h
@@ -75,7 +75,7 @@
   [[nodiscard]] std::map<std::uint32_t, SimulatedNode>& nodes() { return nodes_; }
   [[nodiscard]] base::TimePoint now() const { return now_; }
   [[nodiscard]] base::Random& random() { return random_; }
-  double lossProbability = 0.01;  ///< of a message
+  double lossProbability = 0.01;  ///< probability that a message is lost
 
  private:
   struct Delivery {
--- a/test/cluster/simulated_cluster_test.cpp
+++ b/test/cluster/simulated_cluster_test.cpp
@@ -449,7 +449,7 @@
     cluster.run(base::milliseconds(static_cast<int>(500 + cluster.random().below(1500))),
                 [&] { clients.step(); });
     cluster.add(successor++, lost.role);
-    // Longer than a successor needs to join the group.
+    // A successor joins the group within this time.
     cluster.run(base::seconds(6), [&] { clients.step(); });
     SimulatedNode& gateway = cluster.node(kFirstGateway + 1);
     cluster.setPartition(gateway, cluster.node(successor - 1), true);
--- a/test/consensus/group_client_test.cpp
+++ b/test/consensus/group_client_test.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-// Guards against a wait of a full resend interval for each replica without a leader.
+// Guards against a full resend interval of delay for each called replica that has no leader.
 Test(group_client, call_is_retried_soon_after_a_replica_without_a_leader) {
   Fixture fixture;
   fixture.call();
--- a/test/consensus/replica_test.cpp
+++ b/test/consensus/replica_test.cpp
@@ -128,7 +128,8 @@
   run({&first, &second, &third}, now, base::seconds(3));
   Server* leader = leaderAmong({&first, &second, &third});
   cr_assert(leader->replica->canRead(now));
-  // After a freeze longer than the lease it must not answer, even before it receives a message.
+  // After a freeze longer than the lease, the leader must not answer reads, even before it receives
+  // a message.
   cr_assert_not(leader->replica->canRead(now + base::seconds(1)));
   run({leader}, now, base::seconds(2));
   cr_assert_not(leader->replica->raft().isLeader());
@@ -152,8 +153,8 @@
   cr_assert(leader->replica->raft().membership().isVoter(replaced.id));
   // The new machine must be able to lead while its old identity is still a member.
   for (int tries = 0; tries < 20 && !replaced.replica->raft().isLeader(); ++tries) {
-    now += base::seconds(
-        2);  // All servers were frozen: the leader steps down and a new election starts.
+    // All servers freeze for two seconds: the leader steps down and a new election starts.
+    now += base::seconds(2);
     run({&first, &second, &replaced}, now, base::seconds(3));
   }
   cr_assert(replaced.replica->raft().isLeader());
@@ -359,7 +360,7 @@
   }
   run({leader}, now, base::seconds(1));
   cr_assert_eq(leader->machine.snapshots, 0);
-  // Once they answer, each replica compacts, but only a few times.
+  // Once the other servers answer, each replica compacts its log, but at most three times.
   run({&first, &second, &third}, now, base::seconds(5));
   for (const Server* server : {&first, &second, &third}) {
     cr_assert_geq(server->machine.snapshots, 1);
--- a/test/duties/capacity_test.cpp
+++ b/test/duties/capacity_test.cpp
@@ -16,7 +16,7 @@
 constexpr auto kOnDemand = InstanceKind::kOnDemand;
 constexpr auto kPreemptible = InstanceKind::kPreemptible;
 
-/// Whether some count is lower than its predecessor.
+/// Whether some count is lower than the preceding one.
 bool hasDecrease(const std::vector<std::uint32_t>& counts) {
   return !std::is_sorted(counts.begin(), counts.end());
 }
--- a/test/duties/engine_simulation.h
+++ b/test/duties/engine_simulation.h
@@ -15,7 +15,7 @@
 /// Costs and waiting times of a simulation.
 struct SimulationResult {
   double waitingItemSeconds = 0;
-  double engineSeconds = 0;  ///< of both kinds together
+  double engineSeconds = 0;  ///< engine seconds of both kinds
   double price = 0;          ///< total price of the engine seconds, by zone and kind
   double meanWait = 0;       ///< mean wait of an item, in seconds
   double p90Wait = 0;        ///< 90th percentile of the wait, in seconds
--- a/test/storage/crash_test.cpp
+++ b/test/storage/crash_test.cpp
@@ -46,8 +46,8 @@
       cr_assert_eq(log->lastIndex(), index - 1);
       cr_assert(succeeds(log->append(entryAt(index))));
       cr_assert(succeeds(log->sync()));
-      cr_assert(succeeds(
-          log->append(entryAt(index + 1))));  // Not synced, so the crash tears this record.
+      // This record is not synced, so the crash may tear it.
+      cr_assert(succeeds(log->append(entryAt(index + 1))));
       disk.crash(random);
       const auto reopened = openLog(disk);
       cr_assert_geq(reopened->lastIndex(), index);
--- a/test/storage/segmented_log_test.cpp
+++ b/test/storage/segmented_log_test.cpp
@@ -119,7 +119,7 @@
   const TemporaryDirectory directory;
   withLog(directory.path(), kIdentity, [](storage::SegmentedLog&) {});
   storage::DataDirectoryIdentity other = kIdentity;
-  other.node = base::makeNodeId(1, 7);  // Same number, different disk.
+  other.node = base::makeNodeId(1, 7);  // The node has the same number but another disk.
   const auto error = withLog(directory.path(), other, [](storage::SegmentedLog&) {});
   cr_assert(error == base::ErrorCode::kWrongIdentity);
 }
