--- a/src/cluster/group_service.cpp
+++ b/src/cluster/group_service.cpp
@@ -16,7 +16,7 @@
   outbox_.push_back({caller.node, std::move(response)});
 }
 
-void GroupService::refuse(const ServiceCaller& caller, CommandStatus status) {
+void GroupService::reject(const ServiceCaller& caller, CommandStatus status) {
   transport::CommandResponse response;
   response.group = replica_.group();
   response.call = caller.call;
@@ -36,14 +36,14 @@
                        [this, caller, payload](const base::Bytes* result, consensus::LogIndex) {
                          m_inFlight.erase(caller);
                          if (result == nullptr) {
-                           refuse(caller, CommandStatus::kUnavailable);
+                           reject(caller, CommandStatus::kUnavailable);
                          } else {
                            reply(caller, payload);
                          }
                        });
   if (!proposed) {
     m_inFlight.erase(caller);
-    refuse(caller, CommandStatus::kNotLeader);
+    reject(caller, CommandStatus::kNotLeader);
   }
 }
 
--- a/src/cluster/group_service.h
+++ b/src/cluster/group_service.h
@@ -28,7 +28,7 @@
   /// Sends a successful response.
   void reply(const ServiceCaller& caller, base::Bytes payload);
   /// Rejects a call with `status`. The response names the leader if it is another node.
-  void refuse(const ServiceCaller& caller, transport::CommandStatus status);
+  void reject(const ServiceCaller& caller, transport::CommandStatus status);
   /// Proposes a command and replies with `payload` once it is applied, or rejects the call if
   /// this replica is not the leader or the outcome is unknown. A repeated call is not proposed
   /// again while its command is pending.
--- a/src/directory/directory_requests.cpp
+++ b/src/directory/directory_requests.cpp
@@ -93,7 +93,7 @@
 
 void DirectoryRole::onRequest(const Caller& caller, const DeregisterInstance& request,
                               base::TimePoint now) {
-  const bool hasStartTime = Incarnation::parse(request.id).born != 0;
+  const bool hasStartTime = Incarnation::parse(request.id).startTime != 0;
   const std::string id =
       hasStartTime ? request.id : state_.newestIncarnation(request.id).value_or(request.id);
   if (state_.isDeregistered(id)) {
@@ -203,7 +203,7 @@
     // A new leader may not have received a watch from every node.
     constexpr base::Duration kDiscoveryTime = base::seconds(2);
     if (now - leader_since_ < kDiscoveryTime) {
-      service_.refuse(caller, CommandStatus::kUnavailable);
+      service_.reject(caller, CommandStatus::kUnavailable);
     } else {
       reply(caller, DirectoryStatus::kNotFound);
     }
--- a/src/directory/directory_role.cpp
+++ b/src/directory/directory_role.cpp
@@ -50,7 +50,7 @@
     return;
   }
   if (!holdsLeaderLease(now)) {
-    service_.refuse(caller, CommandStatus::kNotLeader);
+    service_.reject(caller, CommandStatus::kNotLeader);
     return;
   }
   std::visit([&](const auto& typed) { onRequest(caller, typed, now); }, *request);
--- a/src/directory/directory_views.cpp
+++ b/src/directory/directory_views.cpp
@@ -76,7 +76,7 @@
 void DirectoryRole::replyToWatches(base::TimePoint now) {
   if (!holdsLeaderLease(now)) {
     m_watchQueue.rejectAll(
-        [&](const Caller& caller) { service_.refuse(caller, CommandStatus::kNotLeader); });
+        [&](const Caller& caller) { service_.reject(caller, CommandStatus::kNotLeader); });
     return;
   }
   const auto instances = static_cast<base::Duration::rep>(state_.instances().size());
--- a/src/directory/incarnation.cpp
+++ b/src/directory/incarnation.cpp
@@ -11,10 +11,10 @@
 }  // namespace
 
 std::string Incarnation::key() const {
-  if (born == 0) {
+  if (startTime == 0) {
     return name;
   }
-  const std::string digits = std::to_string(born);
+  const std::string digits = std::to_string(startTime);
   return name + kSeparator + std::string(kStartTimeDigits - digits.size(), '0') + digits;
 }
 
@@ -25,7 +25,7 @@
   }
   const std::string_view digits = key.substr(separator + 1);
   Incarnation parsed{std::string(key.substr(0, separator)), 0};
-  std::from_chars(digits.data(), digits.data() + digits.size(), parsed.born);
+  std::from_chars(digits.data(), digits.data() + digits.size(), parsed.startTime);
   return parsed;
 }
 
--- a/src/directory/incarnation.h
+++ b/src/directory/incarnation.h
@@ -11,8 +11,8 @@
 /// Name and start time of an instance. A restarted instance under the same name is a different
 /// incarnation and inherits no state; state kept per instance is stored under key().
 struct Incarnation {
-  std::string name;        ///< identifier that the instance reports
-  std::uint64_t born = 0;  ///< start time in milliseconds of Unix time; zero if unknown
+  std::string name;             ///< identifier that the instance reports
+  std::uint64_t startTime = 0;  ///< start time in milliseconds of Unix time; zero if unknown
 
   bool operator==(const Incarnation&) const = default;
 
--- a/src/jobs/job_role.cpp
+++ b/src/jobs/job_role.cpp
@@ -46,7 +46,7 @@
   }
   const bool anyReplica = std::holds_alternative<FetchResults>(*request);
   if (!anyReplica && !replica_.canRead(now)) {
-    service_.refuse(caller, CommandStatus::kNotLeader);
+    service_.reject(caller, CommandStatus::kNotLeader);
     return;
   }
   std::visit([&](const auto& typed) { onRequest(caller, typed, now); }, *request);
@@ -348,7 +348,7 @@
   for (PendingRead& pending : std::exchange(reads_, {})) {
     const Job* job = state_.findOwned(pending.read.tenant, pending.read.id);
     if (!readable) {
-      service_.refuse(pending.caller, CommandStatus::kNotLeader);
+      service_.reject(pending.caller, CommandStatus::kNotLeader);
       continue;
     }
     JobReply reply;
--- a/src/jobs/scoring_attempts.h
+++ b/src/jobs/scoring_attempts.h
@@ -32,7 +32,7 @@
 
   [[nodiscard]] ScoringAction onResponse(const ScorerResponse& response);
   /// Returns the delay before the next call: zero after a failure of the scorer, because
-  /// another server may succeed; exponential backoff while servers refuse calls or cannot be
+  /// another server may succeed; exponential backoff while servers reject calls or cannot be
   /// reached.
   [[nodiscard]] base::Duration delay() const;
 
--- a/src/node/item_runner.cpp
+++ b/src/node/item_runner.cpp
@@ -49,7 +49,7 @@
 }  // namespace
 
 void ItemRunner::onView(const directory::DirectoryView& view) {
-  recordDraining(view, node_.now());
+  recordTerminationTimes(view, node_.now());
   if (!m_activeGatewaysKnown) {
     m_activeGateways = std::max(view.gateways, 1U);
   }
--- a/src/node/item_runner.h
+++ b/src/node/item_runner.h
@@ -140,7 +140,7 @@
   /// Moves items that would not finish before their engine terminates.
   void moveFromDrainingEngines(base::TimePoint now);
   /// Records the termination times that engines report in a view.
-  void recordDraining(const directory::DirectoryView& view, base::TimePoint now);
+  void recordTerminationTimes(const directory::DirectoryView& view, base::TimePoint now);
   /// Cancels the current attempt; the item continues at `instance`, or at any instance if that is
   /// empty.
   void moveTo(const jobs::ItemKey& key, ActiveItem& item, const std::string& instance,
--- a/src/node/item_runner_moves.cpp
+++ b/src/node/item_runner_moves.cpp
@@ -141,7 +141,7 @@
   }
 }
 
-void ItemRunner::recordDraining(const directory::DirectoryView& view, base::TimePoint now) {
+void ItemRunner::recordTerminationTimes(const directory::DirectoryView& view, base::TimePoint now) {
   for (const std::string& id : view.removed) {
     m_terminationTimes.erase(id);
   }
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -444,7 +444,7 @@
   const auto heartbeat = heartbeatOf(heartbeatCall(kHeartbeat));
   const directory::Incarnation incarnation = directory::Incarnation::parse(heartbeat->record.id);
   cr_assert_eq(incarnation.name, "i-1");
-  cr_assert_eq(incarnation.born, 1764720000123U);
+  cr_assert_eq(incarnation.startTime, 1764720000123U);
   cr_assert_eq(heartbeatOf(heartbeatCall(heartbeatWithout("born")))->record.id, "i-1");
   const auto deregistration = platform::PlatformAdapter().controlCall(
       request("POST", "/Instances.Leave/i-1", R"({"born":1764720000123})"));
