--- a/src/gateway/control_view.h
+++ b/src/gateway/control_view.h
@@ -67,9 +67,9 @@
 
   base::NodeId leader_;
   std::size_t m_nextController =
-      0;  ///< index modulo the number of controllers; used without leader
+      0;  ///< index modulo the number of controllers; used if no leader is known
   std::uint64_t sequence_ = 0;
-  std::map<std::uint64_t, base::TimePoint> m_requestSentAt;  ///< by sequence
+  std::map<std::uint64_t, base::TimePoint> m_requestSentAt;  ///< by sequence number
   base::TimePoint m_lastRequestAt{};
   base::TimePoint m_lastResponseAt{};
   base::TimePoint lease_end_{};
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -51,7 +51,7 @@
   std::uint32_t gatewaysPerEngine = 0;
   std::vector<base::NodeId> peers;
 
-  std::uint32_t maxAttempts = 4;  ///< per request of a caller
+  std::uint32_t maxAttempts = 4;  ///< maximum attempts of a caller's request
   double retryRatio = 0.2;
   double retryBurst = 20.0;
   base::Duration retryBackoff = base::milliseconds(50);
@@ -104,12 +104,12 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Events of callers.
+  // Events from callers.
   void onCallerRequest(const CallerRequest& request, base::TimePoint now);
   /// Cancels the request of a caller that disconnected, unless it is not repeatable.
   void onCallerDisconnected(base::CallerId caller, base::TimePoint now);
 
-  // Events of engines.
+  // Events from engines.
   void onEngineStatus(const engine::EngineStatus& status, base::TimePoint now);
   void onCacheEvent(base::EngineId engine, const engine::CacheEvent& event) {
     engines_.onCacheEvent(engine, event);
@@ -118,7 +118,7 @@
   void onChunk(const engine::Chunk& chunk, base::TimePoint now);
   void onAttemptEnd(const engine::AttemptEnd& end, base::TimePoint now);
 
-  // Messages of controllers and ledgers, and time.
+  // Messages from controllers and ledgers, and timer ticks.
   void onMessage(base::NodeId from, const transport::InternalMessage& message, base::TimePoint now);
   void tick(base::TimePoint now);
 
@@ -236,7 +236,8 @@
   routing::OutlierDetector outliers_;
   routing::DispatchQueue queue_;
   routing::RetryBudget retry_budget_;
-  ledger::LengthEstimator m_lengthEstimator;  ///< from the answers to callers' requests
+  /// Updated with the lengths of the answers to callers' requests.
+  ledger::LengthEstimator m_lengthEstimator;
   consensus::GroupClient m_controllerClient;
   std::vector<LedgerGroupState> ledgers_;
 
--- a/src/gateway/gateway_attempts.cpp
+++ b/src/gateway/gateway_attempts.cpp
@@ -72,8 +72,8 @@
     task->verdict = base::Verdict::kRan;
     VersionedTokens output = attempt->output;
     const std::string reason = complete ? end.finishReason : "stop";
-    attempt->resumeOffset =
-        static_cast<std::uint32_t>(output.tokens.size());  // do not count tokens as discarded
+    // Prevents removeAttempt() from counting the tokens as discarded.
+    attempt->resumeOffset = static_cast<std::uint32_t>(output.tokens.size());
     task->outcomeDecided = true;
     removeAttempt(*task, end.attempt, false, now);
     completeTask(*task, std::move(output), reason, now);
--- a/src/gateway/task.h
+++ b/src/gateway/task.h
@@ -79,7 +79,7 @@
   VersionedTokens partialOutput;                   ///< longest output of ended attempts
   std::vector<Attempt> attempts;
   std::uint32_t attemptCount = 0;
-  std::set<base::EngineId> excludedEngines;  ///< rejected, failed or stalled this task
+  std::set<base::EngineId> excludedEngines;  ///< engines that rejected, failed or stalled this task
   std::uint32_t streamedTokens = 0;
   bool queued = false;
   bool outcomeDecided = false;  ///< the outcome is final and is being recorded
--- a/src/http/exchange_server.h
+++ b/src/http/exchange_server.h
@@ -58,7 +58,8 @@
   base::Duration headerTimeout = base::seconds(5);  ///< from the first byte to the last header
   base::Duration bodyTimeout = base::seconds(20);   ///< from the last header to the last byte
   base::Duration idleTimeout = base::seconds(20);   ///< between two requests
-  base::Duration writeTimeout = base::seconds(20);  ///< for a client to read a response
+  /// Maximum time for a client to read the error response after a request timeout.
+  base::Duration writeTimeout = base::seconds(20);
   /// Maximum number of unsent bytes of one connection. Above it, a stream is aborted and no further
   /// request is read.
   std::size_t maxUnsentBytes = 4U << 20U;
--- a/src/http/header_list.h
+++ b/src/http/header_list.h
@@ -22,12 +22,12 @@
   void add(std::string name, std::string value) {
     fields_.push_back({std::move(name), std::move(value)});
   }
-  /// Replaces all fields with that name by one.
+  /// Replaces all fields with this name by a single field.
   void set(std::string_view name, std::string value);
   void remove(std::string_view name);
-  /// Removes the hop-by-hop fields (RFC 9110, section 7.6.1) and the framing fields.
+  /// Removes the hop-by-hop fields (RFC 9110, section 7.6.1), the framing fields and Expect.
   void removeHopByHopHeaders();
-  /// Returns the first value, or an empty string if there is no field with that name.
+  /// Returns the first value, or an empty string if there is no field with this name.
   [[nodiscard]] std::string value(std::string_view name) const;
   [[nodiscard]] bool has(std::string_view name) const;
   [[nodiscard]] const std::vector<HeaderField>& fields() const { return fields_; }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -57,7 +57,7 @@
   std::size_t maxRequestBodyBytes = 8U << 20U;
   std::size_t maxRequestHeaderBytes = 8U << 10U;
   int readTimeoutSeconds = 20;   ///< separately for the headers and the body of a request
-  int writeTimeoutSeconds = 20;  ///< for a client to read a response
+  int writeTimeoutSeconds = 20;  ///< see ExchangeLimits::writeTimeout
 };
 
 /// Returns the decoded query of a request target; empty if it is malformed.
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -74,7 +74,7 @@
 
   // Functions for ConnectionExchange.
 
-  /// Whether the exchange with that number is still the current one.
+  /// Whether the exchange with this number is still the current one.
   [[nodiscard]] bool isCurrent(std::uint64_t number) const {
     return m_handlingRequest && number == m_exchangeNumber && !closed_;
   }
--- a/src/http/stream_relay.h
+++ b/src/http/stream_relay.h
@@ -15,7 +15,7 @@
 /// unsent to the caller, reading from the upstream server is paused.
 class StreamRelay : public std::enable_shared_from_this<StreamRelay> {
  public:
-  /// Default of `maxUnsent`. Large enough that a caller that reads is not slowed down.
+  /// Default of `maxUnsent`. Large enough not to slow down callers that read continuously.
   static constexpr std::size_t kMaxUnsent = 256U << 10U;
 
   StreamRelay(UpstreamClient& upstream, ExchangeId upstreamExchange,
--- a/src/quarantine/crash_detector.cpp
+++ b/src/quarantine/crash_detector.cpp
@@ -21,9 +21,9 @@
   m_nextCheckAt = std::min(m_nextCheckAt, now + m_settings.confirmationDelay);
 }
 
-// A run sent after the connection was lost can be answered only by a running process: the same one
-// or, after minRestartTime, its successor under the same name. A run sent earlier may have been
-// answered before the crash.
+// Whether a response shows that the suspected process did not crash. If the request was sent after
+// the connection was lost, a response after minRestartTime may come from the restarted process. If
+// it was sent earlier, a response within maxResponseDelay may have been sent before the crash.
 bool CrashDetector::provesAlive(const SuspectedCrash& suspected, base::TimePoint sentAt,
                                 base::TimePoint now) const {
   const base::Duration since = now - suspected.connectionLostAt;
--- a/src/quarantine/crash_detector.h
+++ b/src/quarantine/crash_detector.h
@@ -17,7 +17,7 @@
   /// Time after a lost connection within which a response of the instance clears the suspicion;
   /// otherwise the crash is confirmed.
   base::Duration confirmationDelay = base::milliseconds(300);
-  /// Minimum time in which a crashed process can serve again.
+  /// Minimum time after a crash until the restarted process can serve.
   base::Duration minRestartTime = base::milliseconds(800);
   /// Maximum time for which a response sent before a crash may be in transit.
   base::Duration maxResponseDelay = base::milliseconds(100);
@@ -30,10 +30,10 @@
  public:
   explicit CrashDetector(CrashDetectorSettings settings = {}) : m_settings(settings) {}
 
-  /// Records that the connection of a run that may have started was lost before the response was
-  /// complete.
+  /// Records that the connection was lost before the response was complete. The request may have
+  /// started to run.
   void onConnectionLost(const Crash& crash, base::TimePoint now);
-  /// Records that the instance responded to a run sent at `sentAt`.
+  /// Records that the instance responded to a request sent at `sentAt`.
   void onAnswered(const std::string& instance, base::TimePoint sentAt, base::TimePoint now);
   /// Number of instances that crashed while they ran the request, including unconfirmed crashes.
   [[nodiscard]] std::size_t crashCount(const RequestFingerprint& request) const;
@@ -59,7 +59,7 @@
   void evictExpired(base::TimePoint now);
   /// Drops requests without remaining crashes.
   void removeEmpty();
-  /// Evicts the request with the oldest crash if the map is full.
+  /// Evicts the request with the oldest last crash if the map is full.
   void evictOldest();
 
   const CrashDetectorSettings m_settings;
--- a/src/quarantine/quarantine_gate.cpp
+++ b/src/quarantine/quarantine_gate.cpp
@@ -22,7 +22,8 @@
   for (const auto& [request, nextTrialAt] : m_held) {
     if (!updated.contains(request)) {
       changes.released.push_back(request);
-      m_detector.remove(request);  // otherwise the local crash count would still hold it
+      // Otherwise admit() would still hold the request because of the local crash count.
+      m_detector.remove(request);
     }
   }
   m_held = std::move(updated);
@@ -40,7 +41,7 @@
 
 base::Duration QuarantineGate::untilTrial(const RequestFingerprint& request, base::TimePoint now,
                                           base::WallTime wall) const {
-  // Time until a retry of a request that has no further trial.
+  // Maximum delay returned to callers; also used if no further trial follows.
   constexpr base::Duration kMaxRetryAfter = std::chrono::hours(1);
   const auto held = m_held.find(request);
   if (held == m_held.end()) {
--- a/src/quarantine/quarantine_gate.h
+++ b/src/quarantine/quarantine_gate.h
@@ -28,7 +28,7 @@
 /// Deterministic; owned by one thread.
 class QuarantineGate {
  public:
-  /// Applies the held requests of a view. `clusterTime` is unset if the view has none.
+  /// Applies the held requests of a view. `clusterTime` is unset if the view contains no time.
   HoldChanges onHeldRequests(const std::vector<HeldRequest>& held, base::WallTime clusterTime,
                              base::TimePoint now);
   [[nodiscard]] CrashDetector& detector() { return m_detector; }
--- a/src/routing/dispatch_queue.cpp
+++ b/src/routing/dispatch_queue.cpp
@@ -73,8 +73,8 @@
     return;
   }
   const QueuedEntry queuedEntry = found->second;
-  // Only a dispatch of the oldest task resets the counter: under overload many tasks exceed the
-  // timeout.
+  // Only a dispatch of the oldest task resets the counter. Under overload many tasks exceed the
+  // timeout, and dispatching them in the regular order must not delay the oldest task.
   const bool isOldest = m_bySequence.begin()->second == task;
   const bool starved = isOldest &&
                        now - queuedEntry.entry.enqueuedAt >= settings_.starvationTimeout &&
--- a/src/routing/dispatch_queue.h
+++ b/src/routing/dispatch_queue.h
@@ -20,9 +20,9 @@
 
 /// Settings of DispatchQueue.
 struct DispatchQueueSettings {
-  /// Time in the queue after which a task precedes all priority classes.
+  /// Time in the queue after which a task takes precedence over all priority classes.
   base::Duration starvationTimeout = base::seconds(20);
-  /// Number of dispatches of which at most one goes to a task that exceeded `starvationTimeout`.
+  /// Minimum number of dispatches per task that takes precedence because of `starvationTimeout`.
   std::uint32_t dispatchesPerStarved = 10;
   /// Use one queue in order of arrival; baseline for comparisons.
   bool fifo = false;
--- a/src/routing/engine_table.h
+++ b/src/routing/engine_table.h
@@ -18,8 +18,8 @@
 
 /// Settings of EngineTable.
 struct EngineTableSettings {
-  /// Maximum age of the status of an engine that gets new work; an older status may miss that the
-  /// engine is draining.
+  /// Maximum age of the status of an engine that gets new work; an older status may not show
+  /// that the engine is draining.
   base::Duration statusTimeout = base::milliseconds(2500);
 
   struct Mutants {
@@ -49,8 +49,8 @@
 
   void apply(const control::ControlDelta& delta);
   void onStatus(const engine::EngineStatus& status, base::TimePoint now);
-  /// Records that a poll was sent. The response is treated as being as old as the poll, because
-  /// it may have been received long before this process read it.
+  /// Records that a poll was sent. The response is dated by the time of the poll, because this
+  /// process may read it long after its arrival.
   void onPollSent(base::EngineId engine, base::TimePoint now);
   void onDispatch(base::EngineId engine);
   void onAttemptFinished(base::EngineId engine);
