--- a/src/engine/content.h
+++ b/src/engine/content.h
@@ -20,7 +20,8 @@
 [[nodiscard]] std::uint64_t promptHash(std::string_view prompt);
 
 /// Returns the number of tokens of the complete answer. A prompt that begins with `[[tokens=N]]`
-/// gets exactly N tokens, one that begins with `[[around=N]]` between 3/4 N and 5/4 N by the seed.
+/// gets exactly N tokens. A prompt that begins with `[[around=N]]` gets between 3/4 N and 5/4 N
+/// tokens, depending on the seed.
 /// For other prompts the length depends on prompt and seed.
 [[nodiscard]] std::uint32_t syntheticLength(std::string_view prompt, std::uint64_t seed);
 /// Returns the directive `[[tokens=N]]` of syntheticLength().
--- a/src/engine/generation.h
+++ b/src/engine/generation.h
@@ -36,7 +36,7 @@
   std::vector<Token> tokens;
 };
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 enum class EndKind : std::uint8_t {
   kFinished,   ///< complete; `totalTokens` includes the tokens before `resumeFrom`
   kRejected,   ///< the engine rejected the request and did not run it
--- a/src/ledger/batch.h
+++ b/src/ledger/batch.h
@@ -69,7 +69,7 @@
   }
 
  private:
-  /// A sample that is not leased. Sorted by lease order.
+  /// Pending sample. Sorted by lease order.
   struct PendingSample {
     std::uint32_t expectedTokens = 0;
     std::uint32_t index = 0;
--- a/src/ledger/claim_store.h
+++ b/src/ledger/claim_store.h
@@ -12,7 +12,8 @@
 /// request is dispatched at most once. Part of the replicated state. Deterministic.
 class ClaimStore {
  public:
-  /// Grants the claim if the key is new or its request did not run; else returns the known outcome.
+  /// Grants the claim if the key is new or its request did not run. Otherwise returns the recorded
+  /// outcome.
   LedgerResult claim(const ClaimRequest& request, std::uint64_t wallClockSeconds);
   /// Records the outcome of a granted claim; the first outcome is final.
   LedgerResult record(const RecordOutcome& outcome, std::uint64_t wallClockSeconds);
--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -16,7 +16,7 @@
   /// Time after the last change for which claims and the ids of delivered batches are kept.
   std::uint64_t retentionSeconds = 86'400;
   std::uint32_t samplesPerRead = 256;
-  /// Lease samples in descending order of expected length; if false, by index (baseline).
+  /// Whether samples are leased in descending order of expected length; otherwise by index.
   bool longestFirst = true;
   Batch::Mutants batchMutants;
 
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -29,7 +29,8 @@
   base::Duration suspendNode{0};  ///< suspends a node for longer than every lease
   /// Drops messages between a node and another node or an engine, in one or both directions.
   base::Duration partitionLink{0};
-  base::Duration deposeLeader{0};  ///< partitions one, then all controllers from the leader
+  /// Partitions one controller from the leader, then the leader from all controllers.
+  base::Duration deposeLeader{0};
   /// Partitions the leading controller from the other controllers.
   base::Duration isolateLeader{0};
   base::Duration loseDisk{0};            ///< the machine is replaced by a new one
@@ -59,11 +60,11 @@
   std::uint32_t samplesPerBatch = 16;
   double maxSampleTokens = 400.0;
   std::uint64_t prompts = 500;       ///< number of distinct prompts of a trainer
-  std::uint64_t stalenessBound = 3;  ///< maximum age of weights in versions at submission
+  std::uint64_t stalenessBound = 3;  ///< maximum staleness at submission, in versions
   base::Duration trainingTime = base::milliseconds(300);
   bool trainerPublishesOnce = false;  ///< trainers stop after the first publication
   bool trainersRestart = false;       ///< trainers restart at random and lose their cursor
-  /// If set, replaces random requests and batch sizes and adds its faults.
+  /// Trace that replaces random requests and batch sizes and adds faults; may be null.
   std::shared_ptr<const WorkloadTrace> trace;
   bool raiseMinVersions = false;  ///< trainers raise the minimum version of running batches
   std::uint32_t operators = 2;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -173,7 +173,7 @@
 }
 
 void twoLeaders(SimulationOptions& options) {
-  // Few changes, so that a partitioned follower misses no log entry and can be elected.
+  // Changes are rare, so a partitioned follower misses no log entry and can be elected.
   options.load.operators = 1;
   options.load.changeInterval = seconds(2);
   options.load.trainingTime = seconds(3);
--- a/src/simulation/simulated_node.h
+++ b/src/simulation/simulated_node.h
@@ -45,7 +45,7 @@
   /// Starts the process for the first time, as a member of a new cluster.
   void bootstrap();
   void kill();
-  void restart();  ///< keeps the data directory as the crash left it
+  void restart();  ///< starts the process with the existing data directory
   /// Replaces the node by one with an empty disk and a new node id. Returns the new id.
   base::NodeId replace();
   void suspend();
@@ -142,7 +142,7 @@
   base::TimePoint m_suspendedAt{};
   base::Duration m_clockLag{0};  ///< time that the clock has missed during suspensions
   bool m_shuttingDown = false;
-  /// The process crashes after it sent a part of the pending outputs.
+  /// Whether the process crashes after it has sent a part of the pending outputs.
   bool m_crashDuringFlush = false;
   base::TimePoint m_shutdownStartedAt{};
   base::TimePoint m_machineListReadAt{};
--- a/src/simulation/trainer_actor.cpp
+++ b/src/simulation/trainer_actor.cpp
@@ -175,7 +175,8 @@
   const ledger::RaiseMinimumVersion command{batches_.front().sent.batch, minVersion};
   call(batches_.front().sent.batch, transport::CommandKind::kCommand,
        base::encode(ledger::LedgerOperation{command}), [this, minVersion](const base::Bytes&) {
-         // Reads the number of committed samples: later ones must have the new minimum version.
+         // Reads the number of committed samples. Samples committed after them must have the new
+         // minimum version.
          const ledger::ReadSamples query{batches_.front().sent.batch, batches_.front().cursor, 1};
          call(batches_.front().sent.batch, transport::CommandKind::kQuery,
               base::encode(ledger::LedgerQuery{query}),
--- a/src/simulation/trainer_actor.h
+++ b/src/simulation/trainer_actor.h
@@ -27,8 +27,8 @@
   [[nodiscard]] bool isDone() const { return stopped_ && batches_.empty(); }
   /// Returns the fraction of the measured time that was spent waiting for a batch.
   [[nodiscard]] double idleFraction() const;
-  /// Returns the mean number of versions between the published one and the oldest of a delivered
-  /// sample.
+  /// Returns the mean staleness of delivered samples: the published version minus the oldest
+  /// version of the sample.
   [[nodiscard]] double meanStaleness() const;
 
  private:
@@ -51,7 +51,7 @@
   void raiseMinVersion();
   void acknowledge();
   void publish();
-  /// Calls the ledger through a random gateway until there is a response.
+  /// Calls the ledger through a random gateway. Retries until a response arrives.
   void call(const base::BatchId& batch, transport::CommandKind kind, const base::Bytes& payload,
             const OnResult& onResult);
   void callControllers(const base::Bytes& payload, const OnResult& onResult);
