--- a/bench/leases/main.cpp
+++ b/bench/leases/main.cpp
@@ -103,8 +103,8 @@
   double worst = 0;
 };
 
-/// Measures queue plans while all engine slots are leased except those that one in a hundred
-/// gateways has released.
+/// Measures queue plans while all engine slots are leased, except the slots that about one percent
+/// of the gateways release before each plan.
 PlanCost measurePlans(std::uint32_t items, std::uint32_t engines, jobs::SchedulerPolicy policy) {
   constexpr std::uint32_t kPlans = 100;
   constexpr std::uint32_t kGatewaysPerRelease = 100;
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -24,7 +24,8 @@
 
 using Configure = void (*)(SimulationOptions&);
 
-/// A profile or policy; `configure` applies it to the options.
+/// A profile or policy; `configure` applies it to the options. A policy without `configure` is the
+/// baseline policy with engine faults.
 struct NamedOptions {
   std::string name;
   Configure configure;
--- a/bench/weights/main.cpp
+++ b/bench/weights/main.cpp
@@ -57,7 +57,7 @@
   EngineFleet fleet(engineCount);
   directory::LoadSchedulerSettings settings;
   settings.loadOrder = order;
-  // All engines are assigned to a model, none is on standby.
+  // Assigns every engine to a model, so that no engine is on standby.
   settings.assignments.requirements.minEngines = static_cast<std::size_t>(engineCount);
   directory::LoadScheduler scheduler(settings);
   scheduler.reset({}, fleet.assignments);
--- a/test/forwarding/forwarding_test.cpp
+++ b/test/forwarding/forwarding_test.cpp
@@ -29,7 +29,7 @@
     now += base::seconds(100);
     table.replaceAll(views);
   }
-  /// Ids selected in many calls.
+  /// Returns the distinct ids selected in repeated calls.
   std::set<std::string> selectedIds(const forwarding::InstanceRequirements& requirements,
                                     const std::set<std::string>& tried = {}) {
     std::set<std::string> ids;
@@ -183,7 +183,7 @@
   const std::string third = table.select(kRequirements, {}, random, now)->record.id;
   cr_assert_neq(third, second);
   cr_assert_neq(third, first);
-  // Many concurrent requests spread over all servers.
+  // Concurrent requests are spread beyond the gateway's subset of servers.
   std::set<std::string> used;
   for (int request = 0; request < 100; ++request) {
     const std::string id = table.select(kRequirements, {}, random, now)->record.id;
--- a/test/forwarding/refusals_test.cpp
+++ b/test/forwarding/refusals_test.cpp
@@ -1,5 +1,5 @@
-/// Distribution of rejections over tenants when all instances are full. Gateways do not queue
-/// requests.
+/// Tests the distribution of rejections over tenants while all servers are full. Gateways do not
+/// queue requests.
 #include <criterion/criterion.h>
 
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A server with a limited number of running and queued requests, which rejects others.
+/// A server that rejects requests above a limit of running and queued requests.
 struct Server {
   std::vector<base::TimePoint> endTimes;
   std::size_t slots = 0;
--- a/test/integration/cluster_test.cpp
+++ b/test/integration/cluster_test.cpp
@@ -29,7 +29,7 @@
 constexpr int kAccepted = 202;
 /// Time after which a starting process is reading its settings.
 constexpr auto kStartupWait = std::chrono::milliseconds(500);
-/// Longer than the maximum age of a gateway's configuration.
+/// Wait that exceeds the maximum age of a gateway's configuration.
 constexpr auto kBeyondMaxConfigurationLag = std::chrono::milliseconds(2500);
 
 /// Hosting platform's usage API. Every third report is recorded but gets no response.
@@ -194,7 +194,7 @@
   const std::filesystem::path folder =
       std::filesystem::temp_directory_path() / ("tackpick-start-" + std::to_string(getpid()));
   std::filesystem::create_directories(folder);
-  // Reading a FIFO without a writer blocks, which keeps the process in its startup.
+  // Reading a FIFO without a writer blocks, which keeps the process in startup.
   const std::string settings = folder / "settings.yaml";
   cr_assert_eq(mkfifo(settings.c_str(), S_IRUSR | S_IWUSR), 0);
   tackpick::test::Process process("tackpickd", {"--settings", settings}, folder / "log");
@@ -260,8 +260,8 @@
             "the change is in force: a request without a key is rejected with 401");
 }
 
-// Guards against items that hang when an engine restarts under its name without its connections
-// being closed, and against late messages of the old incarnation.
+// Guards against items that hang when an engine restarts under the same name while its old
+// connections stay open, and against late messages of the old incarnation.
 Test(cluster, items_resume_after_engine_restart) {
   constexpr std::uint64_t kFirstStartTime = 1'000'000;
   constexpr std::uint64_t kRestartTime = 2'000'000;
@@ -294,7 +294,7 @@
   }
   cr_assert_gt(newIncarnation.requestsByTenant("/b/").size(), 0U,
                "the items finished at the new incarnation");
-  // A malformed heartbeat changes nothing.
+  // A malformed heartbeat is rejected and has no effect.
   cr_assert_eq(cluster.callController("POST", path, {{"service", 7}}).status, 400);
   waitUntil(
       [&] { return cluster.callGateway("POST", "/b/x", batch(2), "two").status == kAccepted; },
@@ -302,7 +302,7 @@
   cr_assert_eq(waitForBatch(cluster, "two", 2).size(), 2U);
 }
 
-// Guards against a drain of the old incarnation that affects the new one.
+// Guards against applying a drain of the old incarnation to the new incarnation.
 Test(cluster, engine_restarted_during_drain_gets_work) {
   constexpr std::uint64_t kFirstStartTime = 1'000'000;
   constexpr std::uint64_t kRestartTime = 2'000'000;
--- a/test/integration/fake_engine.h
+++ b/test/integration/fake_engine.h
@@ -50,7 +50,7 @@
   /// Returns the number of accepted load commands.
   [[nodiscard]] std::size_t loadCommandCount() const { return m_loadCommandCount; }
   [[nodiscard]] EngineVersions versions() const;
-  /// Returns the number of streams that were left open.
+  /// Returns the number of stalled streams.
   [[nodiscard]] std::size_t stalledStreams() const;
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
   /// Sets the port that heartbeats advertise instead of the engine's own, for example a proxy's.
@@ -72,7 +72,7 @@
                          const std::shared_ptr<http::Exchange>& exchange);
   void sendVersions(const std::shared_ptr<http::Exchange>& exchange) const;
   void run(const http::RawRequest& request, const std::shared_ptr<http::Exchange>& exchange);
-  /// Writes the next event and schedules the following one after the event interval.
+  /// Writes the remaining events, one per event interval or all at once if the interval is zero.
   void writeEvents(const std::shared_ptr<Stream>& stream);
   void writeEvent(Stream& stream) const;
   [[nodiscard]] std::uint64_t versionOf(const std::string& model) const;
--- a/test/integration/quarantine_test.cpp
+++ b/test/integration/quarantine_test.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t kMaxCrashes = 3;
 /// Time after which a crashed engine is replaced.
 constexpr auto kRestartDelay = std::chrono::milliseconds(400);
-/// Time within which crashes detected by one gateway must be known to all gateways.
+/// Maximum time for crashes detected by one gateway to be propagated to all gateways.
 constexpr auto kPropagationTime = std::chrono::milliseconds(3000);
 
 /// Engines that crash on requests to `path`. Each crashed engine is replaced by a new one.
--- a/test/integration/soak_clients.h
+++ b/test/integration/soak_clients.h
@@ -42,7 +42,7 @@
   std::vector<std::string> m_gateways;
 };
 
-/// Runs a step repeatedly on its own thread until it is destroyed.
+/// Thread that repeats a step until the object is destroyed.
 class RepeatingThread {
  public:
   explicit RepeatingThread(std::function<void()> step);
@@ -151,7 +151,7 @@
   std::uint64_t m_attempts = 0;
 };
 
-/// Engine that restarts under its name after a crash, and sends its heartbeats.
+/// Engine that sends heartbeats and restarts under the same name after a crash.
 class RestartableEngine {
  public:
   RestartableEngine(SoakContext context, std::string name, std::uint64_t seed);
@@ -159,7 +159,7 @@
   void step();
   /// Replaces the engine by a new incarnation at another port.
   void restart();
-  /// Returns how many incarnations were crashed by requests.
+  /// Returns the number of incarnations that were crashed by requests.
   [[nodiscard]] std::size_t crashCount() const { return m_crashCount; }
 
  private:
@@ -168,7 +168,7 @@
   const SoakContext m_context;
   const std::string m_name;
   base::SeededRandom m_random;
-  FakeEngineOptions m_options;  ///< random for each engine
+  FakeEngineOptions m_options;  ///< chosen randomly for each engine
   std::mutex m_mutex;
   std::unique_ptr<FakeEngine> m_engine;
   std::uint64_t m_startTime = 1;
--- a/test/integration/soak_test.cpp
+++ b/test/integration/soak_test.cpp
@@ -185,8 +185,8 @@
     updateEndpoints();
   }
 
-  /// Waits until the groups are healthy, runs `action`, which loses one disk, and waits until the
-  /// machine whose address it returns is a voter again. Other faults continue meanwhile.
+  /// Waits until the groups are healthy, then runs `action`, which deletes one disk and returns the
+  /// address of the recovering machine. Waits until that machine is a voter.
   void loseDisk(const std::string& address, const std::function<std::string()>& action) {
     runDueRecoveries(true);
     waitForHealthyGroups();
@@ -282,8 +282,8 @@
   runSeeds(first, last);
 }
 
-// Guards against a request that is quarantined because it ran on engines crashed by another
-// request, and then gets no response after the restart of all processes.
+// Guards against a harmless request that is quarantined because it shared engines with a crashing
+// request, and that gets no response after all processes restart.
 Test(soak, request_held_by_chance_is_answered_after_the_loss_of_every_process, .timeout = 600) {
   constexpr std::uint64_t kSeed = 206;
   runSeeds(kSeed, kSeed);
--- a/test/integration/test_cluster.h
+++ b/test/integration/test_cluster.h
@@ -22,7 +22,7 @@
   std::uint16_t platformPort = 0;  ///< port of the fake hosting platform; zero: none
 };
 
-/// A machine of the cluster; `process` is null while it is down.
+/// A machine of the cluster; `process` is null until the first start.
 struct Machine {
   std::string address;
   std::string role;
@@ -31,7 +31,8 @@
 };
 
 /// Starts and stops the machines and calls them. Controllers have the addresses 127.0.1.x, ledgers
-/// 127.0.2.x, gateways 127.0.3.x; a subnet is the prefix with the last dot, such as `127.0.1.`.
+/// 127.0.2.x, gateways 127.0.3.x; a subnet is an address prefix with a trailing dot, such as
+/// `127.0.1.`.
 class TestCluster {
  public:
   explicit TestCluster(ClusterLayout layout = {});
--- a/test/quarantine/mistaken_holds_test.cpp
+++ b/test/quarantine/mistaken_holds_test.cpp
@@ -1,5 +1,5 @@
-/// Guards against holding harmless requests that shared instances with a request that crashes
-/// them. See docs/design/0009-quarantine.md.
+/// Guards against quarantining harmless requests that ran on the same instances as a poison
+/// request. See docs/design/0009-quarantine.md.
 #include <criterion/criterion.h>
 
 #include <cstdint>
@@ -169,8 +169,8 @@
   cr_assert_eq(outcome.falsePositives, 0, "%d of %d", outcome.falsePositives, outcome.requests);
 }
 
-// Worst case: long-running requests occupy all slots of a few engines and share an engine with the
-// poison request again after each move.
+// Worst case: long-running requests occupy all slots of a few instances and share an instance with
+// the poison request again after each retry.
 Test(mistaken_holds, few_beside_long_texts_on_full_engines) {
   const Workload workload = {.instances = 11,
                              .slots = 12,
