--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -8,7 +8,7 @@
 constexpr base::Duration kCallResendInterval = base::milliseconds(300);
 /// Bit that distinguishes the ids of calls to a specific ledger from those of calls to the leader.
 constexpr std::uint64_t kReplicaCallFlag = std::uint64_t{1} << 62U;
-/// Time after which an unresponsive ledger is not called.
+/// Time without contact after which a ledger is not called.
 constexpr base::Duration kLedgerTimeout = base::milliseconds(2500);
 
 consensus::GroupClientSettings clientSettings(base::GroupId group,
@@ -130,7 +130,8 @@
 
 std::vector<base::NodeId> ClusterMember::ledgerTargets() {
   if (!view_.ledgerVoters.empty()) {
-    // A new leader of the controllers initially reports no voters.
+    // Otherwise the last known voters are kept, since a new leader of the controllers initially
+    // reports none.
     ledger_voters_ = view_.ledgerVoters;
   } else if (ledger_voters_.empty()) {
     ledger_voters_ = view_.initialLedgerVoters;
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -37,7 +37,8 @@
 
   using ViewHandler = std::function<void(const directory::DirectoryView& update)>;
   /// Sets the handler of received views, full or incremental. Instances are not kept here, since
-  /// merging large incremental views for each update is expensive: handlers keep those they need.
+  /// merging large incremental views for each update is expensive. Handlers keep the instances they
+  /// need.
   void onView(ViewHandler handler) { on_view_ = std::move(handler); }
   using ConfigurationHandler = std::function<void(const directory::Configuration& newest)>;
   /// Sets the handler of newer configurations. It is called before the handler of the view.
--- a/src/cluster/group_repair.h
+++ b/src/cluster/group_repair.h
@@ -54,9 +54,9 @@
 /// Returns the next change, std::nullopt if none is needed. The first rule that applies decides:
 /// 1. A member whose address is used by another instance has lost its disk and cannot return. It is
 ///    removed; as it never votes again, this cannot make a quorum harder to reach.
-/// 2. An unresponsive voter of an even number of voters is removed regardless of `targetSize`: the
-///    group tolerates as many losses without it, with a smaller quorum. Otherwise a group on fewer
-///    machines than `targetSize` would keep each lost voter until no quorum is left.
+/// 2. If the number of voters is even, an unresponsive voter is removed regardless of `targetSize`:
+///    the group tolerates as many losses without it, with a smaller quorum. Without this rule, a
+///    group on fewer machines than `targetSize` would keep each lost voter until it has no quorum.
 /// 3. If fewer than `targetSize` members are healthy, a responsive node is added as a learner.
 /// 4. Retiring or unresponsive members are removed once enough healthy voters remain.
 /// 5. A surplus voter other than the leader `self` is removed. A surplus arises when an
--- a/src/consensus/group_client.h
+++ b/src/consensus/group_client.h
@@ -37,7 +37,7 @@
   using Callback = std::function<void(const base::Bytes* result, base::TimePoint now)>;
 
   /// `firstCall` must differ between runs of the process, so that late responses are not mistaken
-  /// for those of other calls.
+  /// for responses to other calls.
   GroupClient(GroupClientSettings settings, base::CallId firstCall)
       : settings_(std::move(settings)), next_call_(firstCall) {}
 
--- a/src/consensus/raft_consensus.cpp
+++ b/src/consensus/raft_consensus.cpp
@@ -199,8 +199,8 @@
 }
 
 void RaftConsensus::send(base::NodeId to, RaftMessage message) {
-  // Responses and vote requests depend on this server's log. A leader may send entries while they
-  // are written to its own disk (section 10.2.1); it counts itself only once they are durable.
+  // Responses and vote requests depend on this server's log. A leader may send entries before
+  // the entries are durable on its own disk (section 10.2.1), but does not count itself until then.
   const bool isLeaderMessage = std::holds_alternative<AppendRequest>(message) ||
                                std::holds_alternative<InstallSnapshotRequest>(message) ||
                                std::holds_alternative<TimeoutNowRequest>(message);
--- a/src/consensus/raft_consensus.h
+++ b/src/consensus/raft_consensus.h
@@ -46,7 +46,7 @@
 
 enum class RaftState { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// Raft as in the dissertation: pre-vote (9.6), check-quorum (6.2), leader lease (6.4.1),
+/// Raft as in Ongaro's dissertation: pre-vote (9.6), check-quorum (6.2), leader lease (6.4.1),
 /// single-server membership change with learners (4), snapshots (5), leadership transfer (3.10).
 ///
 /// Usage: pass in messages, ticks and proposals; call flush(), which starts to sync the log, and
@@ -63,15 +63,17 @@
   void handle(base::NodeId from, const RaftMessage& message, base::TimePoint now);
   /// Handles timeouts. Must be called at least every heartbeat interval, and after any stall.
   void tick(base::TimePoint now);
-  /// Appends a command and returns its index, std::nullopt if this server is not the leader.
+  /// Appends a command and returns its index, std::nullopt if this server is not the leader or is
+  /// transferring leadership.
   std::optional<LogIndex> propose(base::Bytes command, base::TimePoint now);
 
   /// Adds a server as a learner, which is promoted once it has caught up. Returns false if this
-  /// server is not the leader or another membership change is pending.
+  /// server is not the leader, has not committed an entry of its term, is transferring leadership,
+  /// or another membership change is pending.
   bool addMember(base::NodeId node, base::TimePoint now);
   bool removeMember(base::NodeId node, base::TimePoint now);
-  /// Transfers leadership to a voter with a complete log (section 3.10). Returns false if there is
-  /// none.
+  /// Transfers leadership to a voter with a complete log (section 3.10). Returns false if this
+  /// server is not the leader, a transfer is in progress, or no other voter has a complete log.
   bool transferLeadership(base::TimePoint now);
 
   /// Starts to sync the writes so far, unless a sync is in progress, and returns the messages that
@@ -157,7 +159,7 @@
   void acceptLeader(base::NodeId from, Term term, base::TimePoint now);
   /// Appends the request's entries, after removal of conflicting ones. Returns false on a failure.
   bool appendEntries(const AppendRequest& request);
-  /// Excludes the entries starting with `firstRemoved` from those that a sync makes durable.
+  /// Marks the entries starting with `firstRemoved` as not durable, also for a sync in progress.
   void onTruncated(LogIndex firstRemoved);
   /// Sends a request to all other members and starts a heartbeat round.
   void broadcast(base::TimePoint now);
@@ -238,7 +240,7 @@
   base::TimePoint m_lastLeaderContactAt{};
   std::set<base::NodeId> votes_;  ///< servers that granted their vote or pre-vote
 
-  // Valid while leader.
+  // Valid only while this server is the leader.
   std::map<base::NodeId, Progress> progress_;
   std::deque<HeartbeatRound> rounds_;  ///< rounds not confirmed by a quorum, oldest first
   std::uint64_t last_round_ = 0;
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -316,7 +316,7 @@
   }
   std::sort(matched.begin(), matched.end());
   const LogIndex quorumIndex = matched[(matched.size() - 1) / 2];
-  // Only entries of the current term are committed by counting (section 3.6.2).
+  // Only entries of the current term are committed by counting replicas (section 3.6.2).
   if (quorumIndex <= commit_index_ || termAt(quorumIndex) != currentTerm()) {
     return;
   }
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -104,8 +104,8 @@
   }
 };
 
-/// Replication and heartbeat. `round` is the number of the leader's latest broadcast; from the
-/// echoed round the leader derives when a quorum still followed it.
+/// Replication and heartbeat. `round` is the number of the leader's latest broadcast.
+/// Responses echo it, which shows the leader when a quorum last followed it.
 struct AppendRequest {
   Term term = 0;
   LogIndex previousIndex = 0;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -47,7 +47,8 @@
   /// Receives the result of a command once it is applied, or nullptr if this replica lost
   /// leadership before the command was applied, so that the outcome is unknown.
   using Completion = std::function<void(const base::Bytes* result, LogIndex index)>;
-  /// Proposes a command. Returns false if this replica is not the leader.
+  /// Proposes a command. Returns false if this replica is not the leader or is transferring
+  /// leadership.
   bool propose(base::Bytes command, base::TimePoint now, Completion completion);
 
   /// Ends a turn and appends messages to clients and peers to `outbox`.
--- a/src/duties/autoscaler.h
+++ b/src/duties/autoscaler.h
@@ -21,11 +21,12 @@
   CapacityPlannerSettings plan;
   /// Minimum time between two calls; the platform limits the rate of all calls.
   base::Duration minCallInterval = base::milliseconds(100);
-  /// Time after which an unanswered call is repeated. Doubles with each repetition up to
-  /// maxRetryDelay.
+  /// Time without calls after one that was throttled or whose outcome is unknown. Doubles with
+  /// each such call up to maxRetryDelay.
   base::Duration initialRetryDelay = base::milliseconds(300);
   base::Duration maxRetryDelay = base::milliseconds(2400);
-  /// Time added to the startup duration of a new instance before its call is repeated.
+  /// Time beyond the startup duration for which a requested instance still counts as starting.
+  /// Afterwards the call is repeated.
   base::Duration startupGrace = base::seconds(2);
   /// Time after which an accepted call is repeated while its instances do not register. Doubles
   /// with each repetition up to maxRepeatInterval.
@@ -35,7 +36,7 @@
   base::Duration callTimeout = base::seconds(3);
   /// Time after which a log entry that has not been applied is proposed again.
   base::Duration proposalTimeout = base::seconds(1);
-  /// Maximum time after which the platform may still execute an unanswered call.
+  /// Maximum delay with which the platform may execute an unanswered call.
   base::Duration maxEffectDelay = base::seconds(15);
   /// Time for which no preemptible instances are requested from a zone that has none available.
   /// Doubles with each failure up to maxBackoff.
@@ -65,7 +66,7 @@
 struct CapacityDecision {
   InstancePool subject;
   std::uint32_t count = 0;
-  std::uint32_t previousCount = 0;  ///< count requested until now
+  std::uint32_t previousCount = 0;  ///< count requested before this decision
   std::uint32_t active = 0;
   std::uint32_t draining = 0;
   std::uint32_t targetTotal = 0;  ///< planned instances in all zones, of both kinds
@@ -107,7 +108,7 @@
   /// Records the outcome of a call that step() returned.
   void onOutcome(const ScaleCall& call, ScaleOutcome outcome, base::TimePoint now);
 
-  /// Returns the pools as of the last step.
+  /// Returns the summaries of all pools as of the last step.
   [[nodiscard]] const std::vector<PoolSummary>& summaries() const { return m_summaries; }
   [[nodiscard]] bool enabled() const { return m_settings.plan.mode != CapacityMode::kFixed; }
 
@@ -126,7 +127,7 @@
     /// Count accepted by the platform, possibly not yet confirmed in the log.
     std::optional<std::uint32_t> acceptedCount;
     bool unanswered = false;  ///< whether the last call has no answer
-    /// Whether instances have left since the last call, which must then be repeated.
+    /// Whether instances have left since the last call. If so, the call is repeated.
     bool instancesLost = false;
     RegisteredCounts lastCounts;  ///< as of the last step
     /// Lowest count of the unanswered calls that the platform may still execute.
--- a/src/duties/capacity_planner.h
+++ b/src/duties/capacity_planner.h
@@ -59,7 +59,7 @@
   std::string zone;
   InstanceKind kind = InstanceKind::kOnDemand;
   std::uint32_t count = 0;
-  bool isScaleIn = false;  ///< whether the count is one below the active instances
+  bool isScaleIn = false;  ///< whether the target releases one active instance
 
   bool operator==(const CapacityTarget&) const = default;
 };
--- a/src/duties/capacity_policy.cpp
+++ b/src/duties/capacity_policy.cpp
@@ -36,7 +36,8 @@
 }
 
 std::uint32_t ReactivePolicy::sustainedShortage(const CapacityDemand& demand, base::TimePoint now) {
-  // The shortage is timed by reports, so that repeated evaluation of a report does not prolong it.
+  // The duration of a shortage is measured between reports, so that repeated evaluation of the
+  // same report does not extend it.
   const base::TimePoint reportedAt = now - demand.reportAge;
   const std::uint32_t shortage = slotShortage(demand);
   if (shortage == 0) {
--- a/src/duties/capacity_policy.h
+++ b/src/duties/capacity_policy.h
@@ -15,9 +15,9 @@
 
 /// Policy that decides how many instances are requested.
 enum class CapacityMode : std::uint8_t {
-  kFixed,       ///< counts are left as they are; no call is made
+  kFixed,       ///< counts are not changed; no call is made
   kReactive,    ///< slots for waiting items
-  kPredictive,  ///< slots for training steps as large as the largest recent ones
+  kPredictive,  ///< slots for the largest recent training step of each model
 };
 
 /// Demand for a service.
@@ -71,7 +71,7 @@
 
   const ReactivePolicySettings m_settings;
   std::optional<base::TimePoint> m_shortageSince;
-  std::uint32_t m_minShortage = 0;  ///< since m_shortageSince
+  std::uint32_t m_minShortage = 0;  ///< minimum shortage since m_shortageSince
   std::uint32_t m_peak = 0;         ///< highest recent target, in slots
   base::TimePoint m_peakAt{};
 };
--- a/src/duties/capacity_state.h
+++ b/src/duties/capacity_state.h
@@ -14,7 +14,7 @@
 /// Count requested from the platform.
 struct DesiredCapacity {
   std::uint32_t count = 0;
-  bool accepted = false;  ///< whether the platform accepted it
+  bool accepted = false;  ///< whether the platform accepted the count
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/duties/scaling.cpp
+++ b/src/duties/scaling.cpp
@@ -5,7 +5,7 @@
 namespace tackpick::duties {
 namespace {
 
-/// Larger values are treated as corrupt.
+/// Larger values are rejected as invalid.
 constexpr std::uint32_t kMaxInstances = 100'000;
 constexpr base::Duration kMaxStartupDuration = base::seconds(3600);
 
--- a/src/duties/usage_reporter.h
+++ b/src/duties/usage_reporter.h
@@ -28,8 +28,8 @@
   /// Minimum interval between log entries with the counts of gateways. Bounds the usage that is
   /// lost if all machines fail simultaneously.
   base::Duration recordInterval = base::milliseconds(100);
-  /// Time that is multiplied by the number of counts that are not finalized. The product is another
-  /// lower bound of the interval between log entries with counts and limits the rate of writes.
+  /// Minimum interval between log entries with counts, per count that is not finalized. Applies if
+  /// the resulting interval exceeds recordInterval, and limits the rate of writes.
   base::Duration recordIntervalPerCount = base::microseconds(100);
   /// Minimum time between two calls; the platform limits the rate of all calls.
   base::Duration minCallInterval = base::milliseconds(100);
--- a/test/cluster/group_repair_test.cpp
+++ b/test/cluster/group_repair_test.cpp
@@ -112,8 +112,8 @@
             (cluster::MembershipChange{node(3), true}));
 }
 
-// An unresponsive voter of an even number only increases the quorum. Its removal must not wait for
-// a size that the group may never reach.
+// If the number of voters is even, an unresponsive voter only increases the quorum. Its removal
+// must not wait until the group has its target size, which it may never reach.
 Test(group_repair, unresponsive_voter_of_an_even_group_is_removed_below_the_target_size) {
   const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   auto group = voters({node(1), node(2), node(3)});
@@ -128,8 +128,8 @@
             (cluster::MembershipChange{node(3), true}));
 }
 
-// An unresponsive voter of three must not be removed: it may return, and a group of two voters
-// tolerates no loss.
+// An unresponsive voter in a group of three must not be removed: it may return, and a group of two
+// voters tolerates no loss.
 Test(group_repair, unresponsive_voter_of_an_odd_group_stays_until_another_votes) {
   const cluster::GroupRepairSettings settings{5, base::milliseconds(2500)};
   const auto group = voters({node(1), node(2), node(3)});
